--- a/programs/simulate.cpp
+++ b/programs/simulate.cpp
@@ -163,7 +163,7 @@
   std::vector<std::int64_t> recoveries;
   std::map<std::string, double> counters;
   std::map<std::string, std::size_t> effects, limits;
-  std::uint64_t hash = 0;
+  std::uint64_t hash = 0, durableDigest = 0;
   SearchStatistics searched;
 };
 
@@ -173,6 +173,7 @@
   searched.operations += result.searched.operations;
   searched.configurations += result.searched.configurations;
   hash = hash * 31 + result.hash;
+  durableDigest = durableDigest * 31 + result.durableDigest;
   recoveries.push_back(result.recovery);
   for (const auto& [name, value] : result.counters)
     counters[name] += value;
@@ -203,6 +204,7 @@
                          {"jobs", json(jobs)},
                          {"starts", json(starts)},
                          {"hash", json(std::to_string(hash))},
+                         {"durable_digest", json(std::to_string(durableDigest))},
                          {"operations", json(searched.operations)},
                          {"configurations", json(searched.configurations)},
                          {"recovery_p50_ms", json(recoveries[recoveries.size() / 2])},
--- a/source/simulator/campaign.cpp
+++ b/source/simulator/campaign.cpp
@@ -486,6 +486,7 @@
     for (const auto& misjudged : world.misjudgedOrders())
       result.broken.push_back({11, World::calendar + world.now, misjudged});
     result.hash = world.hash();
+    result.durableDigest = world.durableDigest();
     result.jobs = world.submissions.size();
     for (const auto& given : world.history)
       result.starts += given.kind == HistoryEvent::Kind::started;
--- a/source/simulator/campaign.hpp
+++ b/source/simulator/campaign.hpp
@@ -20,7 +20,8 @@
   std::vector<std::string> unfinished;
   std::vector<std::string> faults;
   std::map<std::string, std::size_t> effects;  // by kind of fault: how often it took effect
-  std::uint64_t hash = 0;
+  std::uint64_t hash = 0;                      // of the history
+  std::uint64_t durableDigest = 0;             // of all durable writes and the final states
   std::size_t jobs = 0, starts = 0;
   std::int64_t recovery = 0;  // virtual ms from whole to served
   std::map<std::string, double> counters;
--- a/source/simulator/nodes.hpp
+++ b/source/simulator/nodes.hpp
@@ -6,6 +6,14 @@
 
 namespace aniseline {
 
+// FNV-1a, continued from an earlier hash.
+inline std::uint64_t hashBytes(std::uint64_t hash, std::string_view bytes) {
+  constexpr std::uint64_t prime = 1099511628211ull;
+  for (unsigned char byte : bytes)
+    hash = (hash ^ byte) * prime;
+  return hash;
+}
+
 constexpr std::size_t noGateway = std::size_t(-1);  // nobody is at that address any more
 
 struct World::Node {
--- a/source/simulator/world.cpp
+++ b/source/simulator/world.cpp
@@ -95,8 +95,7 @@
   if (!given.at)
     given.at = calendar + now;
   const std::string line = given.line();
-  for (unsigned char letter : line)
-    transcriptHash = (transcriptHash ^ letter) * 1099511628211ull;
+  transcriptHash = hashBytes(transcriptHash, line);
   if (say && !given.worker.empty())
     say("witness " + line);
   history.push_back(std::move(given));
--- a/source/simulator/world.hpp
+++ b/source/simulator/world.hpp
@@ -119,6 +119,9 @@
   std::vector<std::string> unfinished() const;
   CheckReport findings() const;
   std::uint64_t hash() const { return transcriptHash; }
+  // A digest of every durable write of every controller in its order, and of the replicated state
+  // of those that are up: it depends on no name and no text of ours but what is on disk.
+  std::uint64_t durableDigest() const;
   std::vector<HistoryEvent> history;
   std::map<std::string, JobSubmission> submissions;
   std::map<std::string, std::uint32_t> retries, tries;
@@ -203,6 +206,7 @@
   std::priority_queue<Event> events;
   std::uint64_t nextEvent = 0;
   std::uint64_t transcriptHash = 1469598103934665603ull;
+  std::uint64_t writesDigest = 1469598103934665603ull;
   std::vector<std::unique_ptr<ControllerNode>> controllers;
   std::vector<std::unique_ptr<GatewayNode>> gateways;
   std::vector<std::unique_ptr<WorkerNode>> workers;
--- a/source/simulator/world_controllers.cpp
+++ b/source/simulator/world_controllers.cpp
@@ -96,6 +96,7 @@
 void World::drive(ControllerNode& node) {
   if (auto record = node.core->takeWrite()) {
     node.writing = std::move(*record);
+    writesDigest = hashBytes(writesDigest, pack(*node.writing));
     const std::int64_t done = std::max(now, node.stalledUntil) + random.between(1, 4) + node.slow;
     const std::uint64_t generation = node.generation;
     schedule(done, [this, &node, generation] { finishWrite(node, generation); });
@@ -182,6 +183,14 @@
 void World::slowDisk(std::size_t place, std::int64_t extra) {
   controllers[place]->slow = extra;
 }
+std::uint64_t World::durableDigest() const {
+  std::uint64_t digest = writesDigest;
+  for (const auto& node : controllers)
+    if (node->up)
+      digest = hashBytes(digest, pack(node->core->committed()));
+  return digest;
+}
+
 std::vector<WriteAheadRecord> World::copyDisk(std::size_t place) const {
   return controllers[place]->disk;
 }
