--- a/library/library.cpp
+++ b/library/library.cpp
@@ -12,7 +12,7 @@
 std::vector<Address> addresses(const std::vector<std::string>& texts) {
   std::vector<Address> found;
   for (const auto& text : texts) {
-    if (auto endpoint = endpointOf(Address{text}); !endpoint)
+    if (auto endpoint = parseEndpoint(Address{text}); !endpoint)
       throw std::invalid_argument(endpoint.error().text());
     found.push_back(Address{text});
   }
@@ -29,11 +29,11 @@
     thread = std::thread([this, &ready] {
       // The thread's scheduler waits in this loop up to its very end, so it is kept until the
       // thread is joined.
-      held = std::make_unique<Loop>();
+      held = std::make_unique<EventLoop>();
       loop = held.get();
       ready.set_value();
       while (!over || under > 0)
-        pause(aniseline::Duration{10});
+        sleepFor(aniseline::Duration{10});
     });
     ready.get_future().wait();
   }
@@ -51,16 +51,16 @@
     });
   }
   template <class Value>
-  Value run(std::function<Value(Loop&)> work) {
+  Value run(std::function<Value(EventLoop&)> work) {
     std::promise<Value> promise;
     post([&] { promise.set_value(work(*loop)); });
     return promise.get_future().get();
   }
   std::atomic<bool> over{false};
-  Loop* loop = nullptr;
+  EventLoop* loop = nullptr;
 
  private:
-  std::unique_ptr<Loop> held;
+  std::unique_ptr<EventLoop> held;
   std::atomic<int> under{0};
   std::thread thread;
 };
@@ -126,8 +126,8 @@
                                             task.payload});
     submission.steps.push_back(std::move(request));
   }
-  submission.timetable.first = ClusterTime{job.firstAt};
-  submission.timetable.every = aniseline::Duration{job.every.count()};
+  submission.timetable.firstStart = ClusterTime{job.firstAt};
+  submission.timetable.interval = aniseline::Duration{job.every.count()};
   submission.timetable.count = job.count;
   return submission;
 }
@@ -139,9 +139,9 @@
   ZoneName zone;
   Engine engine;
   template <class Value>
-  Value with(std::function<Value(Caller&)> use) {
-    return engine.run<Value>([&](Loop& loop) {
-      Caller caller(loop, contacts, zone);
+  Value with(std::function<Value(GatewayClient&)> use) {
+    return engine.run<Value>([&](EventLoop& loop) {
+      GatewayClient caller(loop, contacts, zone);
       return use(caller);
     });
   }
@@ -153,28 +153,28 @@
 
 Result<std::string> Origin::submit(const Job& job, Duration within) {
   const auto submission = submissionOf(job);
-  if (auto faults = submission.faults(); !faults.empty())
+  if (auto faults = submission.validate(); !faults.empty())
     return Error{Error::Kind::invalid, 400,
                  CoreError{CoreError::Kind::invalid, std::move(faults)}.text(), Duration{0}};
-  return parts->with<Result<std::string>>([&](Caller& caller) -> Result<std::string> {
-    auto answer = caller.submit(submission, aniseline::Duration{within.count()});
+  return parts->with<Result<std::string>>([&](GatewayClient& caller) -> Result<std::string> {
+    auto answer = caller.submitJob(submission, aniseline::Duration{within.count()});
     if (!answer)
       return errorOf(answer.error());
     return job.id;
   });
 }
 Result<JobView> Origin::show(const std::string& job, Duration within) {
-  return parts->with<Result<JobView>>([&](Caller& caller) {
-    return viewOf(job, caller.show(JobId{job}, aniseline::Duration{within.count()}));
+  return parts->with<Result<JobView>>([&](GatewayClient& caller) {
+    return viewOf(job, caller.showJob(JobId{job}, aniseline::Duration{within.count()}));
   });
 }
 Result<JobView> Origin::cancel(const std::string& job, Duration within) {
-  return parts->with<Result<JobView>>([&](Caller& caller) {
-    return viewOf(job, caller.cancel(JobId{job}, aniseline::Duration{within.count()}));
+  return parts->with<Result<JobView>>([&](GatewayClient& caller) {
+    return viewOf(job, caller.cancelJob(JobId{job}, aniseline::Duration{within.count()}));
   });
 }
 Result<JobView> Origin::follow(const std::string& job, Duration within) {
-  return parts->with<Result<JobView>>([&](Caller& caller) -> Result<JobView> {
+  return parts->with<Result<JobView>>([&](GatewayClient& caller) -> Result<JobView> {
     const MonotonicTime until = monotonicNow() + aniseline::Duration{within.count()};
     for (aniseline::Duration gap{25};;
          gap = aniseline::Duration{std::min<std::int64_t>(500, gap.milliseconds * 5 / 4)}) {
@@ -182,10 +182,10 @@
       if (left.milliseconds <= 0)
         return Error{Error::Kind::unknown, 0, "job " + job + " was not seen to end in time",
                      Duration{0}};
-      auto view = viewOf(job, caller.show(JobId{job}, left));
+      auto view = viewOf(job, caller.showJob(JobId{job}, left));
       if ((view && view->over) || (!view && view.error().kind == Error::Kind::missing))
         return view;
-      pause(gap);
+      sleepFor(gap);
     }
   });
 }
@@ -204,28 +204,28 @@
   hand.capacity = Capacity{options.cores * 1000, options.memoryMb,      ZoneName{options.zone},
                            options.rack,         options.honoursLeases, options.guardsRoom};
   const auto contacts = addresses(options.contacts);
-  parts->engine.run<bool>([&](Loop& loop) {
+  parts->engine.run<bool>([&](EventLoop& loop) {
     std::random_device device;
     auto& own = *parts;
     own.client = std::make_unique<WorkerClient>(
         loop, hand, Incarnation{((std::uint64_t(device()) << 32) | device()) | 1}, contacts);
-    own.client->effect.connect([&own](const HandEffect& effect) {
+    own.client->effect.connect([&own](const TaskCommand& effect) {
       const auto attempt = effect.attempt.value;
       const Order& order = effect.order;
-      if (effect.kind == HandEffect::Kind::start && own.slots.start)
-        own.slots.start(Work{attempt, order.job.value, order.task, order.cores / 1000, order.memory,
-                             Duration{order.runtime.milliseconds}, order.quantum.milliseconds > 0,
-                             order.payload});
-      else if (effect.kind == HandEffect::Kind::hold && own.slots.hold)
+      if (effect.kind == TaskCommand::Kind::start && own.slots.start)
+        own.slots.start(Work{attempt, order.job.value, order.taskIndex, order.cores / 1000,
+                             order.memory, Duration{order.runtime.milliseconds},
+                             order.quantum.milliseconds > 0, order.payload});
+      else if (effect.kind == TaskCommand::Kind::suspend && own.slots.hold)
         own.slots.hold(attempt);
-      else if (effect.kind == HandEffect::Kind::resume && own.slots.resume)
+      else if (effect.kind == TaskCommand::Kind::resume && own.slots.resume)
         own.slots.resume(attempt);
-      else if (effect.kind == HandEffect::Kind::stop && own.slots.stop)
+      else if (effect.kind == TaskCommand::Kind::stop && own.slots.stop)
         own.slots.stop(attempt);
     });
-    own.client->confirmed.connect([&own](const Order& order, EndingKind kind) {
+    own.client->confirmed.connect([&own](const Order& order, AttemptOutcome kind) {
       if (own.slots.final)
-        own.slots.final(order.attempt.value, kind == EndingKind::finished);
+        own.slots.final(order.attempt.value, kind == AttemptOutcome::succeeded);
     });
     own.client->rejected.connect([&own](const std::string& words) {
       if (own.slots.rejected)
@@ -236,8 +236,8 @@
   parts->engine.post([&own = *parts] { own.client->run(own.stop); });
   parts->engine.post([&own = *parts] {
     while (!own.stop) {
-      own.quiet = own.client->hand().empty();
-      pause(aniseline::Duration{5});
+      own.quiet = own.client->session().empty();
+      sleepFor(aniseline::Duration{5});
     }
   });
 }
@@ -247,11 +247,11 @@
 void Worker::ended(std::uint64_t attempt, bool well) {
   parts->quiet = false;
   parts->engine.post(
-      [&own = *parts, attempt, well] { own.client->ended(AttemptNumber{attempt}, well); });
+      [&own = *parts, attempt, well] { own.client->attemptEnded(AttemptNumber{attempt}, well); });
 }
 void Worker::leave(Duration within) {
   parts->engine.post(
-      [&own = *parts, within] { own.client->leave(aniseline::Duration{within.count()}); });
+      [&own = *parts, within] { own.client->startDrain(aniseline::Duration{within.count()}); });
 }
 bool Worker::idle() const {
   return parts->quiet;
--- a/programs/aniselinectl.cpp
+++ b/programs/aniselinectl.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-Result<ApiResponse, ClientError> foundBy(Loop& loop, const Address& peer, Duration within) {
-  WireCaller caller(loop, peer);
+Result<ApiResponse, ClientError> foundBy(EventLoop& loop, const Address& peer, Duration within) {
+  RpcClient caller(loop, peer);
   auto answered = caller.call(BootstrapRequest{}, within);
   if (!answered)
     return ClientError{ClientError::Kind::unknown, 0, answered.error().text, Duration{0}};
@@ -22,11 +22,11 @@
                      peer.value + " gave another answer than asked for", Duration{0}};
 }
 
-void printHelp(const OptionSet& options, Words words) {
+void printHelp(const OptionSet& options, Arguments words) {
   if (!words.empty() && words[0] == "help")
     words.erase(words.begin());
   std::size_t taken = 0;
-  const Command* command = commandOf(words, taken);
+  const Command* command = findCommand(words, taken);
   std::cout << (command ? commandHelp(*command, options.describe(command->options),
                                       options.describe(commonOptions()))
                         : generalHelp(options.describe(commonOptions())));
@@ -36,54 +36,55 @@
 }  // namespace
 
 int main(int count, char** values) {
-  Loop loop;
+  EventLoop loop;
   std::vector<Address> gateways;
-  Words words;
+  Arguments words;
   std::int64_t within = 10'000;
   Session session{{},
                   {},
                   {},
-                  [](Duration span) { pause(span); },
+                  [](Duration span) { sleepFor(span); },
                   std::cout,
                   std::cerr,
                   isatty(STDOUT_FILENO) == 1};
-  Choices& choices = session.choices;
+  CommandOptions& choices = session.options;
   OptionSet options("aniselinectl", "the operators' command line of aniseline");
-  options.addresses("gateways", gateways, "outer address of a gateway");
-  options.environment("gateways", "ANISELINECTL_GATEWAYS");
-  options.whole("within-ms", within, "how long to try", 100, 600'000);
-  options.flag("json", choices.json, "answers and errors as JSON, for programs");
-  options.text("state", choices.state,
-               "of the jobs to list: timed, open, cancelling, finished, failed or cancelled");
-  options.whole("limit", choices.limit, "jobs to list at most", 1, 1000);
-  options.whole("based-on", choices.baseVersion,
-                "the config version that the new one is based on; the one in force if not given", 0,
-                1'000'000'000);
-  options.whole("drain-within-ms", choices.drainWithin,
-                "how long a drained worker's tasks may go on", 0, 86'400'000);
-  options.whole("times", choices.times, "how often", 1, 1'000'000);
-  options.whole("every-ms", choices.every, "time between", 100, 3'600'000);
-  options.words(words, "a command");
-  options.help([&](const Words& asked) { printHelp(options, asked); });
+  options.addAddresses("gateways", gateways, "outer address of a gateway");
+  options.bindEnvironment("gateways", "ANISELINECTL_GATEWAYS");
+  options.addInteger("within-ms", within, "how long to try", 100, 600'000);
+  options.addFlag("json", choices.json, "answers and errors as JSON, for programs");
+  options.addText("state", choices.state,
+                  "of the jobs to list: timed, open, cancelling, finished, failed or cancelled");
+  options.addInteger("limit", choices.limit, "jobs to list at most", 1, 1000);
+  options.addInteger(
+      "based-on", choices.baseVersion,
+      "the config version that the new one is based on; the one in force if not given", 0,
+      1'000'000'000);
+  options.addInteger("drain-within-ms", choices.drainPeriodMilliseconds,
+                     "how long a drained worker's tasks may go on", 0, 86'400'000);
+  options.addInteger("times", choices.watchTurns, "how often", 1, 1'000'000);
+  options.addInteger("every-ms", choices.watchIntervalMilliseconds, "time between", 100, 3'600'000);
+  options.addPositionals(words, "a command");
+  options.setHelp([&](const Arguments& asked) { printHelp(options, asked); });
   options.read(count, values);
   std::size_t taken = 0;
   if (!words.empty() && words[0] == "help" &&
-      (words.size() == 1 || commandOf(Words(words.begin() + 1, words.end()), taken))) {
+      (words.size() == 1 || findCommand(Arguments(words.begin() + 1, words.end()), taken))) {
     printHelp(options, words);
     return 0;
   }
   startLog("aniselinectl", "", true);
-  std::unique_ptr<Caller> caller;
+  std::unique_ptr<GatewayClient> caller;
   if (!gateways.empty()) {
-    caller = std::make_unique<Caller>(loop, gateways);
-    session.ask = [&](const HttpRequest& request) -> Result<HttpResponse, ClientError> {
-      return caller->ask(request, Duration{within});
+    caller = std::make_unique<GatewayClient>(loop, gateways);
+    session.send = [&](const HttpRequest& request) -> Result<HttpResponse, ClientError> {
+      return caller->send(request, Duration{within});
     };
   }
-  session.found = [&](const Address& peer) {
+  session.bootstrapCluster = [&](const Address& peer) {
     return foundBy(loop, peer, Duration{within});
   };
-  const ExitCode code = runWords(session, words, options.onLine());
+  const ExitCode code = runCommandLine(session, words, options.givenOnCommandLine());
   std::cout.flush();
   std::_Exit(int(code));
 }
--- a/programs/controller.cpp
+++ b/programs/controller.cpp
@@ -8,37 +8,41 @@
 int main(int count, char** values) {
   ControllerSettings settings;
   OptionSet options("controller", "aniseline's control plane and state, on a machine with a disk");
-  options.address("peer", settings.peer,
-                  "the address where other processes of the system reach this one", true);
-  options.address("advertise", settings.advertise,
-                  "the address at which other processes reach --peer, if another");
-  options.address("http", settings.http, "the address of /healthz and /readyz");
-  options.text("zone", settings.zone, "the zone of this machine", true);
-  options.text("data", settings.data,
-               "the data folder; without one it keeps nothing, never votes and only leads the way");
-  options.addresses("seeds", settings.seeds, "peer addresses of controllers, for first contact",
-                    true);
-  options.flag("found", settings.found, "found a cluster when every seed is there and blank");
-  options.whole("heartbeat-ms", settings.heartbeat, "a leader's heartbeat", 10, 10'000);
-  options.whole("election-low-ms", settings.electionLow, "the shortest wait for a leader", 50,
-                60'000);
-  options.whole("election-high-ms", settings.electionHigh, "the longest wait for a leader", 100,
-                60'000);
-  options.whole("voters", settings.voters,
-                "how many controllers vote: two for each that may be lost at once, and one", 1, 15);
-  options.whole("replace-after-ms", settings.replaceAfter,
-                "a silent voter is replaced by a learner after this", 1000, 86'400'000);
-  options.whole("stop-within-ms", settings.stopWithin,
-                "a stop waits this long for another leader and other full copies", 0, 600'000);
-  options.whole("snapshot-versions", settings.snapshotVersions,
-                "versions on disk between whole views", 10, 1'000'000);
-  options.flag("quiet", settings.quiet, "no logs");
+  options.addAddress("peer", settings.peerAddress,
+                     "the address where other processes of the system reach this one", true);
+  options.addAddress("advertise", settings.advertisedAddress,
+                     "the address at which other processes reach --peer, if another");
+  options.addAddress("http", settings.httpAddress, "the address of /healthz and /readyz");
+  options.addText("zone", settings.zone, "the zone of this machine", true);
+  options.addText(
+      "data", settings.dataFolder,
+      "the data folder; without one it keeps nothing, never votes and only leads the way");
+  options.addAddresses("seeds", settings.seeds, "peer addresses of controllers, for first contact",
+                       true);
+  options.addFlag("found", settings.bootstrap,
+                  "found a cluster when every seed is there and blank");
+  options.addInteger("heartbeat-ms", settings.heartbeatMilliseconds, "a leader's heartbeat", 10,
+                     10'000);
+  options.addInteger("election-low-ms", settings.electionLowMilliseconds,
+                     "the shortest wait for a leader", 50, 60'000);
+  options.addInteger("election-high-ms", settings.electionHighMilliseconds,
+                     "the longest wait for a leader", 100, 60'000);
+  options.addInteger("voters", settings.voters,
+                     "how many controllers vote: two for each that may be lost at once, and one", 1,
+                     15);
+  options.addInteger("replace-after-ms", settings.replaceAfterMilliseconds,
+                     "a silent voter is replaced by a learner after this", 1000, 86'400'000);
+  options.addInteger("stop-within-ms", settings.stopTimeoutMilliseconds,
+                     "a stop waits this long for another leader and other full copies", 0, 600'000);
+  options.addInteger("snapshot-versions", settings.snapshotVersions,
+                     "versions on disk between whole views", 10, 1'000'000);
+  options.addFlag("quiet", settings.quiet, "no logs");
   options.read(count, values);
-  if (settings.advertise.value.empty())
-    settings.advertise = settings.peer;
-  Loop::source = ipOf(settings.peer);
-  if (settings.electionHigh <= settings.electionLow ||
-      settings.electionLow <= 2 * settings.heartbeat) {
+  if (settings.advertisedAddress.value.empty())
+    settings.advertisedAddress = settings.peerAddress;
+  EventLoop::sourceIp = sourceIpOf(settings.peerAddress);
+  if (settings.electionHighMilliseconds <= settings.electionLowMilliseconds ||
+      settings.electionLowMilliseconds <= 2 * settings.heartbeatMilliseconds) {
     std::fprintf(stderr,
                  "controller: --election-low-ms: must be over twice the heartbeat and below "
                  "--election-high-ms\n");
@@ -48,6 +52,6 @@
     std::fprintf(stderr, "controller: --voters: must be odd\n");
     return 2;
   }
-  startLog("controller", settings.peer.value, settings.quiet);
+  startLog("controller", settings.peerAddress.value, settings.quiet);
   return runController(std::move(settings));
 }
--- a/programs/core_benchmark.cpp
+++ b/programs/core_benchmark.cpp
@@ -78,7 +78,7 @@
     StepRequest request;
     request.name = "step" + std::to_string(step);
     if (step > 0)
-      request.after = {"step" + std::to_string(step - 1)};
+      request.dependencies = {"step" + std::to_string(step - 1)};
     request.gang = gang;
     request.tasks.assign(std::size_t(random.between(14, 46)),
                          TaskRequest{taskCores, 64, Duration{drawRuntime(random)}, ""});
@@ -129,8 +129,9 @@
   capacity.memory = 64 * (slotsOf(sizes) + held) + 32 * 1024;
   capacity.zone = ZoneName{"zone" + std::to_string(place % 3)};
   capacity.rack = "rack" + std::to_string(place / 3);
-  capacity.honoursLeases = capacity.guardsRoom = capacity.lapses = capacity.assembles = true;
-  capacity.pauses = false;
+  capacity.honoursLeases = capacity.enforcesCapacity = capacity.killsOnLeaseExpiry =
+      capacity.selfAssemblingGangs = true;
+  capacity.supportsSuspend = false;
   capacity.pool = "press";
   capacity.host = "10.1." + std::to_string(place / 250) + "." + std::to_string(place % 250);
   return capacity;
@@ -159,8 +160,8 @@
                        queueNamed(place % sizes.queues));
     apply(JobAccepted{job});
     apply(JobCancelled{job.id});
-    shortened.shortened.push_back(job.id);
-    if (shortened.shortened.size() >= 1000)
+    shortened.compacted.push_back(job.id);
+    if (shortened.compacted.size() >= 1000)
       apply(std::exchange(shortened, {}));
   }
   apply(shortened);
@@ -179,7 +180,7 @@
         Action action;
         action.attempt = attempt = attempt.next();
         action.job = job.id;
-        action.task = std::uint32_t(task);
+        action.taskIndex = std::uint32_t(task);
         action.worker = workerNamed((begun + task) % sizes.workers);
         action.memory = 64;
         plan.actions.push_back(std::move(action));
@@ -193,7 +194,7 @@
   apply(plan);
   for (std::size_t place = 0; place < sizes.workers; ++place)
     apply(WorkerSynced{
-        workerNamed(place), clusterState.workers.at(workerNamed(place)).lastOrder, {}});
+        workerNamed(place), clusterState.workers().at(workerNamed(place)).lastIssuedOrder, {}});
   const std::uint32_t room = std::uint32_t(slotsOf(sizes)) * taskCores;
   for (std::size_t begun = 0; begun < sizes.waiting;) {
     JobSubmission job;
@@ -210,8 +211,8 @@
   return clusterState;
 }
 
-Silence heardNow(const Sizes& sizes) {
-  Silence heard;
+LastContactAges heardNow(const Sizes& sizes) {
+  LastContactAges heard;
   for (std::size_t place = 0; place < sizes.workers; ++place)
     heard[workerNamed(place)] = Duration{0};
   return heard;
@@ -224,8 +225,8 @@
   Incarnation incarnation{1};
   Capacity capacity;
   OrderNumber received, applied, toldApplied;
-  std::map<RunName, std::int64_t> ends;  // below 0: as failed
-  std::vector<NamedEnding> endings;      // not yet closed
+  std::map<TaskRunId, std::int64_t> ends;  // below 0: as failed
+  std::vector<TaskRunResult> endings;      // not yet closed
   std::size_t toldEndings = 0;
   bool patientBusy = false, urgentBusy = false;
   std::int64_t appliedAt = 0;
@@ -235,12 +236,12 @@
     report.id = workerNamed(place);
     report.incarnation = incarnation;
     report.capacity = capacity;
-    report.packed = true;
-    report.received = received;
-    report.lastOrder = toldApplied = applied;
+    report.wantsPackedResponse = true;
+    report.lastReceivedOrder = received;
+    report.lastAppliedOrder = toldApplied = applied;
     appliedAt = now;
-    report.wait = Duration{patient ? 1000 : 0};
-    report.namedEndings = endings;
+    report.longPollTimeout = Duration{patient ? 1000 : 0};
+    report.runResults = endings;
     toldEndings = endings.size();
     return report;
   }
@@ -249,9 +250,9 @@
   }
   void hear(const SyncReport& asked, const SyncResponse& answer,
             const std::map<JobId, const JobSubmission*>& jobs, Random& random, std::int64_t now) {
-    for (std::size_t closed = 0; closed < answer.closed; ++closed) {
+    for (std::size_t closed = 0; closed < answer.finalResultCount; ++closed) {
       auto found = std::find_if(endings.begin(), endings.end(), [&](const auto& ending) {
-        return ending.name == asked.namedEndings[closed].name;
+        return ending.runId == asked.runResults[closed].runId;
       });
       if (found == endings.end())
         continue;
@@ -263,19 +264,19 @@
       if (order.number <= received)
         continue;
       received = applied = order.number;
-      const RunName name = RunName::of(order);
+      const TaskRunId name = TaskRunId::of(order);
       if (order.kind == OrderKind::start) {
         // Of a gang one part in all decides whether it fails, so that gangs fail as often as tasks.
         const auto job = jobs.find(order.job);
-        const bool gang = job != jobs.end() && job->second->steps[order.step].gang;
-        const bool fails = (!gang || order.within == 0) && random.chance(0.05);
+        const bool gang = job != jobs.end() && job->second->steps[order.stepIndex].gang;
+        const bool fails = (!gang || order.indexInStep == 0) && random.chance(0.05);
         // Tasks take about what was requested, each its own time; the parts of a gang end together.
         const std::int64_t takes = gang
                                        ? order.runtime.milliseconds
                                        : order.runtime.milliseconds * random.between(80, 120) / 100;
         ends[name] = (now + takes) * (fails ? -1 : 1);
       } else if (ends.erase(name))
-        endings.push_back({name, EndingKind::stopped});
+        endings.push_back({name, AttemptOutcome::stopped});
     }
   }
   void run(std::int64_t now) {
@@ -285,7 +286,7 @@
         continue;
       }
       endings.push_back(
-          {place->first, place->second < 0 ? EndingKind::failed : EndingKind::finished});
+          {place->first, place->second < 0 ? AttemptOutcome::failed : AttemptOutcome::succeeded});
       place = ends.erase(place);
     }
   }
@@ -297,16 +298,16 @@
  public:
   Cluster(const Sizes& sizes, std::uint64_t seed, std::int64_t tick)
       : sizes(sizes), random(seed), tick(tick), preset(presetClusterState(sizes, Random(seed))) {
-    Members members;
+    Membership members;
     for (const char* name : {"r0", "r1", "r2"})
       members.push_back({ControllerId{name}, Address{std::string(name) + ":1"},
                          ZoneName{std::string("zone") + name[1]}, true});
     WriteAheadRecord record;
     record.version = DiskVersion{1};
-    record.whole = true;
+    record.holdsSnapshot = true;
     record.term = Term{1};
     record.snapshot = Snapshot{LogIndex{1}, Term{1}, members, pack(preset)};
-    record.first = LogIndex{2};
+    record.firstIndex = LogIndex{2};
     ControllerOptions options;
     options.maxPendingRequests = 20'000;
     for (std::size_t place = 0; place < 3; ++place) {
@@ -325,7 +326,7 @@
       worker.place = place;
       worker.capacity = capacityOf(sizes, place);
       worker.received = worker.applied = worker.toldApplied =
-          preset.workers.at(workerNamed(place)).lastOrder;
+          preset.workers().at(workerNamed(place)).lastIssuedOrder;
       workers.push_back(std::move(worker));
     }
   }
@@ -369,7 +370,7 @@
   };
   Controller* leader() {
     for (auto& node : nodes)
-      if (node.core->raftNode().serves())
+      if (node.core->raftNode().canServe())
         return node.core.get();
     return nullptr;
   }
@@ -388,14 +389,14 @@
     counts["exchange_bytes"] += double(bytes.size());
     askers.emplace(number, std::move(asker));
     for (auto& node : nodes)
-      if (node.core->raftNode().serves())
+      if (node.core->raftNode().canServe())
         return void(node.requests.emplace_back(number, std::move(bytes)));
   }
   void sync(HollowWorker& worker, bool patient) {
     (patient ? worker.patientBusy : worker.urgentBusy) = true;
     ApiRequest request;
-    request.kind = RequestKind::sync;
-    request.id = workerNamed(worker.place).value;
+    request.kind = RequestKind::syncWorker;
+    request.targetId = workerNamed(worker.place).value;
     request.report = worker.report(patient, now);
     Asker asker{worker.place, true, patient, request.report};
     ask(std::move(request), std::move(asker));
@@ -442,10 +443,10 @@
   }
   void drive(Node& node) {
     Controller& core = *node.core;
-    auto& costs = core.raftNode().leads() ? leaderCosts : followerCosts;
+    auto& costs = core.raftNode().isLeader() ? leaderCosts : followerCosts;
     if (node.writing) {
       Meter meter(costs, "synced");
-      core.synced(*node.writing, MonotonicTime{now});
+      core.onRecordSynced(*node.writing, MonotonicTime{now});
       node.writing.reset();
     }
     for (auto& bytes : std::exchange(node.inbox, {})) {
@@ -468,11 +469,13 @@
         message = unpack<WireMessage>(body).value();
       }
       Meter meter(costs, "take");
-      core.take(number, std::move(boost::get<ApiRequest>(message->body)), MonotonicTime{now});
+      core.submitRequest(number, std::move(boost::get<ApiRequest>(message->body)),
+                         MonotonicTime{now});
     }
-    if (core.raftNode().serves() && sizes.starts > 0 && ++planTurn % 8 == 0) {
+    if (core.raftNode().canServe() && sizes.starts > 0 && ++planTurn % 8 == 0) {
       const auto heard = heardNow(sizes);
-      plans.push_back(timed([&] { shadow.make(core.committed(), core.committed().now, heard); }));
+      plans.push_back(
+          timed([&] { shadow.makePlan(core.committed(), core.committed().now(), heard); }));
     }
     {
       Meter meter(costs, "step");
@@ -481,11 +484,11 @@
     if (auto record = core.takeWrite()) {
       Meter meter(costs, "disk");
       const auto bytes = DataFolder::frame(pack(*record));
-      counts[core.raftNode().leads() ? "leader_disk_bytes" : "follower_disk_bytes"] +=
+      counts[core.raftNode().isLeader() ? "leader_disk_bytes" : "follower_disk_bytes"] +=
           double(bytes.size());
       node.writing = record->version;
     }
-    if (auto work = core.takeSnapshotWork(); work.pack && core.raftNode().leads())
+    if (auto work = core.takeSnapshotWork(); work.packThrough && core.raftNode().isLeader())
       ++counts["views"];
     for (auto& message : core.takeMessages()) {
       const auto to = std::size_t(message.to.value[1] - '0');
@@ -494,11 +497,11 @@
         Meter meter(costs, "pack_messages");
         bytes = encode(WireMessage{0, std::move(message)});
       }
-      counts[core.raftNode().leads() ? "leader_peer_bytes" : "follower_peer_bytes"] +=
+      counts[core.raftNode().isLeader() ? "leader_peer_bytes" : "follower_peer_bytes"] +=
           double(bytes.size());
       later.emplace_back(to, std::move(bytes));
     }
-    for (auto& [number, answer] : core.takeAnswers()) {
+    for (auto& [number, answer] : core.takeResponses()) {
       std::string bytes;
       {
         Meter meter(costs, "pack_answers");
@@ -538,8 +541,8 @@
     }
     if (auto* core = leader())
       for (; nextCommitted <= core->raftNode().commitIndex(); nextCommitted = nextCommitted.next())
-        if (nextCommitted > core->raftNode().snapshotIndex() &&
-            !core->raftNode().entry(nextCommitted).members) {
+        if (nextCommitted > core->raftNode().logBaseIndex() &&
+            !core->raftNode().entry(nextCommitted).isMembership) {
           records.push_back(core->raftNode().entry(nextCommitted).payload);
           newsAt.insert(now / planPeriod);
         }
@@ -549,9 +552,9 @@
   Values summary(const ClusterState& before, double seconds) {
     Values values;
     const ClusterState& after = leader()->committed();
-    const double tasks = double(after.counters.starts - before.counters.starts),
-                 jobsDone = double(after.counters.finished + after.counters.failed -
-                                   before.counters.finished - before.counters.failed);
+    const double tasks = double(after.counters().starts - before.counters().starts),
+                 jobsDone = double(after.counters().succeeded + after.counters().failed -
+                                   before.counters().succeeded - before.counters().failed);
     const double perTask = tasks > 0 ? 1.0 / tasks : 0;
     ClusterState replayed = before;
     double unpacking = 0, packing = 0, bytes = 0;
@@ -650,10 +653,10 @@
   const auto heard = heardNow(sizes);
   Planner planner;
   Values values;
-  planner.make(ClusterState{}, ClusterTime{0}, heard);
-  planner.make(presetClusterState(Sizes{}, Random(1)), ClusterTime{0}, heard);
-  values["plan_us"] = timed([&] { planner.make(clusterState, ClusterTime{5000}, heard); });
-  values["next_due_us"] = timed([&] { Planner::nextDue(clusterState, ClusterTime{5000}); });
+  planner.makePlan(ClusterState{}, ClusterTime{0}, heard);
+  planner.makePlan(presetClusterState(Sizes{}, Random(1)), ClusterTime{0}, heard);
+  values["plan_us"] = timed([&] { planner.makePlan(clusterState, ClusterTime{5000}, heard); });
+  values["next_due_us"] = timed([&] { Planner::nextPlanTime(clusterState, ClusterTime{5000}); });
   return values;
 }
 
@@ -671,13 +674,15 @@
   const auto heard = heardNow(sizes);
   Planner planner;
   Values values;
-  planner.make(clusterState, ClusterTime{5000}, heard);
-  values["plan_without_us"] = timed([&] { planner.make(clusterState, ClusterTime{5000}, heard); });
+  planner.makePlan(clusterState, ClusterTime{5000}, heard);
+  values["plan_without_us"] =
+      timed([&] { planner.makePlan(clusterState, ClusterTime{5000}, heard); });
   clusterState.apply(LogRecord{ClusterTime{5000}, JobAccepted{job}});
   Plan plan;
-  values["plan_us"] = timed([&] { plan = planner.make(clusterState, ClusterTime{5000}, heard); });
-  values["parts_started"] = double(plan.made.actions.size());
-  values["fold_us"] = timed([&] { clusterState.apply(LogRecord{ClusterTime{5000}, plan.made}); });
+  values["plan_us"] =
+      timed([&] { plan = planner.makePlan(clusterState, ClusterTime{5000}, heard); });
+  values["parts_started"] = double(plan.record.actions.size());
+  values["fold_us"] = timed([&] { clusterState.apply(LogRecord{ClusterTime{5000}, plan.record}); });
   return values;
 }
 
@@ -699,11 +704,11 @@
   {
     WriteAheadRecord record;
     record.version = DiskVersion{1};
-    record.whole = true;
+    record.holdsSnapshot = true;
     record.term = Term{1};
     const Member self{ControllerId{"r0"}, Address{"r0:1"}, ZoneName{"zone0"}, true};
     record.snapshot = Snapshot{LogIndex{1}, Term{1}, {self}, packed};
-    record.first = LogIndex{2};
+    record.firstIndex = LogIndex{2};
     const double before = heapBytes();
     Controller core(self, {}, seed, {record}, MonotonicTime{0});
     core.takeSnapshotWork();
@@ -713,15 +718,15 @@
   }
   {
     ClusterState changed = clusterState;
-    const LogRecord seen{changed.now, WorkerRegistered{WorkerId{"another"}, Incarnation{1},
-                                                       capacityOf(sizes, sizes.workers)}};
+    const LogRecord seen{changed.now(), WorkerRegistered{WorkerId{"another"}, Incarnation{1},
+                                                         capacityOf(sizes, sizes.workers)}};
     values["fold_seen_us"] = timed([&] { changed.apply(seen); });
   }
   // An ending that is closed already is looked for among all attempts; so is a job that settles.
-  const RunName closed{JobId{"running-0"}, 0, 0, 0, 99};
+  const TaskRunId closed{JobId{"running-0"}, 0, 0, 0, 99};
   values["closed_ending_us"] = timed([&] {
                                  for (int round = 0; round < 20; ++round)
-                                   clusterState.attemptNamed(workerNamed(0), closed);
+                                   clusterState.findAttempt(workerNamed(0), closed);
                                }) /
                                20;
   values["attempts_of_job_us"] = timed([&] {
@@ -749,14 +754,14 @@
       presetClusterState(Sizes{11, 0, 0, 0, sizes.queues, 7, 0, 10}, Random(1));
   Planner planner;
   const auto heard = heardNow(Sizes{11});
-  planner.make(clusterState, ClusterTime{2000}, heard);
+  planner.makePlan(clusterState, ClusterTime{2000}, heard);
   values["fold_us"] = timed([&] {
     clusterState.apply(LogRecord{ClusterTime{2000}, ConfigCommitted{config}});
   });
-  values["compile_us"] = timed([&] { planner.make(clusterState, ClusterTime{2000}, heard); });
+  values["compile_us"] = timed([&] { planner.makePlan(clusterState, ClusterTime{2000}, heard); });
   values["entrance_us"] = timed([&] {
                             for (int round = 0; round < 100; ++round)
-                              config.entrance("jobs.example", "/team-3/job-1");
+                              config.findIngressRoute("jobs.example", "/team-3/job-1");
                           }) /
                           100;
   return values;
@@ -766,7 +771,7 @@
   Values values;
   WriteAheadRecord record;
   record.version = DiskVersion{1};
-  record.whole = true;
+  record.holdsSnapshot = true;
   record.term = Term{1};
   const Member self{ControllerId{"r0"}, Address{"r0:1"}, ZoneName{"zone0"}, true};
   record.snapshot =
@@ -774,7 +779,7 @@
                Term{1},
                {self},
                pack(presetClusterState(Sizes{11, 0, 0, 0, sizes.queues, 0, 0, 10}, Random(seed)))};
-  record.first = LogIndex{2};
+  record.firstIndex = LogIndex{2};
   Controller core(self, {}, seed, {record}, MonotonicTime{0});
   for (std::size_t gateway = 0; gateway < sizes.gateways; ++gateway)
     core.recordGateway({Address{"10.0." + std::to_string(gateway / 250) + "." +
@@ -792,11 +797,11 @@
                       }) /
                       rounds;
   values["tell_bytes"] = double(bytes.size());
-  RouteView view;
+  LeaderRoute view;
   values["take_us"] = timed([&] {
                         for (int round = 0; round < rounds; ++round) {
                           auto message = unpack<WireMessage>(bytes.substr(16)).value();
-                          view.takeNewer(std::move(boost::get<RouteReply>(message.body).view));
+                          view.mergeNewer(std::move(boost::get<RouteReply>(message.body).view));
                         }
                       }) /
                       rounds;
@@ -811,7 +816,8 @@
   constexpr int rounds = 300;
   std::vector<std::string> bodies, packed;
   for (int round = 0; round < rounds; ++round)
-    bodies.push_back(renderJob(drawJob(random, "job-" + std::to_string(round), queueNamed(0))));
+    bodies.push_back(
+        renderJobSubmission(drawJob(random, "job-" + std::to_string(round), queueNamed(0))));
   std::vector<ApiRequest> requests;
   values["parse_submission_us"] =
       timed([&] {
@@ -854,11 +860,11 @@
 class AgentBench {
  public:
   AgentBench(const Sizes& sizes, std::uint64_t seed) : sizes(sizes), random(seed) {
-    WorkerAccount account;
-    account.life = workerNamed(0);
+    WorkerRegistration account;
+    account.workerInstance = workerNamed(0);
     account.capacity = capacityOf(Sizes{}, 0);
-    account.clock = WorkerTime{now};
-    core->known(account, MonotonicTime{now});
+    account.clockReading = WorkerTime{now};
+    core->onRegistration(account, MonotonicTime{now});
   }
   Values measure() {
     run(warmLength - tick);
@@ -875,7 +881,7 @@
   static constexpr std::int64_t tick = 5, warmLength = 4000, measuredLength = 20'000;
   static constexpr std::int64_t patientWait = 1000, heapEvery = 500, longRuntime = 3'600'000;
   struct Task {
-    RunName name;
+    TaskRunId name;
     std::int64_t ends;
   };
   struct Look {
@@ -902,32 +908,37 @@
       peakHeap = std::max(peakHeap, heapBytes() - empty);
   }
   std::int64_t drawTask() { return sizes.starts > 0 ? drawRuntime(random) : longRuntime; }
-  bool hasNews() const { return !ended.empty() && ended.back().number > look->call.lastSeen; }
+  bool hasNews() const {
+    return !ended.empty() && ended.back().sequenceNumber > look->call.confirmedUpTo;
+  }
   void endTasks() {
     std::erase_if(tasks, [&](const Task& task) {
       if (task.ends > now)
         return false;
       ended.push_back({++endings, task.name,
-                       random.chance(0.05) ? EndingKind::failed : EndingKind::finished, ""});
+                       random.chance(0.05) ? AttemptOutcome::failed : AttemptOutcome::succeeded,
+                       ""});
       return true;
     });
   }
   WorkerReply done() const {
     WorkerReply reply;
-    reply.kind = WorkerReply::Kind::done;
-    reply.clock = WorkerTime{now};
+    reply.status = WorkerReply::Status::ok;
+    reply.clockReading = WorkerTime{now};
     return reply;
   }
   void reply(const WorkerCall& call, const WorkerReply& reply) {
-    costs.coreMicros += timed([&] { core->replied(call, reply, MonotonicTime{now}); });
+    costs.coreMicros += timed([&] { core->onWorkerReply(call, reply, MonotonicTime{now}); });
   }
   void answerLook() {
     WorkerReply answer = done();
-    std::erase_if(ended, [&](const auto& ending) { return ending.number <= look->call.lastSeen; });
-    answer.active.reserve(tasks.size());
+    std::erase_if(ended, [&](const auto& ending) {
+      return ending.sequenceNumber <= look->call.confirmedUpTo;
+    });
+    answer.runningTasks.reserve(tasks.size());
     for (const auto& task : tasks)
-      answer.active.push_back({task.name, ""});
-    answer.ended = ended;
+      answer.runningTasks.push_back({task.name, ""});
+    answer.results = ended;
     reply(look->call, answer);
     look.reset();
   }
@@ -935,26 +946,26 @@
     std::vector<WorkerCall> made;
     costs.coreMicros += timed([&] {
       made = core->takeCalls(MonotonicTime{now});
-      core->nextDue(MonotonicTime{now});
+      core->nextWakeUp(MonotonicTime{now});
     });
     for (auto& call : made)
       answerCall(call);
   }
   void answerCall(const WorkerCall& call) {
     ++costs.calls;
-    if (call.kind == WorkerCall::Kind::look) {
-      look = Look{call, now + call.wait.milliseconds};
-      if (call.wait.milliseconds == 0)
+    if (call.kind == WorkerCall::Kind::poll) {
+      look = Look{call, now + call.longPollTimeout.milliseconds};
+      if (call.longPollTimeout.milliseconds == 0)
         answerLook();
       return;
     }
     if (call.kind == WorkerCall::Kind::start)
-      tasks.push_back({call.name, now + drawTask()});
+      tasks.push_back({call.runId, now + drawTask()});
     reply(call, done());
   }
   void syncWhenDue() {
     bool urgent = false;
-    costs.coreMicros += timed([&] { urgent = core->urgent(MonotonicTime{now}); });
+    costs.coreMicros += timed([&] { urgent = core->hasUrgentReport(MonotonicTime{now}); });
     if (urgent)
       sync(false);
     else if (MonotonicTime{now} >= patientUntil) {
@@ -964,19 +975,19 @@
   }
   void sync(bool patient) {
     SyncReport report;
-    costs.coreMicros += timed([&] { report = core->report(MonotonicTime{now}); });
+    costs.coreMicros += timed([&] { report = core->makeSyncReport(MonotonicTime{now}); });
     send(report, patient);
     SyncResponse answer = lead(report);
     take(answer);
-    costs.coreMicros +=
-        timed([&] { core->answered(report, answer, MonotonicTime{now - 2}, MonotonicTime{now}); });
+    costs.coreMicros += timed(
+        [&] { core->onSyncResponse(report, answer, MonotonicTime{now - 2}, MonotonicTime{now}); });
   }
   void send(const SyncReport& report, bool patient) {
     ApiRequest request;
-    request.kind = RequestKind::sync;
-    request.id = report.id.value;
+    request.kind = RequestKind::syncWorker;
+    request.targetId = report.id.value;
     request.report = report;
-    request.report.wait = Duration{patient ? patientWait : 0};
+    request.report.longPollTimeout = Duration{patient ? patientWait : 0};
     std::string bytes;
     costs.packMicros += timed([&] { bytes = encode(WireMessage{1, request}); });
     costs.sentBytes += double(bytes.size());
@@ -987,9 +998,9 @@
     SyncResponse answer;
     answer.term = Term{2};
     answer.lease = Duration{3000};
-    answer.closed = std::uint32_t(report.namedEndings.size());
-    open -= std::min<std::size_t>(open, answer.closed);
-    costs.tasksDone += answer.closed;
+    answer.finalResultCount = std::uint32_t(report.runResults.size());
+    open -= std::min<std::size_t>(open, answer.finalResultCount);
+    costs.tasksDone += answer.finalResultCount;
     for (; open < sizes.running; ++open)
       answer.orders.push_back(nextOrder());
     return answer;
@@ -998,8 +1009,8 @@
     Order next;
     next.number = OrderNumber{++order};
     next.job = JobId{"job-0123456789-" + std::to_string(taskNumber / 30)};
-    next.within = std::uint32_t(taskNumber % 30);
-    next.run = 1;
+    next.indexInStep = std::uint32_t(taskNumber % 30);
+    next.runNumber = 1;
     next.runtime = Duration{drawTask()};
     next.payload = R"({"work":"separation","plate":"cyan"})";
     ++taskNumber;
@@ -1041,7 +1052,7 @@
   Random random;
   std::int64_t now = 1000, taskNumber = 0;
   std::vector<Task> tasks;
-  std::vector<WorkerReply::Ended> ended;
+  std::vector<WorkerReply::RunResult> ended;
   std::optional<Look> look;
   std::uint64_t endings = 0, order = 0;
   Costs costs;
@@ -1213,13 +1224,14 @@
   std::int64_t workers = 60, kept = 0, waiting = 0, running = 0, queues = 10, starts = 100;
 
   void addTo(OptionSet& options) {
-    options.flag("one", single, "measure one flow of the sizes given below only");
-    options.whole("workers", workers, "of that flow", 1, 100'000);
-    options.whole("jobs-kept", kept, "of that flow", 0, 1'000'000);
-    options.whole("tasks-waiting", waiting, "of that flow", 0, 1'000'000);
-    options.whole("tasks-running", running, "of that flow, beside those it starts", 0, 1'000'000);
-    options.whole("queues", queues, "of that flow", 1, 2000);
-    options.whole("starts", starts, "of that flow, a second", 0, 100'000);
+    options.addFlag("one", single, "measure one flow of the sizes given below only");
+    options.addInteger("workers", workers, "of that flow", 1, 100'000);
+    options.addInteger("jobs-kept", kept, "of that flow", 0, 1'000'000);
+    options.addInteger("tasks-waiting", waiting, "of that flow", 0, 1'000'000);
+    options.addInteger("tasks-running", running, "of that flow, beside those it starts", 0,
+                       1'000'000);
+    options.addInteger("queues", queues, "of that flow", 1, 2000);
+    options.addInteger("starts", starts, "of that flow, a second", 0, 100'000);
   }
   Sizes sizes() const {
     Sizes sizes;
@@ -1241,14 +1253,16 @@
   OptionSet options("core_benchmark",
                     "processor time and memory of each role on the core alone, as JSON lines: "
                     "medians and spreads (most less least)");
-  options.text("part", gauge.only,
-               "only this part: flow, idle, plan, gang, state, config, route, gateway or agent");
-  options.whole("repeats", gauge.repeats, "how often each is measured", 1, 100);
-  options.whole("seed", gauge.seed, "the first seed; each repeat takes the next", 0, 1'000'000'000);
-  options.whole("budget-s", gauge.budget,
-                "processor time past which the rest is left out, and said to be", 1, 86'400);
-  options.whole("tick-ms", gauge.tick, "virtual time between two steps of a controller", 1, 20);
-  options.whole("length-ms", gauge.length, "virtual time measured of a flow", 500, 3'600'000);
+  options.addText("part", gauge.only,
+                  "only this part: flow, idle, plan, gang, state, config, route, gateway or agent");
+  options.addInteger("repeats", gauge.repeats, "how often each is measured", 1, 100);
+  options.addInteger("seed", gauge.seed, "the first seed; each repeat takes the next", 0,
+                     1'000'000'000);
+  options.addInteger("budget-s", gauge.budget,
+                     "processor time past which the rest is left out, and said to be", 1, 86'400);
+  options.addInteger("tick-ms", gauge.tick, "virtual time between two steps of a controller", 1,
+                     20);
+  options.addInteger("length-ms", gauge.length, "virtual time measured of a flow", 500, 3'600'000);
   flow.addTo(options);
   options.read(count, values);
   if (flow.single)
--- a/programs/history_check.cpp
+++ b/programs/history_check.cpp
@@ -15,20 +15,20 @@
   OptionSet options("history_check",
                     "checks aniseline's never-rules from witnessed histories (*.witness, "
                     "*.submissions in a folder)");
-  options.text("folder", folder, "the folder with the histories", true);
-  options.text("config", configFile, "the config in force, for the queues' retries");
-  options.whole("slack-ms", slack, "allowed for the witnesses' own clock readings", 0, 10'000);
+  options.addText("folder", folder, "the folder with the histories", true);
+  options.addText("config", configFile, "the config in force, for the queues' retries");
+  options.addInteger("slack-ms", slack, "allowed for the witnesses' own clock readings", 0, 10'000);
   options.read(count, values);
 
-  auto read = readFolder(folder);
+  auto read = readHistoryFolder(folder);
   if (!read) {
     std::cerr << "history_check: " << read.error().message() << "\n";
     return 2;
   }
-  const auto& history = read.value().witnessed;
+  const auto& history = read.value().events;
   const auto& submissions = read.value().submissions;
   InvariantOptions promises;
-  promises.slack = slack;
+  promises.clockSlackMs = slack;
   if (!configFile.empty()) {
     std::ifstream stream(configFile);
     auto config = ClusterConfig::parse(std::string((std::istreambuf_iterator<char>(stream)), {}));
@@ -36,28 +36,30 @@
       std::cerr << "history_check: " << configFile << ": " << config.error().text() << "\n";
       return 2;
     }
-    promises.keepFinished = config.value().planner.keepFinished.milliseconds;
-    promises.keepLimit = config.value().planner.keepLimit;
+    promises.finishedRetentionMs = config.value().planner.finishedJobRetention.milliseconds;
+    promises.retainedJobsLimit = config.value().planner.maxRetainedJobs;
     for (const auto& [name, queue] : config.value().queues)
-      promises.retriesOf[name.value] = queue.retries;
+      promises.retriesByQueue[name.value] = queue.maxRetries;
   }
   std::size_t starts = 0;
   for (const auto& witness : history)
     starts += witness.kind == HistoryEvent::Kind::started;
   const auto findings = checkInvariants(history, submissions, promises);
-  for (const auto& promise : findings.limits)
-    std::cout << "limit of rule " << promise.rule << " at " << promise.at << ": " << promise.text
-              << "\n";
-  for (const auto& promise : findings.broken)
-    std::cout << "rule " << promise.rule << " at " << promise.at << ": " << promise.text << "\n";
-  std::cout << json(picojson::object{{"lines", json(history.size())},
-                                     {"jobs", json(submissions.size())},
-                                     {"starts", json(starts)},
-                                     {"operations", json(findings.searched.operations)},
-                                     {"configurations", json(findings.searched.configurations)},
-                                     {"limits", json(findings.limits.size())},
-                                     {"broken", json(findings.broken.size())}})
+  for (const auto& promise : findings.unavoidableViolations)
+    std::cout << "limit of rule " << promise.rule << " at " << promise.timestamp << ": "
+              << promise.description << "\n";
+  for (const auto& promise : findings.violations)
+    std::cout << "rule " << promise.rule << " at " << promise.timestamp << ": "
+              << promise.description << "\n";
+  std::cout << json(picojson::object{
+                        {"lines", json(history.size())},
+                        {"jobs", json(submissions.size())},
+                        {"starts", json(starts)},
+                        {"operations", json(findings.searchStatistics.operations)},
+                        {"configurations", json(findings.searchStatistics.configurations)},
+                        {"limits", json(findings.unavoidableViolations.size())},
+                        {"broken", json(findings.violations.size())}})
                    .serialize()
             << std::endl;
-  return findings.broken.empty() ? 0 : 1;
+  return findings.violations.empty() ? 0 : 1;
 }
--- a/programs/loadgen.cpp
+++ b/programs/loadgen.cpp
@@ -95,11 +95,11 @@
           next[place] += -std::log(1.0 - double(random.next() >> 11) / 9007199254740992.0) *
                          kinds[place].everyMilliseconds / settings.rate;
         }
-      pause(Duration{2});
+      sleepFor(Duration{2});
     }
     const MonotonicTime until = monotonicNow() + Duration{settings.settle * 1000};
     while (open > 0 && monotonicNow() < until)
-      pause(Duration{50});
+      sleepFor(Duration{50});
     picojson::object shown, byQueue;
     for (auto& [queue, latencies] : finished)
       byQueue[queue] = json(latencies.show());
@@ -136,7 +136,7 @@
     job.queue = QueueName{kind.queue};
     job.steps = kind.steps;
     if (jobsOut.is_open())
-      jobsOut << renderJob(job) << "\n" << std::flush;
+      jobsOut << renderJobSubmission(job) << "\n" << std::flush;
     ++open;
     const bool cancel = random.chance(settings.cancels);
     std::vector<Address> gateways = settings.gateways;
@@ -148,22 +148,22 @@
     });
   }
   void follow(const JobSubmission& job, bool cancel, const std::vector<Address>& gateways) {
-    Caller caller(loop, gateways);
-    caller.witness = [this, &job](const HttpRequest& request,
-                                  const Result<HttpResponse, HttpError>& result) {
+    GatewayClient caller(loop, gateways);
+    caller.onAttempt = [this, &job](const HttpRequest& request,
+                                    const Result<HttpResponse, HttpError>& result) {
       if (request.method != "POST")
         return;
       write(HistoryEvent::Kind::submitted, job.id);
       if (!result || result.value().status == 503) {
         ++unknowns;
-        write(HistoryEvent::Kind::unknown, job.id);
+        write(HistoryEvent::Kind::outcomeUnknown, job.id);
       } else
         write(result.value().status == 202 ? HistoryEvent::Kind::accepted
                                            : HistoryEvent::Kind::rejected,
               job.id, std::to_string(result.value().status));
     };
     const MonotonicTime begun = monotonicNow();
-    auto answer = caller.submit(job, Duration{30'000});
+    auto answer = caller.submitJob(job, Duration{30'000});
     if (!answer) {
       if (answer.error().kind == ClientError::Kind::unknown)
         ++unanswered;
@@ -174,20 +174,20 @@
     ++accepted;
     acknowledged.values.push_back((monotonicNow() - begun).milliseconds);
     if (cancel) {
-      pause(Duration{100});
-      if (caller.cancel(job.id, Duration{30'000}))
+      sleepFor(Duration{100});
+      if (caller.cancelJob(job.id, Duration{30'000}))
         write(HistoryEvent::Kind::cancelAcknowledged, job.id);
     }
     const MonotonicTime until =
         monotonicNow() + Duration{(settings.seconds + settings.settle) * 1000};
     Duration gap{25};
     while (monotonicNow() < until) {
-      pause(gap);
+      sleepFor(gap);
       gap = Duration{std::min<std::int64_t>(500, gap.milliseconds * 5 / 4)};
-      auto shown = caller.show(job.id, Duration{10'000});
+      auto shown = caller.showJob(job.id, Duration{10'000});
       if (!shown) {
-        if (shown.error().kind == ClientError::Kind::missing)
-          write(HistoryEvent::Kind::shown, job.id, "missing");
+        if (shown.error().kind == ClientError::Kind::notFound)
+          write(HistoryEvent::Kind::stateObserved, job.id, "missing");
         continue;
       }
       picojson::value root;
@@ -195,7 +195,7 @@
         continue;
       const std::string state = root.get("state").to_str();
       if (state != lastShown[job.id])
-        write(HistoryEvent::Kind::shown, job.id, state);
+        write(HistoryEvent::Kind::stateObserved, job.id, state);
       lastShown[job.id] = state;
       if (state == "finished") {
         ++finishedCount;
@@ -213,7 +213,7 @@
 
   Settings settings;
   Random random;
-  Loop loop;
+  EventLoop loop;
   HistoryFile history;
   std::ofstream jobsOut;
   std::uint64_t submitted = 0, accepted = 0, rejected = 0, unanswered = 0, unknowns = 0,
@@ -229,21 +229,21 @@
 int main(int count, char** values) {
   Settings settings;
   OptionSet options("loadgen", "stand-in callers for aniseline");
-  options.text("deployment", settings.deployment, "cedarmark or cooperative");
-  options.addresses("gateways", settings.gateways, "outer addresses of gateways", true);
-  options.text("name", settings.name, "the beginning of the jobs' ids");
-  options.whole("seconds", settings.seconds, "how long to submit", 1, 86'400);
-  options.whole("settle", settings.settle, "seconds to wait for what is open then", 0, 86'400);
-  options.whole("seed", settings.seed, "of the draws", 0, 1'000'000'000);
-  options.whole("fill", settings.fill, "long jobs of 4 cores to fill the workers with first", 0,
-                10'000);
-  options.real("rate", settings.rate, "times the deployment's load", 0.01, 1000);
-  options.real("cancels", settings.cancels, "this part is cancelled", 0, 1);
-  options.text("witness", settings.witness,
-               "a file for the history of what was asked and answered");
-  options.text("submissions", settings.submissions, "a file for the jobs submitted");
-  options.text("report", settings.report, "a file for the closing figures");
-  options.flag("quiet", settings.quiet, "no logs");
+  options.addText("deployment", settings.deployment, "cedarmark or cooperative");
+  options.addAddresses("gateways", settings.gateways, "outer addresses of gateways", true);
+  options.addText("name", settings.name, "the beginning of the jobs' ids");
+  options.addInteger("seconds", settings.seconds, "how long to submit", 1, 86'400);
+  options.addInteger("settle", settings.settle, "seconds to wait for what is open then", 0, 86'400);
+  options.addInteger("seed", settings.seed, "of the draws", 0, 1'000'000'000);
+  options.addInteger("fill", settings.fill, "long jobs of 4 cores to fill the workers with first",
+                     0, 10'000);
+  options.addReal("rate", settings.rate, "times the deployment's load", 0.01, 1000);
+  options.addReal("cancels", settings.cancels, "this part is cancelled", 0, 1);
+  options.addText("witness", settings.witness,
+                  "a file for the history of what was asked and answered");
+  options.addText("submissions", settings.submissions, "a file for the jobs submitted");
+  options.addText("report", settings.report, "a file for the closing figures");
+  options.addFlag("quiet", settings.quiet, "no logs");
   options.read(count, values);
   if (settings.deployment != "cedarmark" && settings.deployment != "cooperative") {
     std::cerr << "loadgen: --deployment: must be cedarmark or cooperative\n";
--- a/programs/local_cluster.cpp
+++ b/programs/local_cluster.cpp
@@ -65,13 +65,13 @@
     addWorkers();
     if (!startAll() || !applyConfig() || !startLoad())
       return 1;
-    pause(loadHeadStart);
+    sleepFor(loadHeadStart);
     bool good = true;
     for (const auto& step : settings.steps)
       good = take(step) && good;
     keepRunning();
     while (busy)
-      pause(Duration{50});
+      sleepFor(Duration{50});
     good = loadEnded() && good;
     good = workersEnded() && good;
     const auto kept = rulesKept();
@@ -91,7 +91,7 @@
   void endWhenStopped() {
     spawn([this] {
       while (!stop.requested())
-        pause(Duration{50});
+        sleepFor(Duration{50});
       end();
       std::_Exit(4);
     });
@@ -137,7 +137,7 @@
             "--zone",
             zone(place),
             "--from",
-            ipOf(Address{real(place, 0)}),
+            sourceIpOf(Address{real(place, 0)}),
             "--rack",
             "rack" + std::to_string((place + 2) / 3),
             "--cores",
@@ -157,15 +157,15 @@
     for (auto& child : children)
       if (!start(child))
         return false;
-    caller = std::make_unique<Caller>(loop, gatewayAddresses());
+    caller = std::make_unique<GatewayClient>(loop, gatewayAddresses());
     keeper = HistoryFile(settings.folder + "/keeper.witness");
     return until("three voters and every worker", Duration{30'000}, [this] { return whole(); });
   }
   bool applyConfig() {
     std::ifstream stream(settings.config);
     const std::string config((std::istreambuf_iterator<char>(stream)), {});
-    auto applied = caller->ask({"PUT", "/v1/config", "{\"based_on\":0,\"config\":" + config + "}"},
-                               Duration{10'000});
+    auto applied = caller->send({"PUT", "/v1/config", "{\"based_on\":0,\"config\":" + config + "}"},
+                                Duration{10'000});
     if (!applied) {
       say("the config was not taken: " + applied.error().text);
       return false;
@@ -195,14 +195,14 @@
     say("kept running; control at " + at(0) + ", the first gateway at " + outer(1));
     const MonotonicTime until = monotonicNow() + Duration{settings.keep * 1000};
     while (!released && monotonicNow() < until)
-      pause(Duration{50});
+      sleepFor(Duration{50});
   }
   // The load, the last child started so far, ended in time and saw every job end.
   bool loadEnded() {
     Child& load = children.back();
     const MonotonicTime end = monotonicNow() + Duration{settings.seconds * 1000} + loadDrain;
     while (load.process && monotonicNow() < end && !reap(load))
-      pause(Duration{50});
+      sleepFor(Duration{50});
     const bool good = !load.process && lastStatus == 0;
     if (!good)
       say("not every job that was accepted was seen to end");
@@ -212,7 +212,7 @@
   }
   // Every writer closes its history before it is read.
   bool workersEnded() {
-    keeper.write(HistoryEvent::Kind::settled);
+    keeper.write(HistoryEvent::Kind::quiescent);
     keeper.close();
     for (auto& child : children)
       if (child.name.starts_with("worker_stub"))
@@ -235,7 +235,7 @@
     if (!start(children.back(), true))
       return std::nullopt;
     while (!reap(children.back()))
-      pause(Duration{20});
+      sleepFor(Duration{20});
     if (lastStatus != 0)
       say("history_check found broken promises");
     return lastStatus == 0;
@@ -345,14 +345,14 @@
           say(what + ": after " + std::to_string((monotonicNow() - begun).milliseconds) + " ms");
         return true;
       }
-      pause(Duration{50});
+      sleepFor(Duration{50});
     }
     say(what + ": not within " + std::to_string(within.milliseconds) + " ms");
     return false;
   }
   std::optional<picojson::value> show(const std::string& target) {
-    Caller own(loop, gatewayAddresses());
-    auto answer = own.ask({"GET", target, ""}, Duration{3000});
+    GatewayClient own(loop, gatewayAddresses());
+    auto answer = own.send({"GET", target, ""}, Duration{3000});
     picojson::value root;
     if (!answer || !picojson::parse(root, answer.value().body).empty())
       return std::nullopt;
@@ -411,16 +411,16 @@
     busy = true;
     const bool goesOut = parts[2] == "out";
     if (goesOut)
-      mark(HistoryEvent::Kind::disturbed, name + " by " + by);
+      mark(HistoryEvent::Kind::faultBegan, name + " by " + by);
     moveZone(name, by, goesOut);
     if (!goesOut)
-      mark(HistoryEvent::Kind::mended, name + " by " + by);
+      mark(HistoryEvent::Kind::faultEnded, name + " by " + by);
     busy = false;
     return ApiResponse::of(200, {{"zone", json(name)}, {"out", json(goesOut)}});
   }
   void moveZone(const std::string& name, const std::string& by, bool goesOut) {
     if (by == "cut")
-      return linkProxy.cut(name, goesOut);
+      return linkProxy.setPartitioned(name, goesOut);
     for (auto& child : children) {
       if (child.zone != name)
         continue;
@@ -429,7 +429,7 @@
       else if (goesOut) {
         signal(child, SIGKILL);
         while (!reap(child))
-          pause(Duration{5});
+          sleepFor(Duration{5});
       } else if (!child.process)
         start(child);
     }
@@ -481,7 +481,7 @@
     }
     say(step + ": " + child->name);
     const bool freeze = verb == "freeze";
-    mark(HistoryEvent::Kind::disturbed, step);
+    mark(HistoryEvent::Kind::faultBegan, step);
     signal(*child, freeze ? SIGSTOP : verb == "stop" ? SIGTERM : SIGKILL);
     bool good = true;
     if (!freeze)
@@ -490,7 +490,7 @@
     // is started again.
     if (!freeze && good && child->name.starts_with("worker_stub")) {
       HistoryEvent gone;
-      gone.kind = HistoryEvent::Kind::vanished;
+      gone.kind = HistoryEvent::Kind::workerLost;
       gone.worker = "m" + child->name.substr(std::string("worker_stub").size());
       keeper.write(gone);
     }
@@ -499,24 +499,24 @@
     good = until("service meanwhile", Duration{12'000},
                  [&] { return show("/v1/counters").has_value(); }) &&
            good;
-    pause(Duration{seconds * 1000});
+    sleepFor(Duration{seconds * 1000});
     if (freeze)
       signal(*child, SIGCONT);
     else
       good = start(*child) && good;
-    mark(HistoryEvent::Kind::mended, step);
-    mark(HistoryEvent::Kind::whole);
+    mark(HistoryEvent::Kind::faultEnded, step);
+    mark(HistoryEvent::Kind::clusterHealed);
     good = until("whole again", Duration{verb == "empty" ? 60'000 : 12'000},
                  [this] { return whole(); }) &&
            good;
     if (show("/v1/counters"))
-      mark(HistoryEvent::Kind::served);
+      mark(HistoryEvent::Kind::serviceRestored);
     return good;
   }
 
   Settings settings;
-  Loop loop;
-  std::unique_ptr<Caller> caller;
+  EventLoop loop;
+  std::unique_ptr<GatewayClient> caller;
   std::deque<Child> children;
   int lastStatus = 0;
   StopSignal stop{loop};
@@ -534,20 +534,20 @@
   OptionSet options("local_cluster",
                     "a whole fleet of aniseline on this machine; steps are VERB:NAME[:SECONDS], "
                     "with kill, freeze, stop or empty and a process' name or 'leader'");
-  options.text("folder", settings.folder, "a folder for data, logs and histories; must be new",
-               true);
-  options.text("config", settings.config, "the config to apply", true);
-  options.text("deployment", settings.deployment, "cedarmark or cooperative");
-  options.text("programs", settings.programs, "the folder with the programs");
-  options.whole("seconds", settings.seconds, "how long to submit", 5, 86'400);
-  options.whole("keep", settings.keep, "seconds to stay up for a look", 0, 86'400);
-  options.whole("port", settings.port, "the first port", 1024, 65'000);
-  options.whole("fill", settings.fill, "long jobs to fill the workers with", 0, 10'000);
-  options.whole("gateways", settings.gateways, "gateways", 1, 50);
-  options.whole("workers", settings.workers, "workers", 1, 200);
-  options.real("rate", settings.rate, "times the deployment's load", 0.01, 1000);
-  options.flag("called", settings.called, "workers are called by agents, one beside each");
-  options.words(settings.steps, "steps, one after the other");
+  options.addText("folder", settings.folder, "a folder for data, logs and histories; must be new",
+                  true);
+  options.addText("config", settings.config, "the config to apply", true);
+  options.addText("deployment", settings.deployment, "cedarmark or cooperative");
+  options.addText("programs", settings.programs, "the folder with the programs");
+  options.addInteger("seconds", settings.seconds, "how long to submit", 5, 86'400);
+  options.addInteger("keep", settings.keep, "seconds to stay up for a look", 0, 86'400);
+  options.addInteger("port", settings.port, "the first port", 1024, 65'000);
+  options.addInteger("fill", settings.fill, "long jobs to fill the workers with", 0, 10'000);
+  options.addInteger("gateways", settings.gateways, "gateways", 1, 50);
+  options.addInteger("workers", settings.workers, "workers", 1, 200);
+  options.addReal("rate", settings.rate, "times the deployment's load", 0.01, 1000);
+  options.addFlag("called", settings.called, "workers are called by agents, one beside each");
+  options.addPositionals(settings.steps, "steps, one after the other");
   options.read(count, values);
   if (std::filesystem::exists(settings.folder) && !std::filesystem::is_empty(settings.folder)) {
     std::cerr << "local_cluster: --folder: " << settings.folder << " is not empty\n";
--- a/programs/model_check.cpp
+++ b/programs/model_check.cpp
@@ -16,7 +16,7 @@
                                      {"states", json(std::int64_t(report.states))},
                                      {"transitions", json(std::int64_t(report.transitions))},
                                      {"depth", json(std::int64_t(report.depth))},
-                                     {"whole_depth", json(std::int64_t(report.wholeDepth))},
+                                     {"whole_depth", json(std::int64_t(report.completeDepth))},
                                      {"exhausted", json(report.exhausted)},
                                      {"seconds", json(report.seconds)},
                                      {"transitions_per_second", json(std::int64_t(rate))}})
@@ -25,11 +25,11 @@
 }
 
 // Whether nothing was found.
-bool tell(const model::ModelWorld& start, const model::SearchReport& report) {
-  if (report.finding)
-    std::cout << "BROKEN, in " << report.finding->trace.size()
-              << " steps: " << model::print(start, *report.finding) << std::flush;
-  return !report.finding;
+bool tell(const model::ModelCluster& start, const model::SearchReport& report) {
+  if (report.counterexample)
+    std::cout << "BROKEN, in " << report.counterexample->trace.size()
+              << " steps: " << model::print(start, *report.counterexample) << std::flush;
+  return !report.counterexample;
 }
 
 struct Bounds {
@@ -46,7 +46,7 @@
     good = tell(start, report);
   }
   if (bounds.walks.walks > 0) {
-    const auto open = model::openForWalks(start, outcomes);
+    const auto open = model::widenForWalks(start, outcomes);
     const auto report = model::searchRandomly(open, bounds.walks);
     show("walks", scenario.name, report);
     good = tell(open, report) && good;
@@ -61,15 +61,17 @@
   std::string only;
   bool outcomes = false, list = false;
   OptionSet options("model_check", "searches the consensus core for broken promises");
-  options.whole("states", states, "different states a scenario, breadth first", 0, 1'000'000'000);
-  options.whole("depth", depth, "steps from the scenario's start, breadth first", 1, 1'000'000);
-  options.whole("walks", walks, "random walks a scenario", 0, 1'000'000'000);
-  options.whole("steps", steps, "steps a walk", 1, 1'000'000);
-  options.whole("seed", seed, "of the first walk", 0, 1'000'000'000);
-  options.text("scenario", only, "only this one");
-  options.flag("outcomes-only", outcomes,
-               "judge only what a caller could see, not the rules kept on the way");
-  options.flag("list", list, "tell the scenarios and end");
+  options.addInteger("states", states, "different states a scenario, breadth first", 0,
+                     1'000'000'000);
+  options.addInteger("depth", depth, "steps from the scenario's start, breadth first", 1,
+                     1'000'000);
+  options.addInteger("walks", walks, "random walks a scenario", 0, 1'000'000'000);
+  options.addInteger("steps", steps, "steps a walk", 1, 1'000'000);
+  options.addInteger("seed", seed, "of the first walk", 0, 1'000'000'000);
+  options.addText("scenario", only, "only this one");
+  options.addFlag("outcomes-only", outcomes,
+                  "judge only what a caller could see, not the rules kept on the way");
+  options.addFlag("list", list, "tell the scenarios and end");
   options.read(count, values);
 
   const Bounds bounds{{std::uint64_t(states), std::size_t(depth)},
--- a/programs/simulate.cpp
+++ b/programs/simulate.cpp
@@ -16,32 +16,34 @@
   for (const auto& fault : result.faults)
     std::cout << "  fault " << fault << "\n";
   std::map<int, std::size_t> shown;  // the first few of each rule
-  for (const auto& promise : result.broken)
+  for (const auto& promise : result.violations)
     if (++shown[promise.rule] <= 8)
-      std::cout << "  broken rule " << promise.rule << " at " << promise.at - World::calendar
-                << ": " << promise.text << "\n";
+      std::cout << "  broken rule " << promise.rule << " at "
+                << promise.timestamp - SimulatedCluster::epochMs << ": " << promise.description
+                << "\n";
   for (const auto& [rule, count] : shown)
     if (count > 8)
       std::cout << "  broken rule " << rule << ", " << count - 8 << " more\n";
-  for (const auto& limit : result.limits)
-    std::cout << "  limit of rule " << limit.rule << " at " << limit.at - World::calendar << ": "
-              << limit.text << "\n";
+  for (const auto& limit : result.unavoidableViolations)
+    std::cout << "  limit of rule " << limit.rule << " at "
+              << limit.timestamp - SimulatedCluster::epochMs << ": " << limit.description << "\n";
   for (const auto& left : result.unfinished)
     std::cout << "  unfinished " << left << "\n";
 }
 
 // Leaves out one fault after the other while the run still fails.
 CampaignOptions shrink(CampaignOptions options) {
-  if (options.only.empty()) {
-    options.only.resize(options.faults);
-    std::iota(options.only.begin(), options.only.end(), 0);
+  if (options.keptFaults.empty()) {
+    options.keptFaults.resize(options.faults);
+    std::iota(options.keptFaults.begin(), options.keptFaults.end(), 0);
   }
   for (bool smaller = true; smaller;) {
     smaller = false;
-    for (std::size_t place = 0; place < options.only.size() && options.only.size() > 1; ++place) {
+    for (std::size_t place = 0; place < options.keptFaults.size() && options.keptFaults.size() > 1;
+         ++place) {
       auto fewer = options;
-      fewer.only.erase(fewer.only.begin() + std::ptrdiff_t(place));
-      if (runCampaign(fewer).good())
+      fewer.keptFaults.erase(fewer.keptFaults.begin() + std::ptrdiff_t(place));
+      if (runCampaign(fewer).passed())
         continue;
       options = fewer;
       smaller = true;
@@ -66,41 +68,41 @@
 
 void SimulateOptions::read(int count, char** values) {
   OptionSet options("simulate", "seeded runs of the whole cluster in virtual time, with faults");
-  options.whole("from", from, "the first seed", 0, 1'000'000'000);
-  options.whole("seeds", seeds, "how many seeds", 1, 10'000'000);
-  options.whole("length-ms", length, "virtual time before all is healed", 20'000, 86'400'000);
-  options.whole("faults", faults, "faults a run", 0, 1000);
-  options.whole("called", called, "workers that are called, each with its agent, beside the others",
-                0, 100);
-  options.whole("voters", voters,
-                "controllers that vote: two for each that may be lost at once, and one", 3, 9);
-  options.whole("controllers", controllers,
-                "controllers in all, by turns in the zones; no fewer than vote", 3, 15);
-  options.whole("threads", threads, "runs at the same time", 1, 256);
-  options.text("only", only, "keep only these faults of the schedule, by number, with commas");
-  options.flag("verbose", verbose, "tell all that happens");
-  options.flag("shrink", shrinks, "shorten the schedule of the first seed that fails");
-  options.flag("operators", operators,
-               "two operators at work all the time, whose answers and leaders are lost");
-  options.flag("every-kind", everyKind, "a kind of fault that never took effect is a failure");
-  options.flag("plan-cost", cost, "measure plans instead, by tasks waiting and by workers");
-  options.flag("view-cost", views, "measure the writing of a whole view instead, by jobs kept");
-  options.flag("failover", failovers, "measure the loss of a leader instead");
+  options.addInteger("from", from, "the first seed", 0, 1'000'000'000);
+  options.addInteger("seeds", seeds, "how many seeds", 1, 10'000'000);
+  options.addInteger("length-ms", length, "virtual time before all is healed", 20'000, 86'400'000);
+  options.addInteger("faults", faults, "faults a run", 0, 1000);
+  options.addInteger("called", called,
+                     "workers that are called, each with its agent, beside the others", 0, 100);
+  options.addInteger("voters", voters,
+                     "controllers that vote: two for each that may be lost at once, and one", 3, 9);
+  options.addInteger("controllers", controllers,
+                     "controllers in all, by turns in the zones; no fewer than vote", 3, 15);
+  options.addInteger("threads", threads, "runs at the same time", 1, 256);
+  options.addText("only", only, "keep only these faults of the schedule, by number, with commas");
+  options.addFlag("verbose", verbose, "tell all that happens");
+  options.addFlag("shrink", shrinks, "shorten the schedule of the first seed that fails");
+  options.addFlag("operators", operators,
+                  "two operators at work all the time, whose answers and leaders are lost");
+  options.addFlag("every-kind", everyKind, "a kind of fault that never took effect is a failure");
+  options.addFlag("plan-cost", cost, "measure plans instead, by tasks waiting and by workers");
+  options.addFlag("view-cost", views, "measure the writing of a whole view instead, by jobs kept");
+  options.addFlag("failover", failovers, "measure the loss of a leader instead");
   options.read(count, values);
 }
 
 CampaignOptions SimulateOptions::campaign() const {
   CampaignOptions base;
-  base.length = length;
+  base.duration = length;
   base.faults = std::size_t(faults);
-  base.called = std::size_t(called);
+  base.calledWorkers = std::size_t(called);
   base.voters = std::size_t(voters);
   base.controllers = std::size_t(controllers);
   base.operators = operators;
   base.verbose = verbose;
   std::istringstream numbers(only);
   for (std::string number; std::getline(numbers, number, ',');)
-    base.only.push_back(std::strtoull(number.c_str(), nullptr, 10));
+    base.keptFaults.push_back(std::strtoull(number.c_str(), nullptr, 10));
   return base;
 }
 
@@ -114,14 +116,14 @@
       print(json(measureFailover(options.from, options.seeds, freezes)));
   if (options.cost) {
     for (std::size_t waiting : {100, 1000, 5000, 10'000})
-      print(json(measurePlan(waiting, 11)));
+      print(json(measurePlanning(waiting, 11)));
     for (std::size_t workers : {50, 200})
-      print(json(measurePlan(1000, workers)));
+      print(json(measurePlanning(1000, workers)));
   }
   if (options.views)
     for (std::size_t kept : {1000, 10'000, 50'000, 300'000})
       for (const bool whole : {true, false})
-        print(json(measureView(kept, whole)));
+        print(json(measureSnapshot(kept, whole)));
 }
 
 // One result for each seed, in the order of seeds, whatever thread ran it.
@@ -148,7 +150,7 @@
 class Summary {
  public:
   explicit Summary(const SimulateOptions& options) {
-    for (const auto& kind : FaultDeck::kinds(options.called > 0, options.voters > 4))
+    for (const auto& kind : FaultInjector::kindNames(options.called > 0, options.voters > 4))
       effects[kind] = 0;
   }
   void add(std::uint64_t seed, const CampaignResult& result);
@@ -170,18 +172,18 @@
 void Summary::add(std::uint64_t seed, const CampaignResult& result) {
   jobs += result.jobs;
   starts += result.starts;
-  searched.operations += result.searched.operations;
-  searched.configurations += result.searched.configurations;
-  hash = hash * 31 + result.hash;
+  searched.operations += result.searchStatistics.operations;
+  searched.configurations += result.searchStatistics.configurations;
+  hash = hash * 31 + result.transcriptHash;
   durableDigest = durableDigest * 31 + result.durableDigest;
-  recoveries.push_back(result.recovery);
+  recoveries.push_back(result.recoveryTime);
   for (const auto& [name, value] : result.counters)
     counters[name] += value;
-  for (const auto& [name, count] : result.effects)
+  for (const auto& [name, count] : result.effectsByFault)
     effects[name] += count;
-  for (const auto& limit : result.limits)
+  for (const auto& limit : result.unavoidableViolations)
     ++limits["rule " + std::to_string(limit.rule)];
-  if (result.good())
+  if (result.passed())
     return;
   ++failed;
   if (!firstFailed)
--- a/programs/worker_stub.cpp
+++ b/programs/worker_stub.cpp
@@ -39,13 +39,13 @@
   explicit Timers(const Settings& settings)
       : settings(settings), random(std::uint64_t(settings.seed)), history(settings.witness) {
     // What an earlier process of this name ran ended with it.
-    write(HistoryEvent::Kind::vanished, {});
+    write(HistoryEvent::Kind::workerLost, {});
     HistoryEvent witness;
-    witness.kind = HistoryEvent::Kind::capacity;
+    witness.kind = HistoryEvent::Kind::capacityReported;
     witness.worker = settings.id;
     witness.cores = std::uint32_t(settings.cores * 1000);
     witness.memory = std::uint64_t(settings.memory);
-    witness.guards = !settings.unguarded;
+    witness.enforcesCapacity = !settings.unguarded;
     if (settings.leaseless)
       witness.detail = "leaseless";
     history.write(std::move(witness));
@@ -64,7 +64,7 @@
     witness.worker = settings.id;
     if (order.attempt.value) {
       witness.job = order.job.value;
-      witness.task = order.task;
+      witness.task = order.taskIndex;
       witness.attempt = std::to_string(order.attempt.value);
       witness.cores = order.cores;
       witness.memory = order.memory;
@@ -73,19 +73,19 @@
     witness.detail = std::move(detail);
     history.write(std::move(witness));
   }
-  void follow(const HandEffect& effect) {
+  void follow(const TaskCommand& effect) {
     auto found = tasks.find(effect.attempt);
     const MonotonicTime now = monotonicNow();
-    if (effect.kind == HandEffect::Kind::start) {
+    if (effect.kind == TaskCommand::Kind::start) {
       tasks[effect.attempt] = Running{effect.order, now, really(effect.order), true};
       write(HistoryEvent::Kind::started, effect.order);
     } else if (found == tasks.end())
       return;
-    else if (effect.kind == HandEffect::Kind::hold) {
+    else if (effect.kind == TaskCommand::Kind::suspend) {
       found->second.left = found->second.left - (now - found->second.since);
       found->second.active = false;
-      write(HistoryEvent::Kind::held, found->second.order);
-    } else if (effect.kind == HandEffect::Kind::resume) {
+      write(HistoryEvent::Kind::suspended, found->second.order);
+    } else if (effect.kind == TaskCommand::Kind::resume) {
       found->second.since = now;
       found->second.active = true;
       write(HistoryEvent::Kind::resumed, found->second.order);
@@ -114,7 +114,7 @@
   [[noreturn]] void close() {
     log(LogLevel::info, "stopped");
     // Whatever still runs ends with this process.
-    write(HistoryEvent::Kind::vanished, {});
+    write(HistoryEvent::Kind::workerLost, {});
     history.close();
     std::_Exit(0);
   }
@@ -158,31 +158,31 @@
     options.id = WorkerId{settings.id};
     options.capacity = timers.capacity();
     client = std::make_unique<WorkerClient>(loop, options, drawnIncarnation(), settings.gateways);
-    client->confirmed.connect([this](const Order& order, EndingKind kind) {
-      timers.write(HistoryEvent::Kind::confirmed, order, name(kind));
+    client->confirmed.connect([this](const Order& order, AttemptOutcome kind) {
+      timers.write(HistoryEvent::Kind::resultConfirmed, order, name(kind));
     });
     client->rejected.connect([](const std::string& words) {
       log(LogLevel::warning, "the centre rejects this worker", {{"why", json(words)}});
     });
-    client->effect.connect([this](const HandEffect& effect) { timers.follow(effect); });
+    client->effect.connect([this](const TaskCommand& effect) { timers.follow(effect); });
     std::atomic<bool> over{false};
     spawn([this, &over] { client->run(over); });
     StopSignal stop(loop);
     log(LogLevel::info, "started", {{"worker", json(settings.id)}});
     while (!stop.requested()) {
-      pause(Duration{2});
+      sleepFor(Duration{2});
       finishDue();
     }
     // docs/operations.md 4: it says that it leaves, lets its work end for a while, then goes.
-    client->leave(Duration{settings.leaveWithin});
-    timers.write(HistoryEvent::Kind::leaving, {});
+    client->startDrain(Duration{settings.leaveWithin});
+    timers.write(HistoryEvent::Kind::draining, {});
     log(LogLevel::info, "leaving");
     const MonotonicTime until = monotonicNow() + Duration{settings.leaveWithin + 1500};
-    while (!client->hand().empty() && monotonicNow() < until) {
-      pause(Duration{2});
+    while (!client->session().empty() && monotonicNow() < until) {
+      sleepFor(Duration{2});
       finishDue();
     }
-    pause(Duration{200});
+    sleepFor(Duration{200});
     over = true;
     timers.close();
   }
@@ -190,14 +190,14 @@
  private:
   void finishDue() {
     for (auto attempt : timers.due()) {
-      if (client->hand().lapsed())
+      if (client->session().leaseExpired())
         return;  // held by a lapsed lease: nothing ends now
-      client->ended(attempt, timers.finish(attempt));
+      client->attemptEnded(attempt, timers.finish(attempt));
     }
   }
   Settings settings;
   Timers timers;
-  Loop loop;
+  EventLoop loop;
   std::unique_ptr<WorkerClient> client;
 };
 
@@ -215,26 +215,27 @@
     }
     StopSignal stop(loop);
     log(LogLevel::info, "started",
-        {{"worker", json(settings.id)}, {"life", json(hand.currentLife().value)}});
+        {{"worker", json(settings.id)}, {"life", json(hand.currentInstance().value)}});
     spawn([this] {
-      for (;; pause(Duration{300}))
+      for (;; sleepFor(Duration{300}))
         account();
     });
     while (!stop.requested())
       turn();
     // It says that it leaves; what runs may go on for a while, then it goes.
     leaving = true;
-    timers.write(HistoryEvent::Kind::leaving, {});
+    timers.write(HistoryEvent::Kind::draining, {});
     log(LogLevel::info, "leaving");
     const MonotonicTime until = monotonicNow() + Duration{settings.leaveWithin + 1500};
     while ((!told || !hand.empty()) && monotonicNow() < until)
       turn();
     HttpClient client(loop);
-    if (auto left = client.ask(settings.agent, writeLeave(hand.currentLife()), Duration{1500});
+    if (auto left = client.send(settings.agent, encodeShutdownNotice(hand.currentInstance()),
+                                Duration{1500});
         !left)
       log(LogLevel::warning, "the agent was not told of the end",
           {{"why", json(left.error().text)}});
-    hand.replaced(nextLife());
+    hand.onReplaced(nextLife());
     deliver();
     timers.close();
   }
@@ -243,8 +244,8 @@
   CalledWorkerSession::Options options() const {
     CalledWorkerSession::Options made;
     made.capacity = timers.capacity();
-    made.capacity.honoursLeases = made.capacity.lapses = true;
-    made.capacity.pauses = false;
+    made.capacity.honoursLeases = made.capacity.killsOnLeaseExpiry = true;
+    made.capacity.supportsSuspend = false;
     return made;
   }
   WorkerId nextLife() const {
@@ -252,56 +253,57 @@
   }
   WorkerTime steadyNow() const { return WorkerTime{monotonicNow().milliseconds}; }
   void deliver() {
-    for (const auto& [order, kind] : hand.takeConfirmed())
-      timers.write(HistoryEvent::Kind::confirmed, order, name(kind));
-    for (const auto& effect : hand.takeEffects())
+    for (const auto& [order, kind] : hand.takeConfirmedResults())
+      timers.write(HistoryEvent::Kind::resultConfirmed, order, name(kind));
+    for (const auto& effect : hand.takeCommands())
       timers.follow(effect);
   }
   void turn() {
-    pause(Duration{2});
+    sleepFor(Duration{2});
     hand.tick(steadyNow());
     deliver();  // what the lapsed hold killed has no end of its own
     for (auto attempt : timers.due())
-      hand.ended(attempt, timers.finish(attempt), steadyNow());
+      hand.onTaskEnded(attempt, timers.finish(attempt), steadyNow());
   }
   ApiResponse called(const HttpRequest& request) {
-    auto call = readWorkerCall(request);
+    auto call = decodeWorkerCall(request);
     if (!call)
-      return ApiResponse::from(call.error());
-    const MonotonicTime until = monotonicNow() + call.value().wait;
-    auto reply = hand.take(call.value(), steadyNow());
+      return ApiResponse::fromError(call.error());
+    const MonotonicTime until = monotonicNow() + call.value().longPollTimeout;
+    auto reply = hand.onCall(call.value(), steadyNow());
     deliver();
-    while (call.value().kind == WorkerCall::Kind::look && reply.kind == WorkerReply::Kind::done &&
-           reply.ended.empty() && monotonicNow() < until) {
-      pause(Duration{5});
-      reply = hand.take(call.value(), steadyNow());
+    while (call.value().kind == WorkerCall::Kind::poll && reply.status == WorkerReply::Status::ok &&
+           reply.results.empty() && monotonicNow() < until) {
+      sleepFor(Duration{5});
+      reply = hand.onCall(call.value(), steadyNow());
       deliver();
     }
-    return writeWorkerReply(call.value(), reply);
+    return encodeWorkerReply(call.value(), reply);
   }
   // Makes itself known. What it was told is over is over: it begins as another life.
   void account() {
-    WorkerAccount made{hand.currentLife(), options().capacity, leaving,
-                       Duration{settings.leaveWithin}, steadyNow()};
+    WorkerRegistration made{hand.currentInstance(), options().capacity, leaving,
+                            Duration{settings.leaveWithin}, steadyNow()};
     const bool says = leaving;
-    auto answer = accounts.ask(settings.agent, writeAccount(made), Duration{1200});
-    if (!answer || made.life != hand.currentLife())
+    auto answer = accounts.send(settings.agent, encodeRegistration(made), Duration{1200});
+    if (!answer || made.workerInstance != hand.currentInstance())
       return;
     if (answer.value().status == 200 && says) {
       told = true;
-      hand.leave();
+      hand.startDraining();
     }
     if (answer.value().status != 410)
       return;
-    hand.replaced(nextLife());
+    hand.onReplaced(nextLife());
     deliver();
-    log(LogLevel::warning, "begins as another life", {{"life", json(hand.currentLife().value)}});
+    log(LogLevel::warning, "begins as another life",
+        {{"life", json(hand.currentInstance().value)}});
   }
 
   Settings settings;
   Timers timers;
   CalledWorkerSession hand;
-  Loop loop;
+  EventLoop loop;
   HttpClient accounts{loop};
   bool leaving = false, told = false;
 };
@@ -311,32 +313,33 @@
 int main(int count, char** values) {
   Settings settings;
   OptionSet options("worker_stub", "a stand-in worker for aniseline");
-  options.text("id", settings.id, "the worker's id", true);
-  options.text("zone", settings.zone, "the zone of this machine", true);
-  options.text("rack", settings.rack, "the rack of this machine");
-  options.addresses("gateways", settings.gateways,
-                    "outer addresses of gateways, for first contact");
-  options.flag("called", settings.called, "an agent calls it; it calls no gateway");
-  options.address("listen", settings.listen, "where its agent calls it");
-  options.address("agent", settings.agent, "where it makes itself known to its agent");
-  options.text("from", settings.from, "the IP number to connect from, on a machine with several");
-  options.whole("cores", settings.cores, "cores", 1, 65'536);
-  options.whole("memory-mb", settings.memory, "memory", 1, 1'000'000'000);
-  options.whole("seed", settings.seed, "of the draws for failures", 0, 1'000'000'000);
-  options.whole("leave-within-ms", settings.leaveWithin,
-                "how long its work may go on when it leaves", 0, 3'600'000);
-  options.real("slow", settings.slow, "its tasks take this many times as long", 0.01, 1000);
-  options.real("fail", settings.fail, "this part of its tasks fails", 0, 1);
-  options.flag("unguarded", settings.unguarded, "it does not guard its room");
-  options.flag("leaseless", settings.leaseless, "it does not honour leases");
-  options.text("witness", settings.witness, "a file for the history of what really ran");
-  options.flag("quiet", settings.quiet, "no logs");
+  options.addText("id", settings.id, "the worker's id", true);
+  options.addText("zone", settings.zone, "the zone of this machine", true);
+  options.addText("rack", settings.rack, "the rack of this machine");
+  options.addAddresses("gateways", settings.gateways,
+                       "outer addresses of gateways, for first contact");
+  options.addFlag("called", settings.called, "an agent calls it; it calls no gateway");
+  options.addAddress("listen", settings.listen, "where its agent calls it");
+  options.addAddress("agent", settings.agent, "where it makes itself known to its agent");
+  options.addText("from", settings.from,
+                  "the IP number to connect from, on a machine with several");
+  options.addInteger("cores", settings.cores, "cores", 1, 65'536);
+  options.addInteger("memory-mb", settings.memory, "memory", 1, 1'000'000'000);
+  options.addInteger("seed", settings.seed, "of the draws for failures", 0, 1'000'000'000);
+  options.addInteger("leave-within-ms", settings.leaveWithin,
+                     "how long its work may go on when it leaves", 0, 3'600'000);
+  options.addReal("slow", settings.slow, "its tasks take this many times as long", 0.01, 1000);
+  options.addReal("fail", settings.fail, "this part of its tasks fails", 0, 1);
+  options.addFlag("unguarded", settings.unguarded, "it does not guard its room");
+  options.addFlag("leaseless", settings.leaseless, "it does not honour leases");
+  options.addText("witness", settings.witness, "a file for the history of what really ran");
+  options.addFlag("quiet", settings.quiet, "no logs");
   options.read(count, values);
   if (const auto fault = faultOf(settings); !fault.empty()) {
     std::cerr << "worker_stub: " << fault << "\n";
     return 2;
   }
-  Loop::source = settings.from;
+  EventLoop::sourceIp = settings.from;
   startLog("worker_stub", settings.id, settings.quiet);
   return settings.called ? CalledWorker(settings).run() : CallingWorker(settings).run();
 }
--- a/programs/zone_drill.cpp
+++ b/programs/zone_drill.cpp
@@ -64,13 +64,13 @@
       auto seen = look();
       back = seen && seen->get("whole").get<bool>() && served(own);
       if (!back)
-        pause(Duration{100});
+        sleepFor(Duration{100});
     }
     const std::int64_t wholeAfter = now() - backAt;
     wait(Duration{1500});
     probing = false;
     while (under)
-      pause(Duration{20});
+      sleepFor(Duration{20});
     history.close();
 
     report["before"] = json(judge(0, outAt));
@@ -92,14 +92,14 @@
   void wait(Duration span) {
     const MonotonicTime until = monotonicNow() + span;
     while (monotonicNow() < until && !stop.requested())
-      pause(Duration{20});
+      sleepFor(Duration{20});
   }
   int refuse(const std::string& why) {
     std::cerr << "zone_drill: " << why << "\n";
     return 3;
   }
   std::optional<picojson::value> look() {
-    auto answer = client.ask(settings.control, {"GET", "/fleet", ""}, Duration{8000});
+    auto answer = client.send(settings.control, {"GET", "/fleet", ""}, Duration{8000});
     picojson::value root;
     if (!answer || answer.value().status != 200 ||
         !picojson::parse(root, answer.value().body).empty())
@@ -107,7 +107,7 @@
     return root;
   }
   bool order(const std::string& verb) {
-    auto answer = client.ask(
+    auto answer = client.send(
         settings.control, {"POST", "/fleet/" + settings.zone + "/" + verb + "/" + settings.by, ""},
         Duration{8000});
     return answer && answer.value().status == 200;
@@ -125,8 +125,8 @@
     return 0;
   }
   bool served(const std::vector<Address>& gateways) {
-    Caller caller(loop, gateways);
-    return caller.ask({"GET", "/v1/counters", ""}, Duration{1500}).has_value();
+    GatewayClient caller(loop, gateways);
+    return caller.send({"GET", "/v1/counters", ""}, Duration{1500}).has_value();
   }
 
   void note(HistoryEvent::Kind kind, const JobId& job, std::string detail = {}) {
@@ -148,7 +148,7 @@
         follow(place, turned);
         --under;
       });
-      pause(Duration{settings.everyMilliseconds});
+      sleepFor(Duration{settings.everyMilliseconds});
     }
   }
   void follow(std::size_t place, const std::vector<Address>& gateways) {
@@ -156,30 +156,30 @@
     job.id = JobId{"drill-" + std::to_string(wallNow().milliseconds) + "-" + std::to_string(place)};
     job.queue = QueueName{settings.queue};
     job.steps = {{"probe", {}, false, {TaskRequest{1000, 128, Duration{500}, "run=60"}}}};
-    jobs << renderJob(job) << "\n" << std::flush;
-    Caller caller(loop, gateways);
-    caller.witness = [&](const HttpRequest& request,
-                         const Result<HttpResponse, HttpError>& result) {
+    jobs << renderJobSubmission(job) << "\n" << std::flush;
+    GatewayClient caller(loop, gateways);
+    caller.onAttempt = [&](const HttpRequest& request,
+                           const Result<HttpResponse, HttpError>& result) {
       if (request.method != "POST")
         return;
       note(HistoryEvent::Kind::submitted, job.id);
       const int status = result ? result.value().status : 503;
       note(status == 202   ? HistoryEvent::Kind::accepted
-           : status == 503 ? HistoryEvent::Kind::unknown
+           : status == 503 ? HistoryEvent::Kind::outcomeUnknown
                            : HistoryEvent::Kind::rejected,
            job.id, std::to_string(status));
     };
-    if (!caller.submit(job, Duration{20'000}))
+    if (!caller.submitJob(job, Duration{20'000}))
       return;
     probes[place].acceptedAfter = now() - probes[place].begunAt;
     for (const MonotonicTime until = monotonicNow() + Duration{30'000}; monotonicNow() < until;
-         pause(Duration{20})) {
-      auto shown = caller.show(job.id, Duration{5000});
+         sleepFor(Duration{20})) {
+      auto shown = caller.showJob(job.id, Duration{5000});
       picojson::value root;
       if (!shown || !picojson::parse(root, shown.value().body).empty() ||
           root.get("state").to_str() != "finished")
         continue;
-      note(HistoryEvent::Kind::shown, job.id, "finished");
+      note(HistoryEvent::Kind::stateObserved, job.id, "finished");
       probes[place].finishedAfter = now() - probes[place].begunAt;
       return;
     }
@@ -211,7 +211,7 @@
   // The never-rules over what callers and workers have witnessed so far; the writers are still at
   // work.
   void judgeHistories() {
-    auto read = readFolder(folder, true);
+    auto read = readHistoryFolder(folder, true);
     if (!read)
       return hold(read.error().message(), false);
     InvariantOptions options;
@@ -219,16 +219,16 @@
     if (auto config =
             ClusterConfig::parse(std::string((std::istreambuf_iterator<char>(stream)), {})))
       for (const auto& [name, queue] : config.value().queues)
-        options.retriesOf[name.value] = queue.retries;
+        options.retriesByQueue[name.value] = queue.maxRetries;
     const auto findings =
-        checkInvariants(std::move(read.value().witnessed), read.value().submissions, options);
+        checkInvariants(std::move(read.value().events), read.value().submissions, options);
     picojson::array limits;
-    for (const auto& limit : findings.limits)
-      limits.push_back(json("rule " + std::to_string(limit.rule) + ": " + limit.text));
+    for (const auto& limit : findings.unavoidableViolations)
+      limits.push_back(json("rule " + std::to_string(limit.rule) + ": " + limit.description));
     report["limits"] = json(limits);
-    for (const auto& promise : findings.broken)
-      hold("rule " + std::to_string(promise.rule) + ": " + promise.text, false);
-    hold("no never-rule was broken", findings.broken.empty());
+    for (const auto& promise : findings.violations)
+      hold("rule " + std::to_string(promise.rule) + ": " + promise.description, false);
+    hold("no never-rule was broken", findings.violations.empty());
   }
   void hold(const std::string& what, bool holds) {
     checks.push_back(json(picojson::object{{"what", json(what)}, {"holds", json(holds)}}));
@@ -248,7 +248,7 @@
   }
 
   Settings settings;
-  Loop loop;
+  EventLoop loop;
   HttpClient client;
   StopSignal stop;
   std::string folder;
@@ -268,22 +268,22 @@
   OptionSet options(
       "zone_drill",
       "takes a zone out of a running fleet under load, gives it back, and checks the promises");
-  options.address("control", settings.control,
-                  "where the fleet's keeper takes orders (local_cluster says it)", true);
-  options.text("zone", settings.zone, "the zone to take out", true);
-  options.text("by", settings.by, "kill, freeze or cut");
-  options.text("queue", settings.queue, "the urgent queue to probe");
-  options.text("config", settings.config, "the config in force, for the queues' retries");
-  options.text("report", settings.report, "a file for the report");
-  options.whole("out-seconds", settings.outSeconds, "how long the zone stays out", 1, 3600);
-  options.whole("every-ms", settings.everyMilliseconds, "between probes", 20, 60'000);
-  options.whole("urgent-ms", settings.urgentMilliseconds,
-                "the bound of urgent work after failover, polling included", 1, 60'000);
-  options.whole("failover-ms", settings.failoverMilliseconds,
-                "given for failover before urgent work is judged", 0, 60'000);
-  options.whole("back-ms", settings.backMilliseconds, "the bound of being back once whole", 100,
-                600'000);
-  options.flag("dry-run", settings.dryRun, "say what would be done, do nothing");
+  options.addAddress("control", settings.control,
+                     "where the fleet's keeper takes orders (local_cluster says it)", true);
+  options.addText("zone", settings.zone, "the zone to take out", true);
+  options.addText("by", settings.by, "kill, freeze or cut");
+  options.addText("queue", settings.queue, "the urgent queue to probe");
+  options.addText("config", settings.config, "the config in force, for the queues' retries");
+  options.addText("report", settings.report, "a file for the report");
+  options.addInteger("out-seconds", settings.outSeconds, "how long the zone stays out", 1, 3600);
+  options.addInteger("every-ms", settings.everyMilliseconds, "between probes", 20, 60'000);
+  options.addInteger("urgent-ms", settings.urgentMilliseconds,
+                     "the bound of urgent work after failover, polling included", 1, 60'000);
+  options.addInteger("failover-ms", settings.failoverMilliseconds,
+                     "given for failover before urgent work is judged", 0, 60'000);
+  options.addInteger("back-ms", settings.backMilliseconds, "the bound of being back once whole",
+                     100, 600'000);
+  options.addFlag("dry-run", settings.dryRun, "say what would be done, do nothing");
   options.read(count, values);
   if (settings.by != "kill" && settings.by != "freeze" && settings.by != "cut") {
     std::cerr << "zone_drill: --by: must be kill, freeze or cut\n";
--- a/source/agent/called_worker_session.cpp
+++ b/source/agent/called_worker_session.cpp
@@ -4,122 +4,126 @@
 
 namespace {
 
-WorkerReply reply(WorkerReply::Kind kind, WorkerTime now) {
+WorkerReply reply(WorkerReply::Status kind, WorkerTime now) {
   WorkerReply made;
-  made.kind = kind;
-  made.clock = now;
+  made.status = kind;
+  made.clockReading = now;
   return made;
 }
 
 }  // namespace
 
-WorkerReply CalledWorkerSession::take(const WorkerCall& call, WorkerTime now) {
-  if (call.life != life)
-    return reply(WorkerReply::Kind::otherLife, now);
-  if (call.fence < fence)
-    return reply(WorkerReply::Kind::fenced, now);
-  fence = call.fence;
+WorkerReply CalledWorkerSession::onCall(const WorkerCall& call, WorkerTime now) {
+  if (call.workerInstance != workerInstance)
+    return reply(WorkerReply::Status::instanceMismatch, now);
+  if (call.fencingTerm < fencingTerm)
+    return reply(WorkerReply::Status::fenced, now);
+  fencingTerm = call.fencingTerm;
   tick(now);
   auto made = call.kind == WorkerCall::Kind::start  ? start(call, now)
               : call.kind == WorkerCall::Kind::stop ? stop(call)
-                                                    : look(call, now);
-  made.clock = now;
+                                                    : poll(call, now);
+  made.clockReading = now;
   return made;
 }
 
 WorkerReply CalledWorkerSession::start(const WorkerCall& call, WorkerTime now) {
-  RunName task = call.name;
-  task.run = 0;
-  if (auto found = latest.find(task); found != latest.end() && found->second >= call.name.run)
-    return reply(WorkerReply::Kind::old, now);
-  if (!call.deadline || *call.deadline <= now)
-    return reply(WorkerReply::Kind::late, now);
-  if (leaving || !fits(call.order))
-    return reply(WorkerReply::Kind::room, now);
-  remember(call.name);
-  extend(call.deadline, now);
-  running[call.order.attempt] = Running{call.name, call.order, now};
-  effects.push_back({HandEffect::Kind::start, call.order.attempt, call.order});
-  return reply(WorkerReply::Kind::done, now);
+  TaskRunId task = call.runId;
+  task.runNumber = 0;
+  if (auto found = latestRuns.find(task);
+      found != latestRuns.end() && found->second >= call.runId.runNumber)
+    return reply(WorkerReply::Status::staleRun, now);
+  if (!call.leaseDeadline || *call.leaseDeadline <= now)
+    return reply(WorkerReply::Status::deadlineExceeded, now);
+  if (draining || !fits(call.order))
+    return reply(WorkerReply::Status::insufficientCapacity, now);
+  rememberRun(call.runId);
+  extendLease(call.leaseDeadline, now);
+  running[call.order.attempt] = RunningTask{call.runId, call.order, now};
+  commands.push_back({TaskCommand::Kind::start, call.order.attempt, call.order});
+  return reply(WorkerReply::Status::ok, now);
 }
 
 // A stop of what is not there is remembered: a start of it that comes late is turned away.
 WorkerReply CalledWorkerSession::stop(const WorkerCall& call) {
-  remember(call.name);
+  rememberRun(call.runId);
   for (auto task = running.begin(); task != running.end(); ++task)
-    if (task->second.name == call.name) {
-      end(task, EndingKind::stopped, false);
+    if (task->second.runId == call.runId) {
+      finishTask(task, AttemptOutcome::stopped, false);
       break;
     }
-  return reply(WorkerReply::Kind::done, WorkerTime{});
+  return reply(WorkerReply::Status::ok, WorkerTime{});
 }
 
-WorkerReply CalledWorkerSession::look(const WorkerCall& call, WorkerTime now) {
-  while (!endings.empty() && endings.front().number <= call.lastSeen) {
-    confirmed.emplace_back(endings.front().order, endings.front().kind);
-    endings.pop_front();
+WorkerReply CalledWorkerSession::poll(const WorkerCall& call, WorkerTime now) {
+  while (!unconfirmedResults.empty() &&
+         unconfirmedResults.front().sequenceNumber <= call.confirmedUpTo) {
+    confirmedResults.emplace_back(unconfirmedResults.front().order,
+                                  unconfirmedResults.front().outcome);
+    unconfirmedResults.pop_front();
   }
-  extend(call.deadline, now);
-  auto made = reply(WorkerReply::Kind::done, now);
+  extendLease(call.leaseDeadline, now);
+  auto made = reply(WorkerReply::Status::ok, now);
   for (const auto& [attempt, task] : running)
-    made.active.push_back({task.name, ""});
-  for (const auto& ended : endings) {
-    if (made.ended.size() >= options.endingsAtOnce) {
-      made.whole = false;
+    made.runningTasks.push_back({task.runId, ""});
+  for (const auto& ended : unconfirmedResults) {
+    if (made.results.size() >= options.maxResultsPerPoll) {
+      made.complete = false;
       break;
     }
-    made.ended.push_back({ended.number, ended.name, ended.kind, ""});
+    made.results.push_back({ended.sequenceNumber, ended.runId, ended.outcome, ""});
   }
   return made;
 }
 
-void CalledWorkerSession::extend(const std::optional<WorkerTime>& deadline, WorkerTime now) {
+void CalledWorkerSession::extendLease(const std::optional<WorkerTime>& deadline, WorkerTime now) {
   if (deadline)
-    hold = std::max(hold, std::min(*deadline, now + options.longestHold));
+    leaseUntil = std::max(leaseUntil, std::min(*deadline, now + options.maxLease));
 }
 
 void CalledWorkerSession::tick(WorkerTime now) {
-  if (now >= hold) {
+  if (now >= leaseUntil) {
     // What had ended well and was not confirmed may be started elsewhere from now on: it is void.
     // docs/design.md 5.5.
-    for (auto& ended : endings)
-      if (ended.kind == EndingKind::finished)
-        ended.kind = EndingKind::stopped;
+    for (auto& ended : unconfirmedResults)
+      if (ended.outcome == AttemptOutcome::succeeded)
+        ended.outcome = AttemptOutcome::stopped;
     while (!running.empty())
-      end(running.begin(), EndingKind::stopped, false);
+      finishTask(running.begin(), AttemptOutcome::stopped, false);
   }
   for (auto task = running.begin(); task != running.end();) {
     const auto present = task++;
     const Duration quantum = present->second.order.quantum;
-    if (quantum.milliseconds > 0 && now - present->second.since >= quantum)
-      end(present, EndingKind::ranOut, false);
+    if (quantum.milliseconds > 0 && now - present->second.startedAt >= quantum)
+      finishTask(present, AttemptOutcome::quantumExpired, false);
   }
 }
 
-void CalledWorkerSession::ended(AttemptNumber attempt, bool well, WorkerTime now) {
+void CalledWorkerSession::onTaskEnded(AttemptNumber attempt, bool well, WorkerTime now) {
   tick(now);
   if (auto task = running.find(attempt); task != running.end())
-    end(task, well ? EndingKind::finished : EndingKind::failed, true);
+    finishTask(task, well ? AttemptOutcome::succeeded : AttemptOutcome::failed, true);
 }
 
-void CalledWorkerSession::end(std::map<AttemptNumber, Running>::iterator task, EndingKind kind,
-                              bool byItself) {
+void CalledWorkerSession::finishTask(std::map<AttemptNumber, RunningTask>::iterator task,
+                                     AttemptOutcome kind, bool byItself) {
   if (!byItself)
-    effects.push_back({HandEffect::Kind::stop, task->first, task->second.order});
-  endings.push_back({++lastEnding, task->second.name, task->second.order, kind});
+    commands.push_back({TaskCommand::Kind::stop, task->first, task->second.order});
+  unconfirmedResults.push_back(
+      {++lastSequenceNumber, task->second.runId, task->second.order, kind});
   running.erase(task);
 }
 
-void CalledWorkerSession::replaced(WorkerId next) {
+void CalledWorkerSession::onReplaced(WorkerId next) {
   while (!running.empty())
-    end(running.begin(), EndingKind::stopped, false);
-  const auto stops = std::move(effects);
+    finishTask(running.begin(), AttemptOutcome::stopped, false);
+  const auto stops = std::move(commands);
   *this = CalledWorkerSession(options, std::move(next));
-  effects = stops;
+  commands = stops;
 }
 
 bool CalledWorkerSession::fits(const Order& order) const {
-  if (!options.capacity.guardsRoom)
+  if (!options.capacity.enforcesCapacity)
     return true;
   std::uint64_t cores = order.cores, memory = order.memory;
   for (const auto& [attempt, task] : running)
@@ -127,19 +131,19 @@
   return cores <= options.capacity.cores && memory <= options.capacity.memory;
 }
 
-bool CalledWorkerSession::remember(const RunName& name) {
-  RunName task = name;
-  task.run = 0;
-  auto [found, isNew] = latest.try_emplace(task, name.run);
-  if (!isNew && found->second >= name.run)
+bool CalledWorkerSession::rememberRun(const TaskRunId& name) {
+  TaskRunId task = name;
+  task.runNumber = 0;
+  auto [found, isNew] = latestRuns.try_emplace(task, name.runNumber);
+  if (!isNew && found->second >= name.runNumber)
     return false;
-  found->second = name.run;
+  found->second = name.runNumber;
   if (!isNew)
     return true;
-  known.push_back(task);
-  if (known.size() > options.remembered) {
-    latest.erase(known.front());
-    known.pop_front();
+  rememberedTasks.push_back(task);
+  if (rememberedTasks.size() > options.maxRememberedTasks) {
+    latestRuns.erase(rememberedTasks.front());
+    rememberedTasks.pop_front();
   }
   return true;
 }
--- a/source/agent/called_worker_session.hpp
+++ b/source/agent/called_worker_session.hpp
@@ -10,63 +10,66 @@
  public:
   struct Options {
     Capacity capacity;
-    Duration longestHold{6000};
-    std::size_t endingsAtOnce = 500;  // of one look
-    std::size_t remembered =
+    Duration maxLease{6000};
+    std::size_t maxResultsPerPoll = 500;  // of one look
+    std::size_t maxRememberedTasks =
         100'000;  // tasks whose latest run is remembered against starts that come late
   };
-  CalledWorkerSession(Options options, WorkerId life)
-      : options(std::move(options)), life(std::move(life)) {}
+  CalledWorkerSession(Options options, WorkerId workerInstance)
+      : options(std::move(options)), workerInstance(std::move(workerInstance)) {}
 
   // Carries a call out; the answer of a look may be asked for again by the same call while its wait
   // lasts.
-  WorkerReply take(const WorkerCall& call, WorkerTime now);
+  WorkerReply onCall(const WorkerCall& call, WorkerTime now);
   // Kills all when the hold is over, and ends trials that have used their time.
   void tick(WorkerTime now);
-  void ended(AttemptNumber attempt, bool well, WorkerTime now);
-  void leave() { leaving = true; }
+  void onTaskEnded(AttemptNumber attempt, bool well, WorkerTime now);
+  void startDraining() { draining = true; }
   // Another life begins: nothing of this one runs on.
-  void replaced(WorkerId next);
+  void onReplaced(WorkerId next);
 
-  std::vector<HandEffect> takeEffects() { return std::exchange(effects, {}); }
-  std::vector<std::pair<Order, EndingKind>> takeConfirmed() { return std::exchange(confirmed, {}); }
+  std::vector<TaskCommand> takeCommands() { return std::exchange(commands, {}); }
+  std::vector<std::pair<Order, AttemptOutcome>> takeConfirmedResults() {
+    return std::exchange(confirmedResults, {});
+  }
   bool idle() const { return running.empty(); }
-  bool empty() const { return running.empty() && endings.empty(); }
-  const WorkerId& currentLife() const { return life; }
+  bool empty() const { return running.empty() && unconfirmedResults.empty(); }
+  const WorkerId& currentInstance() const { return workerInstance; }
 
  private:
-  struct Running {
-    RunName name;
+  struct RunningTask {
+    TaskRunId runId;
     Order order;
-    WorkerTime since;
+    WorkerTime startedAt;
   };
-  struct Ended {
-    std::uint64_t number;
-    RunName name;
+  struct TaskResult {
+    std::uint64_t sequenceNumber;
+    TaskRunId runId;
     Order order;
-    EndingKind kind;
+    AttemptOutcome outcome;
   };
   WorkerReply start(const WorkerCall& call, WorkerTime now);
   WorkerReply stop(const WorkerCall& call);
-  WorkerReply look(const WorkerCall& call, WorkerTime now);
-  void extend(const std::optional<WorkerTime>& deadline, WorkerTime now);
-  void end(std::map<AttemptNumber, Running>::iterator task, EndingKind kind, bool byItself);
+  WorkerReply poll(const WorkerCall& call, WorkerTime now);
+  void extendLease(const std::optional<WorkerTime>& deadline, WorkerTime now);
+  void finishTask(std::map<AttemptNumber, RunningTask>::iterator task, AttemptOutcome kind,
+                  bool byItself);
   bool fits(const Order& order) const;
-  bool remember(
-      const RunName& name);  // false: this run or a later one of the task is known already
+  bool rememberRun(
+      const TaskRunId& name);  // false: this run or a later one of the task is known already
 
   Options options;
-  WorkerId life;
-  Term fence;
-  WorkerTime hold{0};
-  bool leaving = false;
-  std::map<AttemptNumber, Running> running;
-  std::deque<Ended> endings;
-  std::uint64_t lastEnding = 0;
-  std::map<RunName, std::uint32_t> latest;  // by task: the latest run begun or stopped
-  std::deque<RunName> known;                // the tasks of `latest`, the oldest first
-  std::vector<HandEffect> effects;
-  std::vector<std::pair<Order, EndingKind>> confirmed;
+  WorkerId workerInstance;
+  Term fencingTerm;
+  WorkerTime leaseUntil{0};
+  bool draining = false;
+  std::map<AttemptNumber, RunningTask> running;
+  std::deque<TaskResult> unconfirmedResults;
+  std::uint64_t lastSequenceNumber = 0;
+  std::map<TaskRunId, std::uint32_t> latestRuns;  // by task: the latest run begun or stopped
+  std::deque<TaskRunId> rememberedTasks;          // the tasks of `latest`, the oldest first
+  std::vector<TaskCommand> commands;
+  std::vector<std::pair<Order, AttemptOutcome>> confirmedResults;
 };
 
 }  // namespace aniseline
--- a/source/agent/worker_session.cpp
+++ b/source/agent/worker_session.cpp
@@ -2,185 +2,185 @@
 
 namespace aniseline {
 
-SyncReport WorkerSession::report(MonotonicTime now) {
+SyncReport WorkerSession::makeSyncReport(MonotonicTime now) {
   tick(now);
   SyncReport report;
   report.id = options.id;
   report.incarnation = incarnation;
   report.capacity = options.capacity;
-  report.lastOrder = applied;
-  for (const auto& [attempt, ended] : endings)
-    report.endings.push_back({attempt, ended.kind});
-  report.leaving = leaving;
-  report.leaveWithin = leaveWithin;
-  report.wait = urgent() ? Duration{0} : options.wait;
+  report.lastAppliedOrder = lastAppliedOrder;
+  for (const auto& [attempt, ended] : unconfirmedResults)
+    report.results.push_back({attempt, ended.outcome});
+  report.draining = draining;
+  report.drainTimeout = drainTimeout;
+  report.longPollTimeout = hasUrgentReport() ? Duration{0} : options.longPollTimeout;
   // Applied orders are told at once, but such a sync may then wait for new ones.
-  if (endings.empty() && leaving == toldLeaving)
-    report.wait = options.wait;
-  toldApplied = applied;
-  toldLeaving = leaving;
+  if (unconfirmedResults.empty() && draining == reportedDraining)
+    report.longPollTimeout = options.longPollTimeout;
+  reportedAppliedOrder = lastAppliedOrder;
+  reportedDraining = draining;
   return report;
 }
 
-bool WorkerSession::answered(Incarnation asked, const SyncResponse& answer, MonotonicTime sentAt,
-                             MonotonicTime now) {
+bool WorkerSession::onSyncResponse(Incarnation asked, const SyncResponse& answer,
+                                   MonotonicTime sentAt, MonotonicTime now) {
   tick(now);
   // Orders are counted anew for each incarnation: another's would be taken for this one's.
   if (asked != incarnation)
     return false;
   // docs/design.md 5.3: an order from a superseded leader, or under a lease that is over, is not
   // followed.
-  if (answer.term < seenTerm || now >= sentAt + answer.lease)
+  if (answer.term < highestTerm || now >= sentAt + answer.lease)
     return false;
-  seenTerm = answer.term;
-  for (const auto& attempt : answer.confirmed)
-    if (auto found = endings.find(attempt); found != endings.end()) {
+  highestTerm = answer.term;
+  for (const auto& attempt : answer.confirmedAttempts)
+    if (auto found = unconfirmedResults.find(attempt); found != unconfirmedResults.end()) {
       if (found->second.order.attempt.value)
-        confirmed.emplace_back(found->second.order, found->second.kind);
-      endings.erase(found);
+        confirmedResults.emplace_back(found->second.order, found->second.outcome);
+      unconfirmedResults.erase(found);
     }
   if (!answer.gateways.empty())
     knownGateways = answer.gateways;
-  leaseEnds = std::max(leaseEnds, sentAt + answer.lease);
-  const bool wasHolding = std::exchange(holding, false);
+  leaseUntil = std::max(leaseUntil, sentAt + answer.lease);
+  const bool wasHolding = std::exchange(withoutLease, false);
   for (const auto& order : answer.orders)
-    if (order.number == applied.next()) {
-      applied = order.number;
-      apply(order, now);
+    if (order.number == lastAppliedOrder.next()) {
+      lastAppliedOrder = order.number;
+      applyOrder(order, now);
     }
   if (wasHolding)
     for (auto& [number, task] : tasks)
-      setPaused(task, false, now);
+      setSuspendedByLease(task, false, now);
   return true;
 }
 
-void WorkerSession::replaced(Incarnation next) {
+void WorkerSession::onReplaced(Incarnation next) {
   for (auto& [attempt, task] : tasks)
     if (task.started)
-      effects.push_back({HandEffect::Kind::stop, attempt, {}});
+      commands.push_back({TaskCommand::Kind::stop, attempt, {}});
   tasks.clear();
-  endings.clear();
+  unconfirmedResults.clear();
   incarnation = next;
-  applied = toldApplied = OrderNumber{};
-  holding = true;
+  lastAppliedOrder = reportedAppliedOrder = OrderNumber{};
+  withoutLease = true;
 }
 
-void WorkerSession::setPaused(Running& task, bool pause, MonotonicTime now) {
-  if (task.paused == pause)
+void WorkerSession::setSuspendedByLease(RunningTask& task, bool pause, MonotonicTime now) {
+  if (task.suspendedByLease == pause)
     return;
-  const bool before = active(task);
-  task.paused = pause;
-  const bool after = active(task);
+  const bool before = isActive(task);
+  task.suspendedByLease = pause;
+  const bool after = isActive(task);
   if (before && !after) {
-    task.ran = task.ran + (now - task.since);
-    effects.push_back({HandEffect::Kind::hold, task.order.attempt, {}});
+    task.timeUsed = task.timeUsed + (now - task.activeSince);
+    commands.push_back({TaskCommand::Kind::suspend, task.order.attempt, {}});
   } else if (!before && after) {
-    task.since = now;
-    effects.push_back({HandEffect::Kind::resume, task.order.attempt, {}});
+    task.activeSince = now;
+    commands.push_back({TaskCommand::Kind::resume, task.order.attempt, {}});
   }
 }
 
 void WorkerSession::tick(MonotonicTime now) {
-  if (!holding && now >= leaseEnds && options.capacity.honoursLeases) {
-    holding = true;
+  if (!withoutLease && now >= leaseUntil && options.capacity.honoursLeases) {
+    withoutLease = true;
     for (auto& [attempt, task] : tasks)
-      setPaused(task, true, now);
+      setSuspendedByLease(task, true, now);
   }
   std::vector<AttemptNumber> spent;
   for (const auto& [attempt, task] : tasks)
-    if (task.order.quantum.milliseconds > 0 && active(task) &&
-        task.ran + (now - task.since) >= task.order.quantum)
+    if (task.order.quantum.milliseconds > 0 && isActive(task) &&
+        task.timeUsed + (now - task.activeSince) >= task.order.quantum)
       spent.push_back(attempt);
   for (auto attempt : spent) {
-    effects.push_back({HandEffect::Kind::stop, attempt, {}});
-    end(attempt, EndingKind::ranOut);
+    commands.push_back({TaskCommand::Kind::stop, attempt, {}});
+    finishTask(attempt, AttemptOutcome::quantumExpired);
   }
 }
 
-MonotonicTime WorkerSession::nextDue() const {
+MonotonicTime WorkerSession::nextWakeUp() const {
   MonotonicTime due{std::numeric_limits<std::int64_t>::max()};
-  if (!holding && options.capacity.honoursLeases)
-    due = leaseEnds;
+  if (!withoutLease && options.capacity.honoursLeases)
+    due = leaseUntil;
   for (const auto& [attempt, task] : tasks)
-    if (task.order.quantum.milliseconds > 0 && active(task))
-      due = std::min(due, task.since + (task.order.quantum - task.ran));
+    if (task.order.quantum.milliseconds > 0 && isActive(task))
+      due = std::min(due, task.activeSince + (task.order.quantum - task.timeUsed));
   return due;
 }
 
-void WorkerSession::end(AttemptNumber attempt, EndingKind kind) {
-  endings[attempt] = Ended{tasks[attempt].order, kind};
+void WorkerSession::finishTask(AttemptNumber attempt, AttemptOutcome kind) {
+  unconfirmedResults[attempt] = TaskResult{tasks[attempt].order, kind};
   tasks.erase(attempt);
 }
 
-void WorkerSession::ended(AttemptNumber attempt, bool well, MonotonicTime) {
+void WorkerSession::onTaskEnded(AttemptNumber attempt, bool well, MonotonicTime) {
   if (tasks.count(attempt))
-    end(attempt, well ? EndingKind::finished : EndingKind::failed);
+    finishTask(attempt, well ? AttemptOutcome::succeeded : AttemptOutcome::failed);
 }
 
-void WorkerSession::leave(Duration within) {
-  leaving = true;
-  leaveWithin = within;
+void WorkerSession::startDraining(Duration within) {
+  draining = true;
+  drainTimeout = within;
 }
 
-void WorkerSession::apply(const Order& order, MonotonicTime now) {
+void WorkerSession::applyOrder(const Order& order, MonotonicTime now) {
   auto found = tasks.find(order.attempt);
   switch (order.kind) {
     case OrderKind::start:
     case OrderKind::stage: {
-      if (found != tasks.end() || endings.count(order.attempt))
+      if (found != tasks.end() || unconfirmedResults.count(order.attempt))
         return;
-      if (leaving) {  // docs/design.md 5.7: nothing starts once the word is given
-        endings[order.attempt] = Ended{{}, EndingKind::unstarted};
+      if (draining) {  // docs/design.md 5.7: nothing starts once the word is given
+        unconfirmedResults[order.attempt] = TaskResult{{}, AttemptOutcome::neverStarted};
         return;
       }
-      Running task;
+      RunningTask task;
       task.order = order;
       task.staged = order.kind == OrderKind::stage;
-      task.since = now;
+      task.activeSince = now;
       task.started = !task.staged;
       if (task.started)
-        effects.push_back({HandEffect::Kind::start, order.attempt, order});
+        commands.push_back({TaskCommand::Kind::start, order.attempt, order});
       tasks[order.attempt] = std::move(task);
       return;
     }
-    case OrderKind::go:
+    case OrderKind::launch:
       if (found == tasks.end() || !found->second.staged)
         return;
-      if (leaving)
-        return end(order.attempt, EndingKind::unstarted);
+      if (draining)
+        return finishTask(order.attempt, AttemptOutcome::neverStarted);
       found->second.staged = false;
       found->second.started = true;
-      found->second.paused = false;
-      found->second.since = now;
-      effects.push_back({HandEffect::Kind::start, order.attempt, found->second.order});
+      found->second.suspendedByLease = false;
+      found->second.activeSince = now;
+      commands.push_back({TaskCommand::Kind::start, order.attempt, found->second.order});
       return;
-    case OrderKind::hold:
+    case OrderKind::suspend:
     case OrderKind::resume: {
       if (found == tasks.end())
         return;
-      Running& task = found->second;
-      const bool before = active(task);
-      task.held = order.kind == OrderKind::hold;
-      const bool after = active(task);
+      RunningTask& task = found->second;
+      const bool before = isActive(task);
+      task.suspendedByOrder = order.kind == OrderKind::suspend;
+      const bool after = isActive(task);
       if (before && !after) {
-        task.ran = task.ran + (now - task.since);
-        effects.push_back({HandEffect::Kind::hold, order.attempt, {}});
+        task.timeUsed = task.timeUsed + (now - task.activeSince);
+        commands.push_back({TaskCommand::Kind::suspend, order.attempt, {}});
       } else if (!before && after) {
-        task.since = now;
-        effects.push_back({HandEffect::Kind::resume, order.attempt, {}});
+        task.activeSince = now;
+        commands.push_back({TaskCommand::Kind::resume, order.attempt, {}});
       }
       return;
     }
     case OrderKind::stop:
       if (found == tasks.end()) {
-        if (!endings.count(order.attempt))
-          endings[order.attempt] = Ended{{}, EndingKind::unstarted};
+        if (!unconfirmedResults.count(order.attempt))
+          unconfirmedResults[order.attempt] = TaskResult{{}, AttemptOutcome::neverStarted};
         return;
       }
       const bool started = found->second.started;
       if (started)
-        effects.push_back({HandEffect::Kind::stop, order.attempt, {}});
-      end(order.attempt, started ? EndingKind::stopped : EndingKind::unstarted);
+        commands.push_back({TaskCommand::Kind::stop, order.attempt, {}});
+      finishTask(order.attempt, started ? AttemptOutcome::stopped : AttemptOutcome::neverStarted);
       return;
   }
 }
--- a/source/agent/worker_session.hpp
+++ b/source/agent/worker_session.hpp
@@ -6,8 +6,8 @@
 namespace aniseline {
 
 // What the hand asks of the program that runs tasks.
-struct HandEffect {
-  enum class Kind : std::uint8_t { start, hold, resume, stop } kind = Kind::start;
+struct TaskCommand {
+  enum class Kind : std::uint8_t { start, suspend, resume, stop } kind = Kind::start;
   AttemptNumber attempt;
   Order order;  // of a start
 };
@@ -17,69 +17,74 @@
   struct Options {
     WorkerId id;
     Capacity capacity;
-    Duration wait{1000};
+    Duration longPollTimeout{1000};
   };
   WorkerSession(Options options, Incarnation incarnation)
       : options(std::move(options)), incarnation(incarnation) {}
 
   // The next sync's report; a lease granted in its answer counts from this moment.
-  SyncReport report(MonotonicTime now);
+  SyncReport makeSyncReport(MonotonicTime now);
   // The answer to a report of the incarnation named. False: it came too late, from a leader that is
   // superseded or for an incarnation that has been replaced, and was not followed.
-  bool answered(Incarnation asked, const SyncResponse& answer, MonotonicTime sentAt,
-                MonotonicTime now);
+  bool onSyncResponse(Incarnation asked, const SyncResponse& answer, MonotonicTime sentAt,
+                      MonotonicTime now);
   // The centre says this incarnation is replaced: all stops, and a new one begins.
-  void replaced(Incarnation next);
+  void onReplaced(Incarnation next);
   // Lapses the lease when it is due: every running task is held in place.
   void tick(MonotonicTime now);
-  void ended(AttemptNumber attempt, bool well, MonotonicTime now);
-  void leave(Duration within);
+  void onTaskEnded(AttemptNumber attempt, bool well, MonotonicTime now);
+  void startDraining(Duration within);
 
   // Endings that the centre has confirmed: from then on they are final. docs/design.md 5.5.
-  std::vector<std::pair<Order, EndingKind>> takeConfirmed() { return std::exchange(confirmed, {}); }
-  std::vector<HandEffect> takeEffects() { return std::exchange(effects, {}); }
-  bool urgent() const {
-    return !endings.empty() || applied != toldApplied || leaving != toldLeaving;
+  std::vector<std::pair<Order, AttemptOutcome>> takeConfirmedResults() {
+    return std::exchange(confirmedResults, {});
   }
-  bool lapsed() const { return holding; }
-  bool empty() const { return tasks.empty() && endings.empty(); }
-  Term term() const { return seenTerm; }
+  std::vector<TaskCommand> takeCommands() { return std::exchange(commands, {}); }
+  bool hasUrgentReport() const {
+    return !unconfirmedResults.empty() || lastAppliedOrder != reportedAppliedOrder ||
+           draining != reportedDraining;
+  }
+  bool leaseExpired() const { return withoutLease; }
+  bool empty() const { return tasks.empty() && unconfirmedResults.empty(); }
+  Term term() const { return highestTerm; }
   Incarnation currentIncarnation() const { return incarnation; }
-  MonotonicTime nextDue() const;
+  MonotonicTime nextWakeUp() const;
   const std::vector<Address>& gateways() const { return knownGateways; }
-  std::size_t running() const { return tasks.size(); }
+  std::size_t taskCount() const { return tasks.size(); }
 
  private:
-  struct Running {
+  struct RunningTask {
     Order order;
-    bool staged = false;  // a gang's part that has not been told to go
-    bool held = false;    // by order
-    bool paused = false;  // by a lapsed lease
+    bool staged = false;            // a gang's part that has not been told to go
+    bool suspendedByOrder = false;  // by order
+    bool suspendedByLease = false;  // by a lapsed lease
     bool started = false;
-    MonotonicTime since;
-    Duration ran;
+    MonotonicTime activeSince;
+    Duration timeUsed;
   };
-  void apply(const Order& order, MonotonicTime now);
-  void setPaused(Running& task, bool pause, MonotonicTime now);
-  void end(AttemptNumber attempt, EndingKind kind);
-  bool active(const Running& task) const { return task.started && !task.held && !task.paused; }
+  void applyOrder(const Order& order, MonotonicTime now);
+  void setSuspendedByLease(RunningTask& task, bool pause, MonotonicTime now);
+  void finishTask(AttemptNumber attempt, AttemptOutcome kind);
+  bool isActive(const RunningTask& task) const {
+    return task.started && !task.suspendedByOrder && !task.suspendedByLease;
+  }
 
   Options options;
   Incarnation incarnation;
-  OrderNumber applied, toldApplied;
-  Term seenTerm;
-  MonotonicTime leaseEnds{0};
-  bool holding = true;  // until the first lease is granted
-  bool leaving = false, toldLeaving = false;
-  Duration leaveWithin{0};
-  std::map<AttemptNumber, Running> tasks;
-  struct Ended {
+  OrderNumber lastAppliedOrder, reportedAppliedOrder;
+  Term highestTerm;
+  MonotonicTime leaseUntil{0};
+  bool withoutLease = true;  // until the first lease is granted
+  bool draining = false, reportedDraining = false;
+  Duration drainTimeout{0};
+  std::map<AttemptNumber, RunningTask> tasks;
+  struct TaskResult {
     Order order;
-    EndingKind kind;
+    AttemptOutcome outcome;
   };
-  std::map<AttemptNumber, Ended> endings;  // said until confirmed
-  std::vector<std::pair<Order, EndingKind>> confirmed;
-  std::vector<HandEffect> effects;
+  std::map<AttemptNumber, TaskResult> unconfirmedResults;  // said until confirmed
+  std::vector<std::pair<Order, AttemptOutcome>> confirmedResults;
+  std::vector<TaskCommand> commands;
   std::vector<Address> knownGateways;
 };
 
--- a/source/base/archive.hpp
+++ b/source/base/archive.hpp
@@ -72,7 +72,7 @@
  public:
   using is_saving = boost::mpl::false_;
   using is_loading = boost::mpl::true_;
-  explicit InputArchive(std::string_view bytes) : rest(bytes) {}
+  explicit InputArchive(std::string_view bytes) : remaining(bytes) {}
   boost::serialization::library_version_type get_library_version() const {
     return boost::serialization::library_version_type(18);
   }
@@ -85,7 +85,7 @@
   template <class Value>
   InputArchive& operator>>(Value& value) {
     if constexpr (PlainNumber<Value>)
-      std::memcpy(&value, take(sizeof value).data(), sizeof value);
+      std::memcpy(&value, takeBytes(sizeof value).data(), sizeof value);
     else
       boost::serialization::serialize_adl(*this, value, 0);
     return *this;
@@ -117,14 +117,14 @@
   InputArchive& operator>>(std::string& text) {
     std::uint64_t size = 0;
     *this >> size;
-    text = take(size);
+    text = takeBytes(size);
     return *this;
   }
   // Every item takes a byte at least, so a false size reserves no room for what can't come.
   InputArchive& operator>>(boost::serialization::collection_size_type& size) {
     std::uint64_t count = 0;
     *this >> count;
-    if (count > rest.size())
+    if (count > remaining.size())
       throw std::runtime_error("the bytes end too early");
     size = boost::serialization::collection_size_type(count);
     return *this;
@@ -138,14 +138,14 @@
     archive >> kind;
     value = std::move(kind);
   }
-  std::string_view take(std::uint64_t size) {
-    if (size > rest.size())
+  std::string_view takeBytes(std::uint64_t size) {
+    if (size > remaining.size())
       throw std::runtime_error("the bytes end too early");
-    const auto taken = rest.substr(0, size);
-    rest.remove_prefix(size);
+    const auto taken = remaining.substr(0, size);
+    remaining.remove_prefix(size);
     return taken;
   }
-  std::string_view rest;
+  std::string_view remaining;
 };
 
 }  // namespace aniseline
--- a/source/base/json.hpp
+++ b/source/base/json.hpp
@@ -28,7 +28,7 @@
 
 // A number of JSON as a whole one, held within what its type and a double's whole numbers reach.
 template <class Whole>
-Whole wholeOf(double number) {
+Whole clampToInteger(double number) {
   constexpr double counted = 9007199254740992.0;  // 2^53
   const double least = std::max(-counted, double(std::numeric_limits<Whole>::min()));
   const double most = std::min(counted, double(std::numeric_limits<Whole>::max()));
--- a/source/base/types.hpp
+++ b/source/base/types.hpp
@@ -113,7 +113,7 @@
   std::string text;
 };
 struct CoreError {
-  enum class Kind { invalid, conflict, overloaded, missing, unknown, gone };
+  enum class Kind { invalid, conflict, overloaded, notFound, outcomeUnknown, gone };
   Kind kind = Kind::invalid;
   std::vector<ErrorDetail> details;
   static CoreError at(Kind kind, std::string path, std::string text) {
--- a/source/checker/config_orders.cpp
+++ b/source/checker/config_orders.cpp
@@ -4,62 +4,62 @@
 
 namespace {
 std::string identityOf(const HistoryEvent& event) {
-  return "the config " + event.digest + " on " + std::to_string(event.base);
+  return "the config " + event.digest + " on " + std::to_string(event.baseVersion);
 }
 }  // namespace
 
-std::optional<std::string> ConfigOrderChecker::see(const HistoryEvent& event) {
+std::optional<std::string> ConfigOrderChecker::observe(const HistoryEvent& event) {
   if (event.digest.empty())
-    return withoutIdentity(event);
+    return observeUnidentified(event);
   const std::string identity = identityOf(event);
   auto [place, isNew] = orders.try_emplace(identity);
   if (isNew)
-    place->second.newestAtFirst = newest;
+    place->second.newestWhenFirstSent = newestVersion;
   switch (event.kind) {
     case HistoryEvent::Kind::configAcknowledged:
-      return acknowledged(event, place->second);
-    case HistoryEvent::Kind::configRefused:
-      return refused(event, place->second);
+      return onAcknowledged(event, place->second);
+    case HistoryEvent::Kind::configRejected:
+      return onRejected(event, place->second);
     default:
       return std::nullopt;
   }
 }
 
-std::optional<std::string> ConfigOrderChecker::withoutIdentity(const HistoryEvent& event) {
+std::optional<std::string> ConfigOrderChecker::observeUnidentified(const HistoryEvent& event) {
   if (event.kind != HistoryEvent::Kind::configAcknowledged)
     return std::nullopt;
-  const std::uint64_t before = std::exchange(newest, std::max(newest, event.version));
+  const std::uint64_t before = std::exchange(newestVersion, std::max(newestVersion, event.version));
   if (event.version > before)
     return std::nullopt;
   return "config " + std::to_string(event.version) + " was acknowledged after " +
          std::to_string(before);
 }
 
-std::optional<std::string> ConfigOrderChecker::acknowledged(const HistoryEvent& event,
-                                                            Order& order) {
+std::optional<std::string> ConfigOrderChecker::onAcknowledged(const HistoryEvent& event,
+                                                              Order& order) {
   const std::string identity = identityOf(event);
   const std::string version = std::to_string(event.version);
-  newest = std::max(newest, event.version);
-  if (order.refused)
+  newestVersion = std::max(newestVersion, event.version);
+  if (order.rejected)
     return identity + " was acknowledged after it was refused";
   if (order.version && order.version != event.version)
     return identity + " was acknowledged as " + std::to_string(order.version) + " and as " +
            version;
   order.version = event.version;
-  const auto ofVersion = orderOfVersion.try_emplace(event.version, identity).first;
+  const auto ofVersion = orderByVersion.try_emplace(event.version, identity).first;
   if (ofVersion->second != identity)
     return ofVersion->second + " and " + identity + " were both acknowledged as " + version;
-  const auto ofBase = orderOfBase.try_emplace(event.base, identity).first;
+  const auto ofBase = orderByBase.try_emplace(event.baseVersion, identity).first;
   if (ofBase->second != identity)
     return ofBase->second + " and " + identity + " were both acknowledged";
-  if (event.version <= order.newestAtFirst)
+  if (event.version <= order.newestWhenFirstSent)
     return identity + " was acknowledged as " + version + " though it was first sent after " +
-           std::to_string(order.newestAtFirst) + " was acknowledged";
+           std::to_string(order.newestWhenFirstSent) + " was acknowledged";
   return std::nullopt;
 }
 
-std::optional<std::string> ConfigOrderChecker::refused(const HistoryEvent& event, Order& order) {
-  order.refused = true;
+std::optional<std::string> ConfigOrderChecker::onRejected(const HistoryEvent& event, Order& order) {
+  order.rejected = true;
   if (order.version)
     return identityOf(event) + " was refused after it was acknowledged as " +
            std::to_string(order.version);
--- a/source/checker/config_orders.hpp
+++ b/source/checker/config_orders.hpp
@@ -10,22 +10,23 @@
 class ConfigOrderChecker {
  public:
   // What is wrong with this order or answer, after all that was seen before it.
-  std::optional<std::string> see(const HistoryEvent& event);
+  std::optional<std::string> observe(const HistoryEvent& event);
 
  private:
   struct Order {
-    std::uint64_t newestAtFirst = 0;  // the newest version acknowledged before it was first sent
-    std::uint64_t version = 0;        // under which it was acknowledged; 0: it was not
-    bool refused = false;
+    std::uint64_t newestWhenFirstSent =
+        0;                      // the newest version acknowledged before it was first sent
+    std::uint64_t version = 0;  // under which it was acknowledged; 0: it was not
+    bool rejected = false;
   };
   // Of a writer that does not note which order it was: versions must rise.
-  std::optional<std::string> withoutIdentity(const HistoryEvent& event);
-  std::optional<std::string> acknowledged(const HistoryEvent& event, Order& order);
-  std::optional<std::string> refused(const HistoryEvent& event, Order& order);
+  std::optional<std::string> observeUnidentified(const HistoryEvent& event);
+  std::optional<std::string> onAcknowledged(const HistoryEvent& event, Order& order);
+  std::optional<std::string> onRejected(const HistoryEvent& event, Order& order);
   std::map<std::string, Order> orders;                  // by their identity
-  std::map<std::uint64_t, std::string> orderOfVersion;  // of those acknowledged
-  std::map<std::uint64_t, std::string> orderOfBase;
-  std::uint64_t newest = 0;
+  std::map<std::uint64_t, std::string> orderByVersion;  // of those acknowledged
+  std::map<std::uint64_t, std::string> orderByBase;
+  std::uint64_t newestVersion = 0;
 };
 
 }  // namespace aniseline
--- a/source/checker/history.cpp
+++ b/source/checker/history.cpp
@@ -26,8 +26,8 @@
   return kindNames[std::size_t(kind)];
 }
 
-std::string HistoryEvent::line() const {
-  picojson::object shown{{"at", picojson::value(double(at))},
+std::string HistoryEvent::toJsonLine() const {
+  picojson::object shown{{"at", picojson::value(double(timestamp))},
                          {"kind", picojson::value(name(kind))}};
   auto add = [&](const char* field, const std::string& text) {
     if (!text.empty())
@@ -47,13 +47,13 @@
   addNumber("memory_mb", double(memory));
   if (trial)
     shown["trial"] = picojson::value(true);
-  if (guards)
+  if (enforcesCapacity)
     shown["guards"] = picojson::value(true);
-  if (late)
+  if (executedLate)
     shown["late"] = picojson::value(true);
   addNumber("accelerators", accelerators);
   add("payload", payload);
-  add("saved", saved);
+  add("saved", checkpoint);
   add("pool", pool);
   if (!labels.empty()) {
     picojson::array listed;
@@ -61,13 +61,13 @@
       listed.push_back(picojson::value(label));
     shown["labels"] = picojson::value(listed);
   }
-  addNumber("since", double(since));
-  addNumber("base", double(base));
+  addNumber("since", double(invokedAt));
+  addNumber("base", double(baseVersion));
   add("digest", digest);
   return picojson::value(shown).serialize();
 }
 
-std::optional<HistoryEvent> HistoryEvent::parse(const std::string& line) {
+std::optional<HistoryEvent> HistoryEvent::parseJsonLine(const std::string& line) {
   picojson::value root;
   if (!parseJson(root, line).empty() || !root.is<picojson::object>())
     return std::nullopt;
@@ -94,7 +94,7 @@
   if (place == std::size(kindNames))
     return std::nullopt;
   witness.kind = Kind(place);
-  witness.at = std::int64_t(number("at"));
+  witness.timestamp = std::int64_t(number("at"));
   witness.job = words("job");
   witness.task = std::uint32_t(number("task"));
   witness.worker = words("worker");
@@ -104,14 +104,14 @@
   witness.cores = std::uint32_t(number("cores"));
   witness.memory = std::uint64_t(number("memory_mb"));
   witness.trial = flag("trial");
-  witness.guards = flag("guards");
-  witness.late = flag("late");
+  witness.enforcesCapacity = flag("guards");
+  witness.executedLate = flag("late");
   witness.accelerators = std::uint32_t(number("accelerators"));
   witness.payload = words("payload");
-  witness.saved = words("saved");
+  witness.checkpoint = words("saved");
   witness.pool = words("pool");
-  witness.since = std::int64_t(number("since"));
-  witness.base = std::uint64_t(number("base"));
+  witness.invokedAt = std::int64_t(number("since"));
+  witness.baseVersion = std::uint64_t(number("base"));
   witness.digest = words("digest");
   if (auto found = object.find("labels");
       found != object.end() && found->second.is<picojson::array>())
@@ -129,8 +129,8 @@
     ++number;
     if (line.empty())
       continue;
-    auto witness = HistoryEvent::parse(line);
-    if (torn && (!witness || witness->kind != HistoryEvent::Kind::vanished))
+    auto witness = HistoryEvent::parseJsonLine(line);
+    if (torn && (!witness || witness->kind != HistoryEvent::Kind::workerLost))
       return HistoryError{file, torn, "is no witness' line"};
     if (!witness) {
       torn = number;
@@ -138,7 +138,7 @@
     }
     torn = 0;
     // A writer notes what it saw in the order in which it saw it; its clock may be set a little.
-    if (!history.empty() && witness->at + 1000 < history.back().at)
+    if (!history.empty() && witness->timestamp + 1000 < history.back().timestamp)
       return HistoryError{file, number, "stands after a later line: the history is out of order"};
     history.push_back(std::move(*witness));
   }
--- a/source/checker/history.hpp
+++ b/source/checker/history.hpp
@@ -11,37 +11,37 @@
     submitted,
     accepted,
     rejected,
-    unknown,
-    shown,
+    outcomeUnknown,
+    stateObserved,
     cancelAcknowledged,  // callers
     started,
-    held,
+    suspended,
     resumed,
     ended,
-    confirmed,
-    leaving,
-    capacity,  // workers
+    resultConfirmed,
+    draining,
+    capacityReported,  // workers
     configAcknowledged,
-    configSeen,  // operators and processes
-    whole,
-    served,     // the fleet's keeper: all is whole; service seen
-    vanished,   // a worker's process, with all that ran in it
-    staying,    // a worker is undrained
-    explained,  // why an open job waits, as the centre says
-    disturbed,
-    mended,   // the keeper: a fault begins, ends
-    settled,  // the keeper: time enough has passed for every job
-    saved,    // a worker made a checkpoint
-    looked,   // callers: a job is shown as it was the last time
-    cancelAsked,
-    cancelMissing,  // callers: a cancel is sent; there is no such job
-    configAsked,
-    configRefused,
-    configRead,  // operators: a config is sent, refused, shown
-    closed       // a writer's last line
+    configObserved,  // operators and processes
+    clusterHealed,
+    serviceRestored,  // the fleet's keeper: all is whole; service seen
+    workerLost,       // a worker's process, with all that ran in it
+    drainCancelled,   // a worker is undrained
+    waitExplained,    // why an open job waits, as the centre says
+    faultBegan,
+    faultEnded,      // the keeper: a fault begins, ends
+    quiescent,       // the keeper: time enough has passed for every job
+    checkpointed,    // a worker made a checkpoint
+    stateUnchanged,  // callers: a job is shown as it was the last time
+    cancelSubmitted,
+    cancelNotFound,  // callers: a cancel is sent; there is no such job
+    configSubmitted,
+    configRejected,
+    configReturned,  // operators: a config is sent, refused, shown
+    closed           // a writer's last line
   };
   Kind kind = Kind::submitted;
-  std::int64_t at = 0;
+  std::int64_t timestamp = 0;
   std::string job;
   std::uint32_t task = 0;
   std::string worker;
@@ -52,17 +52,18 @@
   std::uint32_t cores = 0;
   std::uint64_t memory = 0;
   bool trial = false;
-  bool guards = false;
-  bool late = false;  // of a start: its order was carried out seconds after it was given up
+  bool enforcesCapacity = false;
+  bool executedLate = false;  // of a start: its order was carried out seconds after it was given up
   std::uint32_t accelerators = 0;
-  std::string payload, saved;  // of a start what it was given; `saved` also of a checkpoint made
-  std::string pool;            // of a capacity
+  std::string payload,
+      checkpoint;    // of a start what it was given; `saved` also of a checkpoint made
+  std::string pool;  // of a capacity
   std::vector<std::string> labels;
-  std::int64_t since = 0;  // of an answer: when it was asked for; 0: not noted
-  std::uint64_t base = 0;  // of a config sent: the version it is based on
-  std::string digest;      // of a config sent or shown, and of a submission: its content
-  std::string line() const;
-  static std::optional<HistoryEvent> parse(const std::string& line);
+  std::int64_t invokedAt = 0;     // of an answer: when it was asked for; 0: not noted
+  std::uint64_t baseVersion = 0;  // of a config sent: the version it is based on
+  std::string digest;             // of a config sent or shown, and of a submission: its content
+  std::string toJsonLine() const;
+  static std::optional<HistoryEvent> parseJsonLine(const std::string& line);
 };
 const char* name(HistoryEvent::Kind kind);
 
--- a/source/checker/history_operations.cpp
+++ b/source/checker/history_operations.cpp
@@ -23,7 +23,7 @@
   // first of all.
   void answer(const HistoryEvent& witness) {
     auto call = std::find_if(open.begin(), open.end(), [&](const HistoryEvent& asked) {
-      return witness.since == 0 || asked.at == witness.since;
+      return witness.invokedAt == 0 || asked.timestamp == witness.invokedAt;
     });
     if (call != open.end())
       open.erase(call);
@@ -37,10 +37,10 @@
 
 std::optional<JobPhase> phaseNamed(const std::string& word) {
   static const std::map<std::string, JobPhase> phases = {
-      {"missing", JobPhase::missing},     {"timed", JobPhase::open},
-      {"open", JobPhase::open},           {"waiting", JobPhase::pending},
-      {"running", JobPhase::running},     {"cancelling", JobPhase::cancelling},
-      {"finished", JobPhase::done},       {"failed", JobPhase::failed},
+      {"missing", JobPhase::missing},       {"timed", JobPhase::pendingOrRunning},
+      {"open", JobPhase::pendingOrRunning}, {"waiting", JobPhase::pending},
+      {"running", JobPhase::running},       {"cancelling", JobPhase::cancelling},
+      {"finished", JobPhase::succeeded},    {"failed", JobPhase::failed},
       {"cancelled", JobPhase::cancelled},
   };
   const auto found = phases.find(word);
@@ -50,7 +50,7 @@
 }
 
 // The job behind an occurrence of its timetable.
-std::string wholeOf(const std::string& job) {
+std::string clampToInteger(const std::string& job) {
   return job.substr(0, job.rfind('@'));
 }
 
@@ -76,26 +76,26 @@
         return submitted(witness, JobOutput::Kind::accepted);
       case Kind::rejected:
         return submitted(witness, refusalOf(witness));
-      case Kind::unknown:
+      case Kind::outcomeUnknown:
         return;  // what was asked stays unanswered
-      case Kind::shown:
-      case Kind::looked:
+      case Kind::stateObserved:
+      case Kind::stateUnchanged:
         return shown(witness);
-      case Kind::cancelAsked:
+      case Kind::cancelSubmitted:
         return cancels[witness.job].ask(witness);
       case Kind::cancelAcknowledged:
-        return cancelled(witness, JobPhase::over);
-      case Kind::cancelMissing:
+        return cancelled(witness, JobPhase::cancellingOrEnded);
+      case Kind::cancelNotFound:
         return cancelled(witness, JobPhase::missing);
       case Kind::started:
         return started(witness);
-      case Kind::configAsked:
+      case Kind::configSubmitted:
         return orders.ask(witness);
       case Kind::configAcknowledged:
         return ordered(witness, ConfigurationOutput::Kind::applied);
-      case Kind::configRefused:
-        return ordered(witness, ConfigurationOutput::Kind::refused);
-      case Kind::configRead:
+      case Kind::configRejected:
+        return ordered(witness, ConfigurationOutput::Kind::rejected);
+      case Kind::configReturned:
         return read(witness);
       default:
         return;
@@ -109,15 +109,15 @@
 
   static JobOutput::Kind refusalOf(const HistoryEvent& witness) {
     const bool overloaded = witness.detail == "429";
-    return overloaded ? JobOutput::Kind::overloaded : JobOutput::Kind::turnedAway;
+    return overloaded ? JobOutput::Kind::overloaded : JobOutput::Kind::rejected;
   }
 
   JobModel::Operation answeredJob(const HistoryEvent& witness, JobInput::Kind asked) const {
     JobModel::Operation made;
     made.key = witness.job;
     made.client = "caller";
-    made.invokedAt = witness.since ? witness.since : longAgo;
-    made.returnedAt = witness.at;
+    made.invokedAt = witness.invokedAt ? witness.invokedAt : longAgo;
+    made.returnedAt = witness.timestamp;
     made.input.kind = asked;
     made.input.digest = witness.digest;
     return made;
@@ -127,7 +127,7 @@
     submissions[witness.job].answer(witness);
     JobModel::Operation made = answeredJob(witness, JobInput::Kind::submit);
     made.output.kind = answer;
-    found.jobs.push_back(std::move(made));
+    found.jobOperations.push_back(std::move(made));
   }
 
   void shown(const HistoryEvent& witness) {
@@ -136,7 +136,7 @@
       return;
     JobModel::Operation made = answeredJob(witness, JobInput::Kind::show);
     made.output = JobOutput{JobOutput::Kind::shown, *phase};
-    found.jobs.push_back(std::move(made));
+    found.jobOperations.push_back(std::move(made));
   }
 
   void cancelled(const HistoryEvent& witness, JobPhase otherwise) {
@@ -144,21 +144,21 @@
     JobModel::Operation made = answeredJob(witness, JobInput::Kind::cancel);
     const JobPhase told = phaseNamed(witness.detail).value_or(otherwise);
     made.output = JobOutput{JobOutput::Kind::acknowledged, told};
-    found.jobs.push_back(std::move(made));
+    found.jobOperations.push_back(std::move(made));
   }
 
   // That a job exists is all a start tells, and it stays true: the first one is enough.
   void started(const HistoryEvent& witness) {
-    const std::string job = wholeOf(witness.job);
+    const std::string job = clampToInteger(witness.job);
     if (!ran.insert(job).second)
       return;
     JobModel::Operation made = answeredJob(witness, JobInput::Kind::run);
     made.key = job;
     made.client = witness.worker;
-    made.invokedAt = witness.at - options.slack;
-    made.returnedAt = witness.at + options.slack;
+    made.invokedAt = witness.timestamp - options.clockSlackMs;
+    made.returnedAt = witness.timestamp + options.clockSlackMs;
     made.output.kind = JobOutput::Kind::ran;
-    found.jobs.push_back(std::move(made));
+    found.jobOperations.push_back(std::move(made));
   }
 
   static ConfigurationModel::Operation orderOf(const HistoryEvent& witness) {
@@ -166,7 +166,7 @@
     made.key = configurationKey;
     made.client = "operator";
     made.input.kind = ConfigurationInput::Kind::apply;
-    made.input.order = ConfigurationOrder{0, witness.base, witness.digest};
+    made.input.order = ConfigurationOrder{0, witness.baseVersion, witness.digest};
     return made;
   }
 
@@ -176,12 +176,12 @@
       return;
     orders.answer(witness);
     ConfigurationModel::Operation made = orderOf(witness);
-    made.invokedAt = witness.since ? witness.since : longAgo;
-    made.returnedAt = witness.at;
+    made.invokedAt = witness.invokedAt ? witness.invokedAt : longAgo;
+    made.returnedAt = witness.timestamp;
     made.output.kind = answer;
     if (witness.version)
       made.output.version = witness.version;
-    found.configuration.push_back(std::move(made));
+    found.configurationOperations.push_back(std::move(made));
     ordersSeen = true;
   }
 
@@ -189,11 +189,11 @@
     ConfigurationModel::Operation made;
     made.key = configurationKey;
     made.client = "operator";
-    made.invokedAt = witness.since ? witness.since : longAgo;
-    made.returnedAt = witness.at;
+    made.invokedAt = witness.invokedAt ? witness.invokedAt : longAgo;
+    made.returnedAt = witness.timestamp;
     made.output =
         ConfigurationOutput{ConfigurationOutput::Kind::shown, witness.version, witness.digest};
-    found.configuration.push_back(std::move(made));
+    found.configurationOperations.push_back(std::move(made));
   }
 
   void leaveUnanswered() {
@@ -203,9 +203,9 @@
       leaveJob(asked, JobInput::Kind::cancel);
     for (const HistoryEvent& witness : orders.unanswered()) {
       ConfigurationModel::Operation made = orderOf(witness);
-      made.invokedAt = witness.at;
-      made.outcome = Outcome::unknown;
-      found.configuration.push_back(std::move(made));
+      made.invokedAt = witness.timestamp;
+      made.outcome = OperationOutcome::unknown;
+      found.configurationOperations.push_back(std::move(made));
       ordersSeen = true;
     }
   }
@@ -213,27 +213,27 @@
   void leaveJob(const Asked& asked, JobInput::Kind kind) {
     for (const HistoryEvent& witness : asked.unanswered()) {
       JobModel::Operation made = answeredJob(witness, kind);
-      made.invokedAt = witness.at;
+      made.invokedAt = witness.timestamp;
       made.returnedAt.reset();
-      made.outcome = Outcome::unknown;
-      found.jobs.push_back(std::move(made));
+      made.outcome = OperationOutcome::unknown;
+      found.jobOperations.push_back(std::move(made));
     }
   }
 
   void keepWhatCanBeJudged() {
     if (!ordersSeen)
-      found.configuration.clear();
+      found.configurationOperations.clear();
     std::map<std::string, std::int64_t> firstOf;
-    for (const auto& operation : found.jobs) {
+    for (const auto& operation : found.jobOperations) {
       const auto [first, added] = firstOf.emplace(operation.key, timeOf(operation));
       first->second = std::min(first->second, timeOf(operation));
     }
-    const bool allKept = firstOf.size() <= options.keepLimit;
-    std::erase_if(found.jobs, [&](const JobModel::Operation& operation) {
+    const bool allKept = firstOf.size() <= options.retainedJobsLimit;
+    std::erase_if(found.jobOperations, [&](const JobModel::Operation& operation) {
       if (!judged.count(operation.key))
         return true;
       const std::int64_t judgedUntil =
-          firstOf.at(operation.key) + options.keepFinished - longestCall;
+          firstOf.at(operation.key) + options.finishedRetentionMs - longestCall;
       if (timeOf(operation) > judgedUntil)
         return true;
       return !allKept && tellsOfNoJob(operation);
@@ -245,7 +245,8 @@
   }
 
   static bool tellsOfNoJob(const JobModel::Operation& operation) {
-    return operation.outcome == Outcome::ok && operation.output.phase == JobPhase::missing &&
+    return operation.outcome == OperationOutcome::ok &&
+           operation.output.phase == JobPhase::missing &&
            operation.input.kind != JobInput::Kind::submit;
   }
 
@@ -259,19 +260,19 @@
 
 }  // namespace
 
-HistoryOperations operationsOf(const std::vector<HistoryEvent>& history,
-                               const HistoryOperationsOptions& options) {
+HistoryOperations extractOperations(const std::vector<HistoryEvent>& history,
+                                    const HistoryOperationsOptions& options) {
   return Collector(options).collect(history);
 }
 
-std::vector<Violation> findViolations(const std::vector<HistoryEvent>& history,
-                                      const HistoryOperationsOptions& options,
-                                      SearchStatistics* statistics) {
-  const HistoryOperations operations = operationsOf(history, options);
-  std::vector<Violation> found =
-      findViolations(ConfigurationModel(), operations.configuration, options.limits, statistics);
-  for (Violation& violation :
-       findViolations(JobModel(), operations.jobs, options.limits, statistics)) {
+std::vector<LinearizabilityViolation> findViolations(const std::vector<HistoryEvent>& history,
+                                                     const HistoryOperationsOptions& options,
+                                                     SearchStatistics* statistics) {
+  const HistoryOperations operations = extractOperations(history, options);
+  std::vector<LinearizabilityViolation> found = findViolations(
+      ConfigurationModel(), operations.configurationOperations, options.searchLimits, statistics);
+  for (LinearizabilityViolation& violation :
+       findViolations(JobModel(), operations.jobOperations, options.searchLimits, statistics)) {
     found.push_back(std::move(violation));
   }
   return found;
--- a/source/checker/history_operations.hpp
+++ b/source/checker/history_operations.hpp
@@ -8,15 +8,15 @@
 namespace aniseline {
 
 struct HistoryOperationsOptions {
-  std::int64_t slack = 0;                 // ms that a worker's word of a start may be late
-  std::int64_t keepFinished = 3'600'000;  // ms for which a job that is over is surely kept
-  std::size_t keepLimit = 300'000;        // jobs of which none is forgotten earlier
-  SearchLimits limits;
+  std::int64_t clockSlackMs = 0;                 // ms that a worker's word of a start may be late
+  std::int64_t finishedRetentionMs = 3'600'000;  // ms for which a job that is over is surely kept
+  std::size_t retainedJobsLimit = 300'000;       // jobs of which none is forgotten earlier
+  SearchLimits searchLimits;
 };
 
 struct HistoryOperations {
-  std::vector<ConfigurationModel::Operation> configuration;  // of one key
-  std::vector<JobModel::Operation> jobs;                     // a key for each job
+  std::vector<ConfigurationModel::Operation> configurationOperations;  // of one key
+  std::vector<JobModel::Operation> jobOperations;                      // a key for each job
 };
 
 // The key of every operation upon the configuration.
@@ -26,12 +26,12 @@
 // before it could have been forgotten, counted from the first of them; of its starts the first. A
 // job of which no submission was witnessed, and a configuration of which no order was, can't be
 // judged and have none.
-HistoryOperations operationsOf(const std::vector<HistoryEvent>& history,
-                               const HistoryOperationsOptions& options);
+HistoryOperations extractOperations(const std::vector<HistoryEvent>& history,
+                                    const HistoryOperationsOptions& options);
 
 // Every key of the history that is not linearizable or was not decided.
-std::vector<Violation> findViolations(const std::vector<HistoryEvent>& history,
-                                      const HistoryOperationsOptions& options,
-                                      SearchStatistics* statistics = nullptr);
+std::vector<LinearizabilityViolation> findViolations(const std::vector<HistoryEvent>& history,
+                                                     const HistoryOperationsOptions& options,
+                                                     SearchStatistics* statistics = nullptr);
 
 }  // namespace aniseline
--- a/source/checker/invariant_checker.hpp
+++ b/source/checker/invariant_checker.hpp
@@ -7,52 +7,53 @@
 namespace aniseline {
 
 // One run of a task on one worker, as its worker witnessed it.
-struct Run {
+struct ObservedRun {
   std::string worker, attempt;
   std::int64_t startedAt = 0;
   std::optional<std::int64_t> endedAt;
   bool active = false;  // neither held nor ended
   std::vector<std::pair<std::int64_t, std::int64_t>>
-      spans;  // in which it ran, the last one open while it runs
+      activeIntervals;  // in which it ran, the last one open while it runs
   void pause(std::int64_t at) {
     if (active)
-      spans.back().second = at;
+      activeIntervals.back().second = at;
     active = false;
   }
   void resume(std::int64_t at) {
     if (!active)
-      spans.emplace_back(at, std::numeric_limits<std::int64_t>::max());
+      activeIntervals.emplace_back(at, std::numeric_limits<std::int64_t>::max());
     active = true;
   }
   void end(std::int64_t at, std::string how) {
     pause(at);
     endedAt = at;
-    ending = std::move(how);
+    outcome = std::move(how);
   }
-  std::int64_t activeBy(std::int64_t at) const {
+  std::int64_t activeTimeUntil(std::int64_t at) const {
     std::int64_t sum = 0;
-    for (const auto& [from, to] : spans)
+    for (const auto& [from, to] : activeIntervals)
       sum += std::max<std::int64_t>(0, std::min(to, at) - from);
     return sum;
   }
-  std::string ending;
+  std::string outcome;
   bool trial = false;
-  bool called = false,
-       late = false;  // on a worker that is called; begun by an order carried out late
-  std::optional<std::int64_t> notedAt;  // its ending was taken note of, with no lapse before that
+  bool onCalledWorker = false,
+       executedLate = false;  // on a worker that is called; begun by an order carried out late
+  std::optional<std::int64_t>
+      confirmedAt;  // its ending was taken note of, with no lapse before that
   std::uint32_t cores = 0, accelerators = 0;
   std::uint64_t memory = 0;
 };
 struct TaskHistory {
-  std::vector<Run> runs;
-  std::optional<std::int64_t> finishedAt;   // the work ended well
+  std::vector<ObservedRun> runs;
+  std::optional<std::int64_t> succeededAt;  // the work ended well
   std::optional<std::int64_t> confirmedAt;  // and its worker knows that the centre knows
 };
 struct JobHistory {
   std::optional<std::int64_t> acceptedAt, cancelledAt;
   std::optional<std::int64_t> finishedShownAt;
   std::size_t submissions = 0, rejections = 0;
-  bool over = false, explained = false;
+  bool ended = false, waitExplained = false;
   std::map<std::uint32_t, TaskHistory> tasks;
 };
 
@@ -64,123 +65,130 @@
   CheckReport check();
 
  private:
-  using Place = std::pair<std::uint32_t, std::uint32_t>;  // a step, and a task within it
-  static constexpr std::int64_t cancelGrace = 4000;  // ms in which a cancel reaches every worker
+  using TaskPosition = std::pair<std::uint32_t, std::uint32_t>;  // a step, and a task within it
+  static constexpr std::int64_t cancelGraceMs = 4000;  // ms in which a cancel reaches every worker
   // The longest hold, an order on its way, and the stop itself.
-  static constexpr std::int64_t calledHold = 12'000;
+  static constexpr std::int64_t longestLeaseMs = 12'000;
 
-  void broken(int rule, std::int64_t at, std::string text);
-  void limit(int rule, std::int64_t at, std::string text);
+  void reportViolation(int rule, std::int64_t at, std::string text);
+  void reportUnavoidableViolation(int rule, std::int64_t at, std::string text);
 
   // --- the history, line by line: invariants.cpp ---
-  void findDisturbances();
-  void see(const HistoryEvent& witness);
+  void findFaultIntervals();
+  void observe(const HistoryEvent& witness);
 
   // --- what is known so far: invariants_lookups.cpp ---
-  bool disturbedWithin(std::int64_t from, std::int64_t to) const;
-  bool leaseless(const std::string& worker) const;
+  bool hadFaultWithin(std::int64_t from, std::int64_t to) const;
+  bool ignoresLeases(const std::string& worker) const;
   bool isCalled(const std::string& worker) const;
-  const JobSubmission* submissionOf(const std::string& id) const;
-  const StepRequest* stepOf(const std::string& id, std::uint32_t task) const;
-  Run* runOf(const HistoryEvent& witness);
-  static std::string nameOf(const std::string& job, std::uint32_t task);
-  static Place placeOf(const JobSubmission& job, std::uint32_t task);
-  static std::uint32_t firstTask(const JobSubmission& job, std::uint32_t step);
+  const JobSubmission* findSubmission(const std::string& id) const;
+  const StepRequest* findStep(const std::string& id, std::uint32_t task) const;
+  ObservedRun* findOpenRun(const HistoryEvent& witness);
+  static std::string describeTask(const std::string& job, std::uint32_t task);
+  static TaskPosition positionOf(const JobSubmission& job, std::uint32_t task);
+  static std::uint32_t firstTaskOfStep(const JobSubmission& job, std::uint32_t step);
   // The tasks whose runs share one fate with this one's: its gang's, else it alone; first and past
   // the last.
-  static std::pair<std::uint32_t, std::uint32_t> membersOf(const JobSubmission& submission,
-                                                           std::uint32_t task);
+  static std::pair<std::uint32_t, std::uint32_t> gangRangeOf(const JobSubmission& submission,
+                                                             std::uint32_t task);
   // Of a gang that assembles itself one member's ending counts for all of its run.
-  void eachMemberOf(const std::string& id, JobHistory& job, std::uint32_t task,
-                    const std::string& attempt, const std::function<void(TaskHistory&, Run&)>& use);
+  void forEachGangMember(const std::string& id, JobHistory& job, std::uint32_t task,
+                         const std::string& attempt,
+                         const std::function<void(TaskHistory&, ObservedRun&)>& use);
 
   // --- jobs as callers see them, rules 2 to 5: invariants_jobs.cpp ---
-  void accepted(const HistoryEvent& witness);
-  void cancelAcknowledged(const HistoryEvent& witness);
-  void shown(const HistoryEvent& witness);
-  void shownFinished(const HistoryEvent& witness, JobHistory& job);
-  void allFinished(const HistoryEvent& witness, const std::string& id,
-                   const JobSubmission& submission);
-  void keptRunning(const JobHistory& job, const std::string& what, const Run& run, std::int64_t at);
-  void judgeJob(const std::string& id, JobHistory& job, std::int64_t end);
+  void onAccepted(const HistoryEvent& witness);
+  void onCancelAcknowledged(const HistoryEvent& witness);
+  void onStateObserved(const HistoryEvent& witness);
+  void checkShownFinished(const HistoryEvent& witness, JobHistory& job);
+  void checkAllTasksSucceeded(const HistoryEvent& witness, const std::string& id,
+                              const JobSubmission& submission);
+  void checkStoppedAfterCancel(const JobHistory& job, const std::string& what,
+                               const ObservedRun& run, std::int64_t at);
+  void checkJobAtEnd(const std::string& id, JobHistory& job, std::int64_t end);
 
   // --- runs on workers, rules 1, 5 to 7, 9 and 10: invariants_runs.cpp ---
-  void started(const HistoryEvent& witness);
-  void judgeTwice(const HistoryEvent& witness, const TaskHistory& task, const std::string& what);
-  void judgeAgain(const HistoryEvent& witness, const TaskHistory& task, const std::string& what);
-  void judgeOrder(const HistoryEvent& witness, JobHistory& job, const JobSubmission& submission,
+  void onStarted(const HistoryEvent& witness);
+  void checkNoConcurrentRuns(const HistoryEvent& witness, const TaskHistory& task,
+                             const std::string& what);
+  void checkNoRerunAfterSuccess(const HistoryEvent& witness, const TaskHistory& task,
+                                const std::string& what);
+  void checkOrder(const HistoryEvent& witness, JobHistory& job, const JobSubmission& submission,
                   const std::string& what);
-  void judgeStepDone(const HistoryEvent& witness, JobHistory& job, const JobSubmission& submission,
-                     std::uint32_t step, const std::string& what);
-  void judgeTimetable(const HistoryEvent& witness, const JobSubmission& submission,
+  void checkPrecedingStepDone(const HistoryEvent& witness, JobHistory& job,
+                              const JobSubmission& submission, std::uint32_t step,
+                              const std::string& what);
+  void checkTimetable(const HistoryEvent& witness, const JobSubmission& submission,
                       const std::string& what);
-  void judgeRetries(const HistoryEvent& witness, const TaskHistory& task,
-                    const JobSubmission& submission, const std::string& what);
-  void startedUnaware(const HistoryEvent& witness, const TaskHistory& task,
-                      const std::string& what);
-  void held(const HistoryEvent& witness);
-  void resumed(const HistoryEvent& witness);
-  void ended(const HistoryEvent& witness);
-  void endRun(const HistoryEvent& witness, const JobHistory& job, Run& run);
-  void confirmed(const HistoryEvent& witness);
-  void vanished(const HistoryEvent& witness);
-  void capacityTold(const HistoryEvent& witness);
-  void room(const HistoryEvent& witness);
+  void checkRetryLimit(const HistoryEvent& witness, const TaskHistory& task,
+                       const JobSubmission& submission, const std::string& what);
+  void checkRerunBeforeConfirmation(const HistoryEvent& witness, const TaskHistory& task,
+                                    const std::string& what);
+  void onSuspended(const HistoryEvent& witness);
+  void onResumed(const HistoryEvent& witness);
+  void onEnded(const HistoryEvent& witness);
+  void closeRun(const HistoryEvent& witness, const JobHistory& job, ObservedRun& run);
+  void onResultConfirmed(const HistoryEvent& witness);
+  void onWorkerLost(const HistoryEvent& witness);
+  void onCapacityReported(const HistoryEvent& witness);
+  void checkCapacity(const HistoryEvent& witness);
 
   // --- gangs, rule 8: invariants_gangs.cpp ---
-  void judgeGangs(const std::string& id, JobHistory& job, std::int64_t end);
-  void gangAlone(const std::string& id, JobHistory& job, const JobSubmission& submission,
-                 std::uint32_t step, std::int64_t end);
+  void checkGangs(const std::string& id, JobHistory& job, std::int64_t end);
+  void checkGangRunsTogether(const std::string& id, JobHistory& job,
+                             const JobSubmission& submission, std::uint32_t step, std::int64_t end);
 
   // --- workers that are called, rules 13 to 18: invariants_called.cpp, invariants_failures.cpp ---
-  void startedOnCalled(const HistoryEvent& witness, JobHistory& job, const std::string& what);
-  void judgePlacement(const HistoryEvent& witness, JobHistory& job, const JobSubmission& submission,
+  void checkStartOnCalledWorker(const HistoryEvent& witness, JobHistory& job,
+                                const std::string& what);
+  void checkPlacement(const HistoryEvent& witness, JobHistory& job, const JobSubmission& submission,
                       std::uint32_t step, const std::string& what);
-  void judgeCheckpoint(const HistoryEvent& witness, const std::string& owner, bool gang,
+  void checkCheckpoint(const HistoryEvent& witness, const std::string& owner, bool gang,
                        const std::string& what);
-  void judgeLateness(const HistoryEvent& witness, const JobHistory& job, const std::string& what);
-  static std::string ownerOf(const std::string& job, std::uint32_t task, const StepRequest& request,
-                             std::uint32_t step);
-  void saved(const HistoryEvent& witness);
-  void judgeEndings(const std::string& id, JobHistory& job);
-  void judgeSuccess(const std::string& id, JobHistory& job, std::uint32_t place,
-                    const StepRequest& step);
-  void judgeRunsAfter(const std::string& what, const TaskHistory& task, const Run& done,
-                      std::int64_t noted, bool redundant);
-  void judgeTries(const std::string& id, const JobHistory& job, std::uint32_t place,
-                  const StepRequest& step);
-  std::size_t failuresBefore(const JobHistory& job, std::uint32_t first, std::uint32_t after,
-                             const Run& run, bool redundant) const;
-  void judgeFailed(const HistoryEvent& witness, const JobSubmission& submission);
-  static std::size_t mostFailures(const JobHistory& job, const JobSubmission& submission);
+  void checkStartTime(const HistoryEvent& witness, const JobHistory& job, const std::string& what);
+  static std::string checkpointOwnerOf(const std::string& job, std::uint32_t task,
+                                       const StepRequest& request, std::uint32_t step);
+  void onCheckpointed(const HistoryEvent& witness);
+  void checkOutcomes(const std::string& id, JobHistory& job);
+  void checkSuccesses(const std::string& id, JobHistory& job, std::uint32_t place,
+                      const StepRequest& step);
+  void checkNoRunAfterSuccess(const std::string& what, const TaskHistory& task,
+                              const ObservedRun& done, std::int64_t noted, bool redundant);
+  void checkAttemptLimit(const std::string& id, const JobHistory& job, std::uint32_t place,
+                         const StepRequest& step);
+  std::size_t countFailuresBefore(const JobHistory& job, std::uint32_t first, std::uint32_t after,
+                                  const ObservedRun& run, bool redundant) const;
+  void checkShownFailed(const HistoryEvent& witness, const JobSubmission& submission);
+  static std::size_t maxFailures(const JobHistory& job, const JobSubmission& submission);
   bool fitsKnownWorkers(const JobSubmission& submission, const StepRequest& step) const;
-  bool holds(const JobSubmission& submission, const StepRequest& step,
-             const HistoryEvent& capacity) const;
+  bool isEligible(const JobSubmission& submission, const StepRequest& step,
+                  const HistoryEvent& capacity) const;
 
   // --- configs and service, rules 11, 12 and 19: invariants_service.cpp ---
-  void judgeOrder(const HistoryEvent& witness);
-  void configAcknowledged(const HistoryEvent& witness);
-  void configSeen(const HistoryEvent& witness);
-  void served(const HistoryEvent& witness);
-  void judgeSilence(std::int64_t end);
-  void judgeOperations();
+  void checkOrder(const HistoryEvent& witness);
+  void onConfigAcknowledged(const HistoryEvent& witness);
+  void onConfigObserved(const HistoryEvent& witness);
+  void onServiceRestored(const HistoryEvent& witness);
+  void checkAtEndOfHistory(std::int64_t end);
+  void checkLinearizability();
 
   std::vector<HistoryEvent> history;
   const std::map<std::string, JobSubmission>& submissions;
   const InvariantOptions& options;
   std::map<std::string, JobHistory> jobs;
-  std::map<std::string, std::int64_t> leavingSince;
+  std::map<std::string, std::int64_t> drainingSince;
   std::map<std::string, HistoryEvent> capacities;
-  std::map<std::string, std::string> savedBy;  // by checkpoint: the task or gang it belongs to
+  std::map<std::string, std::string>
+      checkpointOwners;  // by checkpoint: the task or gang it belongs to
   std::map<std::pair<std::string, std::string>, std::string>
-      broughtBy;  // by gang and run: the checkpoint its members bring
-  std::vector<std::pair<std::int64_t, std::uint64_t>> configs;
-  std::map<std::string, std::uint64_t> seenConfig;
+      gangCheckpoints;  // by gang and run: the checkpoint its members bring
+  std::vector<std::pair<std::int64_t, std::uint64_t>> acknowledgedConfigs;
+  std::map<std::string, std::uint64_t> observedConfigs;
   ConfigOrderChecker configOrders;
-  std::optional<std::int64_t> wholeSince, settledAt;
-  std::map<std::string, std::int64_t> vanishedAt;
-  std::vector<std::pair<std::int64_t, std::int64_t>> disturbances;
-  CheckReport found;
+  std::optional<std::int64_t> healedAt, quiescentAt;
+  std::map<std::string, std::int64_t> workersLostAt;
+  std::vector<std::pair<std::int64_t, std::int64_t>> faultIntervals;
+  CheckReport report;
 };
 
 }  // namespace aniseline
--- a/source/checker/invariants.cpp
+++ b/source/checker/invariants.cpp
@@ -15,102 +15,102 @@
                                    const InvariantOptions& options)
     : history(std::move(given)), submissions(submissions), options(options) {
   std::stable_sort(history.begin(), history.end(),
-                   [](auto& left, auto& right) { return left.at < right.at; });
+                   [](auto& left, auto& right) { return left.timestamp < right.timestamp; });
 }
 
 CheckReport InvariantChecker::check() {
-  findDisturbances();
+  findFaultIntervals();
   for (const auto& witness : history)
-    see(witness);
+    observe(witness);
   if (!history.empty())
-    judgeSilence(history.back().at);
-  judgeOperations();
-  return std::move(found);
+    checkAtEndOfHistory(history.back().timestamp);
+  checkLinearizability();
+  return std::move(report);
 }
 
-void InvariantChecker::broken(int rule, std::int64_t at, std::string text) {
-  found.broken.push_back({rule, at, std::move(text)});
+void InvariantChecker::reportViolation(int rule, std::int64_t at, std::string text) {
+  report.violations.push_back({rule, at, std::move(text)});
 }
-void InvariantChecker::limit(int rule, std::int64_t at, std::string text) {
-  found.limits.push_back({rule, at, std::move(text)});
+void InvariantChecker::reportUnavoidableViolation(int rule, std::int64_t at, std::string text) {
+  report.unavoidableViolations.push_back({rule, at, std::move(text)});
 }
 
-void InvariantChecker::findDisturbances() {
+void InvariantChecker::findFaultIntervals() {
   std::map<std::string, std::int64_t> open;
   for (const auto& witness : history)
-    if (witness.kind == HistoryEvent::Kind::disturbed)
-      open.emplace(witness.detail, witness.at);
-    else if (witness.kind == HistoryEvent::Kind::mended) {
+    if (witness.kind == HistoryEvent::Kind::faultBegan)
+      open.emplace(witness.detail, witness.timestamp);
+    else if (witness.kind == HistoryEvent::Kind::faultEnded) {
       if (auto begun = open.find(witness.detail); begun != open.end()) {
-        disturbances.emplace_back(begun->second, witness.at + aftermath);
+        faultIntervals.emplace_back(begun->second, witness.timestamp + aftermath);
         open.erase(begun);
       }
-    } else if (witness.kind == HistoryEvent::Kind::whole) {
+    } else if (witness.kind == HistoryEvent::Kind::clusterHealed) {
       for (const auto& [name, begun] : open)
-        disturbances.emplace_back(begun, witness.at + aftermath);
+        faultIntervals.emplace_back(begun, witness.timestamp + aftermath);
       open.clear();
     }
   for (const auto& [name, begun] : open)
-    disturbances.emplace_back(begun, std::numeric_limits<std::int64_t>::max());
+    faultIntervals.emplace_back(begun, std::numeric_limits<std::int64_t>::max());
 }
 
 // Every kind of line is listed, so that the compiler tells of a new one.
-void InvariantChecker::see(const HistoryEvent& witness) {
+void InvariantChecker::observe(const HistoryEvent& witness) {
   using Kind = HistoryEvent::Kind;
   switch (witness.kind) {
     case Kind::submitted:
       return void(++jobs[witness.job].submissions);
     case Kind::accepted:
-      return accepted(witness);
+      return onAccepted(witness);
     case Kind::rejected:
       return void(++jobs[witness.job].rejections);
     case Kind::cancelAcknowledged:
-      return cancelAcknowledged(witness);
-    case Kind::shown:
-      return shown(witness);
-    case Kind::explained:
-      return void(jobs[witness.job].explained = true);
+      return onCancelAcknowledged(witness);
+    case Kind::stateObserved:
+      return onStateObserved(witness);
+    case Kind::waitExplained:
+      return void(jobs[witness.job].waitExplained = true);
     case Kind::started:
-      return started(witness);
-    case Kind::held:
-      return held(witness);
+      return onStarted(witness);
+    case Kind::suspended:
+      return onSuspended(witness);
     case Kind::resumed:
-      return resumed(witness);
+      return onResumed(witness);
     case Kind::ended:
-      return ended(witness);
-    case Kind::confirmed:
-      return confirmed(witness);
-    case Kind::saved:
-      return saved(witness);
-    case Kind::vanished:
-      return vanished(witness);
-    case Kind::leaving:
-      return void(leavingSince.emplace(witness.worker, witness.at));
-    case Kind::staying:
-      return void(leavingSince.erase(witness.worker));
-    case Kind::capacity:
-      return capacityTold(witness);
-    case Kind::configAsked:
-    case Kind::configRefused:
-      return judgeOrder(witness);
+      return onEnded(witness);
+    case Kind::resultConfirmed:
+      return onResultConfirmed(witness);
+    case Kind::checkpointed:
+      return onCheckpointed(witness);
+    case Kind::workerLost:
+      return onWorkerLost(witness);
+    case Kind::draining:
+      return void(drainingSince.emplace(witness.worker, witness.timestamp));
+    case Kind::drainCancelled:
+      return void(drainingSince.erase(witness.worker));
+    case Kind::capacityReported:
+      return onCapacityReported(witness);
+    case Kind::configSubmitted:
+    case Kind::configRejected:
+      return checkOrder(witness);
     case Kind::configAcknowledged:
-      return configAcknowledged(witness);
-    case Kind::configSeen:
-      return configSeen(witness);
-    case Kind::whole:
-      return void(wholeSince = witness.at);
-    case Kind::served:
-      return served(witness);
-    case Kind::settled:
-      return void(settledAt = witness.at);
+      return onConfigAcknowledged(witness);
+    case Kind::configObserved:
+      return onConfigObserved(witness);
+    case Kind::clusterHealed:
+      return void(healedAt = witness.timestamp);
+    case Kind::serviceRestored:
+      return onServiceRestored(witness);
+    case Kind::quiescent:
+      return void(quiescentAt = witness.timestamp);
     // What only findDisturbances and the search for an order of operations look at.
-    case Kind::unknown:
-    case Kind::disturbed:
-    case Kind::mended:
-    case Kind::looked:
-    case Kind::cancelAsked:
-    case Kind::cancelMissing:
-    case Kind::configRead:
+    case Kind::outcomeUnknown:
+    case Kind::faultBegan:
+    case Kind::faultEnded:
+    case Kind::stateUnchanged:
+    case Kind::cancelSubmitted:
+    case Kind::cancelNotFound:
+    case Kind::configReturned:
     case Kind::closed:
       return;
   }
--- a/source/checker/invariants_failures.cpp
+++ b/source/checker/invariants_failures.cpp
@@ -10,77 +10,81 @@
 }  // namespace
 
 // What only later lines decide: whether an ending was ever taken note of.
-void InvariantChecker::judgeEndings(const std::string& id, JobHistory& job) {
+void InvariantChecker::checkOutcomes(const std::string& id, JobHistory& job) {
   for (auto& [place, task] : job.tasks) {
-    const auto* step = stepOf(id, place);
-    if (!step || step->needs.lasts)
+    const auto* step = findStep(id, place);
+    if (!step || step->requirements.longRunning)
       continue;
-    judgeSuccess(id, job, place, *step);
-    judgeTries(id, job, place, *step);
+    checkSuccesses(id, job, place, *step);
+    checkAttemptLimit(id, job, place, *step);
   }
 }
 
-void InvariantChecker::judgeSuccess(const std::string& id, JobHistory& job, std::uint32_t place,
-                                    const StepRequest& step) {
+void InvariantChecker::checkSuccesses(const std::string& id, JobHistory& job, std::uint32_t place,
+                                      const StepRequest& step) {
   const TaskHistory& task = job.tasks.at(place);
   for (const auto& done : task.runs) {
-    if (!done.called || done.ending != "finished")
+    if (!done.onCalledWorker || done.outcome != "finished")
       continue;
     std::optional<std::int64_t> noted;
-    eachMemberOf(id, job, place, done.attempt, [&](TaskHistory&, const Run& member) {
-      if (member.ending == "finished" && member.notedAt)
-        noted = std::min(noted.value_or(*member.notedAt), *member.notedAt);
+    forEachGangMember(id, job, place, done.attempt, [&](TaskHistory&, const ObservedRun& member) {
+      if (member.outcome == "finished" && member.confirmedAt)
+        noted = std::min(noted.value_or(*member.confirmedAt), *member.confirmedAt);
     });
     if (noted)
-      judgeRunsAfter(nameOf(id, place), task, done, *noted, step.needs.redundant);
+      checkNoRunAfterSuccess(describeTask(id, place), task, done, *noted,
+                             step.requirements.redundant);
   }
 }
 
-void InvariantChecker::judgeRunsAfter(const std::string& what, const TaskHistory& task,
-                                      const Run& done, std::int64_t noted, bool redundant) {
+void InvariantChecker::checkNoRunAfterSuccess(const std::string& what, const TaskHistory& task,
+                                              const ObservedRun& done, std::int64_t noted,
+                                              bool redundant) {
   for (const auto& run : task.runs) {
     if (&run == &done || run.startedAt < *done.endedAt)
       continue;
     const std::string text = what + " starts on " + run.worker + " though its run " + done.attempt +
                              " had ended well on " + done.worker;
     if (!redundant)
-      broken(1, run.startedAt, text);
-    else if (!run.late && run.startedAt > noted + noticeReaches + options.slack &&
-             !disturbedWithin(noted, run.startedAt))
-      broken(1, run.startedAt, text + ", which was long known");
+      reportViolation(1, run.startedAt, text);
+    else if (!run.executedLate && run.startedAt > noted + noticeReaches + options.clockSlackMs &&
+             !hadFaultWithin(noted, run.startedAt))
+      reportViolation(1, run.startedAt, text + ", which was long known");
   }
 }
 
-void InvariantChecker::judgeTries(const std::string& id, const JobHistory& job, std::uint32_t place,
-                                  const StepRequest& step) {
-  const auto* submission = submissionOf(id);
-  const auto tries = options.triesOf.find(submission->queue.value);
-  if (tries == options.triesOf.end())
+void InvariantChecker::checkAttemptLimit(const std::string& id, const JobHistory& job,
+                                         std::uint32_t place, const StepRequest& step) {
+  const auto* submission = findSubmission(id);
+  const auto tries = options.maxAttemptsByQueue.find(submission->queue.value);
+  if (tries == options.maxAttemptsByQueue.end())
     return;
-  const auto [first, after] = membersOf(*submission, place);
+  const auto [first, after] = gangRangeOf(*submission, place);
   for (const auto& run : job.tasks.at(place).runs) {
-    const std::size_t failed = failuresBefore(job, first, after, run, step.needs.redundant);
+    const std::size_t failed =
+        countFailuresBefore(job, first, after, run, step.requirements.redundant);
     if (failed >= tries->second)
-      broken(14, run.startedAt,
-             nameOf(id, place) + " starts after " + std::to_string(failed) +
-                 " runs that failed, with " + std::to_string(tries->second) + " tries");
+      reportViolation(14, run.startedAt,
+                      describeTask(id, place) + " starts after " + std::to_string(failed) +
+                          " runs that failed, with " + std::to_string(tries->second) + " tries");
   }
 }
 
 // Attempts whose failure the leader knew of when a run was started.
-std::size_t InvariantChecker::failuresBefore(const JobHistory& job, std::uint32_t first,
-                                             std::uint32_t after, const Run& run,
-                                             bool redundant) const {
+std::size_t InvariantChecker::countFailuresBefore(const JobHistory& job, std::uint32_t first,
+                                                  std::uint32_t after, const ObservedRun& run,
+                                                  bool redundant) const {
   std::set<std::string> failed;
   for (auto member = first; member < after; ++member) {
     const auto known = job.tasks.find(member);
     if (known == job.tasks.end())
       continue;
     for (const auto& before : known->second.runs) {
-      if (before.ending != "failed" || !before.notedAt || *before.endedAt > run.startedAt)
+      if (before.outcome != "failed" || !before.confirmedAt || *before.endedAt > run.startedAt)
         continue;
-      const bool longKnown = *before.notedAt + noticeReaches + options.slack < run.startedAt;
-      if (!redundant || (!run.late && longKnown))
+      const bool longKnown =
+          *before.confirmedAt + noticeReaches + options.clockSlackMs < run.startedAt;
+      if (!redundant || (!run.executedLate && longKnown))
         failed.insert(before.attempt);
     }
   }
@@ -88,31 +92,33 @@
 }
 
 // A job with tries fails by these, or because no worker that was ever there could hold it.
-void InvariantChecker::judgeFailed(const HistoryEvent& witness, const JobSubmission& submission) {
-  const auto tries = options.triesOf.find(submission.queue.value);
-  if (tries == options.triesOf.end())
+void InvariantChecker::checkShownFailed(const HistoryEvent& witness,
+                                        const JobSubmission& submission) {
+  const auto tries = options.maxAttemptsByQueue.find(submission.queue.value);
+  if (tries == options.maxAttemptsByQueue.end())
     return;
   for (const auto& [id, job] : jobs)
     if (id == witness.job || id.starts_with(witness.job + "@"))
-      if (const std::size_t most = mostFailures(job, submission); most && most >= tries->second)
+      if (const std::size_t most = maxFailures(job, submission); most && most >= tries->second)
         return;
   for (const auto& step : submission.steps)
     if (!fitsKnownWorkers(submission, step))
       return;
-  broken(18, witness.at, "job " + witness.job + " is shown as failed with no cause");
+  reportViolation(18, witness.timestamp,
+                  "job " + witness.job + " is shown as failed with no cause");
 }
 
 // The failed attempts of the gang or task that has most of them.
-std::size_t InvariantChecker::mostFailures(const JobHistory& job, const JobSubmission& submission) {
+std::size_t InvariantChecker::maxFailures(const JobHistory& job, const JobSubmission& submission) {
   std::map<std::pair<std::uint32_t, bool>, std::set<std::string>>
       failed;  // by step of a gang, else by task
   for (const auto& [place, task] : job.tasks) {
-    const auto step = placeOf(submission, place).first;
+    const auto step = positionOf(submission, place).first;
     if (step >= submission.steps.size())
       continue;
     const bool gang = submission.steps[step].gang;
     for (const auto& run : task.runs)
-      if (run.ending == "failed")
+      if (run.outcome == "failed")
         failed[{gang ? step : place, gang}].insert(run.attempt);
   }
   std::size_t most = 0;
@@ -128,26 +134,27 @@
     for (const auto& task : step.tasks)
       wanted += task.cores;
     for (const auto& [worker, capacity] : capacities)
-      if (holds(submission, step, capacity))
+      if (isEligible(submission, step, capacity))
         known += capacity.cores;
     if (wanted > known)
       return false;
   }
   return std::all_of(step.tasks.begin(), step.tasks.end(), [&](const TaskRequest& task) {
     return std::any_of(capacities.begin(), capacities.end(), [&](const auto& known) {
-      return holds(submission, step, known.second) && known.second.cores >= task.cores &&
+      return isEligible(submission, step, known.second) && known.second.cores >= task.cores &&
              known.second.memory >= task.memory && known.second.accelerators >= task.accelerators;
     });
   });
 }
 
-bool InvariantChecker::holds(const JobSubmission& submission, const StepRequest& step,
-                             const HistoryEvent& capacity) const {
-  auto pools = options.poolsOf.find(submission.queue.value);
-  if (pools != options.poolsOf.end() && !pools->second.count(capacity.pool))
+bool InvariantChecker::isEligible(const JobSubmission& submission, const StepRequest& step,
+                                  const HistoryEvent& capacity) const {
+  auto pools = options.poolsByQueue.find(submission.queue.value);
+  if (pools != options.poolsByQueue.end() && !pools->second.count(capacity.pool))
     return false;
-  return step.needs.label.empty() ||
-         std::count(capacity.labels.begin(), capacity.labels.end(), step.needs.label);
+  return step.requirements.requiredLabel.empty() ||
+         std::count(capacity.labels.begin(), capacity.labels.end(),
+                    step.requirements.requiredLabel);
 }
 
 }  // namespace aniseline
