--- a/source/checker/invariants_lookups.cpp
+++ b/source/checker/invariants_lookups.cpp
@@ -3,12 +3,12 @@
 
 namespace aniseline {
 
-bool InvariantChecker::disturbedWithin(std::int64_t from, std::int64_t to) const {
-  return std::any_of(disturbances.begin(), disturbances.end(),
+bool InvariantChecker::hadFaultWithin(std::int64_t from, std::int64_t to) const {
+  return std::any_of(faultIntervals.begin(), faultIntervals.end(),
                      [&](const auto& span) { return span.first <= to && from <= span.second; });
 }
 
-bool InvariantChecker::leaseless(const std::string& worker) const {
+bool InvariantChecker::ignoresLeases(const std::string& worker) const {
   auto known = capacities.find(worker);
   return known != capacities.end() && known->second.detail == "leaseless";
 }
@@ -18,61 +18,62 @@
   return known != capacities.end() && known->second.detail == "called";
 }
 
-const JobSubmission* InvariantChecker::submissionOf(const std::string& id) const {
+const JobSubmission* InvariantChecker::findSubmission(const std::string& id) const {
   auto exact = submissions.find(id);
   if (exact == submissions.end())
     exact = submissions.find(id.substr(0, id.find('@')));
   return exact == submissions.end() ? nullptr : &exact->second;
 }
 
-const StepRequest* InvariantChecker::stepOf(const std::string& id, std::uint32_t task) const {
-  const auto* submission = submissionOf(id);
+const StepRequest* InvariantChecker::findStep(const std::string& id, std::uint32_t task) const {
+  const auto* submission = findSubmission(id);
   if (!submission)
     return nullptr;
-  const auto step = placeOf(*submission, task).first;
+  const auto step = positionOf(*submission, task).first;
   return step < submission->steps.size() ? &submission->steps[step] : nullptr;
 }
 
-Run* InvariantChecker::runOf(const HistoryEvent& witness) {
+ObservedRun* InvariantChecker::findOpenRun(const HistoryEvent& witness) {
   for (auto& run : jobs[witness.job].tasks[witness.task].runs)
     if (run.attempt == witness.attempt && run.worker == witness.worker && !run.endedAt)
       return &run;
   return nullptr;
 }
 
-std::string InvariantChecker::nameOf(const std::string& job, std::uint32_t task) {
+std::string InvariantChecker::describeTask(const std::string& job, std::uint32_t task) {
   return "task " + std::to_string(task) + " of " + job;
 }
 
-InvariantChecker::Place InvariantChecker::placeOf(const JobSubmission& job, std::uint32_t task) {
+InvariantChecker::TaskPosition InvariantChecker::positionOf(const JobSubmission& job,
+                                                            std::uint32_t task) {
   std::uint32_t step = 0;
   while (step < job.steps.size() && task >= job.steps[step].tasks.size())
     task -= std::uint32_t(job.steps[step++].tasks.size());
   return {step, task};
 }
 
-std::uint32_t InvariantChecker::firstTask(const JobSubmission& job, std::uint32_t step) {
+std::uint32_t InvariantChecker::firstTaskOfStep(const JobSubmission& job, std::uint32_t step) {
   std::uint32_t first = 0;
   for (std::uint32_t at = 0; at < step; ++at)
     first += std::uint32_t(job.steps[at].tasks.size());
   return first;
 }
 
-std::pair<std::uint32_t, std::uint32_t> InvariantChecker::membersOf(const JobSubmission& submission,
-                                                                    std::uint32_t task) {
-  const auto step = placeOf(submission, task).first;
+std::pair<std::uint32_t, std::uint32_t> InvariantChecker::gangRangeOf(
+    const JobSubmission& submission, std::uint32_t task) {
+  const auto step = positionOf(submission, task).first;
   if (!submission.steps[step].gang)
     return {task, task + 1};
-  const auto first = firstTask(submission, step);
+  const auto first = firstTaskOfStep(submission, step);
   return {first, first + std::uint32_t(submission.steps[step].tasks.size())};
 }
 
-void InvariantChecker::eachMemberOf(const std::string& id, JobHistory& job, std::uint32_t task,
-                                    const std::string& attempt,
-                                    const std::function<void(TaskHistory&, Run&)>& use) {
-  if (!stepOf(id, task))
+void InvariantChecker::forEachGangMember(
+    const std::string& id, JobHistory& job, std::uint32_t task, const std::string& attempt,
+    const std::function<void(TaskHistory&, ObservedRun&)>& use) {
+  if (!findStep(id, task))
     return;
-  const auto [first, after] = membersOf(*submissionOf(id), task);
+  const auto [first, after] = gangRangeOf(*findSubmission(id), task);
   for (auto member = first; member < after; ++member)
     if (auto known = job.tasks.find(member); known != job.tasks.end())
       for (auto& run : known->second.runs)
--- a/source/checker/invariants_service.cpp
+++ b/source/checker/invariants_service.cpp
@@ -11,62 +11,63 @@
 
 }  // namespace
 
-void InvariantChecker::judgeOrder(const HistoryEvent& witness) {
-  if (auto fault = configOrders.see(witness))
-    broken(11, witness.at, *fault);
+void InvariantChecker::checkOrder(const HistoryEvent& witness) {
+  if (auto fault = configOrders.observe(witness))
+    reportViolation(11, witness.timestamp, *fault);
 }
 
-void InvariantChecker::configAcknowledged(const HistoryEvent& witness) {
-  judgeOrder(witness);
-  configs.emplace_back(witness.at, witness.version);
+void InvariantChecker::onConfigAcknowledged(const HistoryEvent& witness) {
+  checkOrder(witness);
+  acknowledgedConfigs.emplace_back(witness.timestamp, witness.version);
 }
 
 // A process that is cut off can't know; what the leader answers is judged always.
-void InvariantChecker::configSeen(const HistoryEvent& witness) {
-  const bool judged =
-      witness.detail == "the leader" || !disturbedWithin(witness.at - configReaches, witness.at);
-  for (const auto& [at, version] : configs)
-    if (judged && at + configReaches + options.slack < witness.at && version > witness.version)
-      return broken(11, witness.at,
-                    "config " + std::to_string(witness.version) + " is in force at " +
-                        witness.detail + " long after " + std::to_string(version) +
-                        " was acknowledged");
-  auto& seen = seenConfig[witness.detail];
+void InvariantChecker::onConfigObserved(const HistoryEvent& witness) {
+  const bool judged = witness.detail == "the leader" ||
+                      !hadFaultWithin(witness.timestamp - configReaches, witness.timestamp);
+  for (const auto& [at, version] : acknowledgedConfigs)
+    if (judged && at + configReaches + options.clockSlackMs < witness.timestamp &&
+        version > witness.version)
+      return reportViolation(11, witness.timestamp,
+                             "config " + std::to_string(witness.version) + " is in force at " +
+                                 witness.detail + " long after " + std::to_string(version) +
+                                 " was acknowledged");
+  auto& seen = observedConfigs[witness.detail];
   if (witness.version < seen)
-    broken(11, witness.at, "config slipped back at " + witness.detail);
+    reportViolation(11, witness.timestamp, "config slipped back at " + witness.detail);
   seen = witness.version;
 }
 
-void InvariantChecker::served(const HistoryEvent& witness) {
-  if (wholeSince && witness.at - *wholeSince > serviceReturns + options.slack)
-    broken(12, witness.at,
-           "service returned only after " + std::to_string(witness.at - *wholeSince) +
-               " ms of being whole");
-  wholeSince.reset();
+void InvariantChecker::onServiceRestored(const HistoryEvent& witness) {
+  if (healedAt && witness.timestamp - *healedAt > serviceReturns + options.clockSlackMs)
+    reportViolation(12, witness.timestamp,
+                    "service returned only after " + std::to_string(witness.timestamp - *healedAt) +
+                        " ms of being whole");
+  healedAt.reset();
 }
 
 // What no later line can show: things that never came.
-void InvariantChecker::judgeSilence(std::int64_t end) {
-  if (wholeSince)
-    broken(12, end,
-           "service was never seen again after all was whole, " +
-               std::to_string(end - *wholeSince) + " ms before the history ends");
+void InvariantChecker::checkAtEndOfHistory(std::int64_t end) {
+  if (healedAt)
+    reportViolation(12, end,
+                    "service was never seen again after all was whole, " +
+                        std::to_string(end - *healedAt) + " ms before the history ends");
   for (auto& [id, job] : jobs) {
-    judgeJob(id, job, end);
-    judgeEndings(id, job);
-    judgeGangs(id, job, end);
+    checkJobAtEnd(id, job, end);
+    checkOutcomes(id, job);
+    checkGangs(id, job, end);
   }
 }
 
 // Whether all that was answered fits one order of taking effect. One that was not decided is no
 // pass.
-void InvariantChecker::judgeOperations() {
+void InvariantChecker::checkLinearizability() {
   HistoryOperationsOptions operations;
-  operations.slack = options.slack;
-  operations.keepFinished = options.keepFinished;
-  operations.keepLimit = options.keepLimit;
-  for (const auto& violation : findViolations(history, operations, &found.searched))
-    broken(19, violation.at, violation.text);
+  operations.clockSlackMs = options.clockSlackMs;
+  operations.finishedRetentionMs = options.finishedRetentionMs;
+  operations.retainedJobsLimit = options.retainedJobsLimit;
+  for (const auto& violation : findViolations(history, operations, &report.searchStatistics))
+    reportViolation(19, violation.timestamp, violation.description);
 }
 
 }  // namespace aniseline
--- a/source/checker/linearizability.cpp
+++ b/source/checker/linearizability.cpp
@@ -180,7 +180,8 @@
            const std::vector<std::size_t>& places, SearchLimits limits)
       : model(model), operations(operations), limits(limits) {
     for (const std::size_t place : places) {
-      const bool known = operations[place].outcome == Outcome::ok && operations[place].returnedAt;
+      const bool known =
+          operations[place].outcome == OperationOutcome::ok && operations[place].returnedAt;
       (known ? answered : unanswered).push_back(place);
     }
     std::stable_sort(answered.begin(), answered.end(), [&](std::size_t left, std::size_t right) {
@@ -188,13 +189,13 @@
     });
   }
 
-  std::optional<Violation> check() {
+  std::optional<LinearizabilityViolation> check() {
     const Result result = search(answered.size());
     if (result == Result::linearizable)
       return std::nullopt;
     if (result == Result::undecided)
-      return violation(Violation::Verdict::undecided, answered.size());
-    return violation(Violation::Verdict::notLinearizable, fewest());
+      return violation(LinearizabilityViolation::Verdict::undecided, answered.size());
+    return violation(LinearizabilityViolation::Verdict::notLinearizable, fewest());
   }
 
   std::size_t explored() const { return configurations; }
@@ -236,18 +237,19 @@
     return bad;
   }
 
-  Violation violation(Violation::Verdict verdict, std::size_t count) const {
-    Violation made;
+  LinearizabilityViolation violation(LinearizabilityViolation::Verdict verdict,
+                                     std::size_t count) const {
+    LinearizabilityViolation made;
     made.verdict = verdict;
     made.key = operations[answered.front()].key;
     made.prefix.assign(answered.begin(), answered.begin() + std::ptrdiff_t(count));
-    made.at = *operations[made.prefix.back()].returnedAt;
-    made.text = describe(made);
+    made.timestamp = *operations[made.prefix.back()].returnedAt;
+    made.description = describe(made);
     return made;
   }
 
-  std::string describe(const Violation& violation) const {
-    if (violation.verdict == Violation::Verdict::undecided) {
+  std::string describe(const LinearizabilityViolation& violation) const {
+    if (violation.verdict == LinearizabilityViolation::Verdict::undecided) {
       return violation.key + ": undecided after " + std::to_string(configurations) +
              " configurations";
     }
@@ -267,19 +269,19 @@
   std::string line(const Operation& operation) const {
     std::string text = operation.client.empty() ? std::string() : operation.client + " ";
     text += "[" + std::to_string(operation.invokedAt) + ", ";
-    if (operation.outcome == Outcome::ok)
+    if (operation.outcome == OperationOutcome::ok)
       text += std::to_string(*operation.returnedAt);
     return text + "] " + model.describe(operation);
   }
 
   // Those that may have taken effect by then, though no answer tells it.
-  std::string stillUnanswered(const Violation& violation) const {
+  std::string stillUnanswered(const LinearizabilityViolation& violation) const {
     std::vector<std::size_t> left(answered.begin() + std::ptrdiff_t(violation.prefix.size()),
                                   answered.end());
     left.insert(left.end(), unanswered.begin(), unanswered.end());
     std::string text;
     for (const std::size_t place : left) {
-      if (operations[place].invokedAt > violation.at)
+      if (operations[place].invokedAt > violation.timestamp)
         continue;
       text += (text.empty() ? "; unanswered by then: " : ", ") + line(operations[place]);
     }
@@ -295,13 +297,13 @@
 };
 
 template <class Model>
-std::vector<Violation> findInEveryKey(const Model& model,
-                                      const std::vector<typename Model::Operation>& operations,
-                                      SearchLimits limits, SearchStatistics* statistics) {
+std::vector<LinearizabilityViolation> findInEveryKey(
+    const Model& model, const std::vector<typename Model::Operation>& operations,
+    SearchLimits limits, SearchStatistics* statistics) {
   std::map<std::string, std::vector<std::size_t>> byKey;
   for (std::size_t place = 0; place < operations.size(); ++place)
     byKey[operations[place].key].push_back(place);
-  std::vector<Violation> found;
+  std::vector<LinearizabilityViolation> found;
   for (const auto& [key, places] : byKey) {
     KeyCheck<Model> check(model, operations, places, limits);
     if (auto violation = check.check())
@@ -326,11 +328,11 @@
   ConfigurationModel::State changed = state;
   changed.version = order.version ? order.version : state.version + 1;
   changed.digest = order.digest;
-  auto taken = std::make_shared<ConfigurationModel::Taken>(*state.taken);
+  auto taken = std::make_shared<ConfigurationModel::AppliedOrders>(*state.appliedOrders);
   taken->emplace(order, changed.version);
-  changed.taken = std::move(taken);
-  mix(changed.takenHash, std::hash<std::string>()(order.digest));
-  mix(changed.takenHash, changed.version);
+  changed.appliedOrders = std::move(taken);
+  mix(changed.appliedOrdersHash, std::hash<std::string>()(order.digest));
+  mix(changed.appliedOrdersHash, changed.version);
   return changed;
 }
 
@@ -341,7 +343,7 @@
 std::optional<ConfigurationModel::State> afterApplied(const ConfigurationModel::State& state,
                                                       const ConfigurationOrder& order,
                                                       const ConfigurationOutput& output) {
-  if (const auto before = state.taken->find(order); before != state.taken->end()) {
+  if (const auto before = state.appliedOrders->find(order); before != state.appliedOrders->end()) {
     if (!tells(output, before->second))
       return std::nullopt;
     return state;
@@ -356,7 +358,8 @@
 
 bool mayBeRefused(const ConfigurationModel::State& state, const ConfigurationOrder& order,
                   const ConfigurationOutput& output) {
-  return !state.taken->count(order) && !mayBeTaken(state, order) && tells(output, state.version);
+  return !state.appliedOrders->count(order) && !mayBeTaken(state, order) &&
+         tells(output, state.version);
 }
 
 bool mayBeRead(const ConfigurationModel::State& state, const ConfigurationOutput& output) {
@@ -370,7 +373,7 @@
 // The job's phase once it is known to be in the one told; nothing if it can't be.
 std::optional<JobPhase> phaseOnceTold(JobPhase known, JobPhase told) {
   const bool stillOpen = begunOrNot(known);
-  const bool unsaid = known == JobPhase::over;
+  const bool unsaid = known == JobPhase::cancellingOrEnded;
   bool possible = false;
   switch (told) {
     case JobPhase::missing:
@@ -380,9 +383,9 @@
     case JobPhase::running:
       possible = stillOpen;
       break;
-    case JobPhase::open:
+    case JobPhase::pendingOrRunning:
       return stillOpen ? std::optional(known) : std::nullopt;
-    case JobPhase::over:
+    case JobPhase::cancellingOrEnded:
       possible = !stillOpen && known != JobPhase::missing;
       break;
     case JobPhase::cancelling:
@@ -391,7 +394,7 @@
     case JobPhase::cancelled:
       possible = unsaid || known == JobPhase::cancelling || known == told;
       break;
-    case JobPhase::done:
+    case JobPhase::succeeded:
     case JobPhase::failed:
       possible = stillOpen || unsaid || known == told;
       break;
@@ -404,7 +407,7 @@
 // A cancel of a job that is over changes nothing; any other is cancelled, or was over already
 // without anyone having seen it.
 JobPhase phaseAfterCancel(JobPhase known) {
-  return begunOrNot(known) ? JobPhase::over : known;
+  return begunOrNot(known) ? JobPhase::cancellingOrEnded : known;
 }
 
 std::optional<JobModel::State> withPhase(const JobModel::State& state,
@@ -420,7 +423,7 @@
   const bool isSame = !isNew && state.digest == input.digest;
   if (output.kind == JobOutput::Kind::overloaded)
     return state;
-  if (output.kind == JobOutput::Kind::turnedAway)
+  if (output.kind == JobOutput::Kind::rejected)
     return isSame ? std::nullopt : std::optional(state);
   if (isNew)
     return JobModel::State{JobPhase::pending, input.digest};
@@ -432,7 +435,7 @@
   if (saysMissing != (state.phase == JobPhase::missing))
     return std::nullopt;
   const JobPhase now = phaseAfterCancel(state.phase);
-  if (saysMissing || output.phase == JobPhase::over)
+  if (saysMissing || output.phase == JobPhase::cancellingOrEnded)
     return withPhase(state, now);
   return withPhase(state, phaseOnceTold(now, output.phase));
 }
@@ -448,7 +451,7 @@
 bool ConfigurationModel::State::operator==(const State& other) const {
   if (version != other.version || digest != other.digest)
     return false;
-  return taken == other.taken || *taken == *other.taken;
+  return appliedOrders == other.appliedOrders || *appliedOrders == *other.appliedOrders;
 }
 
 std::optional<ConfigurationModel::State> ConfigurationModel::apply(
@@ -457,7 +460,7 @@
   switch (output.kind) {
     case ConfigurationOutput::Kind::applied:
       return afterApplied(state, input.order, output);
-    case ConfigurationOutput::Kind::refused:
+    case ConfigurationOutput::Kind::rejected:
       if (!mayBeRefused(state, input.order, output))
         return std::nullopt;
       return state;
@@ -474,7 +477,7 @@
   const ConfigurationOrder& order = operation.input.order;
   if (operation.input.kind == ConfigurationInput::Kind::read)
     return state;
-  if (state.taken->count(order) || !mayBeTaken(state, order))
+  if (state.appliedOrders->count(order) || !mayBeTaken(state, order))
     return state;
   return afterTaking(state, order);
 }
@@ -482,7 +485,7 @@
 std::size_t ConfigurationModel::hash(const State& state) const {
   std::size_t seed = state.version;
   mix(seed, std::hash<std::string>()(state.digest));
-  mix(seed, state.takenHash);
+  mix(seed, state.appliedOrdersHash);
   return seed;
 }
 
@@ -492,14 +495,14 @@
   const std::string told = output.version ? " " + std::to_string(*output.version) : "";
   if (operation.input.kind == ConfigurationInput::Kind::read) {
     std::string asked = "read";
-    if (operation.outcome == Outcome::unknown)
+    if (operation.outcome == OperationOutcome::unknown)
       return asked;
     return asked + " ->" + told + " " + output.digest;
   }
   std::string text = "apply " + order.digest + " upon " + std::to_string(order.base);
   if (order.version)
     text += " as " + std::to_string(order.version);
-  if (operation.outcome == Outcome::unknown)
+  if (operation.outcome == OperationOutcome::unknown)
     return text;
   return text +
          (output.kind == ConfigurationOutput::Kind::applied ? " -> applied" : " -> refused") + told;
@@ -554,7 +557,7 @@
   std::string text = asked[std::size_t(operation.input.kind)];
   if (operation.input.kind == JobInput::Kind::submit)
     text += " " + operation.input.digest;
-  if (operation.outcome == Outcome::unknown || operation.input.kind == JobInput::Kind::run)
+  if (operation.outcome == OperationOutcome::unknown || operation.input.kind == JobInput::Kind::run)
     return text;
   text += std::string(" -> ") + answered[std::size_t(operation.output.kind)];
   if (operation.input.kind != JobInput::Kind::submit)
@@ -562,15 +565,15 @@
   return text;
 }
 
-std::vector<Violation> findViolations(const ConfigurationModel& model,
-                                      const std::vector<ConfigurationModel::Operation>& operations,
-                                      SearchLimits limits, SearchStatistics* statistics) {
+std::vector<LinearizabilityViolation> findViolations(
+    const ConfigurationModel& model, const std::vector<ConfigurationModel::Operation>& operations,
+    SearchLimits limits, SearchStatistics* statistics) {
   return findInEveryKey(model, operations, limits, statistics);
 }
 
-std::vector<Violation> findViolations(const JobModel& model,
-                                      const std::vector<JobModel::Operation>& operations,
-                                      SearchLimits limits, SearchStatistics* statistics) {
+std::vector<LinearizabilityViolation> findViolations(
+    const JobModel& model, const std::vector<JobModel::Operation>& operations, SearchLimits limits,
+    SearchStatistics* statistics) {
   return findInEveryKey(model, operations, limits, statistics);
 }
 
--- a/source/checker/linearizability.hpp
+++ b/source/checker/linearizability.hpp
@@ -10,7 +10,7 @@
 namespace aniseline {
 
 // Whether the client knows what became of its operation.
-enum class Outcome : std::uint8_t {
+enum class OperationOutcome : std::uint8_t {
   ok,      // it was answered: it took effect between its invocation and its return
   unknown  // the answer was lost: it took effect at any time after its invocation, or never will
 };
@@ -28,7 +28,7 @@
   std::optional<std::int64_t> returnedAt;  // required where the outcome is known
   Input input;
   Output output;
-  Outcome outcome = Outcome::ok;
+  OperationOutcome outcome = OperationOutcome::ok;
 };
 
 // The identity of an operator's order to put a configuration in force. The same order sent
@@ -47,7 +47,7 @@
 };
 
 struct ConfigurationOutput {
-  enum class Kind : std::uint8_t { applied, refused, shown };
+  enum class Kind : std::uint8_t { applied, rejected, shown };
   Kind kind = Kind::shown;
   std::optional<std::uint64_t>
       version;         // taken as, in force, or shown; nothing where it was not told
@@ -62,14 +62,14 @@
   using Operation = aniseline::Operation<ConfigurationInput, ConfigurationOutput>;
 
   // With the version each was taken as.
-  using Taken = std::map<ConfigurationOrder, std::uint64_t>;
+  using AppliedOrders = std::map<ConfigurationOrder, std::uint64_t>;
 
   struct State {
     std::uint64_t version = 0;
     std::string digest;
     // Shared by the states between two orders that were taken: there are many of these.
-    std::shared_ptr<const Taken> taken = std::make_shared<const Taken>();
-    std::size_t takenHash = 0;  // versions only rise, so equal contents have equal hashes
+    std::shared_ptr<const AppliedOrders> appliedOrders = std::make_shared<const AppliedOrders>();
+    std::size_t appliedOrdersHash = 0;  // versions only rise, so equal contents have equal hashes
     bool operator==(const State& other) const;
   };
 
@@ -85,13 +85,14 @@
 
 // What may be told of a job, and what a history allows it to be.
 enum class JobPhase : std::uint8_t {
-  missing,     // never accepted, as far as the cluster tells
-  pending,     // accepted, nothing of it has begun
-  running,     // some of it has begun
-  open,        // pending or running, the answer does not say which
-  cancelling,  // its cancel is under way
-  over,  // cancelling, or ended in any way: a cancel was acknowledged without a word of the phase
-  done,
+  missing,            // never accepted, as far as the cluster tells
+  pending,            // accepted, nothing of it has begun
+  running,            // some of it has begun
+  pendingOrRunning,   // pending or running, the answer does not say which
+  cancelling,         // its cancel is under way
+  cancellingOrEnded,  // cancelling, or ended in any way: a cancel was acknowledged without a word
+                      // of the phase
+  succeeded,
   failed,
   cancelled
 };
@@ -111,7 +112,7 @@
 struct JobOutput {
   enum class Kind : std::uint8_t {
     accepted,
-    turnedAway,    // for good: this submission never runs
+    rejected,      // for good: this submission never runs
     overloaded,    // this call was not taken; it says nothing of the job
     shown,         // the phase tells what
     acknowledged,  // of a cancel; the phase tells what the job is then, `over` if nothing was
@@ -152,7 +153,7 @@
 };
 
 // A key whose history was not shown to be linearizable.
-struct Violation {
+struct LinearizabilityViolation {
   enum class Verdict : std::uint8_t {
     notLinearizable,
     undecided  // the search met its limit: neither shown nor refuted, and never to be taken for
@@ -164,31 +165,29 @@
   // in what was given; the last one is what can't be explained. Of an undecided key all that
   // were answered.
   std::vector<std::size_t> prefix;
-  std::string text;
+  std::string description;
 
-  std::int64_t at = 0;  // when the last operation of the prefix returned
+  std::int64_t timestamp = 0;  // when the last operation of the prefix returned
 };
 
 // Every key that is not linearizable or was not decided, in the order of the keys.
-std::vector<Violation> findViolations(const ConfigurationModel& model,
-                                      const std::vector<ConfigurationModel::Operation>& operations,
-                                      SearchLimits limits = {},
-                                      SearchStatistics* statistics = nullptr);
-std::vector<Violation> findViolations(const JobModel& model,
-                                      const std::vector<JobModel::Operation>& operations,
-                                      SearchLimits limits = {},
-                                      SearchStatistics* statistics = nullptr);
+std::vector<LinearizabilityViolation> findViolations(
+    const ConfigurationModel& model, const std::vector<ConfigurationModel::Operation>& operations,
+    SearchLimits limits = {}, SearchStatistics* statistics = nullptr);
+std::vector<LinearizabilityViolation> findViolations(
+    const JobModel& model, const std::vector<JobModel::Operation>& operations,
+    SearchLimits limits = {}, SearchStatistics* statistics = nullptr);
 
 // The first key that is not linearizable, or else the first that was not decided; nothing if
 // all are linearizable.
 template <class Model>
-std::optional<Violation> checkLinearizable(const Model& model,
-                                           const std::vector<typename Model::Operation>& operations,
-                                           SearchLimits limits = {},
-                                           SearchStatistics* statistics = nullptr) {
-  const std::vector<Violation> found = findViolations(model, operations, limits, statistics);
-  for (const Violation& violation : found) {
-    if (violation.verdict == Violation::Verdict::notLinearizable)
+std::optional<LinearizabilityViolation> checkLinearizable(
+    const Model& model, const std::vector<typename Model::Operation>& operations,
+    SearchLimits limits = {}, SearchStatistics* statistics = nullptr) {
+  const std::vector<LinearizabilityViolation> found =
+      findViolations(model, operations, limits, statistics);
+  for (const LinearizabilityViolation& violation : found) {
+    if (violation.verdict == LinearizabilityViolation::Verdict::notLinearizable)
       return violation;
   }
   if (found.empty())
--- a/source/checker/model/describe.cpp
+++ b/source/checker/model/describe.cpp
@@ -9,10 +9,10 @@
 }
 
 std::string describeEntry(const LogEntry& entry) {
-  if (!entry.members)
+  if (!entry.isMembership)
     return number(entry.term) + ":'" + entry.payload + "'";
   std::string text = number(entry.term) + ":{";
-  const Members members = unpack<Members>(entry.payload).value();
+  const Membership members = unpack<Membership>(entry.payload).value();
   for (const auto& member : members)
     text += (text.back() == '{' ? "" : " ") + member.id.value + (member.voter ? "" : "?");
   return text + "}";
@@ -28,28 +28,30 @@
 struct BodyText {
   using result_type = std::string;
   std::string operator()(const RequestVote& body) const {
-    return std::string(body.trial ? "pre-vote" : "RequestVote") + " term " + number(body.term) +
-           ", last " + number(body.last) + " of term " + number(body.lastTerm) +
+    return std::string(body.preVote ? "pre-vote" : "RequestVote") + " term " + number(body.term) +
+           ", last " + number(body.lastLogIndex) + " of term " + number(body.lastLogTerm) +
            (body.leaderTransfer ? ", by transfer" : "");
   }
   std::string operator()(const RequestVoteReply& body) const {
-    return std::string(body.trial ? "pre-vote" : "vote") + (body.given ? " given" : " refused") +
-           ", term " + number(body.term);
+    return std::string(body.preVote ? "pre-vote" : "vote") +
+           (body.voteGranted ? " given" : " refused") + ", term " + number(body.term);
   }
   std::string operator()(const AppendEntries& body) const {
-    return "AppendEntries term " + number(body.term) + ", after " + number(body.previous) +
-           " of term " + number(body.previousTerm) + " " + describeEntries(body.entries) +
-           ", commit " + number(body.commit) + ", round " + number(body.round);
+    return "AppendEntries term " + number(body.term) + ", after " + number(body.previousLogIndex) +
+           " of term " + number(body.previousLogTerm) + " " + describeEntries(body.entries) +
+           ", commit " + number(body.leaderCommit) + ", round " + number(body.round);
   }
   std::string operator()(const AppendEntriesReply& body) const {
     return std::string("AppendEntriesReply term ") + number(body.term) +
-           (body.matched ? ", match " : ", mismatch, try ") + number(body.match) + ", last " +
-           number(body.last) + ", round " + number(body.round);
+           (body.success ? ", match " : ", mismatch, try ") + number(body.matchIndex) + ", last " +
+           number(body.lastLogIndex) + ", round " + number(body.round);
   }
   std::string operator()(const TimeoutNow& body) const {
     return "TimeoutNow term " + number(body.term);
   }
-  std::string operator()(const Join& body) const { return "Join of " + body.member.id.value; }
+  std::string operator()(const JoinRequest& body) const {
+    return "Join of " + body.member.id.value;
+  }
   std::string operator()(const RemovedFromCluster& body) const {
     return of("RemovedFromCluster", body);
   }
@@ -83,7 +85,7 @@
                                       "read",           "remove member",
                                       "promote",        "transfer leadership",
                                       "compact"};
-  static_assert(std::size(names) == actionKinds);
+  static_assert(std::size(names) == actionKindCount);
   return names[std::size_t(kind)];
 }
 
@@ -94,14 +96,14 @@
 
 std::string describe(const ModelNode& node) {
   std::vector<LogEntry> log;
-  for (LogIndex index = node.raft.snapshotIndex().next(); index <= node.raft.last();
+  for (LogIndex index = node.raft.logBaseIndex().next(); index <= node.raft.lastIndex();
        index = index.next())
     log.push_back(node.raft.entry(index));
   std::string text = node.self.id.value + ": " + aniseline::name(node.raft.role()) + ", term " +
                      number(node.raft.term()) + ", commit " + number(node.raft.commitIndex()) +
-                     ", log after " + number(node.raft.snapshotIndex()) + " " +
-                     describeEntries(log) + ", disk term " + number(node.image.term) + " to " +
-                     number(node.image.last());
+                     ", log after " + number(node.raft.logBaseIndex()) + " " +
+                     describeEntries(log) + ", disk term " + number(node.diskImage.term) + " to " +
+                     number(node.diskImage.lastIndex());
   if (node.raft.removedFromCluster())
     text += ", removed";
   return text;
--- a/source/checker/model/fingerprint.cpp
+++ b/source/checker/model/fingerprint.cpp
@@ -13,67 +13,72 @@
 
 std::string RaftNodeFingerprint::of(const RaftNode& node, MonotonicTime now) {
   OutputArchive archive;
-  archive << node.own << node.currentRole << node.currentTerm << node.vote << node.knownLeader;
-  archive << node.currentMembers << node.membersIndex << node.base << node.stored << node.log;
-  archive << node.commit << node.votes << node.trialElection;
-  archive << age(node.heardLeader, now, node.options.electionLow);
-  archive << node.leaderJoinAddress << std::uint64_t(node.learnersWanted);
-  archive << node.wasRemoved << node.installed << node.addresses;
-  archive << node.lastRoundSeen << node.lastAppender << node.lastAppendTerm << node.shownBy;
-  archive << node.heldByOthers;
+  archive << node.selfMember << node.currentRole << node.currentTerm << node.votedFor
+          << node.knownLeader;
+  archive << node.currentMembership << node.membershipIndex << node.base << node.latestSnapshot
+          << node.log;
+  archive << node.committedIndex << node.votesGranted << node.preVoteElection;
+  archive << age(node.leaderHeardAt, now, node.options.electionTimeoutMin);
+  archive << node.joinAddress << std::uint64_t(node.maxLearners);
+  archive << node.removed << node.snapshotInstalled << node.lastKnownAddresses;
+  archive << node.lastAppendRound << node.lastAppender << node.lastAppendTerm << node.verifiedIndex;
+  archive << node.replicatedWithoutSelf;
   addIncoming(archive, node);
   addDisk(archive, node);
-  if (node.leads())
+  if (node.isLeader())
     addLeadership(archive, node, now);
   return std::move(archive.bytes);
 }
 
 void RaftNodeFingerprint::addLeadership(OutputArchive& archive, const RaftNode& node,
                                         MonotonicTime now) {
-  const Duration contactCap{node.options.electionHigh.milliseconds + 1};
-  const Duration pauseCap{2 * node.options.heartbeat.milliseconds + 1};
+  const Duration contactCap{node.options.electionTimeoutMax.milliseconds + 1};
+  const Duration pauseCap{2 * node.options.heartbeatInterval.milliseconds + 1};
   constexpr Duration catchUpCap{250};  // after which what counts as caught up moves on
-  archive << node.caughtUpFrom << node.nextCaughtUpFrom;
-  archive << age(node.commitNotedAt, now, catchUpCap);
-  archive << node.openedAt << node.round << node.transferringLeadership;
-  archive << age(node.nextHeartbeat, now, Duration{0});
-  archive << age(node.broadcastAt, now, node.options.heartbeat);
-  archive << age(node.tickedAt, now, pauseCap);
-  archive << age(node.readingUntil, now, Duration{0});
+  archive << node.caughtUpIndex << node.nextCaughtUpIndex;
+  archive << age(node.caughtUpIndexUpdatedAt, now, catchUpCap);
+  archive << node.firstIndexOfTerm << node.currentRound << node.transferringLeadership;
+  archive << age(node.nextHeartbeatAt, now, Duration{0});
+  archive << age(node.lastBroadcastAt, now, node.options.heartbeatInterval);
+  archive << age(node.lastTickAt, now, pauseCap);
+  archive << age(node.pauseGraceUntil, now, Duration{0});
   if (node.transferringLeadership)
-    archive << age(node.transferUntil, now, Duration{1});
-  RoundNumber lowestAcked = node.round;
+    archive << age(node.transferDeadline, now, Duration{1});
+  RoundNumber lowestAcked = node.currentRound;
   for (const auto& [id, peer] : node.peers) {
-    archive << id << peer.next << peer.match << peer.resetRound << peer.matchRound << peer.acked;
-    archive << age(peer.heard, now, node.options.electionLow) << age(peer.contact, now, contactCap);
-    archive << peer.lostState;
+    archive << id << peer.nextIndex << peer.matchIndex << peer.resetRound << peer.matchRound
+            << peer.ackedRound;
+    archive << age(peer.lastHeard, now, node.options.electionTimeoutMin)
+            << age(peer.ackedRoundSentAt, now, contactCap);
+    archive << peer.hasLostState;
     addTransfers(archive, peer);
-    lowestAcked = std::min(lowestAcked, peer.acked);
+    lowestAcked = std::min(lowestAcked, peer.ackedRound);
   }
-  for (const auto& [number, sent] : node.roundTimes)
+  for (const auto& [number, sent] : node.roundStartTimes)
     if (number > lowestAcked)
       archive << number << age(sent, now, contactCap);
 }
 
-void RaftNodeFingerprint::addTransfers(OutputArchive& archive, const RaftNode::Peer& peer) {
+void RaftNodeFingerprint::addTransfers(OutputArchive& archive, const RaftNode::PeerProgress& peer) {
   const auto add = [&](const RaftNode::ChunkProgress& chunks) {
-    archive << chunks.acknowledged << chunks.sent << chunks.sentRound;
+    archive << chunks.acknowledgedOffset << chunks.sentOffset << chunks.lastChunkRound;
   };
-  archive << peer.installing.has_value();
-  if (peer.installing) {
-    archive << peer.installing->identity;
-    add(peer.installing->chunks);
+  archive << peer.snapshotTransfer.has_value();
+  if (peer.snapshotTransfer) {
+    archive << peer.snapshotTransfer->identity;
+    add(peer.snapshotTransfer->chunks);
   }
-  archive << peer.largeEntry.has_value();
-  if (peer.largeEntry) {
-    archive << peer.largeEntry->index;
-    add(peer.largeEntry->chunks);
+  archive << peer.entryTransfer.has_value();
+  if (peer.entryTransfer) {
+    archive << peer.entryTransfer->index;
+    add(peer.entryTransfer->chunks);
   }
-  for (const auto& batch : peer.unacknowledged)
-    archive << batch.last << std::uint64_t(batch.bytes);
+  for (const auto& batch : peer.unacknowledgedBatches)
+    archive << batch.lastIndex << std::uint64_t(batch.bytes);
   archive << std::uint64_t(peer.unacknowledgedBytes);
-  archive << std::uint64_t(peer.window.bytes) << peer.window.usedUp;
-  archive << (peer.window.quickest ? peer.window.quickest->milliseconds : -1);
+  archive << std::uint64_t(peer.sendWindow.bytes) << peer.sendWindow.exhausted;
+  archive << (peer.sendWindow.fastestRoundTrip ? peer.sendWindow.fastestRoundTrip->milliseconds
+                                               : -1);
 }
 
 void RaftNodeFingerprint::addIncoming(OutputArchive& archive, const RaftNode& node) {
@@ -88,20 +93,20 @@
 }
 
 void RaftNodeFingerprint::addDisk(OutputArchive& archive, const RaftNode& node) {
-  archive << node.dirty << node.wantWhole << node.syncedIndex << node.durableIndex
+  archive << node.dirty << node.snapshotWritePending << node.syncedIndex << node.durableIndex
           << node.ownVotePending;
   if (node.dirty)
-    archive << node.dirtyFrom;
-  archive << node.inFlight.has_value();
-  if (node.inFlight)
-    archive << node.inFlight->covers << node.inFlight->ownVote;
-  for (const auto& [needs, message] : node.afterSync)
+    archive << node.dirtyFromIndex;
+  archive << node.writeInFlight.has_value();
+  if (node.writeInFlight)
+    archive << node.writeInFlight->lastIndex << node.writeInFlight->includesOwnVote;
+  for (const auto& [needs, message] : node.messagesAwaitingSync)
     archive << std::int64_t(needs.value - node.nextVersion.value) << message;
 }
 
 namespace model {
 
-std::uint64_t combine(std::uint64_t left, std::uint64_t right) {
+std::uint64_t combineHashes(std::uint64_t left, std::uint64_t right) {
   return Random(left ^ (right * 0x9e3779b97f4a7c15ull)).next();
 }
 
@@ -111,7 +116,7 @@
     std::uint64_t word = 0;
     const auto taken = std::min(bytes.size(), sizeof word);
     std::memcpy(&word, bytes.data(), taken);
-    hash = combine(hash, word);
+    hash = combineHashes(hash, word);
     bytes.remove_prefix(taken);
   }
   return hash;
--- a/source/checker/model/fingerprint.hpp
+++ b/source/checker/model/fingerprint.hpp
@@ -14,7 +14,7 @@
 
  private:
   static void addLeadership(OutputArchive& archive, const RaftNode& node, MonotonicTime now);
-  static void addTransfers(OutputArchive& archive, const RaftNode::Peer& peer);
+  static void addTransfers(OutputArchive& archive, const RaftNode::PeerProgress& peer);
   static void addIncoming(OutputArchive& archive, const RaftNode& node);
   static void addDisk(OutputArchive& archive, const RaftNode& node);
 };
@@ -23,7 +23,7 @@
 
 // A hash of 64 bits that is the same on every machine.
 std::uint64_t hashOf(std::string_view bytes);
-std::uint64_t combine(std::uint64_t left, std::uint64_t right);
+std::uint64_t combineHashes(std::uint64_t left, std::uint64_t right);
 
 }  // namespace model
 }  // namespace aniseline
--- a/source/checker/model/ghost.cpp
+++ b/source/checker/model/ghost.cpp
@@ -2,25 +2,25 @@
 
 namespace aniseline::model {
 
-void Ghost::commit(const LogEntry& entry, Term in) {
-  const auto digest = combine(digestAt(last()), hashOf(pack(entry)));
-  committed.push_back({entry.term, entry.members, entry.payload, in, digest});
+void HistoryVariables::commit(const LogEntry& entry, Term in) {
+  const auto digest = combineHashes(digestAt(lastIndex()), hashOf(pack(entry)));
+  committed.push_back({entry.term, entry.isMembership, entry.payload, in, digest});
 }
 
-std::uint64_t Ghost::digestAt(LogIndex index) const {
-  return index == LogIndex{} ? 0 : at(index).digest;
+std::uint64_t HistoryVariables::digestAt(LogIndex index) const {
+  return index == LogIndex{} ? 0 : entryAt(index).digest;
 }
 
-Members Ghost::membersAt(LogIndex index) const {
+Membership HistoryVariables::committedMembersAt(LogIndex index) const {
   for (; index > LogIndex{}; index = LogIndex{index.value - 1})
-    if (at(index).members)
-      return unpack<Members>(at(index).payload).value();
+    if (entryAt(index).isMembership)
+      return unpack<Membership>(entryAt(index).payload).value();
   return {};
 }
 
-std::uint64_t Ghost::hash() const {
+std::uint64_t HistoryVariables::hash() const {
   OutputArchive archive;
-  archive << committed << leaders << votes << reads << lostDisks;
+  archive << committed << leaders << votes << pendingReads << lostDisks;
   return hashOf(archive.bytes);
 }
 
--- a/source/checker/model/ghost.hpp
+++ b/source/checker/model/ghost.hpp
@@ -7,13 +7,13 @@
 
 struct CommittedEntry {
   Term term;
-  bool members = false;
+  bool isMembership = false;
   std::string payload;
-  Term committedIn;      // the term of the leader that committed it
+  Term committedInTerm;  // the term of the leader that committed it
   std::uint64_t digest;  // of the log up to here
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& term& members& payload& committedIn;
+    archive& term& isMembership& payload& committedInTerm;
   }
 };
 
@@ -21,28 +21,28 @@
   ControllerId reader;
   Term term;
   RoundNumber round;
-  LogIndex barrier;  // the reader's last entry when it began
-  LogIndex floor;    // what was committed anywhere when it began
+  LogIndex lastIndexAtStart;  // the reader's last entry when it began
+  LogIndex committedAtStart;  // what was committed anywhere when it began
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& reader& term& round& barrier& floor;
+    archive& reader& term& round& lastIndexAtStart& committedAtStart;
   }
 };
 
-struct Ghost {
+struct HistoryVariables {
   std::vector<CommittedEntry> committed;  // from index 1
   std::map<Term, ControllerId> leaders;
   std::map<std::pair<ControllerId, Term>, ControllerId> votes;
-  std::vector<PendingRead> reads;
+  std::vector<PendingRead> pendingReads;
   std::map<ControllerId, DiskImage> lostDisks;  // as they were when their machines lost them
 
-  LogIndex last() const { return LogIndex{committed.size()}; }
-  const CommittedEntry& at(LogIndex index) const { return committed[index.value - 1]; }
+  LogIndex lastIndex() const { return LogIndex{committed.size()}; }
+  const CommittedEntry& entryAt(LogIndex index) const { return committed[index.value - 1]; }
   void commit(const LogEntry& entry, Term in);
   std::uint64_t digestAt(LogIndex index) const;
   // The newest committed membership, of all or up to an index.
-  Members members() const { return membersAt(last()); }
-  Members membersAt(LogIndex index) const;
+  Membership committedMembers() const { return committedMembersAt(lastIndex()); }
+  Membership committedMembersAt(LogIndex index) const;
   std::uint64_t hash() const;
 };
 
--- a/source/checker/model/model_node.cpp
+++ b/source/checker/model/model_node.cpp
@@ -9,31 +9,34 @@
 
 }  // namespace
 
-void DiskImage::add(const WriteAheadRecord& record) {
+void DiskImage::append(const WriteAheadRecord& record) {
   term = record.term;
-  vote = record.vote;
-  if (record.whole) {
+  vote = record.votedFor;
+  if (record.holdsSnapshot) {
     snapshot = record.snapshot;
     entries = record.entries;
   } else if (!record.entries.empty()) {
-    entries.resize(record.first.value - snapshot.index.value - 1);
+    entries.resize(record.firstIndex.value - snapshot.lastIncludedIndex.value - 1);
     entries.insert(entries.end(), record.entries.begin(), record.entries.end());
   }
 }
 
-bool DiskImage::holds(LogIndex index, Term wanted) const {
-  if (index <= snapshot.index)
+bool DiskImage::contains(LogIndex index, Term wanted) const {
+  if (index <= snapshot.lastIncludedIndex)
     return true;
-  return index <= last() && entries[index.value - snapshot.index.value - 1].term == wanted;
+  return index <= lastIndex() &&
+         entries[index.value - snapshot.lastIncludedIndex.value - 1].term == wanted;
 }
 
 ModelNode::ModelNode(Member self, const RaftOptions& options, std::vector<WriteAheadRecord> records)
-    : self(self), raft(start(self, options, records, MonotonicTime{})), disk(std::move(records)) {
-  foldDisk();
+    : self(self),
+      raft(startRaft(self, options, records, MonotonicTime{})),
+      disk(std::move(records)) {
+  rebuildDiskImage();
 }
 
-RaftNode ModelNode::start(const Member& self, const RaftOptions& options,
-                          const std::vector<WriteAheadRecord>& disk, MonotonicTime now) {
+RaftNode ModelNode::startRaft(const Member& self, const RaftOptions& options,
+                              const std::vector<WriteAheadRecord>& disk, MonotonicTime now) {
   return RaftNode(self, options, timerSeed, disk, now);
 }
 
@@ -44,65 +47,65 @@
   return inFlight.has_value();
 }
 
-void ModelNode::keep(const WriteAheadRecord& record) {
-  if (record.whole)
+void ModelNode::appendToDisk(const WriteAheadRecord& record) {
+  if (record.holdsSnapshot)
     disk.clear();  // older versions are removed once a whole one is synced
   disk.push_back(record);
-  image.add(record);
+  diskImage.append(record);
 }
 
 void ModelNode::completeWrite() {
-  keep(*inFlight);
-  pretendWrite();
+  appendToDisk(*inFlight);
+  acknowledgeWithoutWriting();
 }
 
-void ModelNode::pretendWrite() {
+void ModelNode::acknowledgeWithoutWriting() {
   const auto version = inFlight->version;
   inFlight.reset();
-  raft.synced(version, clock);
+  raft.onWriteSynced(version, clock);
 }
 
 void ModelNode::restart(const RaftOptions& options, bool keepsWrite, bool forgetsLastRecord) {
   if (inFlight && keepsWrite)
-    keep(*inFlight);
+    appendToDisk(*inFlight);
   inFlight.reset();
   if (forgetsLastRecord && disk.size() > 1)
     disk.pop_back();
-  foldDisk();
-  raft = start(self, options, disk, clock);
+  rebuildDiskImage();
+  raft = startRaft(self, options, disk, clock);
   openedTerm = Term{};
   ++restarts;
 }
 
-std::string ModelNode::payload(const std::string& what) const {
-  std::string text =
-      what + " " + std::to_string(raft.term().value) + "." + std::to_string(raft.last().value + 1);
+std::string ModelNode::uniquePayload(const std::string& what) const {
+  std::string text = what + " " + std::to_string(raft.term().value) + "." +
+                     std::to_string(raft.lastIndex().value + 1);
   return restarts == 0 ? text : text + ", restart " + std::to_string(restarts);
 }
 
-void ModelNode::foldDisk() {
-  image = DiskImage{};
+void ModelNode::rebuildDiskImage() {
+  diskImage = DiskImage{};
   for (const auto& record : disk)
-    image.add(record);
+    diskImage.append(record);
 }
 
-void ModelNode::openLeadership() {
-  if (!raft.leads() || openedTerm == raft.term())
+void ModelNode::proposeOpeningEntry() {
+  if (!raft.isLeader() || openedTerm == raft.term())
     return;
   openedTerm = raft.term();
-  raft.propose(payload("open"), clock);
+  raft.propose(uniquePayload("open"), clock);
   tick();
 }
 
 std::uint64_t ModelNode::hash() const {
   OutputArchive archive;
-  archive << image << openedTerm << restarts << inFlight.has_value();
+  archive << diskImage << openedTerm << restarts << inFlight.has_value();
   if (inFlight) {
     auto record = *inFlight;
     record.version = DiskVersion{};  // how many there were before changes nothing
     archive << record;
   }
-  return combine(hashOf(RaftNodeFingerprint::of(raft, clock)), hashOf(archive.bytes));
+  return combineHashes(hashOf(RaftNodeFingerprint::of(raft, clock)), hashOf(archive.bytes));
 }
 
 }  // namespace aniseline::model
--- a/source/checker/model/model_node.hpp
+++ b/source/checker/model/model_node.hpp
@@ -10,10 +10,10 @@
   ControllerId vote;
   Snapshot snapshot;
   std::vector<LogEntry> entries;  // after the snapshot
-  void add(const WriteAheadRecord& record);
-  LogIndex last() const { return LogIndex{snapshot.index.value + entries.size()}; }
+  void append(const WriteAheadRecord& record);
+  LogIndex lastIndex() const { return LogIndex{snapshot.lastIncludedIndex.value + entries.size()}; }
   // Whether the entry of this index and term is on the disk, itself or folded into the snapshot.
-  bool holds(LogIndex index, Term term) const;
+  bool contains(LogIndex index, Term term) const;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& term& vote& snapshot& entries;
@@ -27,7 +27,7 @@
   ModelNode(Member self, const RaftOptions& options, std::vector<WriteAheadRecord> disk);
 
   MonotonicTime now() const { return clock; }
-  void advance(Duration span) { clock = clock + span; }
+  void advanceClock(Duration span) { clock = clock + span; }
   void tick() { raft.tick(clock, WallTime{}); }
   // Hands a write to the disk, if there is any and none is under way.
   bool startWrite();
@@ -36,24 +36,24 @@
   // The write under way is on the disk, and the node is told.
   void completeWrite();
   // The node is told so, and the disk loses it: only a disk that lies does this.
-  void pretendWrite();
+  void acknowledgeWithoutWriting();
   // Ends the process and starts it from the disk; the write under way is kept or lost.
   void restart(const RaftOptions& options, bool keepsWrite, bool forgetsLastRecord = false);
   // The owner of a new leader proposes its opening entry at once, as Controller does.
-  void openLeadership();
+  void proposeOpeningEntry();
   // No two lives of a node propose the same payload.
-  std::string payload(const std::string& what) const;
+  std::string uniquePayload(const std::string& what) const;
   std::uint64_t hash() const;
 
   Member self;
   RaftNode raft;
-  DiskImage image;
+  DiskImage diskImage;
 
  private:
-  static RaftNode start(const Member& self, const RaftOptions& options,
-                        const std::vector<WriteAheadRecord>& disk, MonotonicTime now);
-  void keep(const WriteAheadRecord& record);
-  void foldDisk();
+  static RaftNode startRaft(const Member& self, const RaftOptions& options,
+                            const std::vector<WriteAheadRecord>& disk, MonotonicTime now);
+  void appendToDisk(const WriteAheadRecord& record);
+  void rebuildDiskImage();
   std::vector<WriteAheadRecord> disk;
   std::optional<WriteAheadRecord> inFlight;
   MonotonicTime clock;
--- a/source/checker/model/search.cpp
+++ b/source/checker/model/search.cpp
@@ -24,22 +24,22 @@
 
 class BreadthFirst {
  public:
-  BreadthFirst(const ModelWorld& start, const SearchBounds& bounds) : bounds(bounds) {
+  BreadthFirst(const ModelCluster& start, const SearchBounds& bounds) : bounds(bounds) {
     visit(start, 0, Action{}, 0);
   }
 
   SearchReport run() {
     const Stopwatch watch;
-    while (!frontier.empty() && !report.finding && !full) {
+    while (!frontier.empty() && !report.counterexample && !full) {
       const Open open = std::move(frontier.front());
       frontier.pop_front();
-      report.wholeDepth = open.depth;
+      report.completeDepth = open.depth;
       if (open.depth < bounds.depth)
         expand(open);
     }
-    report.exhausted = frontier.empty() && !report.finding && !full;
+    report.exhausted = frontier.empty() && !report.counterexample && !full;
     if (report.exhausted)
-      report.wholeDepth = report.depth;
+      report.completeDepth = report.depth;
     report.states = reached.size();
     report.seconds = watch.seconds();
     return std::move(report);
@@ -47,7 +47,7 @@
 
  private:
   struct Open {
-    ModelWorld world;
+    ModelCluster world;
     std::size_t place;  // in `reached`
     std::size_t depth;
   };
@@ -57,14 +57,14 @@
   };
 
   void expand(const Open& open) {
-    for (const auto& action : open.world.enabled()) {
-      ModelWorld next = open.world;
+    for (const auto& action : open.world.enabledActions()) {
+      ModelCluster next = open.world;
       if (!next.apply(action))
         continue;
       ++report.transitions;
       if (next.violation()) {
-        report.finding = Finding{*next.violation(), traceTo(open.place)};
-        report.finding->trace.push_back(action);
+        report.counterexample = Counterexample{*next.violation(), traceTo(open.place)};
+        report.counterexample->trace.push_back(action);
         return;
       }
       visit(std::move(next), open.place, action, open.depth + 1);
@@ -75,7 +75,7 @@
     }
   }
 
-  void visit(ModelWorld world, std::size_t from, const Action& by, std::size_t depth) {
+  void visit(ModelCluster world, std::size_t from, const Action& by, std::size_t depth) {
     if (!seen.insert(world.hash()).second)
       return;
     reached.push_back({from, by});
@@ -110,7 +110,7 @@
       return 48;
     case ActionKind::heartbeat:
     case ActionKind::join:
-    case ActionKind::renew:
+    case ActionKind::rejoinAsNewMember:
     case ActionKind::promote:
     case ActionKind::removeMember:
       return 12;
@@ -118,8 +118,8 @@
     case ActionKind::read:
     case ActionKind::compact:
       return 8;
-    case ActionKind::silence:
-    case ActionKind::timeOut:
+    case ActionKind::leaderSilence:
+    case ActionKind::electionTimeout:
       return 3;
     default:
       return 1;
@@ -128,10 +128,10 @@
 
 class Walk {
  public:
-  Walk(const ModelWorld& start, const WalkOptions& options, std::uint64_t seed)
+  Walk(const ModelCluster& start, const WalkOptions& options, std::uint64_t seed)
       : world(start), options(options), random(seed) {}
 
-  std::optional<Finding> run(std::unordered_set<std::uint64_t>& seen) {
+  std::optional<Counterexample> run(std::unordered_set<std::uint64_t>& seen) {
     while (trace.size() < options.steps) {
       const auto action = draw();
       if (!action)
@@ -140,7 +140,7 @@
       trace.push_back(*action);
       seen.insert(world.hash());
       if (world.violation())
-        return Finding{*world.violation(), trace};
+        return Counterexample{*world.violation(), trace};
     }
     return std::nullopt;
   }
@@ -148,10 +148,10 @@
 
  private:
   std::optional<Action> draw() {
-    auto actions = world.enabled();
-    if (world.network().size() > options.network) {
+    auto actions = world.enabledActions();
+    if (world.network().size() > options.maxPacketsInFlight) {
       std::erase_if(actions, [](const Action& action) {
-        return action.kind != ActionKind::lose && action.kind != ActionKind::deliver;
+        return action.kind != ActionKind::drop && action.kind != ActionKind::deliver;
       });
     }
     std::int64_t total = 0;
@@ -168,7 +168,7 @@
     return std::nullopt;
   }
 
-  ModelWorld world;
+  ModelCluster world;
   const WalkOptions& options;
   Random random;
   Trace trace;
@@ -176,36 +176,36 @@
 
 }  // namespace
 
-SearchReport searchBreadthFirst(const ModelWorld& start, const SearchBounds& bounds) {
+SearchReport searchBreadthFirst(const ModelCluster& start, const SearchBounds& bounds) {
   return BreadthFirst(start, bounds).run();
 }
 
-SearchReport searchRandomly(const ModelWorld& start, const WalkOptions& options) {
+SearchReport searchRandomly(const ModelCluster& start, const WalkOptions& options) {
   const Stopwatch watch;
   SearchReport report;
   std::unordered_set<std::uint64_t> seen;
-  for (std::uint64_t place = 0; place < options.walks && !report.finding; ++place) {
+  for (std::uint64_t place = 0; place < options.walks && !report.counterexample; ++place) {
     Walk walk(start, options, options.seed + place);
-    report.finding = walk.run(seen);
+    report.counterexample = walk.run(seen);
     report.transitions += walk.steps();
     report.depth = std::max(report.depth, walk.steps());
   }
   report.states = seen.size();
-  if (report.finding)
-    report.finding = shorten(start, *report.finding);
+  if (report.counterexample)
+    report.counterexample = minimize(start, *report.counterexample);
   report.seconds = watch.seconds();
   return report;
 }
 
-std::optional<std::string> replay(const ModelWorld& start, const Trace& trace) {
-  ModelWorld world = start;
+std::optional<std::string> replay(const ModelCluster& start, const Trace& trace) {
+  ModelCluster world = start;
   for (const auto& action : trace)
     if (world.apply(action) && world.violation())
       return world.violation();
   return std::nullopt;
 }
 
-Finding shorten(const ModelWorld& start, Finding finding) {
+Counterexample minimize(const ModelCluster& start, Counterexample finding) {
   const auto same = [&](const Trace& trace) {
     const auto rule = replay(start, trace);
     return rule && ruleName(*rule) == ruleName(finding.rule);
@@ -229,9 +229,9 @@
   return finding;
 }
 
-std::string print(const ModelWorld& start, const Finding& finding) {
+std::string print(const ModelCluster& start, const Counterexample& finding) {
   std::string text = finding.rule + "\n";
-  ModelWorld world = start;
+  ModelCluster world = start;
   for (std::size_t machine = 0; machine < world.machines(); ++machine)
     text += "  start " + describe(world.node(machine)) + "\n";
   std::size_t step = 0;
--- a/source/checker/model/search.hpp
+++ b/source/checker/model/search.hpp
@@ -6,7 +6,7 @@
 
 using Trace = std::vector<Action>;
 
-struct Finding {
+struct Counterexample {
   std::string rule;
   Trace trace;  // from the world that the search began with
 };
@@ -15,10 +15,10 @@
   std::uint64_t states = 0;       // different ones
   std::uint64_t transitions = 0;  // steps tried
   std::size_t depth = 0;          // steps from the start to the farthest state
-  std::size_t wholeDepth = 0;     // up to this depth every state was seen
+  std::size_t completeDepth = 0;  // up to this depth every state was seen
   bool exhausted = false;         // there are no others within the budget
   double seconds = 0;
-  std::optional<Finding> finding;
+  std::optional<Counterexample> counterexample;
 };
 
 struct SearchBounds {
@@ -27,23 +27,24 @@
 };
 
 // Every order of steps, shortest first: what is found has the shortest trace there is.
-SearchReport searchBreadthFirst(const ModelWorld& start, const SearchBounds& bounds);
+SearchReport searchBreadthFirst(const ModelCluster& start, const SearchBounds& bounds);
 
 struct WalkOptions {
   std::uint64_t seed = 1;
   std::uint64_t walks = 100;
   std::size_t steps = 100;
-  std::size_t network = 20;  // messages under way; beyond, the walk loses or delivers first
+  std::size_t maxPacketsInFlight =
+      20;  // messages under way; beyond, the walk loses or delivers first
 };
 
 // Deep runs of steps drawn from seeds; a trace found is shortened by leaving steps out.
-SearchReport searchRandomly(const ModelWorld& start, const WalkOptions& options);
+SearchReport searchRandomly(const ModelCluster& start, const WalkOptions& options);
 
 // The rule that a trace breaks, if any; steps that can't be taken are left out.
-std::optional<std::string> replay(const ModelWorld& start, const Trace& trace);
+std::optional<std::string> replay(const ModelCluster& start, const Trace& trace);
 // Leaves out steps while the same rule stays broken.
-Finding shorten(const ModelWorld& start, Finding finding);
+Counterexample minimize(const ModelCluster& start, Counterexample finding);
 // One step a line, then the nodes as they stand.
-std::string print(const ModelWorld& start, const Finding& finding);
+std::string print(const ModelCluster& start, const Counterexample& finding);
 
 }  // namespace aniseline::model
--- a/source/checker/model/step_judge.cpp
+++ b/source/checker/model/step_judge.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-std::set<ControllerId> votersOf(const Members& members) {
+std::set<ControllerId> votersOf(const Membership& members) {
   std::set<ControllerId> voters;
   for (const auto& member : members)
     if (member.voter)
@@ -17,7 +17,8 @@
 }
 
 bool sameEntry(const LogEntry& left, const LogEntry& right) {
-  return left.term == right.term && left.members == right.members && left.payload == right.payload;
+  return left.term == right.term && left.isMembership == right.isMembership &&
+         left.payload == right.payload;
 }
 
 std::string at(LogIndex index) {
@@ -26,243 +27,259 @@
 
 }  // namespace
 
-void StepJudge::breaks(const std::string& rule, const std::string& detail) {
-  if (!broken)
-    broken = rule + ": " + detail;
+void StepInvariantChecker::reportViolation(const std::string& rule, const std::string& detail) {
+  if (!brokenRule)
+    brokenRule = rule + ": " + detail;
 }
 
-void StepJudge::sent(const PeerMessage& message) {
+void StepInvariantChecker::checkSentMessage(const PeerMessage& message) {
   if (const auto* reply = boost::get<AppendEntriesReply>(&message.body))
-    claim(*reply);
+    checkMatchClaim(*reply);
   if (const auto* reply = boost::get<RequestVoteReply>(&message.body))
-    grant(message.to, *reply);
+    checkVote(message.to, *reply);
 }
 
 // A follower claims no more than its disk holds.
-void StepJudge::claim(const AppendEntriesReply& reply) {
-  if (outcomesOnly || !reply.matched)
+void StepInvariantChecker::checkMatchClaim(const AppendEntriesReply& reply) {
+  if (outcomesOnly || !reply.success)
     return;
-  if (reply.match > after.image.last())
-    return breaks("a claim is behind its sync", after.self.id.value + " claims " + at(reply.match) +
-                                                    ", its disk ends at " +
-                                                    std::to_string(after.image.last().value));
-  for (LogIndex index{1}; index <= std::min(reply.match, ghost.last()); index = index.next())
-    if (!after.image.holds(index, ghost.at(index).term))
-      breaks("a claim is behind its sync", after.self.id.value + " claims the committed " +
-                                               at(index) + ", its disk holds another term's");
-  for (LogIndex index = after.raft.snapshotIndex().next(); index <= reply.match;
+  if (reply.matchIndex > after.diskImage.lastIndex())
+    return reportViolation("a claim is behind its sync",
+                           after.self.id.value + " claims " + at(reply.matchIndex) +
+                               ", its disk ends at " +
+                               std::to_string(after.diskImage.lastIndex().value));
+  for (LogIndex index{1}; index <= std::min(reply.matchIndex, history.lastIndex());
        index = index.next())
-    if (index <= after.raft.last() && !after.image.holds(index, after.raft.entry(index).term))
-      breaks("a claim is behind its sync",
-             after.self.id.value + " claims " + at(index) + ", its disk holds another term's");
+    if (!after.diskImage.contains(index, history.entryAt(index).term))
+      reportViolation("a claim is behind its sync", after.self.id.value + " claims the committed " +
+                                                        at(index) +
+                                                        ", its disk holds another term's");
+  for (LogIndex index = after.raft.logBaseIndex().next(); index <= reply.matchIndex;
+       index = index.next())
+    if (index <= after.raft.lastIndex() &&
+        !after.diskImage.contains(index, after.raft.entry(index).term))
+      reportViolation("a claim is behind its sync", after.self.id.value + " claims " + at(index) +
+                                                        ", its disk holds another term's");
 }
 
 // One vote a term and identity, over every restart; on the disk before it is told.
-void StepJudge::grant(const ControllerId& candidate, const RequestVoteReply& reply) {
-  if (reply.trial || !reply.given)
+void StepInvariantChecker::checkVote(const ControllerId& candidate, const RequestVoteReply& reply) {
+  if (reply.preVote || !reply.voteGranted)
     return;
-  const auto& [vote, isNew] = ghost.votes.try_emplace({after.self.id, reply.term}, candidate);
+  const auto& [vote, isNew] = history.votes.try_emplace({after.self.id, reply.term}, candidate);
   if (vote->second != candidate)
-    breaks("one vote a term", after.self.id.value + " gave its vote of term " +
-                                  std::to_string(reply.term.value) + " to " + vote->second.value +
-                                  " and to " + candidate.value);
-  const bool onDisk = after.image.term > reply.term ||
-                      (after.image.term == reply.term && after.image.vote == candidate);
+    reportViolation("one vote a term", after.self.id.value + " gave its vote of term " +
+                                           std::to_string(reply.term.value) + " to " +
+                                           vote->second.value + " and to " + candidate.value);
+  const bool onDisk = after.diskImage.term > reply.term ||
+                      (after.diskImage.term == reply.term && after.diskImage.vote == candidate);
   if (!outcomesOnly && !onDisk)
-    breaks("a vote is behind its sync", after.self.id.value + " tells " + candidate.value);
+    reportViolation("a vote is behind its sync", after.self.id.value + " tells " + candidate.value);
 }
 
-void StepJudge::state() {
-  if (!before.raft.leads() || before.raft.term() != after.raft.term())
-    leadership();
-  commitIndex();
-  completeness();
-  keptOnDisk();
-  for (std::size_t machine = 0; machine < world.machines(); ++machine)
-    if (world.node(machine).self.id != after.self.id)
-      logMatching(world.node(machine));
-  pendingChanges();
-  reads();
-  removal();
-  if (after.raft.snapshotIndex() != before.raft.snapshotIndex())
-    installed();
+void StepInvariantChecker::checkState() {
+  if (!before.raft.isLeader() || before.raft.term() != after.raft.term())
+    checkLeadership();
+  checkCommitIndex();
+  checkLeaderCompleteness();
+  checkDurability();
+  for (std::size_t machine = 0; machine < cluster.machines(); ++machine)
+    if (cluster.node(machine).self.id != after.self.id)
+      checkLogMatching(cluster.node(machine));
+  checkPendingChanges();
+  checkReads();
+  checkRemoval();
+  if (after.raft.logBaseIndex() != before.raft.logBaseIndex())
+    checkInstalledSnapshot();
 }
 
-void StepJudge::leadership() {
-  if (!after.raft.leads())
+void StepInvariantChecker::checkLeadership() {
+  if (!after.raft.isLeader())
     return;
-  const auto& [leader, isNew] = ghost.leaders.try_emplace(after.raft.term(), after.self.id);
+  const auto& [leader, isNew] = history.leaders.try_emplace(after.raft.term(), after.self.id);
   if (!isNew)
-    breaks("one leader a term", after.self.id.value + " leads term " +
-                                    std::to_string(after.raft.term().value) + ", so did " +
-                                    leader->second.value);
+    reportViolation("one leader a term", after.self.id.value + " leads term " +
+                                             std::to_string(after.raft.term().value) + ", so did " +
+                                             leader->second.value);
   const auto& [vote, isFirst] =
-      ghost.votes.try_emplace({after.self.id, after.raft.term()}, after.self.id);
+      history.votes.try_emplace({after.self.id, after.raft.term()}, after.self.id);
   if (vote->second != after.self.id)
-    breaks("one vote a term", after.self.id.value + " voted for itself and for " +
-                                  vote->second.value + " in term " +
-                                  std::to_string(after.raft.term().value));
-  const bool onDisk = after.image.term == after.raft.term() && after.image.vote == after.self.id;
+    reportViolation("one vote a term", after.self.id.value + " voted for itself and for " +
+                                           vote->second.value + " in term " +
+                                           std::to_string(after.raft.term().value));
+  const bool onDisk =
+      after.diskImage.term == after.raft.term() && after.diskImage.vote == after.self.id;
   if (!outcomesOnly && !onDisk)
-    breaks("a vote is behind its sync", after.self.id.value + " leads by its own");
+    reportViolation("a vote is behind its sync", after.self.id.value + " leads by its own");
 }
 
 // A leader holds all that leaders of earlier terms committed.
-void StepJudge::completeness() {
-  if (!after.raft.leads())
+void StepInvariantChecker::checkLeaderCompleteness() {
+  if (!after.raft.isLeader())
     return;
-  for (LogIndex index = after.raft.snapshotIndex().next(); index <= ghost.last();
+  for (LogIndex index = after.raft.logBaseIndex().next(); index <= history.lastIndex();
        index = index.next()) {
-    if (ghost.at(index).committedIn >= after.raft.term())
+    if (history.entryAt(index).committedInTerm >= after.raft.term())
       continue;
-    if (index > after.raft.last() || after.raft.entry(index).term != ghost.at(index).term)
-      breaks("leader completeness", after.self.id.value + " leads term " +
-                                        std::to_string(after.raft.term().value) +
-                                        " without the committed " + at(index));
+    if (index > after.raft.lastIndex() ||
+        after.raft.entry(index).term != history.entryAt(index).term)
+      reportViolation("leader completeness", after.self.id.value + " leads term " +
+                                                 std::to_string(after.raft.term().value) +
+                                                 " without the committed " + at(index));
   }
 }
 
-void StepJudge::commitIndex() {
+void StepInvariantChecker::checkCommitIndex() {
   if (!restarted && after.raft.commitIndex() < before.raft.commitIndex())
-    breaks("commit never goes back", after.self.id.value);
-  if (after.raft.commitIndex() > after.raft.last())
-    breaks("commit within the log", after.self.id.value + " commits past its log");
-  for (LogIndex index = after.raft.snapshotIndex().next(); index <= after.raft.commitIndex();
+    reportViolation("commit never goes back", after.self.id.value);
+  if (after.raft.commitIndex() > after.raft.lastIndex())
+    reportViolation("commit within the log", after.self.id.value + " commits past its log");
+  for (LogIndex index = after.raft.logBaseIndex().next(); index <= after.raft.commitIndex();
        index = index.next())
-    commits(index);
+    checkCommittedEntry(index);
 }
 
-void StepJudge::commits(LogIndex index) {
+void StepInvariantChecker::checkCommittedEntry(LogIndex index) {
   const LogEntry& entry = after.raft.entry(index);
-  if (index <= ghost.last()) {
-    const auto& known = ghost.at(index);
-    if (!sameEntry(entry, LogEntry{known.term, known.members, known.payload}))
-      breaks("committed is never changed",
-             after.self.id.value + " has another entry committed at " + at(index));
+  if (index <= history.lastIndex()) {
+    const auto& known = history.entryAt(index);
+    if (!sameEntry(entry, LogEntry{known.term, known.isMembership, known.payload}))
+      reportViolation("committed is never changed",
+                      after.self.id.value + " has another entry committed at " + at(index));
     return;
   }
-  if (!after.raft.leads())
-    return breaks("only leaders commit first", after.self.id.value + " commits " + at(index));
-  if (entry.members)
-    membership(ghost.members(), unpack<Members>(entry.payload).value());
-  ghost.commit(entry, after.raft.term());
-  onMajorityOfDisks(index);
+  if (!after.raft.isLeader())
+    return reportViolation("only leaders commit first",
+                           after.self.id.value + " commits " + at(index));
+  if (entry.isMembership)
+    checkMembershipChange(history.committedMembers(), unpack<Membership>(entry.payload).value());
+  history.commit(entry, after.raft.term());
+  checkOnMajorityOfDisks(index);
   const Term newest = after.raft.entry(after.raft.commitIndex()).term;
   if (!outcomesOnly && newest != after.raft.term())
-    breaks("a leader counts entries of its own term",
-           after.self.id.value + " commits " + at(index));
+    reportViolation("a leader counts entries of its own term",
+                    after.self.id.value + " commits " + at(index));
 }
 
-void StepJudge::onMajorityOfDisks(LogIndex index) {
+void StepInvariantChecker::checkOnMajorityOfDisks(LogIndex index) {
   if (outcomesOnly)
     return;
-  const auto voters = votersOf(after.raft.members());
+  const auto voters = votersOf(after.raft.membership());
   const auto holders = std::count_if(voters.begin(), voters.end(), [&](const ControllerId& id) {
-    const auto* image = imageOf(id);
-    return image && image->holds(index, after.raft.entry(index).term);
+    const auto* image = findDiskImage(id);
+    return image && image->contains(index, after.raft.entry(index).term);
   });
   if (std::size_t(holders) < majorityOf(voters.size()))
-    breaks("committed is on a majority of disks", at(index) + " is on " + std::to_string(holders) +
-                                                      " of " + std::to_string(voters.size()));
+    reportViolation(
+        "committed is on a majority of disks",
+        at(index) + " is on " + std::to_string(holders) + " of " + std::to_string(voters.size()));
 }
 
 // A disk that holds a committed entry goes on holding it: a majority was counted on it.
-void StepJudge::keptOnDisk() {
+void StepInvariantChecker::checkDurability() {
   if (outcomesOnly || after.self.id != before.self.id)
     return;
-  for (LogIndex index{1}; index <= ghost.last(); index = index.next()) {
-    const Term term = ghost.at(index).term;
-    if (before.image.holds(index, term) && !after.image.holds(index, term))
-      breaks("a disk keeps what is committed", after.self.id.value + " dropped " + at(index));
+  for (LogIndex index{1}; index <= history.lastIndex(); index = index.next()) {
+    const Term term = history.entryAt(index).term;
+    if (before.diskImage.contains(index, term) && !after.diskImage.contains(index, term))
+      reportViolation("a disk keeps what is committed",
+                      after.self.id.value + " dropped " + at(index));
   }
 }
 
-const DiskImage* StepJudge::imageOf(const ControllerId& id) const {
+const DiskImage* StepInvariantChecker::findDiskImage(const ControllerId& id) const {
   if (id == after.self.id)
-    return &after.image;
-  if (const auto machine = world.machineOf(id))
-    return &world.node(*machine).image;
-  const auto lost = ghost.lostDisks.find(id);
-  return lost == ghost.lostDisks.end() ? nullptr : &lost->second;
+    return &after.diskImage;
+  if (const auto machine = cluster.machineOf(id))
+    return &cluster.node(*machine).diskImage;
+  const auto lost = history.lostDisks.find(id);
+  return lost == history.lostDisks.end() ? nullptr : &lost->second;
 }
 
 // Any majority of one meets any majority of the next.
-void StepJudge::membership(const Members& earlier, const Members& later) {
+void StepInvariantChecker::checkMembershipChange(const Membership& earlier,
+                                                 const Membership& later) {
   const auto old = votersOf(earlier), fresh = votersOf(later);
   std::set<ControllerId> all = old;
   all.insert(fresh.begin(), fresh.end());
   const auto common = old.size() + fresh.size() - all.size();
   if (all.size() - common > 1)
-    breaks("one voter a change", std::to_string(all.size() - common) + " voters differ");
+    reportViolation("one voter a change", std::to_string(all.size() - common) + " voters differ");
   if (majorityOf(old.size()) + majorityOf(fresh.size()) <= all.size())
-    breaks("majorities overlap", "of successive committed memberships");
+    reportViolation("majorities overlap", "of successive committed memberships");
 }
 
 // The same index and term: the same entry, and the same before it.
-void StepJudge::logMatching(const ModelNode& other) {
-  const auto low = std::max(after.raft.snapshotIndex(), other.raft.snapshotIndex());
+void StepInvariantChecker::checkLogMatching(const ModelNode& other) {
+  const auto low = std::max(after.raft.logBaseIndex(), other.raft.logBaseIndex());
   bool agrees = false;
-  for (LogIndex index = std::min(after.raft.last(), other.raft.last()); index > low;
+  for (LogIndex index = std::min(after.raft.lastIndex(), other.raft.lastIndex()); index > low;
        index = LogIndex{index.value - 1}) {
     const LogEntry& left = after.raft.entry(index);
     const LogEntry& right = other.raft.entry(index);
     agrees = agrees || left.term == right.term;
     if (agrees && !sameEntry(left, right))
-      return breaks("log matching", after.self.id.value + " and " + other.self.id.value +
-                                        " differ at " + at(index) + " below a common entry");
+      return reportViolation("log matching", after.self.id.value + " and " + other.self.id.value +
+                                                 " differ at " + at(index) +
+                                                 " below a common entry");
   }
 }
 
-void StepJudge::pendingChanges() {
+void StepInvariantChecker::checkPendingChanges() {
   std::size_t pending = 0;
-  for (LogIndex index = std::max(after.raft.snapshotIndex(), ghost.last()).next();
-       index <= after.raft.last(); index = index.next())
-    pending += after.raft.entry(index).members;
+  for (LogIndex index = std::max(after.raft.logBaseIndex(), history.lastIndex()).next();
+       index <= after.raft.lastIndex(); index = index.next())
+    pending += after.raft.entry(index).isMembership;
   if (pending > 1)
-    breaks("one pending change", after.self.id.value + " holds " + std::to_string(pending));
-  if (outcomesOnly || !after.raft.leads())
+    reportViolation("one pending change",
+                    after.self.id.value + " holds " + std::to_string(pending));
+  if (outcomesOnly || !after.raft.isLeader())
     return;
-  const LogIndex committedIndex = std::min(after.raft.commitIndex(), ghost.last());
-  const Term committed = committedIndex.value ? ghost.at(committedIndex).term : Term{};
-  for (LogIndex index = std::max(after.raft.snapshotIndex(), before.raft.last()).next();
-       index <= after.raft.last(); index = index.next())
-    if (after.raft.entry(index).members && committed != after.raft.term())
-      breaks("a change rests on a committed entry of its leader's term", after.self.id.value);
+  const LogIndex committedIndex = std::min(after.raft.commitIndex(), history.lastIndex());
+  const Term committed = committedIndex.value ? history.entryAt(committedIndex).term : Term{};
+  for (LogIndex index = std::max(after.raft.logBaseIndex(), before.raft.lastIndex()).next();
+       index <= after.raft.lastIndex(); index = index.next())
+    if (after.raft.entry(index).isMembership && committed != after.raft.term())
+      reportViolation("a change rests on a committed entry of its leader's term",
+                      after.self.id.value);
 }
 
 // A confirmed read shows at least what was committed anywhere when it began.
-void StepJudge::reads() {
-  std::erase_if(ghost.reads, [&](const PendingRead& read) {
+void StepInvariantChecker::checkReads() {
+  std::erase_if(history.pendingReads, [&](const PendingRead& read) {
     if (read.reader != after.self.id)
       return false;
-    if (!after.raft.leads() || after.raft.term() != read.term)
+    if (!after.raft.isLeader() || after.raft.term() != read.term)
       return true;  // never answered
-    if (read.barrier > after.raft.commitIndex() || read.round > after.raft.confirmedRound())
+    if (read.lastIndexAtStart > after.raft.commitIndex() ||
+        read.round > after.raft.confirmedRound())
       return false;
-    if (read.barrier < read.floor)
-      breaks("no old read", after.self.id.value + " confirms a read up to " + at(read.barrier) +
-                                " that began when " + at(read.floor) + " was committed");
+    if (read.lastIndexAtStart < read.committedAtStart)
+      reportViolation("no old read", after.self.id.value + " confirms a read up to " +
+                                         at(read.lastIndexAtStart) + " that began when " +
+                                         at(read.committedAtStart) + " was committed");
     return true;
   });
 }
 
 // Who is told to be out is no voter of the newest committed membership.
-void StepJudge::removal() {
+void StepInvariantChecker::checkRemoval() {
   if (!after.raft.removedFromCluster() || before.raft.removedFromCluster())
     return;
-  if (votersOf(ghost.members()).count(after.self.id))
-    breaks("removed by a committed change only",
-           after.self.id.value + " takes itself for removed, the committed members count it");
+  if (votersOf(history.committedMembers()).count(after.self.id))
+    reportViolation(
+        "removed by a committed change only",
+        after.self.id.value + " takes itself for removed, the committed members count it");
 }
 
-void StepJudge::installed() {
+void StepInvariantChecker::checkInstalledSnapshot() {
   const auto& snapshot = after.raft.snapshot();
-  if (snapshot.index == LogIndex{})
+  if (snapshot.lastIncludedIndex == LogIndex{})
     return;
-  if (snapshot.index > ghost.last() ||
-      snapshot.state != std::to_string(ghost.digestAt(snapshot.index)) ||
-      snapshot.members != ghost.membersAt(snapshot.index))
-    breaks("a snapshot is of the committed log", after.self.id.value);
+  if (snapshot.lastIncludedIndex > history.lastIndex() ||
+      snapshot.state != std::to_string(history.digestAt(snapshot.lastIncludedIndex)) ||
+      snapshot.membership != history.committedMembersAt(snapshot.lastIncludedIndex))
+    reportViolation("a snapshot is of the committed log", after.self.id.value);
 }
 
 }  // namespace aniseline::model
--- a/source/checker/model/step_judge.hpp
+++ b/source/checker/model/step_judge.hpp
@@ -5,48 +5,48 @@
 namespace aniseline::model {
 
 // Judges what a node's step did and writes the ghost's part of it. The first broken rule is kept.
-class StepJudge {
+class StepInvariantChecker {
  public:
-  StepJudge(const ModelWorld& world, const ModelNode& before, const ModelNode& after, Ghost& ghost,
-            bool outcomesOnly, bool restarted)
-      : world(world),
+  StepInvariantChecker(const ModelCluster& cluster, const ModelNode& before, const ModelNode& after,
+                       HistoryVariables& history, bool outcomesOnly, bool restarted)
+      : cluster(cluster),
         before(before),
         after(after),
-        ghost(ghost),
+        history(history),
         outcomesOnly(outcomesOnly),
         restarted(restarted) {}
 
   // What leaves the node, as it leaves it.
-  void sent(const PeerMessage& message);
+  void checkSentMessage(const PeerMessage& message);
   // What the node's state says after the step.
-  void state();
-  const std::optional<std::string>& verdict() const { return broken; }
+  void checkState();
+  const std::optional<std::string>& violation() const { return brokenRule; }
 
  private:
-  void breaks(const std::string& rule, const std::string& detail);
-  void claim(const AppendEntriesReply& reply);
-  void grant(const ControllerId& candidate, const RequestVoteReply& reply);
-  void leadership();
-  void completeness();
-  void commitIndex();
-  void commits(LogIndex index);
-  void keptOnDisk();
-  void onMajorityOfDisks(LogIndex index);
-  void membership(const Members& earlier, const Members& later);
-  void logMatching(const ModelNode& other);
-  void pendingChanges();
-  void reads();
-  void removal();
-  void installed();
-  const DiskImage* imageOf(const ControllerId& id) const;
+  void reportViolation(const std::string& rule, const std::string& detail);
+  void checkMatchClaim(const AppendEntriesReply& reply);
+  void checkVote(const ControllerId& candidate, const RequestVoteReply& reply);
+  void checkLeadership();
+  void checkLeaderCompleteness();
+  void checkCommitIndex();
+  void checkCommittedEntry(LogIndex index);
+  void checkDurability();
+  void checkOnMajorityOfDisks(LogIndex index);
+  void checkMembershipChange(const Membership& earlier, const Membership& later);
+  void checkLogMatching(const ModelNode& other);
+  void checkPendingChanges();
+  void checkReads();
+  void checkRemoval();
+  void checkInstalledSnapshot();
+  const DiskImage* findDiskImage(const ControllerId& id) const;
 
-  const ModelWorld& world;
+  const ModelCluster& cluster;
   const ModelNode& before;
   const ModelNode& after;
-  Ghost& ghost;
+  HistoryVariables& history;
   bool outcomesOnly;
   bool restarted;  // the step began another life, which knows only what its disk held
-  std::optional<std::string> broken;
+  std::optional<std::string> brokenRule;
 };
 
 }  // namespace aniseline::model
--- a/source/checker/model/world.cpp
+++ b/source/checker/model/world.cpp
@@ -10,14 +10,14 @@
 // Five of the longest election times: past it a leader stops waiting for late readings, a candidate
 // asks again, and a learner asks whether it is still one (2 s).
 Duration pastEveryTimeOut(const RaftOptions& options) {
-  return Duration{5 * options.electionHigh.milliseconds + 1};
+  return Duration{5 * options.electionTimeoutMax.milliseconds + 1};
 }
 
 std::string letter(std::size_t machine) {
   return std::string(1, char('a' + machine));
 }
 
-const Member* memberIn(const Members& members, const ControllerId& id) {
+const Member* memberIn(const Membership& members, const ControllerId& id) {
   for (const auto& member : members)
     if (member.id == id)
       return &member;
@@ -25,45 +25,45 @@
 }
 
 bool beginsLife(ActionKind kind) {
-  return kind == ActionKind::restart || kind == ActionKind::restartKept ||
-         kind == ActionKind::loseDisk || kind == ActionKind::renew;
+  return kind == ActionKind::restart || kind == ActionKind::restartKeepingWrite ||
+         kind == ActionKind::loseDisk || kind == ActionKind::rejoinAsNewMember;
 }
 
-bool isVoter(const Members& members, const ControllerId& id) {
+bool isVoter(const Membership& members, const ControllerId& id) {
   const auto* member = memberIn(members, id);
   return member && member->voter;
 }
 
 }  // namespace
 
-RaftOptions ModelOptions::discreteRaft() {
+RaftOptions ModelOptions::discreteRaftOptions() {
   RaftOptions options;
-  options.electionLow = options.electionHigh = Duration{500};
-  options.keepEntries = 1;  // so that a compacted log is soon behind a follower's
-  options.keepBytes = 0;
+  options.electionTimeoutMin = options.electionTimeoutMax = Duration{500};
+  options.retainedEntries = 1;  // so that a compacted log is soon behind a follower's
+  options.maxRetainedBytes = 0;
   return options;
 }
 
-Member ModelWorld::memberAt(std::size_t machine, unsigned life) {
+Member ModelCluster::memberAt(std::size_t machine, unsigned life) {
   const auto name = letter(machine);
   return Member{ControllerId{name + std::to_string(life)}, Address{name + ":1"}, ZoneName{name},
                 false};
 }
 
-ModelWorld::ModelWorld(std::shared_ptr<const ModelOptions> given) : options(std::move(given)) {
-  Members members;
+ModelCluster::ModelCluster(std::shared_ptr<const ModelOptions> given) : options(std::move(given)) {
+  Membership members;
   for (std::size_t machine = 0; machine < options->voters; ++machine) {
     members.push_back(memberAt(machine, 1));
     members.back().voter = true;
   }
   WriteAheadRecord founding;
   founding.version = DiskVersion{1};
-  founding.whole = true;
+  founding.holdsSnapshot = true;
   founding.term = Term{1};
-  founding.first = LogIndex{1};
+  founding.firstIndex = LogIndex{1};
   founding.entries.push_back(LogEntry{Term{1}, true, pack(members)});
-  auto ghost = std::make_shared<Ghost>();
-  ghost->commit(founding.entries[0], Term{1});
+  auto history = std::make_shared<HistoryVariables>();
+  history->commit(founding.entries[0], Term{1});
   for (std::size_t machine = 0; machine < options->machines; ++machine) {
     std::vector<WriteAheadRecord> disk;
     if (machine < options->voters)
@@ -71,130 +71,131 @@
     auto node = std::make_shared<ModelNode>(memberAt(machine, 1), options->raft, std::move(disk));
     nodes.push_back({node, node->hash()});
   }
-  pastHash = ghost->hash();
-  past = std::move(ghost);
+  historyHash = history->hash();
+  currentHistory = std::move(history);
 }
 
-void ModelWorld::allow(std::shared_ptr<const ModelOptions> from) {
+void ModelCluster::setOptions(std::shared_ptr<const ModelOptions> from) {
   options = std::move(from);
-  used = {};
+  actionCounts = {};
 }
 
-std::uint64_t ModelWorld::hash() const {
-  std::uint64_t all = pastHash;
+std::uint64_t ModelCluster::hash() const {
+  std::uint64_t all = historyHash;
   for (const auto& slot : nodes)
-    all = combine(all, slot.hash + slot.life);
+    all = combineHashes(all, slot.hash + slot.incarnation);
   for (const auto& packet : packets)
-    all = combine(all, packet->hash);
-  for (const auto count : used)
-    all = combine(all, count);
+    all = combineHashes(all, packet->hash);
+  for (const auto count : actionCounts)
+    all = combineHashes(all, count);
   return all;
 }
 
-std::optional<std::size_t> ModelWorld::machineOf(const ControllerId& id) const {
+std::optional<std::size_t> ModelCluster::machineOf(const ControllerId& id) const {
   for (std::size_t machine = 0; machine < nodes.size(); ++machine)
     if (nodes[machine].node->self.id == id)
       return machine;
   return std::nullopt;
 }
 
-bool ModelWorld::within(ActionKind kind) const {
+bool ModelCluster::withinBudget(ActionKind kind) const {
   const auto limit = options->budget.find(kind);
-  return limit == options->budget.end() || used[std::size_t(kind)] < limit->second;
+  return limit == options->budget.end() || actionCounts[std::size_t(kind)] < limit->second;
 }
 
-std::vector<Action> ModelWorld::enabled() const {
+std::vector<Action> ModelCluster::enabledActions() const {
   std::vector<Action> actions;
   std::uint64_t lastSeen = 0;
   for (const auto& packet : packets) {
     if (packet->hash == lastSeen)
       continue;  // two of a kind: either is the same step
     lastSeen = packet->hash;
-    for (const auto kind : {ActionKind::deliver, ActionKind::duplicate, ActionKind::lose})
-      if (within(kind))
+    for (const auto kind : {ActionKind::deliver, ActionKind::duplicate, ActionKind::drop})
+      if (withinBudget(kind))
         actions.push_back({kind, 0, 0, packet->hash});
   }
   for (std::size_t machine = 0; machine < nodes.size(); ++machine) {
     addNodeActions(machine, actions);
-    if (node(machine).raft.leads())
+    if (node(machine).raft.isLeader())
       addLeaderActions(machine, actions);
   }
   return actions;
 }
 
-void ModelWorld::addNodeActions(std::size_t machine, std::vector<Action>& actions) const {
-  for (const auto kind : {ActionKind::startWrite, ActionKind::completeWrite, ActionKind::timeOut,
-                          ActionKind::silence, ActionKind::restart, ActionKind::restartKept,
-                          ActionKind::loseDisk, ActionKind::renew, ActionKind::compact}) {
+void ModelCluster::addNodeActions(std::size_t machine, std::vector<Action>& actions) const {
+  for (const auto kind :
+       {ActionKind::startWrite, ActionKind::completeWrite, ActionKind::electionTimeout,
+        ActionKind::leaderSilence, ActionKind::restart, ActionKind::restartKeepingWrite,
+        ActionKind::loseDisk, ActionKind::rejoinAsNewMember, ActionKind::compact}) {
     const Action action{kind, std::uint8_t(machine)};
-    if (can(action))
+    if (isEnabled(action))
       actions.push_back(action);
   }
   for (std::size_t other = 0; other < nodes.size(); ++other) {
     const Action action{ActionKind::join, std::uint8_t(machine), std::uint8_t(other)};
-    if (can(action))
+    if (isEnabled(action))
       actions.push_back(action);
   }
 }
 
-void ModelWorld::addLeaderActions(std::size_t machine, std::vector<Action>& actions) const {
-  for (const auto kind :
-       {ActionKind::heartbeat, ActionKind::propose, ActionKind::read, ActionKind::transfer}) {
+void ModelCluster::addLeaderActions(std::size_t machine, std::vector<Action>& actions) const {
+  for (const auto kind : {ActionKind::heartbeat, ActionKind::propose, ActionKind::read,
+                          ActionKind::transferLeadership}) {
     const Action action{kind, std::uint8_t(machine)};
-    if (can(action))
+    if (isEnabled(action))
       actions.push_back(action);
   }
   // Members by the machine that holds or held them; one whose identity is lost is named by it too.
   for (const auto kind : {ActionKind::removeMember, ActionKind::promote})
-    for (std::size_t place = 0; place < node(machine).raft.members().size(); ++place) {
+    for (std::size_t place = 0; place < node(machine).raft.membership().size(); ++place) {
       const Action action{kind, std::uint8_t(machine), std::uint8_t(place)};
-      if (can(action))
+      if (isEnabled(action))
         actions.push_back(action);
     }
 }
 
-bool ModelWorld::can(const Action& action) const {
-  if (!within(action.kind))
+bool ModelCluster::isEnabled(const Action& action) const {
+  if (!withinBudget(action.kind))
     return false;
-  if (action.packet)
-    return find(action.packet) != nullptr;
-  const ModelNode& own = node(action.node);
+  if (action.packetHash)
+    return findPacket(action.packetHash) != nullptr;
+  const ModelNode& own = node(action.machine);
   switch (action.kind) {
     case ActionKind::startWrite:
-      return !options->writesAtOnce && !own.writing();
+      return !options->writeImmediately && !own.writing();
     case ActionKind::completeWrite:
-    case ActionKind::restartKept:
+    case ActionKind::restartKeepingWrite:
       return own.writing();
-    case ActionKind::timeOut:
+    case ActionKind::electionTimeout:
     case ActionKind::restart:
       return true;
-    case ActionKind::silence:
-      return !own.raft.leads() && !own.raft.blank();
+    case ActionKind::leaderSilence:
+      return !own.raft.isLeader() && !own.raft.isBlank();
     case ActionKind::loseDisk:
-      return !own.raft.blank() && mayLoseDisk(own.self.id);
-    case ActionKind::renew:
+      return !own.raft.isBlank() && mayLoseDisk(own.self.id);
+    case ActionKind::rejoinAsNewMember:
       return own.raft.removedFromCluster();
     case ActionKind::join:
-      return own.raft.blank() && node(action.other).raft.leads();
+      return own.raft.isBlank() && node(action.target).raft.isLeader();
     case ActionKind::compact:
-      return own.raft.commitIndex() > own.raft.snapshot().index;
+      return own.raft.commitIndex() > own.raft.snapshot().lastIncludedIndex;
     default:
-      return canLead(action);
+      return isEnabledForLeader(action);
   }
 }
 
-bool ModelWorld::canLead(const Action& action) const {
-  const RaftNode& raft = node(action.node).raft;
-  if (!raft.leads())
+bool ModelCluster::isEnabledForLeader(const Action& action) const {
+  const RaftNode& raft = node(action.machine).raft;
+  if (!raft.isLeader())
     return false;
   if (action.kind == ActionKind::heartbeat)
     return true;
   // Whether a change of members may be proposed is for the core to say.
   if (action.kind != ActionKind::removeMember && action.kind != ActionKind::promote)
-    return raft.serves();
-  if (action.other >= raft.members().size())
+    return raft.canServe();
+  if (action.target >= raft.membership().size())
     return false;
-  const Member& member = raft.members()[action.other];
+  const Member& member = raft.membership()[action.target];
   if (action.kind == ActionKind::promote)
     return !member.voter;
   return member.id != raft.self().id;  // the controller never puts itself out
@@ -202,15 +203,15 @@
 
 // No more voters than a membership's quorum can spare, in each membership that is in force
 // somewhere.
-bool ModelWorld::mayLoseDisk(const ControllerId& id) const {
-  std::vector<Members> inForce{past->members()};
+bool ModelCluster::mayLoseDisk(const ControllerId& id) const {
+  std::vector<Membership> inForce{currentHistory->committedMembers()};
   for (const auto& slot : nodes)
-    inForce.push_back(slot.node->raft.members());
+    inForce.push_back(slot.node->raft.membership());
   for (const auto& members : inForce) {
     std::size_t voters = 0, lost = 0;
     for (const auto& member : members) {
       voters += member.voter;
-      lost += member.voter && past->lostDisks.count(member.id);
+      lost += member.voter && currentHistory->lostDisks.count(member.id);
     }
     if (isVoter(members, id) && lost + 1 > (voters - 1) / 2)
       return false;
@@ -218,36 +219,36 @@
   return true;
 }
 
-bool ModelWorld::apply(const Action& action) {
-  broken.reset();
-  if (!can(action))
+bool ModelCluster::apply(const Action& action) {
+  brokenRule.reset();
+  if (!isEnabled(action))
     return false;
-  ++used[std::size_t(action.kind)];
+  ++actionCounts[std::size_t(action.kind)];
   if (!options->budget.count(action.kind))
-    used[std::size_t(action.kind)] = 0;  // what has no bound is not counted
-  if (action.kind == ActionKind::lose) {
-    take(action.packet);
+    actionCounts[std::size_t(action.kind)] = 0;  // what has no bound is not counted
+  if (action.kind == ActionKind::drop) {
+    removePacket(action.packetHash);
     return true;
   }
-  std::size_t machine = action.node;
-  if (action.packet)
-    machine = *receiver(find(action.packet)->message);
+  std::size_t machine = action.machine;
+  if (action.packetHash)
+    machine = *recipientOf(findPacket(action.packetHash)->message);
   const auto before = nodes[machine].node;
   auto after = std::make_shared<ModelNode>(*before);
-  auto ghost = std::make_shared<Ghost>(*past);
-  if (action.kind == ActionKind::loseDisk || action.kind == ActionKind::renew)
-    beginAnew(machine, *after, *ghost);
+  auto ghost = std::make_shared<HistoryVariables>(*currentHistory);
+  if (action.kind == ActionKind::loseDisk || action.kind == ActionKind::rejoinAsNewMember)
+    replaceIdentity(machine, *after, *ghost);
   else
-    act(action, *after, *ghost);
+    performAction(action, *after, *ghost);
   runEffects(*after, *ghost, *before, beginsLife(action.kind));
   nodes[machine].hash = after->hash();
   nodes[machine].node = std::move(after);
-  pastHash = ghost->hash();
-  past = std::move(ghost);
+  historyHash = ghost->hash();
+  currentHistory = std::move(ghost);
   return true;
 }
 
-void ModelWorld::act(const Action& action, ModelNode& node, Ghost& ghost) {
+void ModelCluster::performAction(const Action& action, ModelNode& node, HistoryVariables& ghost) {
   const RaftOptions& raft = options->raft;
   switch (action.kind) {
     case ActionKind::deliver:
@@ -259,55 +260,58 @@
     case ActionKind::completeWrite:
       return completeWrite(node);
     case ActionKind::heartbeat:
-      node.advance(raft.heartbeat);
+      node.advanceClock(raft.heartbeatInterval);
       return node.tick();
-    case ActionKind::timeOut:
-      node.advance(pastEveryTimeOut(raft));
+    case ActionKind::electionTimeout:
+      node.advanceClock(pastEveryTimeOut(raft));
       return node.tick();
-    case ActionKind::silence:
-      return node.advance(raft.electionLow);
+    case ActionKind::leaderSilence:
+      return node.advanceClock(raft.electionTimeoutMin);
     case ActionKind::restart:
-    case ActionKind::restartKept:
-      std::erase_if(ghost.reads, [&](const auto& read) { return read.reader == node.self.id; });
-      return node.restart(raft, action.kind == ActionKind::restartKept, options->tamper.oldDisk);
+    case ActionKind::restartKeepingWrite:
+      std::erase_if(ghost.pendingReads,
+                    [&](const auto& read) { return read.reader == node.self.id; });
+      return node.restart(raft, action.kind == ActionKind::restartKeepingWrite,
+                          options->seededDefect.restartsFromOldDisk);
     case ActionKind::compact:
       return node.raft.compact(node.raft.commitIndex(),
                                std::to_string(ghost.digestAt(node.raft.commitIndex())));
     case ActionKind::join:
-      node.raft.join(this->node(action.other).self.peer);
-      node.advance(pastEveryTimeOut(raft));
+      node.raft.setJoinAddress(this->node(action.target).self.address);
+      node.advanceClock(pastEveryTimeOut(raft));
       return node.tick();
     default:
-      return actOnCluster(action, node, ghost);
+      return performLeaderAction(action, node, ghost);
   }
 }
 
-void ModelWorld::completeWrite(ModelNode& node) const {
-  if (options->tamper.diskLies)
-    node.pretendWrite();
+void ModelCluster::completeWrite(ModelNode& node) const {
+  if (options->seededDefect.acknowledgesUnsyncedWrites)
+    node.acknowledgeWithoutWriting();
   else
     node.completeWrite();
-  node.openLeadership();
+  node.proposeOpeningEntry();
 }
 
-void ModelWorld::actOnCluster(const Action& action, ModelNode& node, Ghost& ghost) {
-  Members members = node.raft.members();
+void ModelCluster::performLeaderAction(const Action& action, ModelNode& node,
+                                       HistoryVariables& ghost) {
+  Membership members = node.raft.membership();
   switch (action.kind) {
     case ActionKind::propose:
-      node.raft.propose(node.payload("value"), node.now());
+      node.raft.propose(node.uniquePayload("value"), node.now());
       break;
     case ActionKind::read:
       beginRead(node, ghost);
       break;
     case ActionKind::removeMember:
-      members.erase(members.begin() + action.other);
-      node.raft.proposeMembers(members, node.now());
+      members.erase(members.begin() + action.target);
+      node.raft.proposeMembership(members, node.now());
       break;
     case ActionKind::promote:
-      members[action.other].voter = true;
-      node.raft.proposeMembers(members, node.now());
+      members[action.target].voter = true;
+      node.raft.proposeMembership(members, node.now());
       break;
-    case ActionKind::transfer:
+    case ActionKind::transferLeadership:
       return node.raft.transferLeadership(node.now());
     default:
       return;
@@ -315,72 +319,72 @@
   node.tick();  // what was proposed leaves at once
 }
 
-void ModelWorld::beginRead(ModelNode& node, Ghost& ghost) const {
+void ModelCluster::beginRead(ModelNode& node, HistoryVariables& ghost) const {
   PendingRead read;
   read.reader = node.self.id;
   read.term = node.raft.term();
   read.round = node.raft.startRound(node.now());
-  read.barrier = node.raft.last();
-  read.floor = ghost.last();
-  ghost.reads.push_back(read);
+  read.lastIndexAtStart = node.raft.lastIndex();
+  read.committedAtStart = ghost.lastIndex();
+  ghost.pendingReads.push_back(read);
 }
 
-void ModelWorld::deliver(const Action& action, ModelNode& node) {
-  const PeerMessage message = find(action.packet)->message;
+void ModelCluster::deliver(const Action& action, ModelNode& node) {
+  const PeerMessage message = findPacket(action.packetHash)->message;
   if (action.kind == ActionKind::deliver)
-    take(action.packet);
+    removePacket(action.packetHash);
   node.raft.receive(message, node.now());
 }
 
-void ModelWorld::beginAnew(std::size_t machine, ModelNode& node, Ghost& ghost) {
+void ModelCluster::replaceIdentity(std::size_t machine, ModelNode& node, HistoryVariables& ghost) {
   const ControllerId old = node.self.id;
-  ghost.lostDisks[old] = node.image;
-  std::erase_if(ghost.reads, [&](const auto& read) { return read.reader == old; });
+  ghost.lostDisks[old] = node.diskImage;
+  std::erase_if(ghost.pendingReads, [&](const auto& read) { return read.reader == old; });
   std::erase_if(packets, [&](const auto& packet) { return packet->message.to == old; });
-  ++nodes[machine].life;
-  node = ModelNode(memberAt(machine, nodes[machine].life), options->raft, {});
+  ++nodes[machine].incarnation;
+  node = ModelNode(memberAt(machine, nodes[machine].incarnation), options->raft, {});
 }
 
-void ModelWorld::runEffects(ModelNode& node, Ghost& ghost, const ModelNode& before,
-                            bool restarted) {
-  node.openLeadership();
-  if (options->tamper.node)
-    options->tamper.node(node.raft);
-  node.raft.takeInstalled();
-  if (options->writesAtOnce)
+void ModelCluster::runEffects(ModelNode& node, HistoryVariables& ghost, const ModelNode& before,
+                              bool restarted) {
+  node.proposeOpeningEntry();
+  if (options->seededDefect.mutateNode)
+    options->seededDefect.mutateNode(node.raft);
+  node.raft.takeSnapshotInstalled();
+  if (options->writeImmediately)
     node.startWrite();
-  while (options->disksAtOnce && (node.writing() || node.startWrite()))
+  while (options->syncImmediately && (node.writing() || node.startWrite()))
     completeWrite(node);
-  StepJudge judge(*this, before, node, ghost, options->outcomesOnly, restarted);
+  StepInvariantChecker judge(*this, before, node, ghost, options->outcomesOnly, restarted);
   for (auto& message : node.raft.takeMessages()) {
-    judge.sent(message);
-    if (options->tamper.message)
-      options->tamper.message(message);
-    put(std::move(message));
+    judge.checkSentMessage(message);
+    if (options->seededDefect.mutateMessage)
+      options->seededDefect.mutateMessage(message);
+    send(std::move(message));
   }
-  judge.state();
-  broken = judge.verdict();
+  judge.checkState();
+  brokenRule = judge.violation();
 }
 
-std::optional<std::size_t> ModelWorld::receiver(const PeerMessage& message) const {
-  if (message.body.type() != typeid(Join))
+std::optional<std::size_t> ModelCluster::recipientOf(const PeerMessage& message) const {
+  if (message.body.type() != typeid(JoinRequest))
     return machineOf(message.to);
   for (std::size_t machine = 0; machine < nodes.size(); ++machine)
-    if (node(machine).self.peer == message.toAddress)
+    if (node(machine).self.address == message.toAddress)
       return machine;
   return std::nullopt;
 }
 
-void ModelWorld::put(PeerMessage message) {
-  if (!receiver(message))
+void ModelCluster::send(PeerMessage message) {
+  if (!recipientOf(message))
     return;  // nobody has this identity any more
   // Calendar clocks are no part of this model.
   if (auto* reply = boost::get<AppendEntriesReply>(&message.body))
-    reply->wall = WallTime{};
+    reply->wallTime = WallTime{};
   if (auto* reply = boost::get<InstallSnapshotReply>(&message.body))
-    reply->wall = WallTime{};
+    reply->wallTime = WallTime{};
   if (auto* reply = boost::get<AppendEntryChunkReply>(&message.body))
-    reply->wall = WallTime{};
+    reply->wallTime = WallTime{};
   const auto hash = hashOf(pack(message));
   const auto place =
       std::upper_bound(packets.begin(), packets.end(), hash,
@@ -388,32 +392,32 @@
   packets.insert(place, std::make_shared<const Packet>(Packet{std::move(message), hash}));
 }
 
-const Packet* ModelWorld::find(std::uint64_t hash) const {
+const Packet* ModelCluster::findPacket(std::uint64_t hash) const {
   for (const auto& packet : packets)
     if (packet->hash == hash)
       return packet.get();
   return nullptr;
 }
 
-void ModelWorld::take(std::uint64_t hash) {
+void ModelCluster::removePacket(std::uint64_t hash) {
   const auto place = std::find_if(packets.begin(), packets.end(),
                                   [&](const auto& packet) { return packet->hash == hash; });
   packets.erase(place);
 }
 
-std::string ModelWorld::describe(const Action& action) const {
+std::string ModelCluster::describe(const Action& action) const {
   std::string text = name(action.kind);
-  if (action.packet) {
-    const auto* packet = find(action.packet);
+  if (action.packetHash) {
+    const auto* packet = findPacket(action.packetHash);
     return text + " " + (packet ? model::describe(packet->message) : "what is not there");
   }
-  const ModelNode& own = node(action.node);
+  const ModelNode& own = node(action.machine);
   text += " " + own.self.id.value;
   if (action.kind == ActionKind::join)
-    return text + " asks " + node(action.other).self.id.value;
+    return text + " asks " + node(action.target).self.id.value;
   if (action.kind == ActionKind::removeMember || action.kind == ActionKind::promote)
-    if (action.other < own.raft.members().size())
-      text += ": " + own.raft.members()[action.other].id.value;
+    if (action.target < own.raft.membership().size())
+      text += ": " + own.raft.membership()[action.target].id.value;
   return text;
 }
 
--- a/source/cli/cluster_commands.cpp
+++ b/source/cli/cluster_commands.cpp
@@ -6,25 +6,25 @@
 
 namespace {
 
-ExitCode replace(Session& session, const Words& words) {
-  return askAndShow(session, {"POST", "/v1/controllers/" + words[0] + "/replace", ""},
-                    [](const picojson::value& answer) {
-                      return "controller " + printable(textIn(answer, "replacing")) +
-                             ": a learner takes its place as soon as one has caught up\n";
-                    });
+ExitCode replace(Session& session, const Arguments& words) {
+  return sendAndShow(session, {"POST", "/v1/controllers/" + words[0] + "/replace", ""},
+                     [](const picojson::value& answer) {
+                       return "controller " + printable(textField(answer, "replacing")) +
+                              ": a learner takes its place as soon as one has caught up\n";
+                     });
 }
-ExitCode found(Session& session, const Words& words) {
-  if (auto endpoint = endpointOf(Address{words[0]}); !endpoint)
-    return failUsage(session, "found: " + endpoint.error().text());
-  auto answer = session.found(Address{words[0]});
+ExitCode found(Session& session, const Arguments& words) {
+  if (auto endpoint = parseEndpoint(Address{words[0]}); !endpoint)
+    return reportUsageError(session, "found: " + endpoint.error().text());
+  auto answer = session.bootstrapCluster(Address{words[0]});
   if (!answer)
-    return fail(session, answer.error());
+    return reportError(session, answer.error());
   const ApiResponse& told = answer.value();
   if (told.status >= 400)
-    return fail(session,
-                ClientError{ClientError::Kind::rejected, told.status, told.body, Duration{0}});
+    return reportError(
+        session, ClientError{ClientError::Kind::rejected, told.status, told.body, Duration{0}});
   session.out << told.body << "\n";
-  return ExitCode::done;
+  return ExitCode::success;
 }
 
 }  // namespace
--- a/source/cli/command.cpp
+++ b/source/cli/command.cpp
@@ -26,9 +26,9 @@
   return argument == "JOB" || argument == "WORKER" || argument == "CONTROLLER";
 }
 
-std::optional<std::string> faultOf(const Command& command, const Words& arguments,
+std::optional<std::string> faultOf(const Command& command, const Arguments& arguments,
                                    const std::vector<std::string>& given) {
-  if (arguments.size() < command.least() || arguments.size() > command.most())
+  if (arguments.size() < command.minArguments() || arguments.size() > command.maxArguments())
     return "it is: aniselinectl " + command.name + " " + command.arguments;
   std::istringstream shape(command.arguments);
   std::string argument;
@@ -46,10 +46,10 @@
 
 }  // namespace
 
-std::size_t Command::least() const {
+std::size_t Command::minArguments() const {
   return countWords(arguments, true);
 }
-std::size_t Command::most() const {
+std::size_t Command::maxArguments() const {
   return arguments.ends_with("...") ? 100 : countWords(arguments, false);
 }
 
@@ -61,7 +61,7 @@
 const std::vector<Command>& allCommands() {
   static const std::vector<Command> commands = [] {
     std::vector<Command> all;
-    for (auto part : {lookCommands(), jobCommands(), workerCommands(), configCommands(),
+    for (auto part : {inspectCommands(), jobCommands(), workerCommands(), configCommands(),
                       clusterCommands(), watchCommands()})
       all.insert(all.end(), part.begin(), part.end());
     return all;
@@ -69,7 +69,7 @@
   return commands;
 }
 
-const Command* commandOf(const Words& words, std::size_t& taken) {
+const Command* findCommand(const Arguments& words, std::size_t& taken) {
   static const std::map<std::string, std::string> otherNames{{"list", "jobs"}};
   for (taken = std::min<std::size_t>(2, words.size()); taken > 0; --taken) {
     std::string name = taken == 2 ? words[0] + " " + words[1] : words[0];
@@ -82,54 +82,57 @@
   return nullptr;
 }
 
-ExitCode runWords(Session& session, const Words& words, const std::vector<std::string>& given) {
+ExitCode runCommandLine(Session& session, const Arguments& words,
+                        const std::vector<std::string>& given) {
   std::size_t taken = 0;
-  const Command* command = commandOf(words, taken);
+  const Command* command = findCommand(words, taken);
   if (!command)
-    return failUsage(session, "the words make no command; `aniselinectl help` lists those that do");
-  const Words arguments(words.begin() + std::ptrdiff_t(taken), words.end());
+    return reportUsageError(session,
+                            "the words make no command; `aniselinectl help` lists those that do");
+  const Arguments arguments(words.begin() + std::ptrdiff_t(taken), words.end());
   std::vector<std::string> own = given;
   // What `watch` repeats has options of its own.
   if (std::size_t inner = 0; command->name == "watch")
-    if (const Command* repeated = commandOf(arguments, inner))
+    if (const Command* repeated = findCommand(arguments, inner))
       std::erase_if(own, [&](const std::string& option) {
         return std::count(repeated->options.begin(), repeated->options.end(), option) > 0;
       });
   if (auto fault = faultOf(*command, arguments, own))
-    return failUsage(session, command->name + ": " + *fault);
-  if (command->asks && !session.ask)
-    return failUsage(session, "--gateways: is missing, and ANISELINECTL_GATEWAYS is not set");
+    return reportUsageError(session, command->name + ": " + *fault);
+  if (command->needsGateways && !session.send)
+    return reportUsageError(session,
+                            "--gateways: is missing, and ANISELINECTL_GATEWAYS is not set");
   return command->run(session, arguments);
 }
 
 ExitCode show(Session& session, const picojson::value& answer, const View& view) {
-  if (!session.choices.json)
+  if (!session.options.json)
     session.out << view(answer);
   else
-    session.out << answer.serialize(!session.choices.compact)
-                << (session.choices.compact ? "\n" : "");
-  return ExitCode::done;
+    session.out << answer.serialize(!session.options.compact)
+                << (session.options.compact ? "\n" : "");
+  return ExitCode::success;
 }
-ExitCode askAndShow(Session& session, const HttpRequest& request, const View& view) {
-  auto answer = session.ask(request);
+ExitCode sendAndShow(Session& session, const HttpRequest& request, const View& view) {
+  auto answer = session.send(request);
   if (!answer)
-    return fail(session, answer.error());
+    return reportError(session, answer.error());
   picojson::value root;
   const std::string& body = answer.value().body;
   if (!parseJson(root, body).empty())
-    return fail(session,
-                ClientError{ClientError::Kind::unknown, 0, "the answer is not JSON", Duration{0}});
+    return reportError(
+        session, ClientError{ClientError::Kind::unknown, 0, "the answer is not JSON", Duration{0}});
   return show(session, root, view);
 }
-ExitCode fail(Session& session, const ClientError& error) {
-  session.err << (session.choices.json ? errorJson(error) + "\n" : errorText(error));
+ExitCode reportError(Session& session, const ClientError& error) {
+  session.err << (session.options.json ? errorJson(error) + "\n" : errorText(error));
   return exitCodeOf(error);
 }
-ExitCode failUsage(Session& session, const std::string& text) {
+ExitCode reportUsageError(Session& session, const std::string& text) {
   session.err << "aniselinectl: " << text << "\n";
   return ExitCode::usage;
 }
-std::optional<std::string> readWhole(Session& session, const std::string& file) {
+std::optional<std::string> readWholeFile(Session& session, const std::string& file) {
   std::ifstream stream(file);
   std::string text((std::istreambuf_iterator<char>(stream)), {});
   if (stream.is_open() && !stream.bad())
--- a/source/cli/config_commands.cpp
+++ b/source/cli/config_commands.cpp
@@ -11,23 +11,23 @@
 std::optional<std::string> goodConfig(Session& session, const std::string& file, ExitCode& code,
                                       std::size_t& queues) {
   code = ExitCode::usage;
-  auto text = readWhole(session, file);
+  auto text = readWholeFile(session, file);
   if (!text)
     return std::nullopt;
   auto parsed = ClusterConfig::parse(*text);
   if (!parsed) {
-    session.err << (session.choices.json ? errorJson(parsed.error()) + "\n"
+    session.err << (session.options.json ? errorJson(parsed.error()) + "\n"
                                          : errorText(file, parsed.error()));
-    code = ExitCode::refused;
+    code = ExitCode::rejected;
     return std::nullopt;
   }
   queues = parsed.value().queues.size();
   return text;
 }
-ExitCode showConfig(Session& session, const Words&) {
-  return askAndShow(session, {"GET", "/v1/config", ""}, configView);
+ExitCode showConfig(Session& session, const Arguments&) {
+  return sendAndShow(session, {"GET", "/v1/config", ""}, configView);
 }
-ExitCode checkConfig(Session& session, const Words& words) {
+ExitCode checkConfig(Session& session, const Arguments& words) {
   ExitCode code;
   std::size_t queues = 0;
   if (!goodConfig(session, words[0], code, queues))
@@ -38,33 +38,35 @@
                 return file + ": good, " + std::to_string(queues) + " queues\n";
               });
 }
-ExitCode applyConfig(Session& session, const Words& words) {
+ExitCode applyConfig(Session& session, const Arguments& words) {
   ExitCode code;
   std::size_t queues = 0;
   auto text = goodConfig(session, words[0], code, queues);
   if (!text)
     return code;
-  std::int64_t baseVersion = session.choices.baseVersion;
+  std::int64_t baseVersion = session.options.baseVersion;
   if (baseVersion < 0) {
-    auto now = session.ask({"GET", "/v1/config", ""});
+    auto now = session.send({"GET", "/v1/config", ""});
     picojson::value root;
-    if (!now && now.error().kind != ClientError::Kind::missing)
-      return fail(session, now.error());
+    if (!now && now.error().kind != ClientError::Kind::notFound)
+      return reportError(session, now.error());
     if (now && parseJson(root, now.value().body).empty())
-      baseVersion = std::int64_t(numberIn(root, "version", -1));
+      baseVersion = std::int64_t(numberField(root, "version", -1));
     if (!now)
       baseVersion = 0;  // there is none yet
     if (baseVersion < 0)
-      return fail(session, ClientError{ClientError::Kind::unknown, 0,
-                                       "the version in force can't be learned; give --based-on",
-                                       Duration{0}});
+      return reportError(
+          session,
+          ClientError{ClientError::Kind::unknown, 0,
+                      "the version in force can't be learned; give --based-on", Duration{0}});
   }
-  return askAndShow(session,
-                    {"PUT", "/v1/config",
-                     "{\"based_on\":" + std::to_string(baseVersion) + ",\"config\":" + *text + "}"},
-                    [](const picojson::value& answer) {
-                      return "config " + numberText(numberIn(answer, "version")) + " is in force\n";
-                    });
+  return sendAndShow(
+      session,
+      {"PUT", "/v1/config",
+       "{\"based_on\":" + std::to_string(baseVersion) + ",\"config\":" + *text + "}"},
+      [](const picojson::value& answer) {
+        return "config " + formatNumber(numberField(answer, "version")) + " is in force\n";
+      });
 }
 
 }  // namespace
--- a/source/cli/job_commands.cpp
+++ b/source/cli/job_commands.cpp
@@ -5,37 +5,37 @@
 
 namespace {
 
-ExitCode jobs(Session& session, const Words&) {
+ExitCode jobs(Session& session, const Arguments&) {
   static const std::set<std::string> states{"",         "timed",  "open",     "cancelling",
                                             "finished", "failed", "cancelled"};
-  const std::string& state = session.choices.state;
+  const std::string& state = session.options.state;
   if (!states.count(state))
-    return failUsage(session,
-                     "--state: must be timed, open, cancelling, finished, failed or cancelled");
-  return askAndShow(session,
-                    {"GET",
-                     "/v1/jobs?limit=" + std::to_string(session.choices.limit) +
-                         (state.empty() ? "" : "&state=" + state),
-                     ""},
-                    jobsView);
+    return reportUsageError(
+        session, "--state: must be timed, open, cancelling, finished, failed or cancelled");
+  return sendAndShow(session,
+                     {"GET",
+                      "/v1/jobs?limit=" + std::to_string(session.options.limit) +
+                          (state.empty() ? "" : "&state=" + state),
+                      ""},
+                     jobsView);
 }
-ExitCode showJob(Session& session, const Words& words) {
-  return askAndShow(session, {"GET", "/v1/jobs/" + words[0], ""}, jobView);
+ExitCode showJob(Session& session, const Arguments& words) {
+  return sendAndShow(session, {"GET", "/v1/jobs/" + words[0], ""}, jobView);
 }
-ExitCode submit(Session& session, const Words& words) {
-  auto text = readWhole(session, words[0]);
+ExitCode submit(Session& session, const Arguments& words) {
+  auto text = readWholeFile(session, words[0]);
   if (!text)
     return ExitCode::usage;
-  return askAndShow(session, {"POST", "/v1/jobs", *text}, [](const picojson::value& answer) {
-    return "job " + printable(textIn(answer, "id")) + ": accepted\n";
+  return sendAndShow(session, {"POST", "/v1/jobs", *text}, [](const picojson::value& answer) {
+    return "job " + printable(textField(answer, "id")) + ": accepted\n";
   });
 }
-ExitCode cancel(Session& session, const Words& words) {
-  return askAndShow(session, {"DELETE", "/v1/jobs/" + words[0], ""},
-                    [](const picojson::value& answer) {
-                      return "job " + printable(textIn(answer, "id")) + ": " +
-                             printable(textIn(answer, "state")) + "\n";
-                    });
+ExitCode cancel(Session& session, const Arguments& words) {
+  return sendAndShow(session, {"DELETE", "/v1/jobs/" + words[0], ""},
+                     [](const picojson::value& answer) {
+                       return "job " + printable(textField(answer, "id")) + ": " +
+                              printable(textField(answer, "state")) + "\n";
+                     });
 }
 
 }  // namespace
--- a/source/cli/look_commands.cpp
+++ b/source/cli/look_commands.cpp
@@ -6,36 +6,36 @@
 
 namespace {
 
-ExitCode cluster(Session& session, const Words&) {
-  return askAndShow(session, {"GET", "/v1/cluster", ""}, clusterView);
+ExitCode cluster(Session& session, const Arguments&) {
+  return sendAndShow(session, {"GET", "/v1/cluster", ""}, clusterView);
 }
-ExitCode workers(Session& session, const Words&) {
-  return askAndShow(session, {"GET", "/v1/workers", ""}, workersView);
+ExitCode workers(Session& session, const Arguments&) {
+  return sendAndShow(session, {"GET", "/v1/workers", ""}, workersView);
 }
-ExitCode plan(Session& session, const Words&) {
-  return askAndShow(session, {"GET", "/v1/plan", ""}, planView);
+ExitCode plan(Session& session, const Arguments&) {
+  return sendAndShow(session, {"GET", "/v1/plan", ""}, planView);
 }
-ExitCode counters(Session& session, const Words&) {
-  return askAndShow(session, {"GET", "/v1/counters", ""}, countersView);
+ExitCode counters(Session& session, const Arguments&) {
+  return sendAndShow(session, {"GET", "/v1/counters", ""}, countersView);
 }
-ExitCode queues(Session& session, const Words&) {
-  auto config = session.ask({"GET", "/v1/config", ""});
+ExitCode queues(Session& session, const Arguments&) {
+  auto config = session.send({"GET", "/v1/config", ""});
   if (!config)
-    return fail(session, config.error());
-  auto jobs = session.ask({"GET", "/v1/jobs?state=open&limit=1000", ""});
+    return reportError(session, config.error());
+  auto jobs = session.send({"GET", "/v1/jobs?state=open&limit=1000", ""});
   if (!jobs)
-    return fail(session, jobs.error());
+    return reportError(session, jobs.error());
   picojson::value configRoot, jobsRoot;
   if (!parseJson(configRoot, config.value().body).empty() ||
       !parseJson(jobsRoot, jobs.value().body).empty())
-    return fail(session,
-                ClientError{ClientError::Kind::unknown, 0, "the answer is not JSON", Duration{0}});
-  return show(session, queuesOf(configRoot, jobsRoot), queuesView);
+    return reportError(
+        session, ClientError{ClientError::Kind::unknown, 0, "the answer is not JSON", Duration{0}});
+  return show(session, queuesWithOpenJobs(configRoot, jobsRoot), queuesView);
 }
 
 }  // namespace
 
-std::vector<Command> lookCommands() {
+std::vector<Command> inspectCommands() {
   return {
       {"cluster",
        "",
--- a/source/cli/outcome.cpp
+++ b/source/cli/outcome.cpp
@@ -8,7 +8,7 @@
 
 std::optional<picojson::value> errorIn(const ClientError& error) {
   picojson::value root;
-  if (!parseJson(root, error.text).empty() || !fieldIn(root, "text").is<std::string>())
+  if (!parseJson(root, error.text).empty() || !jsonField(root, "text").is<std::string>())
     return std::nullopt;
   return root;
 }
@@ -18,7 +18,7 @@
 ExitCode exitCodeOf(const ClientError& error) {
   switch (error.status) {
     case 404:
-      return ExitCode::missing;
+      return ExitCode::notFound;
     case 409:
     case 412:
       return ExitCode::conflict;
@@ -26,14 +26,14 @@
       return ExitCode::overloaded;
   }
   switch (error.kind) {
-    case ClientError::Kind::missing:
-      return ExitCode::missing;
+    case ClientError::Kind::notFound:
+      return ExitCode::notFound;
     case ClientError::Kind::unknown:
       return ExitCode::unknown;
     case ClientError::Kind::rejected:
-      return ExitCode::refused;
+      return ExitCode::rejected;
   }
-  return ExitCode::refused;
+  return ExitCode::rejected;
 }
 
 std::string errorText(const ClientError& error) {
@@ -41,14 +41,15 @@
   const auto root = errorIn(error);
   if (!root)
     return "aniselinectl: " + status + printable(error.text) + "\n";
-  std::string text = "aniselinectl: " + status + printable(textIn(*root, "error", "error")) + ": ";
-  const auto& details = listIn(*root, "details");
+  std::string text =
+      "aniselinectl: " + status + printable(textField(*root, "error", "error")) + ": ";
+  const auto& details = listField(*root, "details");
   if (details.empty())
-    return text + printable(textIn(*root, "text")) + "\n";
+    return text + printable(textField(*root, "text")) + "\n";
   for (const auto& detail : details) {
-    const std::string path = textIn(detail, "path", "");
+    const std::string path = textField(detail, "path", "");
     text += (details.size() > 1 ? "\n  " : "") + (path.empty() ? "" : printable(path) + ": ") +
-            printable(textIn(detail, "text"));
+            printable(textField(detail, "text"));
   }
   return text + "\n";
 }
@@ -68,7 +69,7 @@
   return text;
 }
 std::string errorJson(const CoreError& error) {
-  return ApiResponse::from(error).body;
+  return ApiResponse::fromError(error).body;
 }
 
 }  // namespace aniseline
--- a/source/cli/outcome.hpp
+++ b/source/cli/outcome.hpp
@@ -5,10 +5,10 @@
 namespace aniseline {
 
 enum class ExitCode : int {
-  done = 0,
+  success = 0,
   usage = 2,       // the words, options or files are wrong; nothing was asked
-  refused = 3,     // the content or the order is not valid
-  missing = 4,     // there is no such thing
+  rejected = 3,    // the content or the order is not valid
+  notFound = 4,    // there is no such thing
   unknown = 5,     // no answer: it may or may not have been taken
   conflict = 6,    // something newer or other stands there
   overloaded = 7,  // turned away for now; ask again later
--- a/source/cli/queues_view.cpp
+++ b/source/cli/queues_view.cpp
@@ -17,20 +17,20 @@
 }
 picojson::object queueObject(const QueueOptions& queue) {
   return {
-      {"name", json(queue.name.value)},      {"urgency", json(queue.urgency)},
-      {"open_limit", json(queue.openLimit)}, {"reserved", json(queue.reserved)},
-      {"retries", json(queue.retries)},      {"trial_ms", json(queue.trial.quantum.milliseconds)},
+      {"name", json(queue.name.value)},        {"urgency", json(queue.priority)},
+      {"open_limit", json(queue.maxOpenJobs)}, {"reserved", json(queue.reservedOpenJobs)},
+      {"retries", json(queue.maxRetries)},     {"trial_ms", json(queue.trial.quantum.milliseconds)},
       {"policy", json(queue.policy)}};
 }
 
 }  // namespace
 
-picojson::value queuesOf(const picojson::value& config, const picojson::value& openJobs) {
+picojson::value queuesWithOpenJobs(const picojson::value& config, const picojson::value& openJobs) {
   std::map<std::string, double> open;
-  for (const auto& job : listIn(openJobs, "jobs"))
-    ++open[textIn(job, "queue")];
+  for (const auto& job : listField(openJobs, "jobs"))
+    ++open[textField(job, "queue")];
   picojson::array queues;
-  if (auto parsed = ClusterConfig::parse(fieldIn(config, "config").serialize())) {
+  if (auto parsed = ClusterConfig::parse(jsonField(config, "config").serialize())) {
     for (const auto& [name, options] : parsed.value().queues) {
       auto queue = queueObject(options);
       if (openJobs.is<picojson::object>())
@@ -43,50 +43,53 @@
   for (const auto& [name, count] : open)
     queues.push_back(json(
         picojson::object{{"name", json(name)}, {"open", json(count)}, {"closed", json(true)}}));
-  const double listed = double(listIn(openJobs, "jobs").size());
+  const double listed = double(listField(openJobs, "jobs").size());
   return json(
-      picojson::object{{"version", json(numberIn(config, "version"))},
+      picojson::object{{"version", json(numberField(config, "version"))},
                        {"queues", json(queues)},
-                       {"uncounted", json(std::max(0.0, numberIn(openJobs, "open") - listed))}});
+                       {"uncounted", json(std::max(0.0, numberField(openJobs, "open") - listed))}});
 }
 
 std::string queuesView(const picojson::value& queues) {
   Table table = queueTable();
-  for (const auto& queue : listIn(queues, "queues")) {
+  for (const auto& queue : listField(queues, "queues")) {
     const std::string open =
-        fieldIn(queue, "open").is<double>() ? numberText(numberIn(queue, "open")) : "-";
-    if (flagIn(queue, "closed"))
-      table.add({textIn(queue, "name"), "-", open, "closed", "-", "-", "-", "-"});
+        jsonField(queue, "open").is<double>() ? formatNumber(numberField(queue, "open")) : "-";
+    if (flagField(queue, "closed"))
+      table.add({textField(queue, "name"), "-", open, "closed", "-", "-", "-", "-"});
     else
-      table.add({textIn(queue, "name"), numberText(numberIn(queue, "urgency")), open,
-                 numberText(numberIn(queue, "open_limit")), numberText(numberIn(queue, "reserved")),
-                 numberText(numberIn(queue, "retries")),
-                 numberIn(queue, "trial_ms") > 0 ? spanText(numberIn(queue, "trial_ms")) : "-",
-                 textIn(queue, "policy")});
+      table.add({textField(queue, "name"), formatNumber(numberField(queue, "urgency")), open,
+                 formatNumber(numberField(queue, "open_limit")),
+                 formatNumber(numberField(queue, "reserved")),
+                 formatNumber(numberField(queue, "retries")),
+                 numberField(queue, "trial_ms") > 0 ? formatDuration(numberField(queue, "trial_ms"))
+                                                    : "-",
+                 textField(queue, "policy")});
   }
-  const double uncounted = numberIn(queues, "uncounted");
-  return "config " + numberText(numberIn(queues, "version")) + "\n\n" + table.render() +
-         (uncounted > 0 ? "counted are the first 1000 open jobs; " + numberText(uncounted) +
+  const double uncounted = numberField(queues, "uncounted");
+  return "config " + formatNumber(numberField(queues, "version")) + "\n\n" + table.render() +
+         (uncounted > 0 ? "counted are the first 1000 open jobs; " + formatNumber(uncounted) +
                               " more are open or timed\n"
                         : "");
 }
 
 std::string configView(const picojson::value& answer) {
-  const auto config = fieldIn(answer, "config");
+  const auto config = jsonField(answer, "config");
   if (!config.is<picojson::object>())
-    return "config " + numberText(numberIn(answer, "version")) + "\n";
-  const auto queues = queuesOf(answer, picojson::value());
+    return "config " + formatNumber(numberField(answer, "version")) + "\n";
+  const auto queues = queuesWithOpenJobs(answer, picojson::value());
   std::string text = queuesView(queues);
   Table policies({{"POLICY"}, {"RANK"}, {"MAY HOLD"}});
-  if (const auto given = fieldIn(config, "policies"); given.is<picojson::object>())
+  if (const auto given = jsonField(config, "policies"); given.is<picojson::object>())
     for (const auto& [name, policy] : given.get<picojson::object>())
-      policies.add({name, textIn(policy, "rank"), textIn(policy, "may_hold")});
+      policies.add({name, textField(policy, "rank"), textField(policy, "may_hold")});
   if (policies.size())
     text += "\n" + policies.render();
   Table planner({{"PLANNER"}, {"VALUE", Table::Align::right}});
-  if (const auto given = fieldIn(config, "planner"); given.is<picojson::object>())
+  if (const auto given = jsonField(config, "planner"); given.is<picojson::object>())
     for (const auto& [name, value] : given.get<picojson::object>())
-      planner.add({name, value.is<double>() ? numberText(value.get<double>()) : value.serialize()});
+      planner.add(
+          {name, value.is<double>() ? formatNumber(value.get<double>()) : value.serialize()});
   if (planner.size())
     text += "\n" + planner.render();
   return text;
--- a/source/cli/table.cpp
+++ b/source/cli/table.cpp
@@ -53,7 +53,7 @@
   return text;
 }
 
-std::string spanText(double milliseconds) {
+std::string formatDuration(double milliseconds) {
   if (milliseconds < 0)
     return "-";
   if (milliseconds < 1000)
@@ -64,42 +64,42 @@
     return withDecimals(milliseconds / 60'000, 1) + " min";
   return withDecimals(milliseconds / 3'600'000, 1) + " h";
 }
-std::string memoryText(double megabytes) {
+std::string formatMemory(double megabytes) {
   return megabytes < 1024 ? withDecimals(megabytes, 0) + " MB"
                           : withDecimals(megabytes / 1024, 1) + " GB";
 }
-std::string numberText(double number) {
+std::string formatNumber(double number) {
   std::string text = withDecimals(number, 3);
   text.erase(text.find_last_not_of('0') + 1);
   if (text.back() == '.')
     text.pop_back();
   return text;
 }
-std::string timeText(double milliseconds) {
+std::string formatTime(double milliseconds) {
   if (!(milliseconds > 0 && milliseconds < 2.5e14))
     return "-";
   return date::format("%FT%TZ", date::sys_time<std::chrono::milliseconds>(
                                     std::chrono::milliseconds(std::int64_t(milliseconds))));
 }
 
-picojson::value fieldIn(const picojson::value& object, const std::string& field) {
+picojson::value jsonField(const picojson::value& object, const std::string& field) {
   return object.is<picojson::object>() ? object.get(field) : picojson::value();
 }
-double numberIn(const picojson::value& object, const std::string& field, double otherwise) {
-  const auto value = fieldIn(object, field);
+double numberField(const picojson::value& object, const std::string& field, double otherwise) {
+  const auto value = jsonField(object, field);
   return value.is<double>() ? value.get<double>() : otherwise;
 }
-std::string textIn(const picojson::value& object, const std::string& field,
-                   const std::string& otherwise) {
-  const auto value = fieldIn(object, field);
+std::string textField(const picojson::value& object, const std::string& field,
+                      const std::string& otherwise) {
+  const auto value = jsonField(object, field);
   return value.is<std::string>() && !value.get<std::string>().empty() ? value.get<std::string>()
                                                                       : otherwise;
 }
-bool flagIn(const picojson::value& object, const std::string& field) {
-  const auto value = fieldIn(object, field);
+bool flagField(const picojson::value& object, const std::string& field) {
+  const auto value = jsonField(object, field);
   return value.is<bool>() && value.get<bool>();
 }
-const picojson::array& listIn(const picojson::value& object, const std::string& field) {
+const picojson::array& listField(const picojson::value& object, const std::string& field) {
   static const picojson::array none;
   if (!object.is<picojson::object>())
     return none;
--- a/source/cli/table.hpp
+++ b/source/cli/table.hpp
@@ -25,17 +25,17 @@
 // What came over the network, safe for a terminal.
 std::string printable(const std::string& text);
 
-std::string spanText(double milliseconds);  // "571 ms", "12.5 s", "3.0 min"; "-" below 0
-std::string memoryText(double megabytes);   // "512 MB", "32.0 GB"
-std::string numberText(double number);      // without needless decimals
-std::string timeText(double milliseconds);  // a calendar time in UTC
+std::string formatDuration(double milliseconds);  // "571 ms", "12.5 s", "3.0 min"; "-" below 0
+std::string formatMemory(double megabytes);       // "512 MB", "32.0 GB"
+std::string formatNumber(double number);          // without needless decimals
+std::string formatTime(double milliseconds);      // a calendar time in UTC
 
 // Fields of an answer; one that is missing or of another kind reads as the given one.
-double numberIn(const picojson::value& object, const std::string& field, double otherwise = 0);
-std::string textIn(const picojson::value& object, const std::string& field,
-                   const std::string& otherwise = "-");
-bool flagIn(const picojson::value& object, const std::string& field);
-const picojson::array& listIn(const picojson::value& object, const std::string& field);
-picojson::value fieldIn(const picojson::value& object, const std::string& field);
+double numberField(const picojson::value& object, const std::string& field, double otherwise = 0);
+std::string textField(const picojson::value& object, const std::string& field,
+                      const std::string& otherwise = "-");
+bool flagField(const picojson::value& object, const std::string& field);
+const picojson::array& listField(const picojson::value& object, const std::string& field);
+picojson::value jsonField(const picojson::value& object, const std::string& field);
 
 }  // namespace aniseline
--- a/source/cli/views.hpp
+++ b/source/cli/views.hpp
@@ -15,6 +15,6 @@
 
 // The queues of a config with the open jobs of each, from the answers of /v1/config and
 // /v1/jobs?state=open.
-picojson::value queuesOf(const picojson::value& config, const picojson::value& openJobs);
+picojson::value queuesWithOpenJobs(const picojson::value& config, const picojson::value& openJobs);
 
 }  // namespace aniseline
--- a/source/cli/watch.cpp
+++ b/source/cli/watch.cpp
@@ -14,24 +14,26 @@
 }
 
 // A turn that fails is told and the next one is taken; the last one's code is the command's.
-ExitCode watch(Session& session, const Words& words) {
+ExitCode watch(Session& session, const Arguments& words) {
   std::size_t taken = 0;
-  const Command* command = commandOf(words, taken);
-  if (!command || !command->watchable)
-    return failUsage(session,
-                     "watch: what it repeats must only look: cluster, workers, plan, queues, "
-                     "counters, jobs, show JOB or config show");
-  session.choices.compact = true;
-  ExitCode code = ExitCode::done;
-  for (std::int64_t turn = 1; turn <= session.choices.times; ++turn) {
+  const Command* command = findCommand(words, taken);
+  if (!command || !command->readOnly)
+    return reportUsageError(
+        session,
+        "watch: what it repeats must only look: cluster, workers, plan, queues, "
+        "counters, jobs, show JOB or config show");
+  session.options.compact = true;
+  ExitCode code = ExitCode::success;
+  for (std::int64_t turn = 1; turn <= session.options.watchTurns; ++turn) {
     if (turn > 1)
-      session.rest(Duration{session.choices.every});
-    if (session.terminal && !session.choices.json)
+      session.sleep(Duration{session.options.watchIntervalMilliseconds});
+    if (session.isTerminal && !session.options.json)
       session.out << "\x1b[H\x1b[2J";
-    if (!session.choices.json)
-      session.out << (turn > 1 && !session.terminal ? "\n" : "") << "-- " << timeText(calendarNow())
-                  << ", " << turn << " of " << session.choices.times << "\n";
-    code = runWords(session, words, {});
+    if (!session.options.json)
+      session.out << (turn > 1 && !session.isTerminal ? "\n" : "") << "-- "
+                  << formatTime(calendarNow()) << ", " << turn << " of "
+                  << session.options.watchTurns << "\n";
+    code = runCommandLine(session, words, {});
     session.out.flush();
     if (code == ExitCode::usage)
       return code;
--- a/source/cli/worker_commands.cpp
+++ b/source/cli/worker_commands.cpp
@@ -6,19 +6,20 @@
 namespace {
 
 ExitCode order(Session& session, const std::string& worker, const std::string& verb) {
-  return askAndShow(session, {"POST", "/v1/workers/" + worker + "/" + verb, ""},
-                    [](const picojson::value& answer) {
-                      return "worker " + printable(textIn(answer, "worker")) + ": " +
-                             printable(textIn(answer, "state")) + "\n";
-                    });
+  return sendAndShow(session, {"POST", "/v1/workers/" + worker + "/" + verb, ""},
+                     [](const picojson::value& answer) {
+                       return "worker " + printable(textField(answer, "worker")) + ": " +
+                              printable(textField(answer, "state")) + "\n";
+                     });
 }
-ExitCode drain(Session& session, const Words& words) {
-  return order(session, words[0], "drain?within_ms=" + std::to_string(session.choices.drainWithin));
+ExitCode drain(Session& session, const Arguments& words) {
+  return order(session, words[0],
+               "drain?within_ms=" + std::to_string(session.options.drainPeriodMilliseconds));
 }
-ExitCode undrain(Session& session, const Words& words) {
+ExitCode undrain(Session& session, const Arguments& words) {
   return order(session, words[0], "undrain");
 }
-ExitCode declareGone(Session& session, const Words& words) {
+ExitCode declareGone(Session& session, const Arguments& words) {
   return order(session, words[0], "gone");
 }
 
--- a/source/cli/workers_view.cpp
+++ b/source/cli/workers_view.cpp
@@ -16,28 +16,28 @@
                {"UNHEARD", Table::Align::right},
                {"NOTES"}});
   double cores = 0, used = 0;
-  for (const auto& worker : listIn(answer, "workers")) {
+  for (const auto& worker : listField(answer, "workers")) {
     std::string notes;
-    if (!flagIn(worker, "honours_leases"))
+    if (!flagField(worker, "honours_leases"))
       notes += "no leases ";
-    if (!flagIn(worker, "guards_room"))
+    if (!flagField(worker, "guards_room"))
       notes += "room unguarded";
-    if (textIn(worker, "state") == "present")
-      cores += numberIn(worker, "cores"), used += numberIn(worker, "cores_used");
-    const double held = numberIn(worker, "held");
-    table.add(
-        {textIn(worker, "id"), textIn(worker, "state"), textIn(worker, "zone"),
-         textIn(worker, "rack"),
-         numberText(numberIn(worker, "cores_used")) + "/" + numberText(numberIn(worker, "cores")),
-         memoryText(numberIn(worker, "memory_used_mb")) + "/" +
-             memoryText(numberIn(worker, "memory_mb")),
-         numberText(numberIn(worker, "attempts") - held), numberText(held),
-         numberText(numberIn(worker, "orders_pending")),
-         numberText(numberIn(worker, "failureScore")), spanText(numberIn(worker, "unheard_ms", -1)),
-         notes});
+    if (textField(worker, "state") == "present")
+      cores += numberField(worker, "cores"), used += numberField(worker, "cores_used");
+    const double held = numberField(worker, "held");
+    table.add({textField(worker, "id"), textField(worker, "state"), textField(worker, "zone"),
+               textField(worker, "rack"),
+               formatNumber(numberField(worker, "cores_used")) + "/" +
+                   formatNumber(numberField(worker, "cores")),
+               formatMemory(numberField(worker, "memory_used_mb")) + "/" +
+                   formatMemory(numberField(worker, "memory_mb")),
+               formatNumber(numberField(worker, "attempts") - held), formatNumber(held),
+               formatNumber(numberField(worker, "orders_pending")),
+               formatNumber(numberField(worker, "failureScore")),
+               formatDuration(numberField(worker, "unheard_ms", -1)), notes});
   }
   return table.render() + "\n" + std::to_string(table.size()) + " workers; of those present " +
-         numberText(used) + " of " + numberText(cores) + " cores used\n";
+         formatNumber(used) + " of " + formatNumber(cores) + " cores used\n";
 }
 
 }  // namespace aniseline
--- a/source/controller/config_orders.cpp
+++ b/source/controller/config_orders.cpp
@@ -4,13 +4,13 @@
 namespace aniseline {
 
 void Controller::handleConfig(PendingRequest& record) {
-  auto parsed = record.request.parsedConfig.empty()
+  auto parsed = record.request.packedConfig.empty()
                     ? ClusterConfig::parse(record.request.text)
-                    : unpack<ClusterConfig>(record.request.parsedConfig);
+                    : unpack<ClusterConfig>(record.request.packedConfig);
   if (!parsed)
-    return decide(record, ApiResponse::from(parsed.error()), false);
+    return respondWhenCommitted(record, ApiResponse::fromError(parsed.error()), false);
   const ConfigVersion base = record.request.baseVersion;
-  const ConfigVersion current = speculative().config.version;
+  const ConfigVersion current = speculative().config().version;
   ConfigCommitted event(std::move(parsed.value()));
   ConfigVersion& version = event.config.version;
   auto taken = [](ConfigVersion number) {
@@ -18,34 +18,36 @@
   };
   // One that was taken is acknowledged again, whatever came after it: its answer may have been
   // lost.
-  const auto before = speculative().configHistory.find({version, base, event.digest});
-  if (before.outcome == ConfigHistory::Outcome::taken)
-    return decide(record, taken(before.version), false);
-  if (before.outcome == ConfigHistory::Outcome::forgotten)
-    return decide(record,
-                  ApiResponse::unknown("this order is older than those that are kept: whether it "
-                                       "was taken is not known any more"),
-                  false);
+  const auto before = speculative().configHistory().find({version, base, event.digest});
+  if (before.outcome == ConfigHistory::Outcome::applied)
+    return respondWhenCommitted(record, taken(before.version), false);
+  if (before.outcome == ConfigHistory::Outcome::tooOld)
+    return respondWhenCommitted(
+        record,
+        ApiResponse::outcomeUnknown("this order is older than those that are kept: whether it "
+                                    "was taken is not known any more"),
+        false);
   if (base != current) {
     const ApiResponse conflict =
         ApiResponse::of(409, {{"error", json("conflict")},
                               {"text", json("config " + std::to_string(current.value) +
                                             " is newer than the one this is based on")},
                               {"version", json(current.value)}});
-    return decide(record, conflict, false);
+    return respondWhenCommitted(record, conflict, false);
   }
   if (version.value && version <= current)
-    return decide(record,
-                  ApiResponse::from(CoreError::at(
-                      CoreError::Kind::invalid, "/version",
-                      "must be above the current one, " + std::to_string(current.value))),
-                  false);
+    return respondWhenCommitted(
+        record,
+        ApiResponse::fromError(
+            CoreError::at(CoreError::Kind::invalid, "/version",
+                          "must be above the current one, " + std::to_string(current.value))),
+        false);
   if (!version.value)
     version = current.next();
   const ApiResponse answer = taken(version);
   emitLogEvent("config taken", {{"version", json(version.value)}});
   append(std::move(event));
-  decide(record, answer, true);
+  respondWhenCommitted(record, answer, true);
 }
 
 }  // namespace aniseline
--- a/source/controller/snapshot_writer.hpp
+++ b/source/controller/snapshot_writer.hpp
@@ -7,10 +7,10 @@
 
 // What the core hands over, in the order in which it came about.
 struct SnapshotWork {
-  std::optional<std::string> restart;  // a view to begin from
-  std::vector<std::string> records;    // committed since
-  std::optional<LogIndex> pack;        // wanted: the view of all that up to here
-  bool empty() const { return !restart && records.empty() && !pack; }
+  std::optional<std::string> restartFrom;  // a view to begin from
+  std::vector<std::string> records;        // committed since
+  std::optional<LogIndex> packThrough;     // wanted: the view of all that up to here
+  bool empty() const { return !restartFrom && records.empty() && !packThrough; }
 };
 struct PackedSnapshot {
   LogIndex index;
@@ -19,7 +19,7 @@
 
 class SnapshotWriter {
  public:
-  std::optional<PackedSnapshot> work(const SnapshotWork& work);
+  std::optional<PackedSnapshot> process(const SnapshotWork& work);
 
  private:
   ClusterState clusterState;
--- a/source/controller/snapshots.cpp
+++ b/source/controller/snapshots.cpp
@@ -8,26 +8,26 @@
   if (state)
     committedState = std::move(state.value());
   else
-    unreadable = true;
-  appliedIndex = snapshot.index;
+    unreadableState = true;
+  appliedIndex = snapshot.lastIncludedIndex;
   snapshotWork = SnapshotWork{snapshot.state, {}, std::nullopt};
-  packing = false;
+  packingSnapshot = false;
 }
 
 void Controller::requestSnapshot() {
-  if (raft.versionsSinceWhole() < options.snapshotVersions &&
-      raft.bytesSinceWhole() < options.snapshotBytes)
+  if (raft.logRecordsSinceSnapshot() < options.maxRecordsBetweenSnapshots &&
+      raft.logBytesSinceSnapshot() < options.maxBytesBetweenSnapshots)
     return;
-  if (packing || appliedIndex <= raft.snapshot().index)
+  if (packingSnapshot || appliedIndex <= raft.snapshot().lastIncludedIndex)
     return;
-  snapshotWork.pack = appliedIndex;
-  packing = true;
+  snapshotWork.packThrough = appliedIndex;
+  packingSnapshot = true;
 }
 
-void Controller::packed(PackedSnapshot view) {
-  if (!packing)
+void Controller::onSnapshotPacked(PackedSnapshot view) {
+  if (!packingSnapshot)
     return;  // another view was installed meanwhile
-  packing = false;
+  packingSnapshot = false;
   raft.compact(view.index, std::move(view.state));
 }
 
--- a/source/daemons/agent_daemon.cpp
+++ b/source/daemons/agent_daemon.cpp
@@ -17,12 +17,13 @@
   int run() {
     HttpServer http(loop, HttpLimits{64 * 1024, 50, Duration{60'000}, Duration{2000}},
                     [this](const HttpRequest& request) { return hear(request); });
-    if (auto listening = http.listen(settings.listen, false); !listening) {
+    if (auto listening = http.listen(settings.listenAddress, false); !listening) {
       log(LogLevel::error, listening.error().text);
       return 1;
     }
     log(LogLevel::info, "started",
-        {{"listen", json(settings.listen.value)}, {"worker", json(settings.worker.value)}});
+        {{"listen", json(settings.listenAddress.value)},
+         {"worker", json(settings.workerAddress.value)}});
     StopSignal stop(loop);
     ReloadSignal reload(loop, [this] { renewSeeds(); });
     spawn([this] { learnRoute(); });
@@ -32,10 +33,10 @@
         spawn([this, call = std::move(call)] { perform(call); });
       if (core.mayReport() && !patientBusy)
         spawnSync(true);
-      if (core.urgent(now) && !urgentBusy)
+      if (core.hasUrgentReport(now) && !urgentBusy)
         spawnSync(false);
       std::unique_lock lock(wakeMutex);
-      const Duration rest = std::clamp(core.nextDue(now) - now, Duration{1}, Duration{500});
+      const Duration rest = std::clamp(core.nextWakeUp(now) - now, Duration{1}, Duration{500});
       wake.wait_for(lock, std::chrono::milliseconds(rest.milliseconds), [&] { return woken; });
       woken = false;
     }
@@ -46,8 +47,8 @@
 
  private:
   void renewSeeds() {
-    if (aniseline::renewSeeds(settings.seedsNow, settings.seeds))
-      relay.useSeeds(settings.seeds);
+    if (aniseline::refreshSeeds(settings.seedSource, settings.seeds))
+      relay.setSeeds(settings.seeds);
   }
   void nudge() {
     std::unique_lock lock(wakeMutex);
@@ -55,21 +56,21 @@
     wake.notify_one();
   }
   ApiResponse hear(const HttpRequest& request) {
-    auto word = settings.words.hear(request);
+    auto word = settings.protocol.decodeNotice(request);
     if (!word)
       return ApiResponse::error(404, "missing", "an agent hears its worker only");
     const MonotonicTime now = monotonicNow();
-    const WorkerId life = word->account.life;
-    if (word->left) {
-      if (!core.leaves(life, settings.leaveWithin, now))
+    const WorkerId life = word->account.workerInstance;
+    if (word->shuttingDown) {
+      if (!core.onDrainNotice(life, settings.defaultDrainPeriod, now))
         tellOfUnknown(life);
-      return acknowledgeLeaving(life, settings.leaveWithin, now);
+      return acknowledgeLeaving(life, settings.defaultDrainPeriod, now);
     }
-    const bool isNew = core.life() != life;
-    if (!core.known(word->account, now))
+    const bool isNew = core.workerInstance() != life;
+    if (!core.onRegistration(word->account, now))
       return ApiResponse::error(410, "gone", "a later word of this worker has come before");
-    if (word->account.leaving)
-      return acknowledgeLeaving(life, word->account.leaveWithin, now);
+    if (word->account.draining)
+      return acknowledgeLeaving(life, word->account.drainTimeout, now);
     if (isNew)
       nudge();
     return ApiResponse::of(200, {});
@@ -78,16 +79,16 @@
   // given in time. docs/design.md 5.7.
   ApiResponse acknowledgeLeaving(const WorkerId& life, Duration within, MonotonicTime since) {
     auto told = [&] {
-      return core.leavingTold(life) || toldOfUnknown.count(life);
+      return core.drainAcknowledged(life) || toldOfUnknown.count(life);
     };
     if (!told()) {
       log(LogLevel::info, "worker leaves",
           {{"life", json(life.value)}, {"within_ms", json(within.milliseconds)}});
       nudge();
     }
-    while (!told() && monotonicNow() - since < settings.tellWithin)
-      pause(Duration{5});
-    return told() ? ApiResponse::of(200, {}) : ApiResponse::notTaken("no leader heard of it yet");
+    while (!told() && monotonicNow() - since < settings.drainAcknowledgementTimeout)
+      sleepFor(Duration{5});
+    return told() ? ApiResponse::of(200, {}) : ApiResponse::notApplied("no leader heard of it yet");
   }
   // A life that this process never heard of: the process before it may have reported it.
   void tellOfUnknown(const WorkerId& life) {
@@ -95,17 +96,17 @@
       return;
     spawn([this, life] {
       ApiRequest leaving;
-      leaving.kind = RequestKind::leave;
-      leaving.id = life.value;
-      leaving.within = settings.leaveWithin;
-      leaving.patience = settings.tellWithin;
+      leaving.kind = RequestKind::workerShutdown;
+      leaving.targetId = life.value;
+      leaving.drainTimeout = settings.defaultDrainPeriod;
+      leaving.clientTimeout = settings.drainAcknowledgementTimeout;
       for (std::size_t tries = 0; tries < tellingTries; ++tries) {
-        const int status = relay.relay(leaving).status;
+        const int status = relay.forward(leaving).status;
         if (status < 500) {  // logged, or the leader knows no such worker
           toldOfUnknown.insert(life);
           break;
         }
-        pause(Duration{100});
+        sleepFor(Duration{100});
       }
       tellingOfUnknown.erase(life);
     });
@@ -118,10 +119,11 @@
       client = std::move(idle.back());
       idle.pop_back();
     }
-    auto answer = client->ask(settings.worker, settings.words.render(call), call.within);
-    core.replied(call, settings.words.read(call, answer), monotonicNow());
-    if (core.mayReport() && core.life() != shownLife) {
-      shownLife = core.life();
+    auto answer =
+        client->send(settings.workerAddress, settings.protocol.encodeCall(call), call.timeout);
+    core.onWorkerReply(call, settings.protocol.decodeReply(call, answer), monotonicNow());
+    if (core.mayReport() && core.workerInstance() != shownLife) {
+      shownLife = core.workerInstance();
       log(LogLevel::info, "worker", {{"life", json(shownLife.value)}});
     }
     idle.push_back(std::move(client));
@@ -137,28 +139,28 @@
   }
   void sync(bool patient) {
     ApiRequest apiRequest;
-    apiRequest.kind = RequestKind::sync;
+    apiRequest.kind = RequestKind::syncWorker;
     const MonotonicTime sentAt = monotonicNow();
-    apiRequest.report = core.report(sentAt);
-    apiRequest.report.wait = patient ? settings.patience : Duration{0};
-    apiRequest.id = apiRequest.report.id.value;
-    ApiResponse answer = relay.relay(apiRequest);
+    apiRequest.report = core.makeSyncReport(sentAt);
+    apiRequest.report.longPollTimeout = patient ? settings.syncWait : Duration{0};
+    apiRequest.targetId = apiRequest.report.id.value;
+    ApiResponse answer = relay.forward(apiRequest);
     const MonotonicTime now = monotonicNow();
     if (answer.status == 200) {
       if (auto told = unpack<SyncResponse>(answer.body))
-        core.answered(apiRequest.report, told.value(), sentAt, now);
+        core.onSyncResponse(apiRequest.report, told.value(), sentAt, now);
       return;
     }
-    if (answer.status == 410 && apiRequest.report.id == core.life()) {
+    if (answer.status == 410 && apiRequest.report.id == core.workerInstance()) {
       log(LogLevel::warning, "the leader holds this worker for gone",
           {{"life", json(apiRequest.report.id.value)}});
-      core.replaced(now);
+      core.onDeclaredGone(now);
     }
-    pause(Duration{100});
+    sleepFor(Duration{100});
   }
   // Which controllers there are; which of them leads is learned by asking. docs/design.md 9.2.
   void learnRoute() {
-    std::map<Address, std::shared_ptr<WireCaller>> callers;
+    std::map<Address, std::shared_ptr<RpcClient>> callers;
     for (std::size_t turn = 0;; ++turn) {
       const auto& known = route.controllers.empty() ? settings.seeds : route.controllers;
       const Address target =
@@ -168,11 +170,11 @@
       if (!target.value.empty()) {
         auto& caller = callers[target];
         if (!caller)
-          caller = std::make_shared<WireCaller>(loop, target);
+          caller = std::make_shared<RpcClient>(loop, target);
         auto answered = caller->call(RouteQuery{}, Duration{250});
         auto* told = answered ? boost::get<RouteReply>(&answered.value().body) : nullptr;
-        if (told && !told->blank) {
-          route.takeNewer(told->view);
+        if (told && !told->uninitialized) {
+          route.mergeNewer(told->view);
           learned = true;
           route.gateways.clear();
         }
@@ -181,7 +183,9 @@
         renewSeeds();
       // One that is silent costs no more than its wait: the next is asked at once.
       // docs/incidents.md 7.
-      pause(!learned ? Duration{20} : route.leader.value.empty() ? Duration{100} : Duration{300});
+      sleepFor(!learned                     ? Duration{20}
+               : route.leader.value.empty() ? Duration{100}
+                                            : Duration{300});
     }
   }
 
@@ -190,10 +194,10 @@
   static constexpr std::size_t tellingTries = 30;
 
   AgentSettings settings;
-  Loop loop;
+  EventLoop loop;
   NodeAgent core;
-  RouteView route;
-  Relay relay;
+  LeaderRoute route;
+  LeaderForwarder relay;
   std::vector<std::unique_ptr<HttpClient>> idle;
   bool patientBusy = false, urgentBusy = false, woken = false;
   WorkerId shownLife;
--- a/source/daemons/agent_daemon.hpp
+++ b/source/daemons/agent_daemon.hpp
@@ -8,28 +8,30 @@
 
 // How a kind of worker is spoken to; an adapter gives these.
 struct WorkerProtocol {
-  std::function<HttpRequest(const WorkerCall&)> render;
-  std::function<WorkerReply(const WorkerCall&, const Result<HttpResponse, HttpError>&)> read;
-  struct Word {
-    WorkerAccount account;
-    bool left = false;  // it says that it is about to end, and nothing else of itself
+  std::function<HttpRequest(const WorkerCall&)> encodeCall;
+  std::function<WorkerReply(const WorkerCall&, const Result<HttpResponse, HttpError>&)> decodeReply;
+  struct Notice {
+    WorkerRegistration account;
+    bool shuttingDown = false;  // it says that it is about to end, and nothing else of itself
   };
-  std::function<std::optional<Word>(const HttpRequest&)>
-      hear;  // nothing: the request is none of a worker's
+  std::function<std::optional<Notice>(const HttpRequest&)>
+      decodeNotice;  // nothing: the request is none of a worker's
 };
 
 struct AgentSettings {
-  Address listen;  // where the worker makes itself known
-  Address worker;  // where it is called
+  Address listenAddress;  // where the worker makes itself known
+  Address workerAddress;  // where it is called
   std::string zone;
   std::vector<Address> seeds;
   bool quiet = false;
   NodeAgentOptions options;
-  Duration patience{1000};     // a sync waits for orders this long
-  Duration tellWithin{900};    // a word of leaving is answered by then, or not acknowledged
-  Duration leaveWithin{2000};  // how long one that leaves with no other word serves on, at least
-  WorkerProtocol words;
-  SeedSource seedsNow;
+  Duration syncWait{1000};  // a sync waits for orders this long
+  Duration drainAcknowledgementTimeout{
+      900};  // a word of leaving is answered by then, or not acknowledged
+  Duration defaultDrainPeriod{
+      2000};  // how long one that leaves with no other word serves on, at least
+  WorkerProtocol protocol;
+  SeedSource seedSource;
 };
 
 // Serves until it is told to stop; the process' exit status.
--- a/source/daemons/controller_daemon.cpp
+++ b/source/daemons/controller_daemon.cpp
@@ -51,7 +51,7 @@
 class Program {
  public:
   explicit Program(ControllerSettings settings)
-      : settings(std::move(settings)), folder(this->settings.data) {}
+      : settings(std::move(settings)), folder(this->settings.dataFolder) {}
 
   int run() {
     if (!openCore())
@@ -60,22 +60,22 @@
       return 1;
     HttpServer http(loop, HttpLimits{64 * 1024, 100, Duration{30'000}, Duration{2000}},
                     [this](const HttpRequest& request) { return readiness(request); });
-    if (!settings.http.value.empty())
-      if (auto listening = http.listen(settings.http, false); !listening) {
+    if (!settings.httpAddress.value.empty())
+      if (auto listening = http.listen(settings.httpAddress, false); !listening) {
         log(LogLevel::error, listening.error().text);
         return 1;
       }
     // What an adapter serves here beside the product's own interface. docs/design.md 9.6.
-    Relay relay(
+    LeaderForwarder relay(
         loop, [this] { return way(); }, settings.seeds, [] { return false; });
-    const Serve serve = [&relay](const ApiRequest& apiRequest) {
-      return relay.relay(apiRequest);
+    const ForwardRequest serve = [&relay](const ApiRequest& apiRequest) {
+      return relay.forward(apiRequest);
     };
-    HttpServer outer(loop, settings.outer.limits, [&](const HttpRequest& request) {
-      return settings.outer.handle(request, serve);
+    HttpServer outer(loop, settings.externalInterface.limits, [&](const HttpRequest& request) {
+      return settings.externalInterface.handle(request, serve);
     });
-    if (settings.outer.handle)
-      if (auto listening = outer.listen(settings.outer.address, false); !listening) {
+    if (settings.externalInterface.handle)
+      if (auto listening = outer.listen(settings.externalInterface.address, false); !listening) {
         log(LogLevel::error, listening.error().text);
         return 1;
       }
@@ -85,7 +85,7 @@
     spawn([this] { followCluster(); });
     log(LogLevel::info, "started",
         {{"identity", json(identity.value)},
-         {"peer", json(settings.peer.value)},
+         {"peer", json(settings.peerAddress.value)},
          {"zone", json(settings.zone)},
          {"seeds", json(joined(settings.seeds))}});
     StopSignal stop(loop);
@@ -100,10 +100,10 @@
       drive();
       if (core->raftNode().removedFromCluster() && !renew())
         return 1;
-      if (core->damaged()) {
+      if (core->hasUnreadableState()) {
         log(LogLevel::error,
             "the state can't be read by this version; stopping, nothing is changed",
-            {{"data", json(settings.data)}});
+            {{"data", json(settings.dataFolder)}});
         broken = true;
       }
       if (broken)
@@ -112,18 +112,18 @@
         // SIGTERM hands leadership over before the process ends, and waits until its copy is not
         // missed. docs/operations.md 4.
         if (stopBy == MonotonicTime{0}) {
-          stopBy = monotonicNow() + Duration{settings.stopWithin};
+          stopBy = monotonicNow() + Duration{settings.stopTimeoutMilliseconds};
           log(LogLevel::info, "stopping");
         }
         if (mayStop() || monotonicNow() >= stopBy)
           break;
-        if (core->raftNode().leads() && monotonicNow() >= transferAt) {
+        if (core->raftNode().isLeader() && monotonicNow() >= transferAt) {
           core->transferLeadership(monotonicNow());
           transferAt = monotonicNow() + Duration{700};
         }
       }
       std::unique_lock lock(wakeMutex);
-      wake.wait_for(lock, std::chrono::milliseconds(core->raftNode().blank() ? 100 : 10),
+      wake.wait_for(lock, std::chrono::milliseconds(core->raftNode().isBlank() ? 100 : 10),
                     [&] { return woken; });
       woken = false;
     }
@@ -132,16 +132,14 @@
     disk.reset();
     views.reset();
     log(LogLevel::info, "stopped",
-        {{"led", json(core->raftNode().leads())},
-         {"others_hold_all", json(core->raftNode().othersHoldCommitted())}});
+        {{"led", json(core->raftNode().isLeader())},
+         {"others_hold_all", json(core->raftNode().isSafeToStop())}});
     std::_Exit(0);  // fibers that wait on sockets end with the process
   }
 
  private:
-  bool stores() const { return !settings.data.empty(); }
-  bool mayStop() const {
-    return !core->raftNode().leads() && core->raftNode().othersHoldCommitted();
-  }
+  bool stores() const { return !settings.dataFolder.empty(); }
+  bool mayStop() const { return !core->raftNode().isLeader() && core->raftNode().isSafeToStop(); }
   static std::string joined(const std::vector<Address>& addresses) {
     std::string text;
     for (const auto& address : addresses)
@@ -162,16 +160,16 @@
     if (!opened || !restored) {
       const auto& error = opened ? restored.error() : opened.error();
       log(LogLevel::error, "the data folder can't be used", {{"why", json(error.message())}});
-      if (error.kind == DiskError::Kind::system)
+      if (error.kind == DiskError::Kind::systemError)
         return false;  // the state may be sound; it is tried again with the next start
       // docs/design.md 3.5: damaged state never votes; this machine goes on as a new identity.
-      auto aside = folder.setAside();
+      auto aside = folder.quarantine();
       if (!aside) {
         log(LogLevel::error, "the data folder can't be set aside",
             {{"why", json(aside.error().message())}});
         return false;
       }
-      opened = folder.openHeld();
+      opened = folder.openLocked();
       if (!opened)
         return false;
       restored = std::vector<WriteAheadRecord>{};
@@ -184,18 +182,18 @@
   }
   void makeCore(const std::vector<WriteAheadRecord>& restored) {
     ControllerOptions options;
-    options.raft.heartbeat = Duration{settings.heartbeat};
-    options.raft.electionLow = Duration{settings.electionLow};
-    options.raft.electionHigh = Duration{settings.electionHigh};
-    options.replaceAfter = Duration{settings.replaceAfter};
-    options.voters = std::size_t(settings.voters);
-    options.lease = Duration{settings.lease};
-    options.margin = Duration{settings.margin};
-    options.snapshotVersions = std::uint64_t(settings.snapshotVersions);
-    options.boundMemory(settings.memoryBytes);
+    options.raft.heartbeatInterval = Duration{settings.heartbeatMilliseconds};
+    options.raft.electionTimeoutMin = Duration{settings.electionLowMilliseconds};
+    options.raft.electionTimeoutMax = Duration{settings.electionHighMilliseconds};
+    options.deadMemberTimeout = Duration{settings.replaceAfterMilliseconds};
+    options.voterCount = std::size_t(settings.voters);
+    options.leaseDuration = Duration{settings.leaseMilliseconds};
+    options.leaseMargin = Duration{settings.leaseMarginMilliseconds};
+    options.maxRecordsBetweenSnapshots = std::uint64_t(settings.snapshotVersions);
+    options.applyMemoryLimit(settings.memoryBytes);
     std::random_device device;
     core = std::make_unique<Controller>(
-        Member{identity, settings.advertise, ZoneName{settings.zone}, false}, options,
+        Member{identity, settings.advertisedAddress, ZoneName{settings.zone}, false}, options,
         (std::uint64_t(device()) << 32) | device(), restored, monotonicNow());
     keeper = std::make_shared<SnapshotWriter>();
     core->logEvent.connect(
@@ -206,9 +204,9 @@
         {{"identity", json(identity.value)}});
     disk.reset();
     views.reset();
-    if (!folder.setAside())
+    if (!folder.quarantine())
       return false;
-    auto opened = folder.openHeld();
+    auto opened = folder.openLocked();
     if (!opened)
       return false;
     identity = opened.value();
@@ -223,13 +221,13 @@
           {{"why", json(result.error().message())}});
       broken = true;
     } else
-      core->synced(version, monotonicNow());
+      core->onRecordSynced(version, monotonicNow());
     nudge();
   }
   // The seeds may have changed, with or without a signal.
-  void renewSeeds(Relay& relay) {
-    if (aniseline::renewSeeds(settings.seedsNow, settings.seeds))
-      relay.useSeeds(settings.seeds);
+  void renewSeeds(LeaderForwarder& relay) {
+    if (aniseline::refreshSeeds(settings.seedSource, settings.seeds))
+      relay.setSeeds(settings.seeds);
   }
   void nudge() {
     std::unique_lock lock(wakeMutex);
@@ -247,11 +245,11 @@
       });
     if (auto work = core->takeSnapshotWork(); !work.empty())
       views->hand([this, work = std::move(work), keeper = keeper] {
-        if (auto view = keeper->work(work))
+        if (auto view = keeper->process(work))
           asio::post(loop.context, [this, keeper, view = std::move(*view)]() mutable {
             if (keeper != this->keeper)
               return;  // of an identity that is no more
-            core->packed(std::move(view));
+            core->onSnapshotPacked(std::move(view));
             nudge();
           });
       });
@@ -260,14 +258,14 @@
         continue;
       auto& queue = outbox[message.toAddress];
       if (!queue) {
-        queue = std::make_shared<Outbox>(core->memoryOptions().outboxBytes);
+        queue = std::make_shared<Outbox>(core->controllerOptions().maxOutboxBytes);
         spawn([this, queue, address = message.toAddress] { sendTo(address, *queue); });
       }
       std::unique_lock lock(queue->mutex);
       queue->messages.push(std::move(message));  // one without room is made good by consensus
       queue->some.notify_one();
     }
-    for (auto& [number, answer] : core->takeAnswers()) {
+    for (auto& [number, answer] : core->takeResponses()) {
       auto found = askers.find(number);
       if (found == askers.end())
         continue;
@@ -282,7 +280,7 @@
     PeerOutbox messages;
   };
   void sendTo(const Address& address, Outbox& queue) {
-    WireCaller caller(loop, address);
+    RpcClient caller(loop, address);
     for (;;) {
       PeerMessage message;
       {
@@ -290,23 +288,24 @@
         queue.some.wait(lock, [&] { return !queue.messages.empty(); });
         message = queue.messages.pop();
       }
-      caller.post(WireMessage{0, std::move(message)});  // a lost one is made good by consensus
+      caller.sendOneWay(
+          WireMessage{0, std::move(message)});  // a lost one is made good by consensus
     }
   }
   bool listenPeers() {
-    auto endpoint = endpointOf(settings.peer);
+    auto endpoint = parseEndpoint(settings.peerAddress);
     auto acceptor = std::make_shared<tcp::acceptor>(loop.context);
-    const IoError error = listenAt(*acceptor, endpoint.value(), peerBacklog);
+    const IoError error = listenOn(*acceptor, endpoint.value(), peerBacklog);
     if (error) {
       log(LogLevel::error, "can't listen",
-          {{"address", json(settings.peer.value)}, {"why", json(error.message())}});
+          {{"address", json(settings.peerAddress.value)}, {"why", json(error.message())}});
       return false;
     }
     spawn([this, acceptor] {
       for (;;) {
         auto socket = std::make_shared<tcp::socket>(loop.context);
         if (await([&](auto done) { acceptor->async_accept(*socket, done); }).error) {
-          pause(Duration{10});
+          sleepFor(Duration{10});
           continue;
         }
         spawn([this, socket] { servePeer(socket); });
@@ -321,36 +320,36 @@
     spawn([writer] { writer->run(); });
     WireReader reader(socket);
     for (;;) {
-      auto message = reader.next();
+      auto message = reader.readNext();
       if (!message) {
-        if (message.error().kind == WireError::Kind::garbled)
+        if (message.error().kind == WireError::Kind::malformed)
           log(LogLevel::warning, "a peer's message was not taken",
               {{"why", json(message.error().text)}});
         writer->close();
         std::erase_if(askers, [&](const auto& entry) { return entry.second.first == writer; });
         return;
       }
-      const auto correlation = message.value().correlation;
+      const auto correlation = message.value().correlationId;
       if (auto* peer = boost::get<PeerMessage>(&message.value().body))
         core->receive(*peer, monotonicNow());
       else if (auto* apiRequest = boost::get<ApiRequest>(&message.value().body)) {
         const RequestNumber number{++lastRequest};
         askers[number] = {writer, correlation};
-        core->take(number, std::move(*apiRequest), monotonicNow());
+        core->submitRequest(number, std::move(*apiRequest), monotonicNow());
       } else if (auto* ask = boost::get<RouteQuery>(&message.value().body)) {
         if (!ask->gateway.address.value.empty())
           core->recordGateway(ask->gateway, monotonicNow());
         // Where no seed has a disk one of them names the controller that founds, once and for all.
         // docs/design.md 3.7.
-        if (!stores() && named.value.empty() && ask->mayFound)
+        if (!stores() && named.value.empty() && ask->canBootstrap)
           named = ask->controller;
-        if (core->raftNode().blank() && !ask->controller.value.empty() && visitors.size() < 32)
+        if (core->raftNode().isBlank() && !ask->controller.value.empty() && visitors.size() < 32)
           visitors.insert(ask->controller);
         writer->send(encode(WireMessage{correlation, tell()}));
       } else if (boost::get<BootstrapRequest>(&message.value().body)) {
-        const bool blank = core->raftNode().blank() && stores();
+        const bool blank = core->raftNode().isBlank() && stores();
         if (blank)
-          core->found(monotonicNow());
+          core->bootstrap(monotonicNow());
         writer->send(encode(WireMessage{
             correlation, blank
                              ? ApiResponse::of(202, {{"founded", json(identity.value)}})
@@ -362,34 +361,36 @@
     }
   }
   // One that belongs to no cluster tells of the cluster that it has heard of. docs/design.md 9.7.
-  RouteView way() const { return core->raftNode().blank() ? heardOf : core->route(monotonicNow()); }
+  LeaderRoute way() const {
+    return core->raftNode().isBlank() ? heardOf : core->route(monotonicNow());
+  }
   RouteReply tell() const {
     RouteReply told;
     told.view = way();
     told.id = identity;
-    told.peer = settings.advertise;
+    told.peer = settings.advertisedAddress;
     told.zone = ZoneName{settings.zone};
-    told.blank = core->raftNode().blank() && heardOf.controllers.empty();
-    told.leads = core->raftNode().leads();
-    told.stores = stores();
-    told.founder = named;
+    told.uninitialized = core->raftNode().isBlank() && heardOf.controllers.empty();
+    told.isLeader = core->raftNode().isLeader();
+    told.hasDisk = stores();
+    told.bootstrapCandidate = named;
     return told;
   }
   // A blank controller looks for a cluster through its seeds and whom they name, and asks to join
   // it. docs/design.md 3.5.
   void seekCluster() {
-    std::map<Address, std::shared_ptr<WireCaller>> callers;
-    for (;; pause(heardOf.controllers.empty() ? Duration{200} : Duration{400})) {
+    std::map<Address, std::shared_ptr<RpcClient>> callers;
+    for (;; sleepFor(heardOf.controllers.empty() ? Duration{200} : Duration{400})) {
       if (lookForSeeds && way().leader.value.empty())
         lookForSeeds();
-      if (!core->raftNode().blank()) {
-        heardOf = RouteView{};
+      if (!core->raftNode().isBlank()) {
+        heardOf = LeaderRoute{};
         visitors.clear();
         meetSeeds(callers);
-        pause(Duration{1000});
+        sleepFor(Duration{1000});
         continue;
       }
-      ClusterBootstrap founding(settings.advertise, stores(), settings.seeds);
+      ClusterBootstrap founding(settings.advertisedAddress, stores(), settings.seeds);
       std::vector<Address> asked = settings.seeds;
       for (const auto& address : heardOf.controllers)
         if (!std::count(asked.begin(), asked.end(), address))
@@ -398,25 +399,26 @@
         if (!std::count(asked.begin(), asked.end(), address))
           asked.push_back(address);
       for (const auto& address : asked) {
-        if (address == settings.advertise)
+        if (address == settings.advertisedAddress)
           continue;
         auto& caller = callers[address];
         if (!caller)
-          caller = std::make_shared<WireCaller>(loop, address);
-        auto answered = caller->call(RouteQuery{{}, settings.advertise, settings.found && stores()},
-                                     Duration{500});
+          caller = std::make_shared<RpcClient>(loop, address);
+        auto answered =
+            caller->call(RouteQuery{{}, settings.advertisedAddress, settings.bootstrap && stores()},
+                         Duration{500});
         auto* told = answered ? boost::get<RouteReply>(&answered.value().body) : nullptr;
         if (!told) {
           // docs/design.md 9.5: a seed may be a gateway; it names the controllers.
-          for (const auto& controller : controllersBy(loop, address))
+          for (const auto& controller : fetchControllers(loop, address))
             joinAt(controller);
           continue;
         }
-        if (told->blank) {
-          founding.hear(address, told->stores, told->founder);
+        if (told->uninitialized) {
+          founding.addBlankSeed(address, told->hasDisk, told->bootstrapCandidate);
           continue;
         }
-        heardOf.takeNewer(told->view);
+        heardOf.mergeNewer(told->view);
         if (!told->view.leader.value.empty())
           joinAt(told->view.leader);
         else if (!told->view.controllers.empty())
@@ -424,10 +426,10 @@
       }
       if (!heardOf.leader.value.empty())
         joinAt(heardOf.leader);
-      if (settings.found && core->raftNode().blank() && heardOf.controllers.empty() &&
-          founding.may()) {
+      if (settings.bootstrap && core->raftNode().isBlank() && heardOf.controllers.empty() &&
+          founding.mayBootstrap()) {
         log(LogLevel::info, "founds a cluster");
-        core->found(monotonicNow());
+        core->bootstrap(monotonicNow());
         nudge();
       }
     }
@@ -437,40 +439,41 @@
   void followCluster() {
     constexpr Duration between{200};  // less than an election takes
     constexpr Duration longestAnswer{500};
-    std::map<Address, std::shared_ptr<WireCaller>> callers;
+    std::map<Address, std::shared_ptr<RpcClient>> callers;
     auto asking = std::make_shared<std::set<Address>>();
-    for (;; pause(between)) {
-      if (!core->raftNode().blank())
+    for (;; sleepFor(between)) {
+      if (!core->raftNode().isBlank())
         continue;
       for (const auto& address : heardOf.controllers) {
-        if (address == settings.advertise || !asking->insert(address).second)
+        if (address == settings.advertisedAddress || !asking->insert(address).second)
           continue;
         auto& caller = callers[address];
         if (!caller)
-          caller = std::make_shared<WireCaller>(loop, address);
+          caller = std::make_shared<RpcClient>(loop, address);
         spawn([this, asking, address, caller] {
-          auto answered = caller->call(RouteQuery{{}, settings.advertise, false}, longestAnswer);
+          auto answered =
+              caller->call(RouteQuery{{}, settings.advertisedAddress, false}, longestAnswer);
           asking->erase(address);
           auto* told = answered ? boost::get<RouteReply>(&answered.value().body) : nullptr;
-          if (told && !told->blank && core->raftNode().blank())
-            heardOf.takeNewer(told->view);
+          if (told && !told->uninitialized && core->raftNode().isBlank())
+            heardOf.mergeNewer(told->view);
         });
       }
     }
   }
   // A seed may belong to no cluster and have no disk, and others begin there: it must learn of us,
   // also after it began anew. docs/design.md 9.7, docs/incidents.md 8.
-  void meetSeeds(std::map<Address, std::shared_ptr<WireCaller>>& callers) {
-    const auto known = core->raftNode().members();
+  void meetSeeds(std::map<Address, std::shared_ptr<RpcClient>>& callers) {
+    const auto known = core->raftNode().membership();
     for (const auto& seed : std::vector<Address>(settings.seeds)) {
       if (std::any_of(known.begin(), known.end(),
-                      [&](const Member& member) { return member.peer == seed; }))
+                      [&](const Member& member) { return member.address == seed; }))
         continue;
       auto& caller = callers[seed];
       if (!caller)
-        caller = std::make_shared<WireCaller>(loop, seed);
+        caller = std::make_shared<RpcClient>(loop, seed);
       [[maybe_unused]] const auto met =
-          caller->call(RouteQuery{{}, settings.advertise, false}, Duration{300});
+          caller->call(RouteQuery{{}, settings.advertisedAddress, false}, Duration{300});
     }
   }
   void joinAt(const Address& leader) {
@@ -482,16 +485,17 @@
     if (request.target == "/healthz")
       return ApiResponse::of(alive ? 200 : 503, {{"alive", json(alive)}});
     if (request.target == "/readyz") {
-      const bool ready = alive && !core->raftNode().blank() &&
-                         (core->raftNode().serves() || !core->raftNode().leader().value.empty());
+      const bool ready =
+          alive && !core->raftNode().isBlank() &&
+          (core->raftNode().canServe() || !core->raftNode().leaderId().value.empty());
       return ApiResponse::of(ready ? 200 : 503,
                              {{"ready", json(ready)},
                               {"role", json(name(core->raftNode().role()))},
                               {"term", json(core->raftNode().term().value)},
                               {"identity", json(identity.value)},
-                              {"config", json(core->committed().config.version.value)}});
+                              {"config", json(core->committed().config().version.value)}});
     }
-    if (auto contacts = contactsAnswer(request, way()))
+    if (auto contacts = answerContactsRequest(request, way()))
       return *contacts;
     return ApiResponse::error(
         404, "missing",
@@ -499,7 +503,7 @@
   }
 
   ControllerSettings settings;
-  Loop loop;
+  EventLoop loop;
   DataFolder folder;
   ControllerId identity;
   std::unique_ptr<Controller> core;
@@ -508,7 +512,7 @@
   std::map<Address, std::shared_ptr<Outbox>> outbox;
   std::map<RequestNumber, std::pair<std::shared_ptr<WireWriter>, std::uint64_t>> askers;
   std::uint64_t lastRequest = 0;
-  RouteView heardOf;           // while it belongs to no cluster: the one it has heard of
+  LeaderRoute heardOf;         // while it belongs to no cluster: the one it has heard of
   std::set<Address> visitors;  // and the controllers that asked it meanwhile
   Address named;               // to found a cluster, by one that has no disk
   std::atomic<std::int64_t> stepped{0};
--- a/source/daemons/controller_daemon.hpp
+++ b/source/daemons/controller_daemon.hpp
@@ -5,23 +5,25 @@
 namespace aniseline {
 
 struct ControllerSettings {
-  Address peer, http, advertise;
-  std::string zone, data;  // without a data folder it stores nothing and never votes: it leads the
-                           // way only. docs/design.md 9.7
+  Address peerAddress, httpAddress, advertisedAddress;
+  std::string zone, dataFolder;  // without a data folder it stores nothing and never votes: it
+                                 // leads the way only. docs/design.md 9.7
   std::vector<Address> seeds;
-  bool found = false, quiet = false;
-  std::int64_t heartbeat = 100, electionLow = 500, electionHigh = 1000, replaceAfter = 30'000,
+  bool bootstrap = false, quiet = false;
+  std::int64_t heartbeatMilliseconds = 100, electionLowMilliseconds = 500,
+               electionHighMilliseconds = 1000, replaceAfterMilliseconds = 30'000,
                snapshotVersions = 1000, voters = 3;
   // How long a stop waits for another leader and for other full copies, in milliseconds. As long as
   // two elections and a lost message take.
-  static constexpr std::int64_t defaultStopWithin = 3000;
-  std::int64_t stopWithin = defaultStopWithin;
+  static constexpr std::int64_t defaultStopTimeoutMilliseconds = 3000;
+  std::int64_t stopTimeoutMilliseconds = defaultStopTimeoutMilliseconds;
   // What the process may take of memory; its queues, log tail and snapshots are shares of it. 0:
   // the defaults.
   std::uint64_t memoryBytes = 0;
-  std::int64_t lease = 3000, margin = 1000;  // of workers' leases, in milliseconds
-  OuterInterface outer;
-  SeedSource seedsNow;
+  std::int64_t leaseMilliseconds = 3000,
+               leaseMarginMilliseconds = 1000;  // of workers' leases, in milliseconds
+  ExternalInterface externalInterface;
+  SeedSource seedSource;
 };
 
 // Serves until it is told to stop; the process' exit status.
--- a/source/daemons/gateway_daemon.cpp
+++ b/source/daemons/gateway_daemon.cpp
@@ -12,7 +12,7 @@
   explicit Program(GatewaySettings settings) : settings(std::move(settings)) {}
 
   int run() {
-    RouteReader reader;
+    RcuReaderRegistration reader;
     std::vector<std::thread> threads;
     std::atomic<int> listening{0}, failed{0};
     for (std::int64_t count = 0; count < settings.threads; ++count)
@@ -20,7 +20,7 @@
     StopSignal stop(loop);
     ReloadSignal reload(loop, [this] { renewSeeds(); });
     while (listening + failed < settings.threads)
-      pause(Duration{5});
+      sleepFor(Duration{5});
     if (failed) {
       stopping = true;
       for (auto& thread : threads)
@@ -28,12 +28,13 @@
       return 1;
     }
     log(LogLevel::info, "started",
-        {{"http", json(settings.http.value)}, {"zone", json(settings.zone)}});
+        {{"http", json(settings.httpAddress.value)}, {"zone", json(settings.zone)}});
     while (!stop.requested()) {
       refresh();
-      for (Duration waited{0}; waited < Duration{settings.refresh} && !stop.requested();
+      for (Duration waited{0};
+           waited < Duration{settings.routeRefreshMilliseconds} && !stop.requested();
            waited = waited + Duration{100})
-        pause(Duration{100});
+        sleepFor(Duration{100});
     }
     // Not ready first, so that the platform stops sending; then the listeners close.
     // docs/operations.md 4.
@@ -42,9 +43,9 @@
     const MonotonicTime until = monotonicNow() + Duration{2500};
     // Whatever is still under way is answered at once: unknown, or surely not taken.
     // docs/design.md 8.3.
-    after(Duration{1500}, [this] { givingUp = true; });
+    runAfter(Duration{1500}, [this] { givingUp = true; });
     while ((inFlight > 0 || monotonicNow() < until - Duration{1500}) && monotonicNow() < until)
-      pause(Duration{20});
+      sleepFor(Duration{20});
     log(LogLevel::info, "stopped", {{"served", json(served.load())}});
     std::_Exit(0);
   }
@@ -52,13 +53,14 @@
  private:
   // The seeds may have changed, with or without a signal; only the thread of the route works with
   // them.
-  void renewSeeds() { aniseline::renewSeeds(settings.seedsNow, settings.seeds); }
+  void renewSeeds() { aniseline::refreshSeeds(settings.seedSource, settings.seeds); }
   // Asks controllers for the route; the first contact goes to the seeds, later ones to whoever the
   // state names.
   void refresh() {
     if (!ready())
       renewSeeds();
-    std::vector<Address> known = board.read([](const RouteView& view) { return view.controllers; });
+    std::vector<Address> known =
+        board.read([](const LeaderRoute& view) { return view.controllers; });
     for (const auto& seed : settings.seeds)
       if (!std::count(known.begin(), known.end(), seed))
         known.push_back(seed);
@@ -68,27 +70,28 @@
     for (const auto& address : known) {
       auto& caller = callers[address];
       if (!caller)
-        caller = std::make_shared<WireCaller>(loop, address);
+        caller = std::make_shared<RpcClient>(loop, address);
       if (busy.count(address))
         continue;
       busy.insert(address);
       spawn([this, address, caller] {
         auto answered = caller->call(
-            RouteQuery{{settings.advertise, ZoneName{settings.zone}}, {}, false}, Duration{1000});
+            RouteQuery{{settings.advertisedAddress, ZoneName{settings.zone}}, {}, false},
+            Duration{1000});
         auto* told = answered ? boost::get<RouteReply>(&answered.value().body) : nullptr;
         // docs/design.md 9.5: a seed may be another gateway, which names the controllers.
         if (!told && isSeed(address) &&
-            board.read([](const RouteView& view) { return view.controllers.empty(); }))
-          for (const auto& controller : controllersBy(loop, address))
+            board.read([](const LeaderRoute& view) { return view.controllers.empty(); }))
+          for (const auto& controller : fetchControllers(loop, address))
             found.insert(controller);
         busy.erase(address);
-        if (!told || told->blank)
+        if (!told || told->uninitialized)
           return;
-        RouteView view = told->view;
-        const Address before = board.read([](const RouteView& view) { return view.leader; });
+        LeaderRoute view = told->view;
+        const Address before = board.read([](const LeaderRoute& view) { return view.leader; });
         if (!board.publish(view))
           return;
-        if (told->leads || !view.leader.value.empty())
+        if (told->isLeader || !view.leader.value.empty())
           freshAt = monotonicNow().milliseconds;
         if (view.leader != before && !view.leader.value.empty())
           log(LogLevel::info, "leader",
@@ -102,30 +105,32 @@
   }
 
   void work(std::atomic<int>& listening, std::atomic<int>& failed) {
-    RouteReader reader;
-    Loop threadLoop;
-    Relay relay(
-        threadLoop, [this] { return board.read([](const RouteView& view) { return view; }); },
+    RcuReaderRegistration reader;
+    EventLoop threadLoop;
+    LeaderForwarder relay(
+        threadLoop, [this] { return board.read([](const LeaderRoute& view) { return view; }); },
         settings.seeds, [this] { return givingUp.load(); });
     HttpServer http(threadLoop, HttpLimits{},
                     [&](const HttpRequest& request) { return handle(relay, request); });
-    if (!settings.http.value.empty())
-      if (auto opened = http.listen(settings.http, true); !opened) {
+    if (!settings.httpAddress.value.empty())
+      if (auto opened = http.listen(settings.httpAddress, true); !opened) {
         log(LogLevel::error, opened.error().text);
         ++failed;
         return;
       }
-    const Serve serve = [this, &relay](const ApiRequest& apiRequest) {
+    const ForwardRequest serve = [this, &relay](const ApiRequest& apiRequest) {
       return bounded(relay, apiRequest);
     };
-    HttpServer outer(threadLoop, settings.outer.limits, [&](const HttpRequest& request) {
-      return settings.outer.handle(request, serve);
-    });
+    HttpServer outer(threadLoop, settings.externalInterface.limits,
+                     [&](const HttpRequest& request) {
+                       return settings.externalInterface.handle(request, serve);
+                     });
     HttpServer readiness(
         threadLoop, HttpLimits{4096, 100, Duration{30'000}, Duration{2000}},
         [&](const HttpRequest& request) { return settings.readiness(request, ready()); });
-    auto opened = settings.outer.handle ? outer.listen(settings.outer.address, true)
-                                        : Result<bool, HttpError>(true);
+    auto opened = settings.externalInterface.handle
+                      ? outer.listen(settings.externalInterface.address, true)
+                      : Result<bool, HttpError>(true);
     if (opened && settings.readiness)
       opened = readiness.listen(settings.readinessAddress, true);
     if (!opened) {
@@ -135,51 +140,52 @@
     }
     ++listening;
     while (!stopping)
-      pause(Duration{50});
-    pause(Duration{1000});
+      sleepFor(Duration{50});
+    sleepFor(Duration{1000});
     http.stop();
     outer.stop();
-    pause(Duration{5000});
+    sleepFor(Duration{5000});
   }
 
-  ApiResponse handle(Relay& relay, const HttpRequest& request) {
+  ApiResponse handle(LeaderForwarder& relay, const HttpRequest& request) {
     if (request.target == "/healthz")
       return ApiResponse::of(200, {{"alive", json(true)}});
     if (request.target == "/readyz") {
       const bool served = ready();
-      return ApiResponse::of(served ? 200 : 503, board.read([&](const RouteView& view) {
+      return ApiResponse::of(served ? 200 : 503, board.read([&](const LeaderRoute& view) {
         return picojson::object{{"ready", json(served)},
                                 {"leader", json(view.leader.value)},
                                 {"term", json(view.term.value)},
                                 {"config", json(view.config.value)}};
       }));
     }
-    if (auto contacts =
-            board.read([&](const RouteView& view) { return contactsAnswer(request, view); }))
+    if (auto contacts = board.read(
+            [&](const LeaderRoute& view) { return answerContactsRequest(request, view); }))
       return *contacts;
     auto parsed = ApiRequest::parse(request.method, request.target, request.body);
     if (!parsed)
-      return ApiResponse::from(parsed.error());
+      return ApiResponse::fromError(parsed.error());
     return bounded(relay, parsed.value());
   }
   bool ready() const { return monotonicNow().milliseconds - freshAt < 2500 && !stopping; }
-  ApiResponse bounded(Relay& relay, const ApiRequest& apiRequest) {
-    if (!board.read([&](const RouteView& view) {
-          return view.hasRoomFor(apiRequest, std::size_t(inFlight), std::size_t(settings.requests));
+  ApiResponse bounded(LeaderForwarder& relay, const ApiRequest& apiRequest) {
+    if (!board.read([&](const LeaderRoute& view) {
+          return view.admits(apiRequest, std::size_t(inFlight),
+                             std::size_t(settings.maxRequestsInFlight));
         }))
       return ApiResponse::error(429, "overloaded", "this gateway has too many requests under way",
                                 Duration{1000});
     ++inFlight;
-    ApiResponse answer = relay.relay(apiRequest);
+    ApiResponse answer = relay.forward(apiRequest);
     --inFlight;
     ++served;
     return answer;
   }
 
   GatewaySettings settings;
-  Loop loop;
+  EventLoop loop;
   LeaderDirectory board;
-  std::map<Address, std::shared_ptr<WireCaller>> callers;
+  std::map<Address, std::shared_ptr<RpcClient>> callers;
   std::set<Address> busy, found;  // found: controllers that other gateways named
   std::atomic<std::int64_t> freshAt{-1'000'000}, inFlight{0};
   std::atomic<std::uint64_t> served{0};
