--- a/source/daemons/gateway_daemon.hpp
+++ b/source/daemons/gateway_daemon.hpp
@@ -5,14 +5,14 @@
 namespace aniseline {
 
 struct GatewaySettings {
-  Address http, advertise;
+  Address httpAddress, advertisedAddress;
   std::string zone;
   std::vector<Address> seeds;
-  std::int64_t threads = 2, requests = 2000;
-  std::int64_t refresh = 200;  // milliseconds between looks at the route
+  std::int64_t threads = 2, maxRequestsInFlight = 2000;
+  std::int64_t routeRefreshMilliseconds = 200;  // milliseconds between looks at the route
   bool quiet = false;
-  OuterInterface outer;
-  SeedSource seedsNow;
+  ExternalInterface externalInterface;
+  SeedSource seedSource;
   Address readinessAddress;  // where an adapter asks whether this gateway is ready
   std::function<ApiResponse(const HttpRequest&, bool ready)> readiness;
 };
--- a/source/gateway/leader_call.cpp
+++ b/source/gateway/leader_call.cpp
@@ -7,7 +7,7 @@
 // by a gateway.
 bool readsOnly(RequestKind kind) {
   switch (kind) {
-    case RequestKind::sync:
+    case RequestKind::syncWorker:
     case RequestKind::showJob:
     case RequestKind::listJobs:
     case RequestKind::showConfig:
@@ -16,7 +16,7 @@
     case RequestKind::showPlan:
     case RequestKind::showCounters:
     case RequestKind::showPhase:
-    case RequestKind::countWaiting:
+    case RequestKind::countOpenJobs:
     case RequestKind::readConfig:
     case RequestKind::exportState:
       return true;
@@ -30,57 +30,58 @@
                        MonotonicTime now)
     : route(std::move(route)),
       seeds(seeds),
-      mayRepeat(readsOnly(request.kind)),
-      deadline(now + (request.kind == RequestKind::sync
-                          ? request.report.wait + Duration{1500}
-                          : std::min(request.patience, Duration{2500}))),
-      seekUntil(now + std::min(request.patience, Duration{2000})) {}
+      idempotent(readsOnly(request.kind)),
+      deadline(now + (request.kind == RequestKind::syncWorker
+                          ? request.report.longPollTimeout + Duration{1500}
+                          : std::min(request.clientTimeout, Duration{2500}))),
+      leaderSearchDeadline(now + std::min(request.clientTimeout, Duration{2000})) {}
 
-LeaderCall::Step LeaderCall::done(ApiResponse answer) {
-  return Step{Step::Kind::answer, {}, {}, std::move(answer)};
+LeaderCall::Step LeaderCall::completeWith(ApiResponse answer) {
+  return Step{Step::Kind::complete, {}, {}, std::move(answer)};
 }
 
-LeaderCall::Step LeaderCall::ask(MonotonicTime now) {
+LeaderCall::Step LeaderCall::send(MonotonicTime now) {
   if (now >= deadline)
-    return done(ApiResponse::notTaken("no leader of the controllers is known"));
-  Address target = std::exchange(hint, Address{});
+    return completeWith(ApiResponse::notApplied("no leader of the controllers is known"));
+  Address target = std::exchange(leaderHint, Address{});
   if (target.value.empty()) {
-    const RouteView view = route();
+    const LeaderRoute view = route();
     const std::vector<Address>& known = view.controllers.empty() ? seeds : view.controllers;
-    if (!view.leader.value.empty() && view.leader != passedOver)
+    if (!view.leader.value.empty() && view.leader != skippedTarget)
       target = view.leader;
     else {
-      target = known[turn % known.size()];
-      if (target == passedOver)
-        target = known[++turn % known.size()];
+      target = known[candidateIndex % known.size()];
+      if (target == skippedTarget)
+        target = known[++candidateIndex % known.size()];
     }
   }
-  asked = target;
-  return Step{Step::Kind::ask, target, deadline - now, {}};
+  lastTarget = target;
+  return Step{Step::Kind::send, target, deadline - now, {}};
 }
 
-LeaderCall::Step LeaderCall::next(MonotonicTime now) {
-  passedOver = asked;
-  if (now >= seekUntil)
-    return done(ApiResponse::notTaken("no leader of the controllers is known"));
-  if (!hint.value.empty() && hints++ < 3)
-    return ask(now);
-  hint = Address{};
-  ++turn;
-  return Step{Step::Kind::wait, {}, Duration{turn < 4 ? 20 : 60}, {}};
+LeaderCall::Step LeaderCall::tryNext(MonotonicTime now) {
+  skippedTarget = lastTarget;
+  if (now >= leaderSearchDeadline)
+    return completeWith(ApiResponse::notApplied("no leader of the controllers is known"));
+  if (!leaderHint.value.empty() && hintsFollowed++ < 3)
+    return send(now);
+  leaderHint = Address{};
+  ++candidateIndex;
+  return Step{Step::Kind::backOff, {}, Duration{candidateIndex < 4 ? 20 : 60}, {}};
 }
 
-LeaderCall::Step LeaderCall::answered(const ApiResponse& answer, MonotonicTime now) {
+LeaderCall::Step LeaderCall::onResponse(const ApiResponse& answer, MonotonicTime now) {
   if (!answer.notLeader)
-    return done(answer);
-  hint = answer.leader;
-  return next(now);
+    return completeWith(answer);
+  leaderHint = answer.leader;
+  return tryNext(now);
 }
 
-LeaderCall::Step LeaderCall::failed(Loss loss, MonotonicTime now) {
-  if (loss != Loss::unreachable && !mayRepeat)
-    return done(ApiResponse::unknown("the leader was lost while this was under way; ask again"));
-  return next(now);
+LeaderCall::Step LeaderCall::onFailure(Failure loss, MonotonicTime now) {
+  if (loss != Failure::unreachable && !idempotent)
+    return completeWith(
+        ApiResponse::outcomeUnknown("the leader was lost while this was under way; ask again"));
+  return tryNext(now);
 }
 
 }  // namespace aniseline
--- a/source/gateway/leader_call.hpp
+++ b/source/gateway/leader_call.hpp
@@ -7,31 +7,35 @@
 
 class LeaderCall {
  public:
-  enum class Loss : std::uint8_t { unreachable, lost, late };  // unreachable: nothing was sent
+  enum class Failure : std::uint8_t {
+    unreachable,
+    connectionLost,
+    timedOut
+  };  // unreachable: nothing was sent
   struct Step {
-    enum class Kind : std::uint8_t { ask, wait, answer } kind = Kind::ask;
+    enum class Kind : std::uint8_t { send, backOff, complete } kind = Kind::send;
     Address target;
-    Duration within;  // of an ask; of a wait its length
-    ApiResponse answer;
+    Duration timeout;  // of an ask; of a wait its length
+    ApiResponse response;
   };
-  using Route = std::function<RouteView()>;
+  using Route = std::function<LeaderRoute()>;
   LeaderCall(const ApiRequest& request, Route route, const std::vector<Address>& seeds,
              MonotonicTime now);
-  Step begin(MonotonicTime now) { return ask(now); }
-  Step answered(const ApiResponse& answer, MonotonicTime now);
-  Step failed(Loss loss, MonotonicTime now);
-  Step waited(MonotonicTime now) { return ask(now); }
+  Step begin(MonotonicTime now) { return send(now); }
+  Step onResponse(const ApiResponse& answer, MonotonicTime now);
+  Step onFailure(Failure loss, MonotonicTime now);
+  Step onBackoffElapsed(MonotonicTime now) { return send(now); }
 
  private:
-  Step ask(MonotonicTime now);
-  Step next(MonotonicTime now);
-  static Step done(ApiResponse answer);
+  Step send(MonotonicTime now);
+  Step tryNext(MonotonicTime now);
+  static Step completeWith(ApiResponse answer);
   Route route;
   const std::vector<Address>& seeds;
-  bool mayRepeat;
-  MonotonicTime deadline, seekUntil;
-  Address hint, asked, passedOver;  // passedOver: did not serve when last asked
-  std::size_t turn = 0, hints = 0;
+  bool idempotent;
+  MonotonicTime deadline, leaderSearchDeadline;
+  Address leaderHint, lastTarget, skippedTarget;  // passedOver: did not serve when last asked
+  std::size_t candidateIndex = 0, hintsFollowed = 0;
 };
 
 }  // namespace aniseline
--- a/source/gateway/leader_directory.cpp
+++ b/source/gateway/leader_directory.cpp
@@ -15,14 +15,14 @@
 
 namespace aniseline {
 
-LeaderDirectory::LeaderDirectory() : current(new RouteView) {}
+LeaderDirectory::LeaderDirectory() : current(new LeaderRoute) {}
 LeaderDirectory::~LeaderDirectory() {
   delete current.load();
 }
-RouteReader::RouteReader() {
+RcuReaderRegistration::RcuReaderRegistration() {
   rcu_register_thread();
 }
-RouteReader::~RouteReader() {
+RcuReaderRegistration::~RcuReaderRegistration() {
   rcu_unregister_thread();
 }
 void LeaderDirectory::lockRead() {
@@ -33,10 +33,10 @@
   rcu_read_unlock();
 }
 
-bool LeaderDirectory::publish(const RouteView& view) {
-  const RouteView* before = current.load(std::memory_order_acquire);
-  auto next = std::make_unique<RouteView>(*before);
-  if (!next->takeNewer(view))
+bool LeaderDirectory::publish(const LeaderRoute& view) {
+  const LeaderRoute* before = current.load(std::memory_order_acquire);
+  auto next = std::make_unique<LeaderRoute>(*before);
+  if (!next->mergeNewer(view))
     return false;
   current.store(next.release(), std::memory_order_release);
   synchronize_rcu();
--- a/source/gateway/leader_directory.hpp
+++ b/source/gateway/leader_directory.hpp
@@ -13,24 +13,24 @@
   template <class Use>
   auto read(Use&& use) const {
     lockRead();
-    const RouteView* view = current.load(std::memory_order_acquire);
+    const LeaderRoute* view = current.load(std::memory_order_acquire);
     auto result = use(*view);
     unlockRead();
     return result;
   }
   // Takes the view if it is not older than the one that stands; by one thread at a time.
-  bool publish(const RouteView& view);
+  bool publish(const LeaderRoute& view);
 
  private:
   static void lockRead();
   static void unlockRead();
-  std::atomic<const RouteView*> current;
+  std::atomic<const LeaderRoute*> current;
 };
 
 // Each reading thread holds one for as long as it reads.
-struct RouteReader {
-  RouteReader();
-  ~RouteReader();
+struct RcuReaderRegistration {
+  RcuReaderRegistration();
+  ~RcuReaderRegistration();
 };
 
 }  // namespace aniseline
--- a/source/gateway/peer_directory.hpp
+++ b/source/gateway/peer_directory.hpp
@@ -11,15 +11,15 @@
   PeerDirectory(std::vector<Address> seeds, std::uint64_t spread);
   // Those in force, the preferred first. Seeds stay a last resort: they may all be gone by then, or
   // all that is left.
-  void learn(const std::vector<Address>& inForce);
+  void update(const std::vector<Address>& inForce);
   const Address& current(MonotonicTime now);
-  void failed(MonotonicTime now);  // the current one was silent or not able
+  void markFailed(MonotonicTime now);  // the current one was silent or not able
   std::size_t seedCount() const { return seeds.size(); }
-  bool knowsMore() const { return !learned.empty(); }
+  bool hasLearned() const { return !learned.empty(); }
 
  private:
   std::vector<Address> seeds, learned;
-  std::size_t place = 0, seedTurn;
+  std::size_t learnedIndex = 0, seedIndex;
   MonotonicTime failedAt;
 };
 
--- a/source/net/client.cpp
+++ b/source/net/client.cpp
@@ -30,47 +30,48 @@
 }
 }  // namespace
 
-Result<HttpResponse, HttpError> Caller::once(const HttpRequest& request, Duration within) {
-  const Address asked = contacts.current(monotonicNow());
-  auto result = client.ask(asked, request, within);
+Result<HttpResponse, HttpError> GatewayClient::sendOnce(const HttpRequest& request,
+                                                        Duration within) {
+  const Address asked = gateways.current(monotonicNow());
+  auto result = client.send(asked, request, within);
   if (!result)
     result = HttpError{result.error().kind, asked.value + ": " + result.error().text};
-  if (witness)
-    witness(request, result);
+  if (onAttempt)
+    onAttempt(request, result);
   if (!result)
-    contacts.failed(monotonicNow());
+    gateways.markFailed(monotonicNow());
   return result;
 }
 
-void Caller::learn() {
-  if (!zone || monotonicNow() - learnedAt < Duration{5000})
+void GatewayClient::refreshGateways() {
+  if (!zone || monotonicNow() - refreshedAt < Duration{5000})
     return;
-  learnedAt = monotonicNow();
+  refreshedAt = monotonicNow();
   // Of the addresses given some may be dead, some controllers, which serve no callers but know who
   // does.
-  for (std::size_t tries = 0; tries < (contacts.knowsMore() ? 1 : contacts.seedCount()); ++tries) {
-    if (auto told = client.ask(contacts.current(learnedAt),
-                               {"GET", "/v1/contacts?zone=" + zone->value, ""}, Duration{500}))
-      contacts.learn(gatewaysIn(told.value()));
-    if (contacts.knowsMore())
+  for (std::size_t tries = 0; tries < (gateways.hasLearned() ? 1 : gateways.seedCount()); ++tries) {
+    if (auto told = client.send(gateways.current(refreshedAt),
+                                {"GET", "/v1/contacts?zone=" + zone->value, ""}, Duration{500}))
+      gateways.update(gatewaysIn(told.value()));
+    if (gateways.hasLearned())
       return;
-    contacts.failed(learnedAt);
+    gateways.markFailed(refreshedAt);
   }
 }
 
-Result<HttpResponse, ClientError> Caller::ask(const HttpRequest& request, Duration within) {
+Result<HttpResponse, ClientError> GatewayClient::send(const HttpRequest& request, Duration within) {
   const MonotonicTime until = monotonicNow() + within;
   ClientError last{ClientError::Kind::unknown, 0, "no gateway answers", Duration{0}};
-  learn();
+  refreshGateways();
   while (monotonicNow() < until) {
     // A gateway that is silent for longer is left for the next, where the request may be repeated;
     // otherwise there is no other answer to wait for.
     const Duration left = until - monotonicNow();
-    auto result = once(request, mayRepeat(request) ? std::min(Duration{1500}, left) : left);
+    auto result = sendOnce(request, mayRepeat(request) ? std::min(Duration{1500}, left) : left);
     if (result) {
       if (result.value().status < 400)
         return result.value();
-      last = ClientError{result.value().status == 404   ? ClientError::Kind::missing
+      last = ClientError{result.value().status == 404   ? ClientError::Kind::notFound
                          : result.value().status == 503 ? ClientError::Kind::unknown
                                                         : ClientError::Kind::rejected,
                          result.value().status, result.value().body, result.value().retryAfter};
@@ -78,36 +79,36 @@
         return last;
       if (!mayRepeat(request) && !surelyNotTaken(result.value()))
         return last;
-      contacts.failed(monotonicNow());
+      gateways.markFailed(monotonicNow());
     } else {
       last = ClientError{ClientError::Kind::unknown, 0, result.error().text, Duration{0}};
       if (!mayRepeat(request) && result.error().kind != HttpError::Kind::unreachable)
         return last;
     }
-    pause(Duration{std::clamp<std::int64_t>(last.retryAfter.milliseconds, 50, 500)});
+    sleepFor(Duration{std::clamp<std::int64_t>(last.retryAfter.milliseconds, 50, 500)});
   }
   return last;
 }
 
-WorkerClient::WorkerClient(Loop& loop, WorkerSession::Options options, Incarnation incarnation,
+WorkerClient::WorkerClient(EventLoop& loop, WorkerSession::Options options, Incarnation incarnation,
                            std::vector<Address> gateways)
     : loop(loop),
-      core(std::move(options), incarnation),
-      contacts(std::move(gateways), incarnation.value / 2),
+      workerSession(std::move(options), incarnation),
+      gatewayDirectory(std::move(gateways), incarnation.value / 2),
       random(incarnation.value) {}
 
-void WorkerClient::deliver() {
-  for (const auto& [order, kind] : core.takeConfirmed())
+void WorkerClient::deliverEvents() {
+  for (const auto& [order, kind] : workerSession.takeConfirmedResults())
     confirmed(order, kind);
-  for (const auto& wanted : core.takeEffects())
+  for (const auto& wanted : workerSession.takeCommands())
     effect(wanted);
 }
 
-void WorkerClient::ended(AttemptNumber attempt, bool well) {
-  core.ended(attempt, well, monotonicNow());
+void WorkerClient::attemptEnded(AttemptNumber attempt, bool well) {
+  workerSession.onTaskEnded(attempt, well, monotonicNow());
 }
-void WorkerClient::leave(Duration within) {
-  core.leave(within);
+void WorkerClient::startDrain(Duration within) {
+  workerSession.startDraining(within);
 }
 
 void WorkerClient::run(const std::atomic<bool>& stop) {
@@ -116,9 +117,9 @@
   // Leases lapse and trials end between syncs too.
   spawn([this, &stop, &others] {
     while (!stop) {
-      core.tick(monotonicNow());
-      deliver();
-      pause(Duration{10});
+      workerSession.tick(monotonicNow());
+      deliverEvents();
+      sleepFor(Duration{10});
     }
     --others;
   });
@@ -127,67 +128,68 @@
   // While one sync waits for orders a second one tells endings at once.
   spawn([this, &stop, &urgent, &others] {
     while (!stop) {
-      if (core.urgent() && !cut) {
-        auto report = core.report(monotonicNow());
-        report.wait = Duration{0};
+      if (workerSession.hasUrgentReport() && !partitioned) {
+        auto report = workerSession.makeSyncReport(monotonicNow());
+        report.longPollTimeout = Duration{0};
         const MonotonicTime sentAt = monotonicNow();
-        auto result =
-            urgent.ask(contacts.current(sentAt),
-                       {"POST", "/v1/workers/" + report.id.value + "/sync", renderReport(report)},
-                       Duration{1500});
+        auto result = urgent.send(
+            gatewayDirectory.current(sentAt),
+            {"POST", "/v1/workers/" + report.id.value + "/sync", renderSyncReport(report)},
+            Duration{1500});
         if (result && result.value().status == 200) {
           if (auto answer = SyncResponse::parse(result.value().body))
-            core.answered(report.incarnation, answer.value(), sentAt, monotonicNow());
-          deliver();
+            workerSession.onSyncResponse(report.incarnation, answer.value(), sentAt,
+                                         monotonicNow());
+          deliverEvents();
         } else
-          pause(Duration{50});
+          sleepFor(Duration{50});
       }
-      pause(Duration{5});
+      sleepFor(Duration{5});
     }
     --others;
   });
   while (!stop) {
-    if (cut) {
-      pause(Duration{20});
+    if (partitioned) {
+      sleepFor(Duration{20});
       continue;
     }
-    contacts.learn(core.gateways());
-    const Address target = contacts.current(monotonicNow());
-    const auto report = core.report(monotonicNow());
+    gatewayDirectory.update(workerSession.gateways());
+    const Address target = gatewayDirectory.current(monotonicNow());
+    const auto report = workerSession.makeSyncReport(monotonicNow());
     const MonotonicTime sentAt = monotonicNow();
-    auto result = patient.ask(
-        target, {"POST", "/v1/workers/" + report.id.value + "/sync", renderReport(report)},
-        report.wait + Duration{300});
-    if (cut)
+    auto result = patient.send(
+        target, {"POST", "/v1/workers/" + report.id.value + "/sync", renderSyncReport(report)},
+        report.longPollTimeout + Duration{300});
+    if (partitioned)
       continue;
     if (result && result.value().status == 200) {
       auto answer = SyncResponse::parse(result.value().body);
       if (answer)
-        core.answered(report.incarnation, answer.value(), sentAt, monotonicNow());
-      deliver();
+        workerSession.onSyncResponse(report.incarnation, answer.value(), sentAt, monotonicNow());
+      deliverEvents();
       if (!answer)
-        pause(Duration{100});
+        sleepFor(Duration{100});
     } else if (result && result.value().status == 410) {
-      core.replaced(Incarnation{random.next() | 1});
-      deliver();
-      began(core.currentIncarnation());
+      workerSession.onReplaced(Incarnation{random.next() | 1});
+      deliverEvents();
+      incarnationChanged(workerSession.currentIncarnation());
     } else {
       if (result && result.value().status == 409)
         rejected(result.value().body);
       else {
         // The address given may be a controller's, which serves no workers but knows who does.
-        if (!contacts.knowsMore())
-          if (auto told = patient.ask(
+        if (!gatewayDirectory.hasLearned())
+          if (auto told = patient.send(
                   target, {"GET", "/v1/contacts?zone=" + report.capacity.zone.value, ""},
                   Duration{500}))
-            contacts.learn(gatewaysIn(told.value()));
-        contacts.failed(monotonicNow());
+            gatewayDirectory.update(gatewaysIn(told.value()));
+        gatewayDirectory.markFailed(monotonicNow());
       }
-      pause(result ? std::max(Duration{20}, result.value().retryAfter) : Duration{20});
+      sleepFor(result ? std::max(Duration{20}, result.value().retryAfter) : Duration{20});
     }
   }
   while (others > 0)
-    pause(Duration{5});
+    sleepFor(Duration{5});
 }
 
 }  // namespace aniseline
--- a/source/net/disk.cpp
+++ b/source/net/disk.cpp
@@ -14,7 +14,7 @@
 
 std::string nameOf(const WriteAheadRecord& record) {
   char name[64];
-  std::snprintf(name, sizeof name, "%s-%020llu", record.whole ? "snapshot" : "log",
+  std::snprintf(name, sizeof name, "%s-%020llu", record.holdsSnapshot ? "snapshot" : "log",
                 (unsigned long long)record.version.value);
   return name;
 }
@@ -67,34 +67,35 @@
 
 // Whole or absent: it gets its name only once its content is durable, and counts as written only
 // once the name is.
-DiskResult<bool> DataFolder::writeFile(const std::string& name, const std::string& bytes) {
+DiskResult<bool> DataFolder::writeFileAtomically(const std::string& name,
+                                                 const std::string& bytes) {
   const std::string target = path + "/" + name;
   const std::string aside = target + std::string(partialEnding);
-  if (auto written = files->writeSynced(aside, bytes); !written)
+  if (auto written = fileSystem->writeSynced(aside, bytes); !written)
     return written;
-  if (auto renamed = files->rename(aside, target); !renamed)
+  if (auto renamed = fileSystem->rename(aside, target); !renamed)
     return renamed;
-  return files->syncFolder(path);
+  return fileSystem->syncFolder(path);
 }
 
 DiskResult<ControllerId> DataFolder::open() {
-  if (auto made = files->makeFolder(path); !made)
+  if (auto made = fileSystem->makeFolder(path); !made)
     return made.error();
   const int lock = ::open((path + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
   if (lock < 0)
-    return DiskError{path + "/lock", 0, std::strerror(errno), DiskError::Kind::system};
+    return DiskError{path + "/lock", 0, std::strerror(errno), DiskError::Kind::systemError};
   if (::flock(lock, LOCK_EX | LOCK_NB) != 0) {
     ::close(lock);
-    return DiskError{path, 0, "is in use by another process", DiskError::Kind::system};
+    return DiskError{path, 0, "is in use by another process", DiskError::Kind::systemError};
   }
   // The lock is kept for the life of the process.
-  return openHeld();
+  return openLocked();
 }
 
-DiskResult<ControllerId> DataFolder::openHeld() {
+DiskResult<ControllerId> DataFolder::openLocked() {
   const std::string file = path + "/identity";
-  if (!files->exists(file)) {
-    auto names = files->list(path);
+  if (!fileSystem->exists(file)) {
+    auto names = fileSystem->listNames(path);
     if (!names)
       return names.error();
     for (const auto& name : names.value())
@@ -103,11 +104,11 @@
     std::random_device device;
     char text[40];
     std::snprintf(text, sizeof text, "%08x%08x", device(), device());
-    if (auto written = writeFile("identity", frame(text)); !written)
+    if (auto written = writeFileAtomically("identity", frame(text)); !written)
       return written.error();
     return ControllerId{text};
   }
-  auto bytes = files->read(file);
+  auto bytes = fileSystem->read(file);
   if (!bytes)
     return bytes.error();
   auto body = unframe(file, bytes.value());
@@ -117,23 +118,23 @@
 }
 
 DiskResult<std::vector<WriteAheadRecord>> DataFolder::load() {
-  auto names = files->list(path);
+  auto names = fileSystem->listNames(path);
   if (!names)
     return names.error();
   for (const auto& name : names.value())
     if (name.ends_with(partialEnding))
-      if (auto removed = files->remove(path + "/" + name); !removed)
+      if (auto removed = fileSystem->remove(path + "/" + name); !removed)
         return removed.error();
   // A process that was killed may have left a version whose name is not durable yet. It is about to
   // be claimed to others, so first it is made so.
-  if (auto synced = files->syncFolder(path); !synced)
+  if (auto synced = fileSystem->syncFolder(path); !synced)
     return synced.error();
-  return loadFrom(path, *files);
+  return readRecords(path, *fileSystem);
 }
 
-DiskResult<std::vector<WriteAheadRecord>> DataFolder::loadFrom(const std::string& path,
-                                                               FileSystem& files) {
-  auto names = files.list(path);
+DiskResult<std::vector<WriteAheadRecord>> DataFolder::readRecords(const std::string& path,
+                                                                  FileSystem& files) {
+  auto names = files.listNames(path);
   if (!names)
     return names.error();
   std::map<std::uint64_t, std::string> versions;
@@ -173,50 +174,50 @@
 }
 
 DiskResult<bool> DataFolder::write(const WriteAheadRecord& record) {
-  auto written = writeFile(nameOf(record), frame(pack(record)));
-  if (!written || !record.whole)
+  auto written = writeFileAtomically(nameOf(record), frame(pack(record)));
+  if (!written || !record.holdsSnapshot)
     return written;
-  return removeOlder(record.version);
+  return removeVersionsBefore(record.version);
 }
 
 // Only now that the whole version is durable, its name included. One that comes back after a loss
 // of power lies below it and is not read.
-DiskResult<bool> DataFolder::removeOlder(DiskVersion version) {
-  auto names = files->list(path);
+DiskResult<bool> DataFolder::removeVersionsBefore(DiskVersion version) {
+  auto names = fileSystem->listNames(path);
   if (!names)
     return true;  // they are removed with the next snapshot
   for (const auto& name : names.value()) {
     const auto found = versionFile(name);
     if (!found || found->version >= version.value)
       continue;
-    [[maybe_unused]] const auto removed = files->remove(path + "/" + name);
+    [[maybe_unused]] const auto removed = fileSystem->remove(path + "/" + name);
   }
   return true;
 }
 
-DiskResult<bool> DataFolder::setAside() {
+DiskResult<bool> DataFolder::quarantine() {
   int count = 1;
-  while (files->exists(path + "/aside-" + std::to_string(count)))
+  while (fileSystem->exists(path + "/aside-" + std::to_string(count)))
     ++count;
   const std::string target = path + "/aside-" + std::to_string(count);
-  if (auto made = files->makeFolder(target); !made)
+  if (auto made = fileSystem->makeFolder(target); !made)
     return made;
   // The identity goes first: without it the rest is never taken for a voter's state.
-  if (files->exists(path + "/identity"))
-    if (auto moved = files->rename(path + "/identity", target + "/identity"); !moved)
+  if (fileSystem->exists(path + "/identity"))
+    if (auto moved = fileSystem->rename(path + "/identity", target + "/identity"); !moved)
       return moved;
-  if (auto synced = files->syncFolder(path); !synced)
+  if (auto synced = fileSystem->syncFolder(path); !synced)
     return synced;
-  auto names = files->list(path);
+  auto names = fileSystem->listNames(path);
   if (!names)
     return names.error();
   for (const auto& name : names.value())
     if (versionFile(name))
-      if (auto moved = files->rename(path + "/" + name, target + "/" + name); !moved)
+      if (auto moved = fileSystem->rename(path + "/" + name, target + "/" + name); !moved)
         return moved;
-  if (auto synced = files->syncFolder(target); !synced)
+  if (auto synced = fileSystem->syncFolder(target); !synced)
     return synced;
-  return files->syncFolder(path);
+  return fileSystem->syncFolder(path);
 }
 
 }  // namespace aniseline
--- a/source/net/file_system.cpp
+++ b/source/net/file_system.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 DiskError systemError(const std::string& path, std::uint64_t offset = 0) {
-  return DiskError{path, offset, std::strerror(errno), DiskError::Kind::system};
+  return DiskError{path, offset, std::strerror(errno), DiskError::Kind::systemError};
 }
 
 struct Descriptor {
@@ -28,14 +28,14 @@
 
 class PosixFileSystem final : public FileSystem {
  public:
-  DiskResult<std::vector<std::string>> list(const std::string& folder) override {
+  DiskResult<std::vector<std::string>> listNames(const std::string& folder) override {
     std::error_code error;
     std::vector<std::string> names;
     for (fs::directory_iterator entry(folder, error), end; !error && entry != end;
          entry.increment(error))
       names.push_back(entry->path().filename());
     if (error)
-      return DiskError{folder, 0, error.message(), DiskError::Kind::system};
+      return DiskError{folder, 0, error.message(), DiskError::Kind::systemError};
     return names;
   }
 
@@ -95,7 +95,7 @@
     std::error_code error;
     fs::create_directory(folder, error);
     if (error)
-      return DiskError{path, 0, error.message(), DiskError::Kind::system};
+      return DiskError{path, 0, error.message(), DiskError::Kind::systemError};
     return syncFolder(above);
   }
 
--- a/source/net/file_system.hpp
+++ b/source/net/file_system.hpp
@@ -8,13 +8,13 @@
 struct DiskError {
   // `damage`: what is there is not what was written. `system`: the system refused; what is there
   // may be sound.
-  enum class Kind : std::uint8_t { damage, system };
+  enum class Kind : std::uint8_t { corruption, systemError };
   std::string file;
   std::uint64_t offset = 0;
-  std::string text;
-  Kind kind = Kind::damage;
+  std::string reason;
+  Kind kind = Kind::corruption;
   std::string message() const {
-    return file + (offset ? " at byte " + std::to_string(offset) : "") + ": " + text;
+    return file + (offset ? " at byte " + std::to_string(offset) : "") + ": " + reason;
   }
 };
 template <class Value>
@@ -25,7 +25,7 @@
 class FileSystem {
  public:
   virtual ~FileSystem() = default;
-  virtual DiskResult<std::vector<std::string>> list(const std::string& folder) = 0;
+  virtual DiskResult<std::vector<std::string>> listNames(const std::string& folder) = 0;
   virtual bool exists(const std::string& path) = 0;
   virtual DiskResult<std::string> read(const std::string& path) = 0;
   virtual DiskResult<bool> writeSynced(const std::string& path, const std::string& bytes) = 0;
--- a/source/net/history_file.cpp
+++ b/source/net/history_file.cpp
@@ -3,7 +3,7 @@
 
 namespace aniseline {
 
-Result<FleetHistory, HistoryError> readFolder(const std::string& folder, bool atWork) {
+Result<FleetHistory, HistoryError> readHistoryFolder(const std::string& folder, bool atWork) {
   FleetHistory found;
   std::error_code error;
   for (const auto& entry : std::filesystem::directory_iterator(folder, error)) {
@@ -16,7 +16,7 @@
       auto read = readHistory(name, text, atWork);
       if (!read)
         return read.error();
-      found.witnessed.insert(found.witnessed.end(), read.value().begin(), read.value().end());
+      found.events.insert(found.events.end(), read.value().begin(), read.value().end());
       continue;
     }
     std::istringstream lines(text);
@@ -32,7 +32,7 @@
   }
   if (error)
     return HistoryError{folder, 0, error.message()};
-  if (found.witnessed.empty())
+  if (found.events.empty())
     return HistoryError{folder, 0, "holds no history"};
   if (found.submissions.empty())
     return HistoryError{folder, 0, "holds no submissions"};
--- a/source/net/history_file.hpp
+++ b/source/net/history_file.hpp
@@ -21,9 +21,9 @@
   void write(HistoryEvent witness) {
     if (!out.is_open())
       return;
-    if (!witness.at)
-      witness.at = wallNow().milliseconds;
-    out << witness.line() << "\n" << std::flush;
+    if (!witness.timestamp)
+      witness.timestamp = wallNow().milliseconds;
+    out << witness.toJsonLine() << "\n" << std::flush;
   }
   void write(HistoryEvent::Kind kind, std::string detail = {}) {
     HistoryEvent witness;
@@ -39,11 +39,12 @@
 
 // What all writers of a folder witnessed (*.witness), and the jobs submitted (*.submissions).
 struct FleetHistory {
-  std::vector<HistoryEvent> witnessed;
+  std::vector<HistoryEvent> events;
   std::map<std::string, JobSubmission> submissions;
 };
 // An error in any file is an error of the whole; of writers still at work a line may be half
 // written.
-Result<FleetHistory, HistoryError> readFolder(const std::string& folder, bool atWork = false);
+Result<FleetHistory, HistoryError> readHistoryFolder(const std::string& folder,
+                                                     bool atWork = false);
 
 }  // namespace aniseline
--- a/source/net/link_proxy.cpp
+++ b/source/net/link_proxy.cpp
@@ -4,26 +4,26 @@
 namespace aniseline {
 
 Result<bool> LinkProxy::open(const Address& at, const Address& target, std::string zone) {
-  auto endpoint = endpointOf(at), behind = endpointOf(target);
+  auto endpoint = parseEndpoint(at), behind = parseEndpoint(target);
   if (!endpoint)
     return endpoint.error();
   if (!behind)
     return behind.error();
   auto acceptor = std::make_shared<tcp::acceptor>(loop.context);
-  if (const IoError error = listenAt(*acceptor, endpoint.value(), peerBacklog))
+  if (const IoError error = listenOn(*acceptor, endpoint.value(), peerBacklog))
     return CoreError::at(CoreError::Kind::invalid, at.value, "can't listen: " + error.message());
   spawn([this, acceptor, behind = behind.value(), zone = std::move(zone)] {
     for (;;) {
       auto near = std::make_shared<tcp::socket>(loop.context);
       if (await([&](auto done) { acceptor->async_accept(*near, done); }).error) {
-        pause(Duration{10});
+        sleepFor(Duration{10});
         continue;
       }
       spawn([this, near, behind, zone] {
         IoError ignored;
-        const std::string from = zoneOf(near->remote_endpoint(ignored).address().to_string());
+        const std::string from = zoneLookup(near->remote_endpoint(ignored).address().to_string());
         while (blocked(from, zone))
-          pause(Duration{20});
+          sleepFor(Duration{20});
         auto far = std::make_shared<tcp::socket>(loop.context);
         if (await([&](auto done) { far->async_connect(behind, done); }).error) {
           near->close(ignored);
@@ -31,33 +31,34 @@
         }
         near->set_option(tcp::no_delay(true), ignored);
         far->set_option(tcp::no_delay(true), ignored);
-        spawn([this, near, far, from, zone] { pass(near, far, from, zone); });
-        pass(far, near, zone, from);
+        spawn([this, near, far, from, zone] { forward(near, far, from, zone); });
+        forward(far, near, zone, from);
       });
     }
   });
   return true;
 }
 
-void LinkProxy::cut(const std::string& zone, bool cut) {
+void LinkProxy::setPartitioned(const std::string& zone, bool cut) {
   if (cut)
-    zonesCut.insert(zone);
+    partitionedZones.insert(zone);
   else
-    zonesCut.erase(zone);
+    partitionedZones.erase(zone);
 }
 
 bool LinkProxy::blocked(const std::string& from, const std::string& to) const {
-  return !from.empty() && from != to && (zonesCut.count(from) || zonesCut.count(to));
+  return !from.empty() && from != to &&
+         (partitionedZones.count(from) || partitionedZones.count(to));
 }
 
-void LinkProxy::pass(std::shared_ptr<tcp::socket> from, std::shared_ptr<tcp::socket> to,
-                     std::string fromZone, std::string toZone) {
+void LinkProxy::forward(std::shared_ptr<tcp::socket> from, std::shared_ptr<tcp::socket> to,
+                        std::string fromZone, std::string toZone) {
   std::vector<char> bytes(64 * 1024);
   IoError ignored;
   for (;;) {
     const auto read = await([&](auto done) { from->async_read_some(asio::buffer(bytes), done); });
     while (!toZone.empty() && blocked(fromZone, toZone))
-      pause(Duration{20});
+      sleepFor(Duration{20});
     if (read.error)
       break;
     if (await([&](auto done) {
--- a/source/net/link_proxy.hpp
+++ b/source/net/link_proxy.hpp
@@ -8,20 +8,21 @@
 class LinkProxy {
  public:
   // The zone of whoever connects from an IP number; empty: from outside of all zones, never cut.
-  using ZoneOf = std::function<std::string(const std::string& ip)>;
-  LinkProxy(Loop& loop, ZoneOf zoneOf) : loop(loop), zoneOf(std::move(zoneOf)) {}
+  using ZoneLookup = std::function<std::string(const std::string& ip)>;
+  LinkProxy(EventLoop& loop, ZoneLookup zoneLookup)
+      : loop(loop), zoneLookup(std::move(zoneLookup)) {}
   // Takes connections at one address and passes them on to another, in the zone named.
   Result<bool> open(const Address& at, const Address& target, std::string zone);
   // A cut zone neither hears nor is heard; what was under way waits, as on a real wire.
-  void cut(const std::string& zone, bool cut);
+  void setPartitioned(const std::string& zone, bool cut);
 
  private:
   bool blocked(const std::string& from, const std::string& to) const;
-  void pass(std::shared_ptr<tcp::socket> from, std::shared_ptr<tcp::socket> to,
-            std::string fromZone, std::string toZone);
-  Loop& loop;
-  ZoneOf zoneOf;
-  std::set<std::string> zonesCut;
+  void forward(std::shared_ptr<tcp::socket> from, std::shared_ptr<tcp::socket> to,
+               std::string fromZone, std::string toZone);
+  EventLoop& loop;
+  ZoneLookup zoneLookup;
+  std::set<std::string> partitionedZones;
 };
 
 }  // namespace aniseline
--- a/source/net/loop.cpp
+++ b/source/net/loop.cpp
@@ -2,7 +2,7 @@
 
 namespace aniseline {
 
-Result<tcp::endpoint> endpointOf(const Address& address) {
+Result<tcp::endpoint> parseEndpoint(const Address& address) {
   auto fail = [&] {
     return CoreError::at(
         CoreError::Kind::invalid, "",
@@ -25,7 +25,7 @@
   return tcp::endpoint(parsed, static_cast<unsigned short>(number));
 }
 
-IoError listenAt(tcp::acceptor& acceptor, const tcp::endpoint& endpoint, int backlog, bool shared) {
+IoError listenOn(tcp::acceptor& acceptor, const tcp::endpoint& endpoint, int backlog, bool shared) {
   IoError error;
   acceptor.open(endpoint.protocol(), error);
   acceptor.set_option(tcp::acceptor::reuse_address(true), error);
--- a/source/net/loop.hpp
+++ b/source/net/loop.hpp
@@ -15,9 +15,9 @@
 
 // When no fiber of the thread is ready the thread waits in the Asio context, whose handlers make
 // fibers ready.
-class LoopScheduler : public boost::fibers::algo::algorithm {
+class FiberScheduler : public boost::fibers::algo::algorithm {
  public:
-  explicit LoopScheduler(asio::io_context& context) : context(context) {}
+  explicit FiberScheduler(asio::io_context& context) : context(context) {}
   void awakened(boost::fibers::context* fiber) noexcept override { fiber->ready_link(queue); }
   boost::fibers::context* pick_next() noexcept override {
     if (queue.empty())
@@ -45,22 +45,22 @@
   boost::fibers::scheduler::ready_queue_type queue;
 };
 
-class Loop {
+class EventLoop {
  public:
-  Loop() : guard(asio::make_work_guard(context)) {
-    boost::fibers::use_scheduling_algorithm<LoopScheduler>(context);
+  EventLoop() : guard(asio::make_work_guard(context)) {
+    boost::fibers::use_scheduling_algorithm<FiberScheduler>(context);
   }
   asio::io_context context;
   // Opens a socket that connects from the given IP number, where a machine has several. Empty: the
   // system chooses.
-  IoError openFrom(tcp::socket& socket, const tcp::endpoint& target) const {
+  IoError openSocket(tcp::socket& socket, const tcp::endpoint& target) const {
     IoError error;
     socket.open(target.protocol(), error);
-    if (!error && !source.empty())
-      socket.bind(tcp::endpoint(asio::ip::make_address(source, error), 0), error);
+    if (!error && !sourceIp.empty())
+      socket.bind(tcp::endpoint(asio::ip::make_address(sourceIp, error), 0), error);
     return error;
   }
-  static inline std::string source;  // of the whole process, set once before anything connects
+  static inline std::string sourceIp;  // of the whole process, set once before anything connects
 
  private:
   asio::executor_work_guard<asio::io_context::executor_type> guard;
@@ -91,7 +91,7 @@
 }
 
 template <class Work>
-void after(Duration span, Work&& work) {
+void runAfter(Duration span, Work&& work) {
   spawn([span, work = std::forward<Work>(work)] {
     boost::this_fiber::sleep_for(std::chrono::milliseconds(span.milliseconds));
     work();
@@ -108,11 +108,11 @@
                       std::chrono::system_clock::now().time_since_epoch())
                       .count()};
 }
-inline void pause(Duration span) {
+inline void sleepFor(Duration span) {
   boost::this_fiber::sleep_for(std::chrono::milliseconds(span.milliseconds));
 }
 
-inline std::string ipOf(const Address& address) {
+inline std::string sourceIpOf(const Address& address) {
   const auto colon = address.value.rfind(':');
   std::string ip = address.value.substr(0, colon);
   if (ip.size() > 1 && ip.front() == '[')
@@ -121,12 +121,12 @@
 }
 
 // IP numbers only: 127.0.0.1:8000 or [::1]:8000.
-Result<tcp::endpoint> endpointOf(const Address& address);
+Result<tcp::endpoint> parseEndpoint(const Address& address);
 
 // How many connections may wait to be accepted: from our own processes, and from clients.
 constexpr int peerBacklog = 256, clientBacklog = 1024;
 // Has an acceptor listen. Shared: other acceptors may listen at the same endpoint.
-IoError listenAt(tcp::acceptor& acceptor, const tcp::endpoint& endpoint, int backlog,
+IoError listenOn(tcp::acceptor& acceptor, const tcp::endpoint& endpoint, int backlog,
                  bool shared = false);
 
 }  // namespace aniseline
--- a/source/net/options.cpp
+++ b/source/net/options.cpp
@@ -11,53 +11,53 @@
 OptionSet::OptionSet(std::string program, std::string purpose)
     : program(std::move(program)), purpose(std::move(purpose)) {}
 
-void OptionSet::add(Entry entry) {
+void OptionSet::addEntry(Entry entry) {
   entries.push_back(std::move(entry));
 }
 
-void OptionSet::text(const std::string& name, std::string& target, const std::string& help,
-                     bool needed) {
+void OptionSet::addText(const std::string& name, std::string& target, const std::string& help,
+                        bool needed) {
   Entry entry{name, help, needed, false, false, {}, {}, {}, false};
-  entry.take = [&target](const std::string& given) -> std::optional<std::string> {
+  entry.parse = [&target](const std::string& given) -> std::optional<std::string> {
     if (given.empty())
       return "must not be empty";
     target = given;
     return std::nullopt;
   };
-  add(std::move(entry));
+  addEntry(std::move(entry));
 }
-void OptionSet::address(const std::string& name, Address& target, const std::string& help,
-                        bool needed) {
+void OptionSet::addAddress(const std::string& name, Address& target, const std::string& help,
+                           bool needed) {
   Entry entry{name, help, needed, false, false, {}, {}, {}, false};
-  entry.take = [&target](const std::string& given) -> std::optional<std::string> {
-    auto endpoint = endpointOf(Address{given});
+  entry.parse = [&target](const std::string& given) -> std::optional<std::string> {
+    auto endpoint = parseEndpoint(Address{given});
     if (!endpoint)
       return endpoint.error().text();
     target = Address{given};
     return std::nullopt;
   };
-  add(std::move(entry));
+  addEntry(std::move(entry));
 }
-void OptionSet::addresses(const std::string& name, std::vector<Address>& target,
-                          const std::string& help, bool needed) {
+void OptionSet::addAddresses(const std::string& name, std::vector<Address>& target,
+                             const std::string& help, bool needed) {
   Entry entry{name, help, needed, false, true, {}, {}, {}, false};
-  entry.take = [&target](const std::string& given) -> std::optional<std::string> {
-    auto endpoint = endpointOf(Address{given});
+  entry.parse = [&target](const std::string& given) -> std::optional<std::string> {
+    auto endpoint = parseEndpoint(Address{given});
     if (!endpoint)
       return endpoint.error().text();
     target.push_back(Address{given});
     return std::nullopt;
   };
-  add(std::move(entry));
+  addEntry(std::move(entry));
 }
-void OptionSet::whole(const std::string& name, std::int64_t& target, const std::string& help,
-                      std::int64_t low, std::int64_t high) {
+void OptionSet::addInteger(const std::string& name, std::int64_t& target, const std::string& help,
+                           std::int64_t low, std::int64_t high) {
   Entry entry{name,  target < low ? help : help + " (" + std::to_string(target) + ")",
               false, false,
               false, {},
               {},    {},
               false};
-  entry.take = [&target, low, high](const std::string& given) -> std::optional<std::string> {
+  entry.parse = [&target, low, high](const std::string& given) -> std::optional<std::string> {
     char* end = nullptr;
     errno = 0;
     const auto number = std::strtoll(given.c_str(), &end, 10);
@@ -66,12 +66,12 @@
     target = number;
     return std::nullopt;
   };
-  add(std::move(entry));
+  addEntry(std::move(entry));
 }
-void OptionSet::real(const std::string& name, double& target, const std::string& help, double low,
-                     double high) {
+void OptionSet::addReal(const std::string& name, double& target, const std::string& help,
+                        double low, double high) {
   Entry entry{name, help, false, false, false, {}, {}, {}, false};
-  entry.take = [&target, low, high](const std::string& given) -> std::optional<std::string> {
+  entry.parse = [&target, low, high](const std::string& given) -> std::optional<std::string> {
     char* end = nullptr;
     const double number = std::strtod(given.c_str(), &end);
     if (given.empty() || *end || !(number >= low && number <= high))
@@ -79,40 +79,40 @@
     target = number;
     return std::nullopt;
   };
-  add(std::move(entry));
+  addEntry(std::move(entry));
 }
-void OptionSet::flag(const std::string& name, bool& target, const std::string& help) {
+void OptionSet::addFlag(const std::string& name, bool& target, const std::string& help) {
   Entry entry{name, help, false, true, false, {}, {}, {}, false};
-  entry.take = [&target](const std::string& given) -> std::optional<std::string> {
+  entry.parse = [&target](const std::string& given) -> std::optional<std::string> {
     if (given != "true" && given != "false")
       return "must be true or false";
     target = given == "true";
     return std::nullopt;
   };
-  add(std::move(entry));
+  addEntry(std::move(entry));
 }
-void OptionSet::words(std::vector<std::string>& target, const std::string& help) {
-  wordsTarget = &target;
-  wordsHelp = help;
+void OptionSet::addPositionals(std::vector<std::string>& target, const std::string& help) {
+  positionalsTarget = &target;
+  positionalsHelp = help;
 }
 
-void OptionSet::environment(const std::string& name, const std::string& variable) {
-  if (Entry* entry = find(name))
-    entry->variable = variable;
+void OptionSet::bindEnvironment(const std::string& name, const std::string& variable) {
+  if (Entry* entry = findEntry(name))
+    entry->environmentVariable = variable;
 }
-void OptionSet::help(std::function<void(const std::vector<std::string>&)> show) {
+void OptionSet::setHelp(std::function<void(const std::vector<std::string>&)> show) {
   showHelp = std::move(show);
 }
 
-OptionSet::Entry* OptionSet::find(const std::string& name) {
+OptionSet::Entry* OptionSet::findEntry(const std::string& name) {
   auto found = std::find_if(entries.begin(), entries.end(),
                             [&](const Entry& known) { return known.name == name; });
   return found == entries.end() ? nullptr : &*found;
 }
-std::vector<std::string> OptionSet::onLine() const {
+std::vector<std::string> OptionSet::givenOnCommandLine() const {
   std::vector<std::string> names;
   for (const auto& entry : entries)
-    if (entry.onLine)
+    if (entry.onCommandLine)
       names.push_back(entry.name);
   return names;
 }
@@ -122,9 +122,10 @@
   for (const auto& entry : entries) {
     if (!names.empty() && !std::count(names.begin(), names.end(), entry.name))
       continue;
-    lines.emplace_back("--" + entry.name + (entry.isFlag ? "" : " VALUE"),
-                       entry.help + (entry.isList ? "; may be given several times" : "") +
-                           (entry.variable.empty() ? "" : "; or " + entry.variable));
+    lines.emplace_back(
+        "--" + entry.name + (entry.isFlag ? "" : " VALUE"),
+        entry.help + (entry.isList ? "; may be given several times" : "") +
+            (entry.environmentVariable.empty() ? "" : "; or " + entry.environmentVariable));
     width = std::max(width, lines.back().first.size());
   }
   std::string text;
@@ -133,7 +134,7 @@
   return text;
 }
 
-void OptionSet::readLine(int count, char** values, std::string& file) {
+void OptionSet::readCommandLine(int count, char** values, std::string& file) {
   TCLAP::CmdLine line(purpose, ' ', "0.1.0", !showHelp);
   std::unique_ptr<TCLAP::SwitchArg> helpArg, versionArg;
   if (showHelp) {
@@ -146,21 +147,21 @@
   for (auto& entry : entries) {
     if (entry.isFlag) {
       auto arg = std::make_shared<TCLAP::SwitchArg>("", entry.name, entry.help, line);
-      entry.given = [arg] {
+      entry.argumentValues = [arg] {
         return arg->isSet() ? std::vector<std::string>{"true"} : std::vector<std::string>{};
       };
       entry.arg = arg;
     } else if (entry.isList) {
       auto arg = std::make_shared<TCLAP::MultiArg<std::string>>("", entry.name, entry.help, false,
                                                                 "value", line);
-      entry.given = [arg] {
+      entry.argumentValues = [arg] {
         return arg->getValue();
       };
       entry.arg = arg;
     } else {
       auto arg = std::make_shared<TCLAP::ValueArg<std::string>>("", entry.name, entry.help, false,
                                                                 "", "value", line);
-      entry.given = [arg] {
+      entry.argumentValues = [arg] {
         return arg->isSet() ? std::vector<std::string>{arg->getValue()}
                             : std::vector<std::string>{};
       };
@@ -168,12 +169,12 @@
     }
   }
   std::unique_ptr<TCLAP::UnlabeledMultiArg<std::string>> rest;
-  if (wordsTarget)
-    rest = std::make_unique<TCLAP::UnlabeledMultiArg<std::string>>("words", wordsHelp, false,
+  if (positionalsTarget)
+    rest = std::make_unique<TCLAP::UnlabeledMultiArg<std::string>>("words", positionalsHelp, false,
                                                                    "words", line);
   line.parse(count, values);
   if (rest)
-    *wordsTarget = rest->getValue();
+    *positionalsTarget = rest->getValue();
   if (versionArg && versionArg->isSet()) {
     std::cout << program << "  version: " << line.getVersion() << "\n";
     std::exit(0);
@@ -183,15 +184,15 @@
     std::exit(0);
   }
   for (auto& entry : entries)
-    for (const auto& given : entry.given()) {
-      entry.set = entry.onLine = true;
-      if (auto fault = entry.take(given))
-        faults.push_back("--" + entry.name + ": " + *fault);
+    for (const auto& given : entry.argumentValues()) {
+      entry.isSet = entry.onCommandLine = true;
+      if (auto fault = entry.parse(given))
+        errors.push_back("--" + entry.name + ": " + *fault);
     }
   file = fileArg.getValue();
 }
 
-void OptionSet::readFile(const std::string& file) {
+void OptionSet::readOptionsFile(const std::string& file) {
   std::ifstream stream(file);
   std::string bytes((std::istreambuf_iterator<char>(stream)), {});
   picojson::value root;
@@ -199,18 +200,19 @@
                             : nestedTooDeep(bytes) ? "is nested too deep"
                                                    : parseJson(root, bytes);
   if (!error.empty())
-    return faults.push_back(file + ": " + error);
+    return errors.push_back(file + ": " + error);
   if (!root.is<picojson::object>())
-    return faults.push_back(file + ": must be an object");
+    return errors.push_back(file + ": must be an object");
   for (const auto& [name, value] : root.get<picojson::object>()) {
-    if (Entry* entry = find(name))
-      readField(file + ": " + name + ": ", value, *entry);
+    if (Entry* entry = findEntry(name))
+      readFileField(file + ": " + name + ": ", value, *entry);
     else
-      faults.push_back(file + ": " + name + ": is not a known option of " + program);
+      errors.push_back(file + ": " + name + ": is not a known option of " + program);
   }
 }
-void OptionSet::readField(const std::string& where, const picojson::value& value, Entry& entry) {
-  if (entry.set)
+void OptionSet::readFileField(const std::string& where, const picojson::value& value,
+                              Entry& entry) {
+  if (entry.isSet)
     return;
   auto text = [](const picojson::value& item) {
     return item.is<std::string>() ? item.get<std::string>() : item.serialize();
@@ -219,20 +221,21 @@
   if (!value.is<picojson::array>())
     given.push_back(text(value));
   else if (!entry.isList)
-    faults.push_back(where + "must not be a list");
+    errors.push_back(where + "must not be a list");
   else
     for (const auto& item : value.get<picojson::array>())
       given.push_back(text(item));
   for (const auto& item : given)
-    if (auto fault = entry.take(item))
-      faults.push_back(where + *fault);
-  entry.set = true;
+    if (auto fault = entry.parse(item))
+      errors.push_back(where + *fault);
+  entry.isSet = true;
 }
 
 void OptionSet::readEnvironment() {
   for (auto& entry : entries) {
-    const char* given =
-        entry.set || entry.variable.empty() ? nullptr : std::getenv(entry.variable.c_str());
+    const char* given = entry.isSet || entry.environmentVariable.empty()
+                            ? nullptr
+                            : std::getenv(entry.environmentVariable.c_str());
     if (!given)
       continue;
     std::string text = given;
@@ -243,30 +246,30 @@
     for (std::string part; entry.isList ? bool(stream >> part) : bool(std::getline(stream, part));)
       parts.push_back(part);
     for (const auto& part : parts) {
-      entry.set = true;
-      if (auto fault = entry.take(part))
-        faults.push_back(entry.variable + ": " + *fault);
+      entry.isSet = true;
+      if (auto fault = entry.parse(part))
+        errors.push_back(entry.environmentVariable + ": " + *fault);
     }
   }
 }
 
 void OptionSet::read(int count, char** values) {
-  faults.clear();
+  errors.clear();
   try {
     std::string file;
-    readLine(count, values, file);
+    readCommandLine(count, values, file);
     if (!file.empty())
-      readFile(file);
+      readOptionsFile(file);
   } catch (const TCLAP::ArgException& error) {
-    faults.push_back(error.argId() + ": " + error.error());
+    errors.push_back(error.argId() + ": " + error.error());
   }
   readEnvironment();
   for (const auto& entry : entries)
-    if (entry.needed && !entry.set)
-      faults.push_back("--" + entry.name + ": is missing");
-  if (faults.empty())
+    if (entry.required && !entry.isSet)
+      errors.push_back("--" + entry.name + ": is missing");
+  if (errors.empty())
     return;
-  for (const auto& fault : faults)
+  for (const auto& fault : errors)
     std::cerr << program << ": " << fault << "\n";
   std::exit(2);
 }
--- a/source/net/options.hpp
+++ b/source/net/options.hpp
@@ -10,54 +10,54 @@
 class OptionSet {
  public:
   OptionSet(std::string program, std::string purpose);
-  void text(const std::string& name, std::string& target, const std::string& help,
-            bool needed = false);
-  void address(const std::string& name, Address& target, const std::string& help,
+  void addText(const std::string& name, std::string& target, const std::string& help,
                bool needed = false);
-  void addresses(const std::string& name, std::vector<Address>& target, const std::string& help,
-                 bool needed = false);
-  void whole(const std::string& name, std::int64_t& target, const std::string& help,
-             std::int64_t low, std::int64_t high);
-  void real(const std::string& name, double& target, const std::string& help, double low,
-            double high);
-  void flag(const std::string& name, bool& target, const std::string& help);
+  void addAddress(const std::string& name, Address& target, const std::string& help,
+                  bool needed = false);
+  void addAddresses(const std::string& name, std::vector<Address>& target, const std::string& help,
+                    bool needed = false);
+  void addInteger(const std::string& name, std::int64_t& target, const std::string& help,
+                  std::int64_t low, std::int64_t high);
+  void addReal(const std::string& name, double& target, const std::string& help, double low,
+               double high);
+  void addFlag(const std::string& name, bool& target, const std::string& help);
   // Words that are no flags; at most this many.
-  void words(std::vector<std::string>& target, const std::string& help);
+  void addPositionals(std::vector<std::string>& target, const std::string& help);
   // An option not given otherwise is taken from this variable of the environment; a list's values
   // are parted by commas or blanks.
-  void environment(const std::string& name, const std::string& variable);
+  void bindEnvironment(const std::string& name, const std::string& variable);
   // Takes the place of the help that TCLAP would print: it is handed the words, prints and returns,
   // and the process ends.
-  void help(std::function<void(const std::vector<std::string>& words)> show);
+  void setHelp(std::function<void(const std::vector<std::string>& words)> show);
   // An aligned line for each of these options; of all if none is named.
   std::string describe(const std::vector<std::string>& names = {}) const;
   // The options that were flags of the command line.
-  std::vector<std::string> onLine() const;
+  std::vector<std::string> givenOnCommandLine() const;
   // Reads all; ends the process with status 2 and a plain line for each fault.
   void read(int count, char** values);
 
  private:
   struct Entry {
     std::string name, help;
-    bool needed = false, isFlag = false, isList = false;
-    std::function<std::optional<std::string>(const std::string&)> take;
+    bool required = false, isFlag = false, isList = false;
+    std::function<std::optional<std::string>(const std::string&)> parse;
     std::shared_ptr<TCLAP::Arg> arg;
-    std::function<std::vector<std::string>()> given;
-    bool set = false, onLine = false;
-    std::string variable{};  // of the environment
+    std::function<std::vector<std::string>()> argumentValues;
+    bool isSet = false, onCommandLine = false;
+    std::string environmentVariable{};  // of the environment
   };
-  void add(Entry entry);
-  Entry* find(const std::string& name);
-  void readLine(int count, char** values, std::string& file);
-  void readFile(const std::string& file);
-  void readField(const std::string& where, const picojson::value& value, Entry& entry);
+  void addEntry(Entry entry);
+  Entry* findEntry(const std::string& name);
+  void readCommandLine(int count, char** values, std::string& file);
+  void readOptionsFile(const std::string& file);
+  void readFileField(const std::string& where, const picojson::value& value, Entry& entry);
   void readEnvironment();
   std::string program, purpose;
   std::vector<Entry> entries;
-  std::vector<std::string>* wordsTarget = nullptr;
-  std::string wordsHelp;
+  std::vector<std::string>* positionalsTarget = nullptr;
+  std::string positionalsHelp;
   std::function<void(const std::vector<std::string>&)> showHelp;
-  std::vector<std::string> faults;
+  std::vector<std::string> errors;
 };
 
 }  // namespace aniseline
--- a/source/net/peer_outbox.hpp
+++ b/source/net/peer_outbox.hpp
@@ -8,11 +8,11 @@
 // larger than the bound alone still passes.
 class PeerOutbox {
  public:
-  explicit PeerOutbox(std::size_t mostBytes) : mostBytes(mostBytes) {}
+  explicit PeerOutbox(std::size_t maxBytes) : maxBytes(maxBytes) {}
 
   bool push(PeerMessage message) {  // false: there is no room for it
-    const std::size_t bytes = payloadBytes(message) + headBytes;
-    if (!messages.empty() && queuedBytes + bytes > mostBytes)
+    const std::size_t bytes = payloadBytes(message) + messageOverheadBytes;
+    if (!messages.empty() && queuedBytes + bytes > maxBytes)
       return false;
     queuedBytes += bytes;
     messages.push_back(std::move(message));
@@ -21,15 +21,16 @@
   PeerMessage pop() {
     PeerMessage message = std::move(messages.front());
     messages.pop_front();
-    queuedBytes -= payloadBytes(message) + headBytes;
+    queuedBytes -= payloadBytes(message) + messageOverheadBytes;
     return message;
   }
   bool empty() const { return messages.empty(); }
   std::size_t bytes() const { return queuedBytes; }
 
  private:
-  static constexpr std::size_t headBytes = sizeof(PeerMessage);  // about what it is without payload
-  std::size_t mostBytes;
+  static constexpr std::size_t messageOverheadBytes =
+      sizeof(PeerMessage);  // about what it is without payload
+  std::size_t maxBytes;
   std::size_t queuedBytes = 0;
   std::deque<PeerMessage> messages;
 };
--- a/source/net/relay.cpp
+++ b/source/net/relay.cpp
@@ -3,7 +3,7 @@
 
 namespace aniseline {
 
-bool renewSeeds(const SeedSource& source, std::vector<Address>& seeds) {
+bool refreshSeeds(const SeedSource& source, std::vector<Address>& seeds) {
   if (!source)
     return false;
   auto told = source();
@@ -13,48 +13,49 @@
   return true;
 }
 
-WireCaller& Relay::callerTo(const Address& address) {
-  auto& caller = callers[address];
+RpcClient& LeaderForwarder::clientFor(const Address& address) {
+  auto& caller = clients[address];
   if (!caller)
-    caller = std::make_unique<WireCaller>(loop, address);
+    caller = std::make_unique<RpcClient>(loop, address);
   return *caller;
 }
 
-ApiResponse Relay::relay(const ApiRequest& request) {
+ApiResponse LeaderForwarder::forward(const ApiRequest& request) {
   LeaderCall course(request, route, seeds, monotonicNow());
   auto step = course.begin(monotonicNow());
   for (;;) {
-    if (step.kind == LeaderCall::Step::Kind::answer)
-      return step.answer;
-    if (givingUp())
-      return ApiResponse::notTaken("this gateway is stopping");
-    if (step.kind == LeaderCall::Step::Kind::wait) {
-      pause(step.within);
-      step = course.waited(monotonicNow());
+    if (step.kind == LeaderCall::Step::Kind::complete)
+      return step.response;
+    if (shuttingDown())
+      return ApiResponse::notApplied("this gateway is stopping");
+    if (step.kind == LeaderCall::Step::Kind::backOff) {
+      sleepFor(step.timeout);
+      step = course.onBackoffElapsed(monotonicNow());
       continue;
     }
     // Once another is known to lead, one that is silent is not waited for: it may be frozen.
     // docs/design.md 9.2.
     const Term asked = route().term;
-    auto answered = callerTo(step.target).call(request, step.within, [&] {
-      if (givingUp())
+    auto answered = clientFor(step.target).call(request, step.timeout, [&] {
+      if (shuttingDown())
         return true;
-      const RouteView view = route();
+      const LeaderRoute view = route();
       return view.term > asked && !view.leader.value.empty() && view.leader != step.target;
     });
     if (answered) {
       auto* answer = boost::get<ApiResponse>(&answered.value().body);
       if (answer && !answer->notLeader)
         lastServed = step.target;
-      step = course.answered(
-          answer ? *answer : ApiResponse::unknown("the leader's answer could not be read"),
+      step = course.onResponse(
+          answer ? *answer : ApiResponse::outcomeUnknown("the leader's answer could not be read"),
           monotonicNow());
     } else {
       const auto kind = answered.error().kind;
-      step = course.failed(kind == WireError::Kind::unreachable ? LeaderCall::Loss::unreachable
-                           : kind == WireError::Kind::late      ? LeaderCall::Loss::late
-                                                                : LeaderCall::Loss::lost,
-                           monotonicNow());
+      step = course.onFailure(
+          kind == WireError::Kind::unreachable ? LeaderCall::Failure::unreachable
+          : kind == WireError::Kind::timedOut  ? LeaderCall::Failure::timedOut
+                                               : LeaderCall::Failure::connectionLost,
+          monotonicNow());
     }
   }
 }
--- a/source/net/relay.hpp
+++ b/source/net/relay.hpp
@@ -7,42 +7,42 @@
 namespace aniseline {
 
 // Has a request served by the leader, wherever that is.
-using Serve = std::function<ApiResponse(const ApiRequest&)>;
+using ForwardRequest = std::function<ApiResponse(const ApiRequest&)>;
 
 // The addresses for first contact as they stand now, where they can change while a process runs.
 using SeedSource = std::function<std::vector<Address>()>;
 // Takes what the source tells, unless there is none or it tells of none. Whether it did.
-bool renewSeeds(const SeedSource& source, std::vector<Address>& seeds);
+bool refreshSeeds(const SeedSource& source, std::vector<Address>& seeds);
 
 // An interface that an adapter gives a daemon beside the product's own. docs/design.md 9.6.
-struct OuterInterface {
+struct ExternalInterface {
   Address address;
   HttpLimits limits;
-  std::function<ApiResponse(const HttpRequest&, const Serve&)> handle;
+  std::function<ApiResponse(const HttpRequest&, const ForwardRequest&)> handle;
 };
 
-class Relay {
+class LeaderForwarder {
  public:
   // givingUp: this process ends, and what is under way gets its last answer now.
-  Relay(Loop& loop, std::function<RouteView()> route, std::vector<Address> seeds,
-        std::function<bool()> givingUp)
+  LeaderForwarder(EventLoop& loop, std::function<LeaderRoute()> route, std::vector<Address> seeds,
+                  std::function<bool()> shuttingDown)
       : loop(loop),
         route(std::move(route)),
         seeds(std::move(seeds)),
-        givingUp(std::move(givingUp)) {}
-  ApiResponse relay(const ApiRequest& apiRequest);
-  void useSeeds(std::vector<Address> given) { seeds = std::move(given); }
+        shuttingDown(std::move(shuttingDown)) {}
+  ApiResponse forward(const ApiRequest& apiRequest);
+  void setSeeds(std::vector<Address> given) { seeds = std::move(given); }
   // Whoever served last; empty before anyone did.
   const Address& served() const { return lastServed; }
 
  private:
-  WireCaller& callerTo(const Address& address);
-  Loop& loop;
-  std::function<RouteView()> route;
+  RpcClient& clientFor(const Address& address);
+  EventLoop& loop;
+  std::function<LeaderRoute()> route;
   std::vector<Address> seeds;
-  std::function<bool()> givingUp;
+  std::function<bool()> shuttingDown;
   Address lastServed;
-  std::map<Address, std::unique_ptr<WireCaller>> callers;
+  std::map<Address, std::unique_ptr<RpcClient>> clients;
 };
 
 }  // namespace aniseline
--- a/source/net/signals.hpp
+++ b/source/net/signals.hpp
@@ -7,7 +7,7 @@
 
 class StopSignal {
  public:
-  explicit StopSignal(Loop& loop) : signals(loop.context, SIGTERM, SIGINT) {
+  explicit StopSignal(EventLoop& loop) : signals(loop.context, SIGTERM, SIGINT) {
     signals.async_wait([this](IoError error, int) {
       if (!error)
         stop = true;
@@ -23,7 +23,7 @@
 // SIGHUP: the options of this process have changed where they are kept.
 class ReloadSignal {
  public:
-  ReloadSignal(Loop& loop, std::function<void()> reload)
+  ReloadSignal(EventLoop& loop, std::function<void()> reload)
       : signals(loop.context, SIGHUP), reload(std::move(reload)) {
     wait();
   }
--- a/source/net/wire.cpp
+++ b/source/net/wire.cpp
@@ -22,7 +22,7 @@
 namespace {
 
 WireError garbled(std::string text) {
-  return WireError{WireError::Kind::garbled, std::move(text)};
+  return WireError{WireError::Kind::malformed, std::move(text)};
 }
 
 // Why a head can't be followed by a message of ours.
@@ -65,7 +65,7 @@
   auto read =
       await([&](auto done) { asio::async_read(socket, asio::buffer(&head, sizeof head), done); });
   if (read.error)
-    return WireError{WireError::Kind::lost, read.error.message()};
+    return WireError{WireError::Kind::connectionLost, read.error.message()};
   if (auto fault = faultOf(head))
     return *fault;
   std::string body;
@@ -78,18 +78,18 @@
       asio::async_read(socket, asio::buffer(body.data() + before, step), done);
     });
     if (read.error)
-      return WireError{WireError::Kind::lost, read.error.message()};
+      return WireError{WireError::Kind::connectionLost, read.error.message()};
   }
   return decodeBody(head, body);
 }
 
-Result<WireMessage, WireError> WireReader::next() {
+Result<WireMessage, WireError> WireReader::readNext() {
   for (;;) {
     auto message = readMessage(*socket);
-    if (!message || message.value().correlation == 0)
+    if (!message || message.value().correlationId == 0)
       return message;
-    if (message.value().correlation > lastCorrelation) {
-      lastCorrelation = message.value().correlation;
+    if (message.value().correlationId > lastCorrelationId) {
+      lastCorrelationId = message.value().correlationId;
       return message;
     }
   }
@@ -97,12 +97,12 @@
 
 bool WireWriter::send(std::string bytes) {
   std::unique_lock lock(mutex);
-  const bool full = !queue.empty() && queued + bytes.size() > largestQueue;
+  const bool full = !queue.empty() && queuedBytes + bytes.size() > maxQueuedBytes;
   if (closed || full || queue.size() >= mostQueued)
     return false;
-  queued += bytes.size();
+  queuedBytes += bytes.size();
   queue.push_back(std::move(bytes));
-  some.notify_one();
+  queueChanged.notify_one();
   return true;
 }
 
@@ -111,12 +111,12 @@
     std::string bytes;
     {
       std::unique_lock lock(mutex);
-      some.wait(lock, [&] { return closed || !queue.empty(); });
+      queueChanged.wait(lock, [&] { return closed || !queue.empty(); });
       if (closed)
         return;
       while (!queue.empty() && bytes.size() < 256 * 1024) {
         bytes += queue.front();
-        queued -= queue.front().size();
+        queuedBytes -= queue.front().size();
         queue.pop_front();
       }
     }
@@ -128,7 +128,7 @@
 void WireWriter::close() {
   std::unique_lock lock(mutex);
   closed = true;
-  some.notify_all();
+  queueChanged.notify_all();
   IoError ignored;
   socket->close(ignored);
 }
@@ -144,7 +144,7 @@
 // Closes a socket that connects once its time is over or whoever waits for it does so no longer.
 class ConnectWatch : public std::enable_shared_from_this<ConnectWatch> {
  public:
-  ConnectWatch(Loop& loop, std::shared_ptr<tcp::socket> socket, MonotonicTime until,
+  ConnectWatch(EventLoop& loop, std::shared_ptr<tcp::socket> socket, MonotonicTime until,
                const std::function<bool()>& abandoned)
       : timer(loop.context), socket(std::move(socket)), until(until), abandoned(abandoned) {}
   void begin() {
@@ -175,26 +175,26 @@
 
 }  // namespace
 
-WireCaller::~WireCaller() {
+RpcClient::~RpcClient() {
   if (current)
     current->writer->close();
 }
 
-void WireCaller::Connection::closeIfDone() {
-  if (retired && waiting.empty())
+void RpcClient::Connection::closeIfDrained() {
+  if (retired && pendingCalls.empty())
     writer->close();
 }
 
-void WireCaller::retireIfSilent(const std::shared_ptr<Connection>& link) {
-  if (link->unansweredSince && monotonicNow() - *link->unansweredSince >= silentAfter) {
+void RpcClient::retireIfUnresponsive(const std::shared_ptr<Connection>& link) {
+  if (link->unansweredSince && monotonicNow() - *link->unansweredSince >= unresponsiveAfter) {
     link->retired = true;
     if (current == link)
       current.reset();
   }
-  link->closeIfDone();
+  link->closeIfDrained();
 }
 
-std::shared_ptr<WireCaller::Connection> WireCaller::connection(
+std::shared_ptr<RpcClient::Connection> RpcClient::connection(
     Duration within, const std::function<bool()>& abandoned) {
   if (current && current->open)
     return current;
@@ -202,19 +202,19 @@
   while (connecting) {
     if (monotonicNow() >= until || (abandoned && abandoned()))
       return nullptr;
-    pause(Duration{5});
+    sleepFor(Duration{5});
   }
   if (current && current->open)
     return current;
-  if (monotonicNow() < notBefore)
+  if (monotonicNow() < reconnectNotBefore)
     return nullptr;
-  auto endpoint = endpointOf(address);
+  auto endpoint = parseEndpoint(address);
   if (!endpoint)
     return nullptr;
   connecting = true;
   auto made = std::make_shared<Connection>();
   made->socket = std::make_shared<tcp::socket>(loop.context);
-  IoResult connected{loop.openFrom(*made->socket, endpoint.value()), 0};
+  IoResult connected{loop.openSocket(*made->socket, endpoint.value()), 0};
   auto watch = std::make_shared<ConnectWatch>(loop, made->socket, until, abandoned);
   if (!connected.error) {
     watch->begin();
@@ -223,7 +223,7 @@
   watch->end();
   connecting = false;
   if (connected.error) {
-    notBefore = monotonicNow() + Duration{50};
+    reconnectNotBefore = monotonicNow() + Duration{50};
     return nullptr;
   }
   IoError ignored;
@@ -236,36 +236,36 @@
       if (!message) {
         made->open = false;
         made->writer->close();
-        for (auto& [correlation, waiting] : made->waiting)
+        for (auto& [correlation, waiting] : made->pendingCalls)
           waiting->promise.set_value(message.error());
-        made->waiting.clear();
+        made->pendingCalls.clear();
         return;
       }
       made->unansweredSince.reset();
-      auto found = made->waiting.find(message.value().correlation);
-      if (found == made->waiting.end())
+      auto found = made->pendingCalls.find(message.value().correlationId);
+      if (found == made->pendingCalls.end())
         continue;
       auto waiting = found->second;
-      made->waiting.erase(found);
+      made->pendingCalls.erase(found);
       waiting->promise.set_value(std::move(message.value()));
-      made->closeIfDone();
+      made->closeIfDrained();
     }
   });
   current = made;
   return made;
 }
 
-Result<WireMessage, WireError> WireCaller::call(WireBody body, Duration within,
-                                                const std::function<bool()>& abandoned) {
+Result<WireMessage, WireError> RpcClient::call(WireBody body, Duration within,
+                                               const std::function<bool()>& abandoned) {
   auto link = connection(within, abandoned);
   if (!link)
     return WireError{WireError::Kind::unreachable, address.value + " can't be reached"};
-  const std::uint64_t correlation = nextCorrelation++;
-  auto waiting = std::make_shared<Waiting>();
+  const std::uint64_t correlation = nextCorrelationId++;
+  auto waiting = std::make_shared<PendingCall>();
   auto future = waiting->promise.get_future();
-  link->waiting[correlation] = waiting;
+  link->pendingCalls[correlation] = waiting;
   if (!link->writer->send(encode(WireMessage{correlation, std::move(body)}))) {
-    link->waiting.erase(correlation);
+    link->pendingCalls.erase(correlation);
     return WireError{WireError::Kind::unreachable, "the link to " + address.value + " is full"};
   }
   const MonotonicTime sentAt = monotonicNow(), until = sentAt + within;
@@ -277,12 +277,12 @@
         boost::fibers::future_status::ready)
       return future.get();
   }
-  link->waiting.erase(correlation);
-  retireIfSilent(link);
-  return WireError{WireError::Kind::late, address.value + " did not answer in time"};
+  link->pendingCalls.erase(correlation);
+  retireIfUnresponsive(link);
+  return WireError{WireError::Kind::timedOut, address.value + " did not answer in time"};
 }
 
-bool WireCaller::post(WireMessage message) {
+bool RpcClient::sendOneWay(WireMessage message) {
   auto link = connection(Duration{500});
   return link && link->writer->send(encode(message));
 }
--- a/source/net/worker_protocol.cpp
+++ b/source/net/worker_protocol.cpp
@@ -9,12 +9,12 @@
 constexpr std::pair<WorkerCall::Kind, const char*> callTargets[] = {
     {WorkerCall::Kind::start, "/v1/run/start"},
     {WorkerCall::Kind::stop, "/v1/run/stop"},
-    {WorkerCall::Kind::look, "/v1/run/look"}};
-constexpr std::pair<WorkerReply::Kind, const char*> reasons[] = {
-    {WorkerReply::Kind::fenced, "fence"},
-    {WorkerReply::Kind::old, "old"},
-    {WorkerReply::Kind::late, "late"},
-    {WorkerReply::Kind::room, "room"}};
+    {WorkerCall::Kind::poll, "/v1/run/look"}};
+constexpr std::pair<WorkerReply::Status, const char*> reasons[] = {
+    {WorkerReply::Status::fenced, "fence"},
+    {WorkerReply::Status::staleRun, "old"},
+    {WorkerReply::Status::deadlineExceeded, "late"},
+    {WorkerReply::Status::insufficientCapacity, "room"}};
 constexpr const char* accountTarget = "/v1/account";
 constexpr const char* leaveTarget = "/v1/leave";
 
@@ -75,20 +75,20 @@
   }
 };
 
-picojson::object renderName(const RunName& name) {
+picojson::object renderName(const TaskRunId& name) {
   return {{"job", json(name.job.value)},
           {"occurrence", json(name.occurrence)},
-          {"step", json(name.step)},
-          {"within", json(name.within)},
-          {"run", json(name.run)}};
+          {"step", json(name.stepIndex)},
+          {"within", json(name.indexInStep)},
+          {"run", json(name.runNumber)}};
 }
-RunName readName(Reading& reading) {
-  RunName name;
+TaskRunId readName(Reading& reading) {
+  TaskRunId name;
   name.job = JobId{reading.text("job", true)};
   name.occurrence = reading.narrow("occurrence");
-  name.step = reading.narrow("step", true);
-  name.within = reading.narrow("within", true);
-  name.run = reading.narrow("run", true);
+  name.stepIndex = reading.narrow("step", true);
+  name.indexInStep = reading.narrow("within", true);
+  name.runNumber = reading.narrow("run", true);
   return name;
 }
 std::optional<picojson::value> parsed(const std::string& body) {
@@ -101,47 +101,47 @@
   const Order& order = call.order;
   body["attempt"] = json(std::to_string(order.attempt.value));
   body["job"] = json(order.job.value);  // the occurrence's own id, where it is one of a timetable
-  body["task"] = json(order.task);
+  body["task"] = json(order.taskIndex);
   body["cores"] = json(order.cores / 1000.0);
   body["memory_mb"] = json(order.memory);
   body["runtime_ms"] = json(order.runtime.milliseconds);
   body["quantum_ms"] = json(order.quantum.milliseconds);
   body["payload"] = json(call.payload);
-  if (!call.saved.empty())
-    body["saved"] = json(call.saved);
+  if (!call.checkpoint.empty())
+    body["saved"] = json(call.checkpoint);
 }
-Order readStart(Reading& reading, const RunName& name) {
+Order readStart(Reading& reading, const TaskRunId& name) {
   Order order;
   order.kind = OrderKind::start;
   order.attempt = AttemptNumber{reading.digits("attempt", true)};
   order.job = JobId{reading.text("job", true)};
-  order.task = reading.narrow("task", true);
+  order.taskIndex = reading.narrow("task", true);
   order.cores = reading.thousandths("cores");
   order.memory = reading.whole("memory_mb", true);
   order.runtime = Duration{std::int64_t(reading.whole("runtime_ms", true))};
   order.quantum = Duration{std::int64_t(reading.whole("quantum_ms"))};
   order.payload = reading.text("payload");
-  order.saved = reading.text("saved");
-  order.step = name.step;
-  order.within = name.within;
-  order.run = name.run;
+  order.checkpoint = reading.text("saved");
+  order.stepIndex = name.stepIndex;
+  order.indexInStep = name.indexInStep;
+  order.runNumber = name.runNumber;
   return order;
 }
 
 // --- an agent's side ---
 
 HttpRequest renderCall(const WorkerCall& call) {
-  picojson::object body{{"life", json(call.life.value)},
-                        {"fence", json(std::to_string(call.fence.value))}};
-  if (call.kind != WorkerCall::Kind::look)
-    body["name"] = json(renderName(call.name));
-  if (call.kind != WorkerCall::Kind::stop && call.deadline)
-    body["deadline_ms"] = json(call.deadline->milliseconds);
+  picojson::object body{{"life", json(call.workerInstance.value)},
+                        {"fence", json(std::to_string(call.fencingTerm.value))}};
+  if (call.kind != WorkerCall::Kind::poll)
+    body["name"] = json(renderName(call.runId));
+  if (call.kind != WorkerCall::Kind::stop && call.leaseDeadline)
+    body["deadline_ms"] = json(call.leaseDeadline->milliseconds);
   if (call.kind == WorkerCall::Kind::start)
     renderStart(call, body);
-  if (call.kind == WorkerCall::Kind::look) {
-    body["last_seen"] = json(call.lastSeen);
-    body["wait_ms"] = json(call.wait.milliseconds);
+  if (call.kind == WorkerCall::Kind::poll) {
+    body["last_seen"] = json(call.confirmedUpTo);
+    body["wait_ms"] = json(call.longPollTimeout.milliseconds);
   }
   for (const auto& [kind, target] : callTargets)
     if (kind == call.kind)
@@ -153,27 +153,27 @@
   auto rows = [&](const char* field, auto&& use) {
     const auto& list = root.get(field);
     if (!list.is<picojson::array>())
-      return reply.kind = WorkerReply::Kind::lost, void();
+      return reply.status = WorkerReply::Status::noResponse, void();
     for (const auto& row : list.get<picojson::array>()) {
       Reading reading{row};
       const auto name = reading.find("name");
       Reading nameReading{name};
-      const RunName run = readName(nameReading);
+      const TaskRunId run = readName(nameReading);
       if (nameReading.fault || !use(reading, run) || reading.fault)
-        reply.kind = WorkerReply::Kind::lost;  // what can't be read whole tells nothing
+        reply.status = WorkerReply::Status::noResponse;  // what can't be read whole tells nothing
     }
   };
-  rows("active", [&](Reading& reading, const RunName& run) {
-    reply.active.push_back({run, reading.text("saved")});
+  rows("active", [&](Reading& reading, const TaskRunId& run) {
+    reply.runningTasks.push_back({run, reading.text("saved")});
     return true;
   });
-  rows("ended", [&](Reading& reading, const RunName& run) {
-    const auto kind = endingKind(reading.text("kind", true));
+  rows("ended", [&](Reading& reading, const TaskRunId& run) {
+    const auto kind = parseAttemptOutcome(reading.text("kind", true));
     if (kind)
-      reply.ended.push_back({reading.whole("number", true), run, *kind, reading.text("saved")});
+      reply.results.push_back({reading.whole("number", true), run, *kind, reading.text("saved")});
     return kind.has_value();
   });
-  reply.whole = !root.get("more").evaluate_as_boolean();
+  reply.complete = !root.get("more").evaluate_as_boolean();
 }
 
 WorkerReply readReply(const WorkerCall& call, const Result<HttpResponse, HttpError>& answer) {
@@ -182,48 +182,49 @@
     return reply;
   const auto root = parsed(answer.value().body);
   if (root && root->get("now_ms").is<double>())
-    reply.clock = WorkerTime{wholeOf<std::int64_t>(root->get("now_ms").get<double>())};
+    reply.clockReading =
+        WorkerTime{clampToInteger<std::int64_t>(root->get("now_ms").get<double>())};
   switch (answer.value().status) {
     case 200:
       break;
     case 400:
-      reply.kind = WorkerReply::Kind::invalid;
+      reply.status = WorkerReply::Status::invalidRequest;
       return reply;
     case 410:
-      reply.kind = WorkerReply::Kind::otherLife;
+      reply.status = WorkerReply::Status::instanceMismatch;
       return reply;
     case 429:
     case 503:
-      reply.kind = WorkerReply::Kind::sick;
+      reply.status = WorkerReply::Status::unavailable;
       return reply;
     case 409:
-      reply.kind = WorkerReply::Kind::room;
+      reply.status = WorkerReply::Status::insufficientCapacity;
       for (const auto& [kind, reason] : reasons)
         if (root && root->get("reason").is<std::string>() &&
             root->get("reason").get<std::string>() == reason)
-          reply.kind = kind;
+          reply.status = kind;
       return reply;
     default:
       return reply;
   }
   if (!root)
     return reply;
-  reply.kind = WorkerReply::Kind::done;
-  if (call.kind == WorkerCall::Kind::look)
+  reply.status = WorkerReply::Status::ok;
+  if (call.kind == WorkerCall::Kind::poll)
     readLook(*root, reply);
   return reply;
 }
 
-std::optional<WorkerProtocol::Word> hear(const HttpRequest& request) {
+std::optional<WorkerProtocol::Notice> hear(const HttpRequest& request) {
   const auto root = parsed(request.body);
   if (request.method != "POST" || !root ||
       (request.target != accountTarget && request.target != leaveTarget))
     return std::nullopt;
   Reading reading{*root};
-  WorkerProtocol::Word word;
-  word.account.life = WorkerId{reading.text("life", true)};
+  WorkerProtocol::Notice word;
+  word.account.workerInstance = WorkerId{reading.text("life", true)};
   if (request.target == leaveTarget) {
-    word.left = true;
+    word.shuttingDown = true;
     return reading.fault ? std::nullopt : std::optional(word);
   }
   Capacity& capacity = word.account.capacity;
@@ -233,110 +234,112 @@
   capacity.zone = ZoneName{reading.text("zone", true)};
   capacity.rack = reading.text("rack");
   capacity.pool = reading.text("pool");
-  capacity.guardsRoom = reading.flag("guards_room");
-  capacity.honoursLeases = capacity.lapses = true;  // the hold ends all by itself
-  capacity.pauses = false;
+  capacity.enforcesCapacity = reading.flag("guards_room");
+  capacity.honoursLeases = capacity.killsOnLeaseExpiry = true;  // the hold ends all by itself
+  capacity.supportsSuspend = false;
   if (const auto labels = reading.find("labels"); labels.is<picojson::array>())
     for (const auto& label : labels.get<picojson::array>())
       capacity.labels.push_back(label.to_str());
-  word.account.leaving = reading.flag("leaving");
-  word.account.leaveWithin = Duration{std::int64_t(reading.whole("leave_within_ms"))};
-  word.account.clock = WorkerTime{std::int64_t(reading.whole("now_ms", true))};
+  word.account.draining = reading.flag("leaving");
+  word.account.drainTimeout = Duration{std::int64_t(reading.whole("leave_within_ms"))};
+  word.account.clockReading = WorkerTime{std::int64_t(reading.whole("now_ms", true))};
   return reading.fault ? std::nullopt : std::optional(word);
 }
 
 }  // namespace
 
-WorkerProtocol workerProtocol() {
+WorkerProtocol jsonWorkerProtocol() {
   return {renderCall, readReply, hear};
 }
 
-Result<WorkerCall> readWorkerCall(const HttpRequest& request) {
+Result<WorkerCall> decodeWorkerCall(const HttpRequest& request) {
   WorkerCall call;
   auto found = std::find_if(std::begin(callTargets), std::end(callTargets),
                             [&](const auto& known) { return request.target == known.second; });
   if (request.method != "POST" || found == std::end(callTargets))
-    return CoreError::at(CoreError::Kind::missing, "",
+    return CoreError::at(CoreError::Kind::notFound, "",
                          "there is no " + request.method + " " + request.target);
   call.kind = found->first;
   const auto root = parsed(request.body);
   if (!root)
     return CoreError::at(CoreError::Kind::invalid, "", "the body must be an object in JSON");
   Reading reading{*root};
-  call.life = WorkerId{reading.text("life", true)};
-  call.fence = Term{reading.digits("fence", true)};
+  call.workerInstance = WorkerId{reading.text("life", true)};
+  call.fencingTerm = Term{reading.digits("fence", true)};
   if (!reading.find("deadline_ms").is<picojson::null>())
-    call.deadline = WorkerTime{std::int64_t(reading.whole("deadline_ms"))};
-  if (call.kind == WorkerCall::Kind::look) {
-    call.lastSeen = reading.whole("last_seen");
-    call.wait = Duration{std::min<std::int64_t>(10'000, std::int64_t(reading.whole("wait_ms")))};
+    call.leaseDeadline = WorkerTime{std::int64_t(reading.whole("deadline_ms"))};
+  if (call.kind == WorkerCall::Kind::poll) {
+    call.confirmedUpTo = reading.whole("last_seen");
+    call.longPollTimeout =
+        Duration{std::min<std::int64_t>(10'000, std::int64_t(reading.whole("wait_ms")))};
   } else {
     const auto name = reading.find("name");
     Reading nameReading{name};
-    call.name = readName(nameReading);
+    call.runId = readName(nameReading);
     if (nameReading.fault)
       return CoreError::at(CoreError::Kind::invalid, "/name" + nameReading.fault->path,
                            nameReading.fault->text);
   }
   if (call.kind == WorkerCall::Kind::start) {
-    call.order = readStart(reading, call.name);
+    call.order = readStart(reading, call.runId);
     call.payload = call.order.payload;
-    call.saved = call.order.saved;
+    call.checkpoint = call.order.checkpoint;
   }
   if (reading.fault)
     return CoreError::at(CoreError::Kind::invalid, reading.fault->path, reading.fault->text);
   return call;
 }
 
-ApiResponse writeWorkerReply(const WorkerCall& call, const WorkerReply& reply) {
+ApiResponse encodeWorkerReply(const WorkerCall& call, const WorkerReply& reply) {
   picojson::object body;
-  if (reply.clock)
-    body["now_ms"] = json(reply.clock->milliseconds);
+  if (reply.clockReading)
+    body["now_ms"] = json(reply.clockReading->milliseconds);
   auto refuse = [&](int status, const char* error, const std::string& text) {
     body["error"] = json(error);
     body["text"] = json(text);
     return ApiResponse::of(status, body);
   };
-  if (reply.kind == WorkerReply::Kind::otherLife)
+  if (reply.status == WorkerReply::Status::instanceMismatch)
     return refuse(410, "gone", "this is another life of the worker");
   for (const auto& [kind, reason] : reasons)
-    if (reply.kind == kind) {
+    if (reply.status == kind) {
       body["reason"] = json(reason);
       return refuse(409, "conflict", std::string("turned away: ") + reason);
     }
-  if (reply.kind == WorkerReply::Kind::invalid)
+  if (reply.status == WorkerReply::Status::invalidRequest)
     return refuse(400, "invalid", "can't be carried out");
-  if (reply.kind != WorkerReply::Kind::done)
+  if (reply.status != WorkerReply::Status::ok)
     return refuse(503, "not_taken", "not now");
-  if (call.kind == WorkerCall::Kind::look) {
+  if (call.kind == WorkerCall::Kind::poll) {
     picojson::array active, ended;
-    for (const auto& run : reply.active)
-      active.push_back(
-          json(picojson::object{{"name", json(renderName(run.name))}, {"saved", json(run.saved)}}));
-    for (const auto& run : reply.ended)
-      ended.push_back(json(picojson::object{{"number", json(run.number)},
-                                            {"name", json(renderName(run.name))},
-                                            {"kind", json(name(run.kind))},
-                                            {"saved", json(run.saved)}}));
+    for (const auto& run : reply.runningTasks)
+      active.push_back(json(picojson::object{{"name", json(renderName(run.runId))},
+                                             {"saved", json(run.checkpoint)}}));
+    for (const auto& run : reply.results)
+      ended.push_back(json(picojson::object{{"number", json(run.sequenceNumber)},
+                                            {"name", json(renderName(run.runId))},
+                                            {"kind", json(name(run.outcome))},
+                                            {"saved", json(run.checkpoint)}}));
     body["active"] = json(active);
     body["ended"] = json(ended);
-    body["more"] = json(!reply.whole);
+    body["more"] = json(!reply.complete);
   }
   return ApiResponse::of(200, body);
 }
 
-HttpRequest writeAccount(const WorkerAccount& account) {
+HttpRequest encodeRegistration(const WorkerRegistration& account) {
   const Capacity& capacity = account.capacity;
-  picojson::object body{{"life", json(account.life.value)},
-                        {"cores", json(capacity.cores / 1000.0)},
-                        {"memory_mb", json(capacity.memory)},
-                        {"accelerators", json(capacity.accelerators)},
-                        {"zone", json(capacity.zone.value)},
-                        {"rack", json(capacity.rack)},
-                        {"guards_room", json(capacity.guardsRoom)},
-                        {"leaving", json(account.leaving)},
-                        {"leave_within_ms", json(account.leaveWithin.milliseconds)},
-                        {"now_ms", json(account.clock ? account.clock->milliseconds : 0)}};
+  picojson::object body{
+      {"life", json(account.workerInstance.value)},
+      {"cores", json(capacity.cores / 1000.0)},
+      {"memory_mb", json(capacity.memory)},
+      {"accelerators", json(capacity.accelerators)},
+      {"zone", json(capacity.zone.value)},
+      {"rack", json(capacity.rack)},
+      {"guards_room", json(capacity.enforcesCapacity)},
+      {"leaving", json(account.draining)},
+      {"leave_within_ms", json(account.drainTimeout.milliseconds)},
+      {"now_ms", json(account.clockReading ? account.clockReading->milliseconds : 0)}};
   if (!capacity.pool.empty())
     body["pool"] = json(capacity.pool);
   picojson::array labels;
@@ -346,7 +349,7 @@
     body["labels"] = json(labels);
   return {"POST", accountTarget, json(body).serialize()};
 }
-HttpRequest writeLeave(const WorkerId& life) {
+HttpRequest encodeShutdownNotice(const WorkerId& life) {
   return {"POST", leaveTarget, json(picojson::object{{"life", json(life.value)}}).serialize()};
 }
 
--- a/source/net/worker_protocol.hpp
+++ b/source/net/worker_protocol.hpp
@@ -6,12 +6,12 @@
 namespace aniseline {
 
 // An agent's side.
-WorkerProtocol workerProtocol();
+WorkerProtocol jsonWorkerProtocol();
 
 // A worker's side.
-Result<WorkerCall> readWorkerCall(const HttpRequest& request);
-ApiResponse writeWorkerReply(const WorkerCall& call, const WorkerReply& reply);
-HttpRequest writeAccount(const WorkerAccount& account);
-HttpRequest writeLeave(const WorkerId& life);
+Result<WorkerCall> decodeWorkerCall(const HttpRequest& request);
+ApiResponse encodeWorkerReply(const WorkerCall& call, const WorkerReply& reply);
+HttpRequest encodeRegistration(const WorkerRegistration& account);
+HttpRequest encodeShutdownNotice(const WorkerId& life);
 
 }  // namespace aniseline
--- a/source/raft/bootstrap.hpp
+++ b/source/raft/bootstrap.hpp
@@ -7,40 +7,40 @@
 
 class ClusterBootstrap {
  public:
-  ClusterBootstrap(Address self, bool stores, std::vector<Address> seeds)
-      : self(std::move(self)), stores(stores), seeds(std::move(seeds)) {
+  ClusterBootstrap(Address self, bool hasDisk, std::vector<Address> seeds)
+      : self(std::move(self)), hasDisk(hasDisk), seeds(std::move(seeds)) {
     if (std::count(this->seeds.begin(), this->seeds.end(), this->self))
-      hear(this->self, true, Address{});
+      addBlankSeed(this->self, true, Address{});
   }
   // A seed is there and blank. `named`: the controller that it would have found, where it has no
   // disk itself.
-  void hear(const Address& seed, bool seedStores, const Address& named) {
+  void addBlankSeed(const Address& seed, bool seedStores, const Address& named) {
     if (!std::count(seeds.begin(), seeds.end(), seed))
       return;
-    blank[seed] = {seedStores, named};
+    blankSeeds[seed] = {seedStores, named};
   }
   // Every seed must be there and blank, so that a cluster that exists is never doubled. The lowest
   // seed with a disk founds; where none has a disk, whoever the lowest of them named, once and for
   // all.
-  bool may() const {
-    if (!stores || blank.empty() ||
-        blank.size() != std::set<Address>(seeds.begin(), seeds.end()).size())
+  bool mayBootstrap() const {
+    if (!hasDisk || blankSeeds.empty() ||
+        blankSeeds.size() != std::set<Address>(seeds.begin(), seeds.end()).size())
       return false;
-    for (const auto& [seed, heard] : blank)
-      if (heard.stores)
+    for (const auto& [seed, heard] : blankSeeds)
+      if (heard.hasDisk)
         return seed == self;
-    return blank.begin()->second.named == self;
+    return blankSeeds.begin()->second.nominee == self;
   }
 
  private:
-  struct Heard {
-    bool stores;
-    Address named;
+  struct BlankSeed {
+    bool hasDisk;
+    Address nominee;
   };
   Address self;
-  bool stores;
+  bool hasDisk;
   std::vector<Address> seeds;
-  std::map<Address, Heard> blank;
+  std::map<Address, BlankSeed> blankSeeds;
 };
 
 }  // namespace aniseline
--- a/source/raft/election.cpp
+++ b/source/raft/election.cpp
@@ -3,61 +3,61 @@
 
 namespace aniseline {
 
-void RaftNode::resetElection(MonotonicTime now) {
-  electionAt = now + Duration{random.between(options.electionLow.milliseconds,
-                                             options.electionHigh.milliseconds)};
+void RaftNode::resetElectionTimer(MonotonicTime now) {
+  electionDeadline = now + Duration{random.between(options.electionTimeoutMin.milliseconds,
+                                                   options.electionTimeoutMax.milliseconds)};
 }
 
-void RaftNode::seeTerm(Term term, MonotonicTime now) {
+void RaftNode::observeTerm(Term term, MonotonicTime now) {
   if (term <= currentTerm)
     return;
   currentTerm = term;
-  vote = ControllerId{};
+  votedFor = ControllerId{};
   knownLeader = ControllerId{};
-  mark(last().next());
+  persistFrom(lastIndex().next());
   if (currentRole != Role::learner)
-    become(Role::follower, now);
+    changeRole(Role::follower, now);
 }
 
-void RaftNode::become(Role role, MonotonicTime now) {
-  if (leads())
-    heldByOthers = std::min(heldWithout(own.id), commit);
+void RaftNode::changeRole(Role role, MonotonicTime now) {
+  if (isLeader())
+    replicatedWithoutSelf = std::min(replicatedIndexWithout(selfMember.id), committedIndex);
   currentRole = role;
-  votes.clear();
-  trialElection = false;
+  votesGranted.clear();
+  preVoteElection = false;
   if (role == Role::follower) {
-    if (!selfVotes())
+    if (!isVoter())
       currentRole = Role::learner;
-    resetElection(now);
+    resetElectionTimer(now);
     transferringLeadership = false;
   }
 }
 
 void RaftNode::campaign(MonotonicTime now, bool trial, bool leaderTransfer) {
-  if (!selfVotes())
+  if (!isVoter())
     return;
   currentRole = Role::candidate;
   knownLeader = ControllerId{};
-  trialElection = trial;
-  votes.clear();
-  resetElection(now);
+  preVoteElection = trial;
+  votesGranted.clear();
+  resetElectionTimer(now);
   if (!trial) {
     currentTerm = currentTerm.next();
-    vote = own.id;
+    votedFor = selfMember.id;
     ownVotePending = true;
-    if (inFlight)
-      inFlight->ownVote = false;  // that write holds an earlier term's
-    mark(last().next());
+    if (writeInFlight)
+      writeInFlight->includesOwnVote = false;  // that write holds an earlier term's
+    persistFrom(lastIndex().next());
   } else
-    votes.insert(own.id);
+    votesGranted.insert(selfMember.id);
   RequestVote ask;
   ask.term = trial ? currentTerm.next() : currentTerm;
-  ask.trial = trial;
+  ask.preVote = trial;
   ask.leaderTransfer = leaderTransfer;
-  ask.last = last();
-  ask.lastTerm = termAt(last());
-  for (const auto& entry : currentMembers)
-    if (entry.voter && entry.id != own.id)
+  ask.lastLogIndex = lastIndex();
+  ask.lastLogTerm = termAt(lastIndex());
+  for (const auto& entry : currentMembership)
+    if (entry.voter && entry.id != selfMember.id)
       send(entry.id, ask);
   if (trial)
     countVotes(now);
@@ -65,100 +65,103 @@
 
 void RaftNode::countVotes(MonotonicTime now) {
   std::size_t given = 0;
-  for (const auto& entry : currentMembers)
-    given += entry.voter && votes.count(entry.id);
+  for (const auto& entry : currentMembership)
+    given += entry.voter && votesGranted.count(entry.id);
   // Its own vote is in once its term is synced: a leader that came back without it could lead the
   // same term again, with other entries. docs/design.md 3.3.
-  if (given < majority() || !votes.count(own.id))
+  if (given < majoritySize() || !votesGranted.count(selfMember.id))
     return;
-  if (trialElection)
+  if (preVoteElection)
     campaign(now, false, false);
   else
-    lead(now);
+    becomeLeader(now);
 }
 
-void RaftNode::lead(MonotonicTime now) {
-  become(Role::leader, now);
-  knownLeader = own.id;
+void RaftNode::becomeLeader(MonotonicTime now) {
+  changeRole(Role::leader, now);
+  knownLeader = selfMember.id;
   transferringLeadership = false;
   peers.clear();
-  roundTimes.clear();
-  round = RoundNumber{};
-  for (const auto& entry : currentMembers)
-    if (entry.id != own.id) {
-      Peer& peer = peers[entry.id];
-      peer.next = last().next();
-      peer.heard = peer.contact = now;
+  roundStartTimes.clear();
+  currentRound = RoundNumber{};
+  for (const auto& entry : currentMembership)
+    if (entry.id != selfMember.id) {
+      PeerProgress& peer = peers[entry.id];
+      peer.nextIndex = lastIndex().next();
+      peer.lastHeard = peer.ackedRoundSentAt = now;
     }
-  openedAt = last().next();  // the owner proposes its opening entry at once
-  caughtUpFrom = nextCaughtUpFrom = openedAt;
-  commitNotedAt = now;
-  nextHeartbeat = now;
+  firstIndexOfTerm = lastIndex().next();  // the owner proposes its opening entry at once
+  caughtUpIndex = nextCaughtUpIndex = firstIndexOfTerm;
+  caughtUpIndexUpdatedAt = now;
+  nextHeartbeatAt = now;
 }
 
 void RaftNode::transferLeadership(MonotonicTime now) {
-  if (!leads())
+  if (!isLeader())
     return;
   const Member* best = nullptr;
-  for (const auto& entry : currentMembers)
-    if (entry.voter && entry.id != own.id && now - peers[entry.id].heard < options.electionLow &&
-        (!best || peers[entry.id].match > peers[best->id].match))
+  for (const auto& entry : currentMembership)
+    if (entry.voter && entry.id != selfMember.id &&
+        now - peers[entry.id].lastHeard < options.electionTimeoutMin &&
+        (!best || peers[entry.id].matchIndex > peers[best->id].matchIndex))
       best = &entry;
   if (!best)
     return;
   transferringLeadership = true;
-  transferUntil = now + options.electionHigh;
+  transferDeadline = now + options.electionTimeoutMax;
   broadcast(now, true);
   send(best->id, TimeoutNow{currentTerm});
 }
 
-void RaftNode::on(const PeerMessage& message, const RequestVote& body, MonotonicTime now) {
-  const auto* candidate = member(message.from);
-  if (!candidate && serves() && membersSettled())
-    return tellRemoved(message.from);
+void RaftNode::handle(const PeerMessage& message, const RequestVote& body, MonotonicTime now) {
+  const auto* candidate = findMember(message.from);
+  if (!candidate && canServe() && membershipCommitted())
+    return notifyRemoved(message.from);
   // One that hears a leader does not help to unseat it. docs/design.md 3.2.
-  const bool content = leads() || (now - heardLeader < options.electionLow);
+  const bool content = isLeader() || (now - leaderHeardAt < options.electionTimeoutMin);
   if (content && !body.leaderTransfer) {
-    send(message.from, RequestVoteReply{currentTerm, body.trial, false});
+    send(message.from, RequestVoteReply{currentTerm, body.preVote, false});
     return;
   }
-  if (!body.trial)
-    seeTerm(body.term, now);
-  const bool newer = std::tie(body.lastTerm, body.last) >= std::make_tuple(termAt(last()), last());
+  if (!body.preVote)
+    observeTerm(body.term, now);
+  const bool newer = std::tie(body.lastLogTerm, body.lastLogIndex) >=
+                     std::make_tuple(termAt(lastIndex()), lastIndex());
   // A learner votes too when asked by its identity: the asker's log may hold the change that made
   // it a voter, which its own does not hold yet, and that change may need its vote to be committed.
   // docs/design.md 3.5.
-  bool given = newer && body.term >= currentTerm && !wasRemoved;
-  if (!body.trial) {
-    given = given && body.term == currentTerm && (vote.value.empty() || vote == message.from);
+  bool given = newer && body.term >= currentTerm && !removed;
+  if (!body.preVote) {
+    given =
+        given && body.term == currentTerm && (votedFor.value.empty() || votedFor == message.from);
     if (given) {
-      vote = message.from;
-      mark(last().next());
-      resetElection(now);
+      votedFor = message.from;
+      persistFrom(lastIndex().next());
+      resetElectionTimer(now);
     }
     sendAfterSync(message.from, RequestVoteReply{currentTerm, false, given});
-    if (!dirty && !inFlight)
-      mark(last().next());
+    if (!dirty && !writeInFlight)
+      persistFrom(lastIndex().next());
   } else
     send(message.from, RequestVoteReply{given ? body.term : currentTerm, true,
                                         given});  // one behind must learn by how far
 }
 
-void RaftNode::on(const PeerMessage& message, const RequestVoteReply& body, MonotonicTime now) {
-  if (!body.given) {
+void RaftNode::handle(const PeerMessage& message, const RequestVoteReply& body, MonotonicTime now) {
+  if (!body.voteGranted) {
     if (body.term > currentTerm)
-      seeTerm(body.term, now);
+      observeTerm(body.term, now);
     return;
   }
-  if (currentRole != Role::candidate || trialElection != body.trial)
+  if (currentRole != Role::candidate || preVoteElection != body.preVote)
     return;
-  if (body.term != (body.trial ? currentTerm.next() : currentTerm))
+  if (body.term != (body.preVote ? currentTerm.next() : currentTerm))
     return;
-  votes.insert(message.from);
+  votesGranted.insert(message.from);
   countVotes(now);
 }
 
-void RaftNode::on(const PeerMessage& message, const TimeoutNow& body, MonotonicTime now) {
+void RaftNode::handle(const PeerMessage& message, const TimeoutNow& body, MonotonicTime now) {
   if (body.term == currentTerm && message.from == knownLeader)
     campaign(now, false, true);
 }
--- a/source/raft/membership.cpp
+++ b/source/raft/membership.cpp
@@ -3,141 +3,146 @@
 
 namespace aniseline {
 
-void RaftNode::findMembers() {
-  currentMembers = base.members;
-  membersIndex = base.index;
+void RaftNode::reloadMembership() {
+  currentMembership = base.membership;
+  membershipIndex = base.lastIncludedIndex;
   for (std::uint64_t place = log.size(); place > 0; --place)
-    if (log[place - 1].members) {
-      auto found = unpack<Members>(log[place - 1].payload);
+    if (log[place - 1].isMembership) {
+      auto found = unpack<Membership>(log[place - 1].payload);
       if (found)
-        currentMembers = found.value();
-      membersIndex = LogIndex{base.index.value + place};
+        currentMembership = found.value();
+      membershipIndex = LogIndex{base.lastIncludedIndex.value + place};
       break;
     }
 }
 
 // A blank one asks where its seeds point; a learner that hears no leader may have been put out
 // while it was away, and asks whoever it knew. docs/design.md 3.5.
-void RaftNode::askToJoin(MonotonicTime now) {
+void RaftNode::requestJoin(MonotonicTime now) {
   auto ask = [&](const Address& address) {
-    outgoing.push_back({own.id, ControllerId{}, address, Join{own}, own.peer});
+    outgoingMessages.push_back(
+        {selfMember.id, ControllerId{}, address, JoinRequest{selfMember}, selfMember.address});
   };
-  if (blank() && !leaderJoinAddress.value.empty())
-    ask(leaderJoinAddress);
-  else if (!blank() && currentRole == Role::learner && now - heardLeader > Duration{2000}) {
-    for (const auto& entry : currentMembers)
-      if (entry.id != own.id)
-        ask(entry.peer);
-    if (!leaderJoinAddress.value.empty())
-      ask(leaderJoinAddress);
+  if (isBlank() && !joinAddress.value.empty())
+    ask(joinAddress);
+  else if (!isBlank() && currentRole == Role::learner && now - leaderHeardAt > Duration{2000}) {
+    for (const auto& entry : currentMembership)
+      if (entry.id != selfMember.id)
+        ask(entry.address);
+    if (!joinAddress.value.empty())
+      ask(joinAddress);
   } else
     return;
-  nextHeartbeat = now + Duration{500};
+  nextHeartbeatAt = now + Duration{500};
 }
 
-std::optional<MembershipChangeRefusal> RaftNode::refusalOfMembers(const Members& members,
-                                                                  MonotonicTime now) const {
+std::optional<MembershipChangeRefusal> RaftNode::membershipChangeRefusal(const Membership& members,
+                                                                         MonotonicTime now) const {
   const auto holdsLog = [&](const ControllerId& id) {
-    return caughtUp(id) && !lostState(id) && now - heardFrom(id) <= options.electionHigh;
+    return isCaughtUp(id) && !hasLostState(id) &&
+           now - lastHeardFrom(id) <= options.electionTimeoutMax;
   };
   const auto lost = [&](const ControllerId& id) {
-    return lostState(id);
+    return hasLostState(id);
   };
-  return refusalOf({currentMembers, members, own.id, serves(), membersSettled(), holdsLog, lost});
+  return checkMembershipChange({currentMembership, members, selfMember.id, canServe(),
+                                membershipCommitted(), holdsLog, lost});
 }
 
-bool RaftNode::proposeMembers(const Members& members, MonotonicTime now) {
-  if (refusalOfMembers(members, now))
+bool RaftNode::proposeMembership(const Membership& members, MonotonicTime now) {
+  if (membershipChangeRefusal(members, now))
     return false;
   log.push_back(LogEntry{currentTerm, true, pack(members)});
-  mark(last());
-  currentMembers = members;
-  membersIndex = last();
-  for (const auto& entry : currentMembers)
-    if (entry.id != own.id && !peers.count(entry.id)) {
-      Peer& peer = peers[entry.id];
-      peer.next = last().next();
-      peer.heard = peer.contact = now;
+  persistFrom(lastIndex());
+  currentMembership = members;
+  membershipIndex = lastIndex();
+  for (const auto& entry : currentMembership)
+    if (entry.id != selfMember.id && !peers.count(entry.id)) {
+      PeerProgress& peer = peers[entry.id];
+      peer.nextIndex = lastIndex().next();
+      peer.lastHeard = peer.ackedRoundSentAt = now;
     }
-  std::erase_if(peers, [&](const auto& entry) { return !member(entry.first); });
-  nextHeartbeat = std::min(nextHeartbeat, now);
+  std::erase_if(peers, [&](const auto& entry) { return !findMember(entry.first); });
+  nextHeartbeatAt = std::min(nextHeartbeatAt, now);
   return true;
 }
 
-void RaftNode::found(MonotonicTime now) {
-  if (!blank())
+void RaftNode::bootstrap(MonotonicTime now) {
+  if (!isBlank())
     return;
   currentTerm = currentTerm.next();
-  vote = own.id;
-  Member first = own;
+  votedFor = selfMember.id;
+  Member first = selfMember;
   first.voter = true;
-  log.push_back(LogEntry{currentTerm, true, pack(Members{first})});
-  mark(last());
-  findMembers();
+  log.push_back(LogEntry{currentTerm, true, pack(Membership{first})});
+  persistFrom(lastIndex());
+  reloadMembership();
   currentRole = Role::follower;
-  resetElection(now);
+  resetElectionTimer(now);
 }
 
-void RaftNode::join(const Address& address) {
-  leaderJoinAddress = address;
+void RaftNode::setJoinAddress(const Address& address) {
+  joinAddress = address;
 }
 
 // A member that speaks from a new address has moved with its disk: that is logged, so that everyone
 // finds it. docs/design.md 3.5.
-void RaftNode::followMoves(MonotonicTime now) {
-  Members moved = currentMembers;
+void RaftNode::proposeMovedAddresses(MonotonicTime now) {
+  Membership moved = currentMembership;
   for (auto& entry : moved) {
-    auto heard = addresses.find(entry.id);
-    if (entry.id != own.id && heard != addresses.end() && !heard->second.value.empty())
-      entry.peer = heard->second;
-    if (entry.id == own.id)
-      entry.peer = own.peer;
+    auto heard = lastKnownAddresses.find(entry.id);
+    if (entry.id != selfMember.id && heard != lastKnownAddresses.end() &&
+        !heard->second.value.empty())
+      entry.address = heard->second;
+    if (entry.id == selfMember.id)
+      entry.address = selfMember.address;
   }
-  if (moved != currentMembers)
-    proposeMembers(moved, now);
+  if (moved != currentMembership)
+    proposeMembership(moved, now);
 }
 
 // Only of members that are committed: what is not may never come to be, and then the asker is
 // needed. docs/design.md 3.5.
-void RaftNode::tellRemoved(const ControllerId& id) {
-  const auto [term, index] = membersEntry();
-  send(id, RemovedFromCluster{term, index, currentMembers});
+void RaftNode::notifyRemoved(const ControllerId& id) {
+  const auto [term, index] = latestMembershipEntry();
+  send(id, RemovedFromCluster{term, index, currentMembership});
 }
 
-std::pair<Term, LogIndex> RaftNode::membersEntry() const {
-  const LogIndex index = std::max(membersIndex, base.index);
+std::pair<Term, LogIndex> RaftNode::latestMembershipEntry() const {
+  const LogIndex index = std::max(membershipIndex, base.lastIncludedIndex);
   return {termAt(index), index};
 }
 
 // The word of one leader is enough, since a committed entry is itself the word of a majority of the
 // members it names, and stays true whatever the term. What must be ruled out is an old word that
 // comes late: whoever was taken in again holds the entry that did it, which is a later one.
-void RaftNode::on(const PeerMessage& message, const RemovedFromCluster& body, MonotonicTime) {
+void RaftNode::handle(const PeerMessage& message, const RemovedFromCluster& body, MonotonicTime) {
   const auto named = [&](const ControllerId& id, bool voting) {
-    return std::any_of(body.members.begin(), body.members.end(), [&](const Member& entry) {
+    return std::any_of(body.membership.begin(), body.membership.end(), [&](const Member& entry) {
       return entry.id == id && (entry.voter || !voting);
     });
   };
-  const bool later = std::make_pair(body.entryTerm, body.index) > membersEntry();
-  if (later && named(message.from, true) && !named(own.id, false))
-    wasRemoved = true;
+  const bool later = std::make_pair(body.entryTerm, body.entryIndex) > latestMembershipEntry();
+  if (later && named(message.from, true) && !named(selfMember.id, false))
+    removed = true;
 }
 
-void RaftNode::on(const PeerMessage&, const Join& body, MonotonicTime now) {
-  if (!serves() || member(body.member.id) || !membersSettled())
+void RaftNode::handle(const PeerMessage&, const JoinRequest& body, MonotonicTime now) {
+  if (!canServe() || findMember(body.member.id) || !membershipCommitted())
     return;
-  Members members = currentMembers;
+  Membership members = currentMembership;
   // The same address under a new identity: the old learner there is no more.
-  std::erase_if(
-      members, [&](const Member& entry) { return !entry.voter && entry.peer == body.member.peer; });
+  std::erase_if(members, [&](const Member& entry) {
+    return !entry.voter && entry.address == body.member.address;
+  });
   const auto learners = std::count_if(members.begin(), members.end(),
                                       [](const Member& entry) { return !entry.voter; });
-  if (std::size_t(learners) >= learnersWanted)
+  if (std::size_t(learners) >= maxLearners)
     return;
   Member learner = body.member;
   learner.voter = false;
   members.push_back(learner);
-  proposeMembers(members, now);
+  proposeMembership(members, now);
 }
 
 }  // namespace aniseline
--- a/source/raft/membership_change.cpp
+++ b/source/raft/membership_change.cpp
@@ -6,7 +6,7 @@
 
 using Voters = std::set<ControllerId>;
 
-Voters votersOf(const Members& members) {
+Voters votersOf(const Membership& members) {
   Voters voters;
   for (const auto& member : members)
     if (member.voter)
@@ -25,7 +25,7 @@
   return voters / 2 + 1;
 }
 
-bool listsTwice(const Members& members) {
+bool listsTwice(const Membership& members) {
   std::set<ControllerId> ids;
   for (const auto& member : members)
     if (!ids.insert(member.id).second)
@@ -39,18 +39,18 @@
 std::optional<MembershipChangeRefusal> refusalOfVoters(const MembershipChange& change,
                                                        const Voters& from, const Voters& to) {
   for (const auto& id : onlyIn(to, from))
-    if (!change.holdsLog(id))
-      return MembershipChangeRefusal::successorBehind;
+    if (!change.isCaughtUp(id))
+      return MembershipChangeRefusal::newVoterBehind;
   const auto holders = [&](const Voters& voters) {
-    return std::size_t(std::count_if(voters.begin(), voters.end(), change.holdsLog));
+    return std::size_t(std::count_if(voters.begin(), voters.end(), change.isCaughtUp));
   };
   // Of one that lost its state nothing is counted on: neither its copy nor its place.
-  const auto gone = std::count_if(from.begin(), from.end(), change.lostState);
+  const auto gone = std::count_if(from.begin(), from.end(), change.hasLostState);
   const Voters staying = onlyIn(from, onlyIn(from, to));
   if (holders(staying) < majorityOf(from.size() - std::size_t(gone)))
-    return MembershipChangeRefusal::oldMajority;
+    return MembershipChangeRefusal::oldMajorityMissing;
   if (holders(to) < majorityOf(to.size()))
-    return MembershipChangeRefusal::newMajority;
+    return MembershipChangeRefusal::newMajorityMissing;
   return std::nullopt;
 }
 
@@ -68,20 +68,20 @@
   return names[std::size_t(refusal)];
 }
 
-std::optional<MembershipChangeRefusal> refusalOf(const MembershipChange& change) {
-  if (!change.serves)
+std::optional<MembershipChangeRefusal> checkMembershipChange(const MembershipChange& change) {
+  if (!change.canServe)
     return MembershipChangeRefusal::notServing;
-  if (!change.settled)
-    return MembershipChangeRefusal::changeUnderWay;
-  if (listsTwice(change.to))
-    return MembershipChangeRefusal::listedTwice;
-  const Voters from = votersOf(change.from);
-  const Voters to = votersOf(change.to);
+  if (!change.currentCommitted)
+    return MembershipChangeRefusal::changeInProgress;
+  if (listsTwice(change.proposed))
+    return MembershipChangeRefusal::duplicateMember;
+  const Voters from = votersOf(change.current);
+  const Voters to = votersOf(change.proposed);
   if (!to.count(change.leader))
-    return MembershipChangeRefusal::leaderLeaves;
+    return MembershipChangeRefusal::leaderRemoved;
   const std::size_t changed = onlyIn(from, to).size() + onlyIn(to, from).size();
   if (changed > 1)
-    return MembershipChangeRefusal::severalVoters;
+    return MembershipChangeRefusal::multipleVotersChanged;
   // Learners and addresses are in no majority.
   if (changed == 0)
     return std::nullopt;
--- a/source/raft/persistence.cpp
+++ b/source/raft/persistence.cpp
@@ -3,66 +3,66 @@
 
 namespace aniseline {
 
-void RaftNode::mark(LogIndex from) {
-  if (!dirty || from < dirtyFrom)
-    dirtyFrom = from;
+void RaftNode::persistFrom(LogIndex from) {
+  if (!dirty || from < dirtyFromIndex)
+    dirtyFromIndex = from;
   dirty = true;
 }
 
 std::optional<WriteAheadRecord> RaftNode::takeWrite() {
-  if (inFlight || (!dirty && !wantWhole))
+  if (writeInFlight || (!dirty && !snapshotWritePending))
     return std::nullopt;
   WriteAheadRecord record;
   record.version = nextVersion;
   nextVersion = nextVersion.next();
   record.term = currentTerm;
-  record.vote = vote;
-  record.whole = wantWhole;
-  if (wantWhole) {
-    record.snapshot = stored;
-    record.first = stored.index.next();
-    for (LogIndex index = record.first; index <= last(); index = index.next())
+  record.votedFor = votedFor;
+  record.holdsSnapshot = snapshotWritePending;
+  if (snapshotWritePending) {
+    record.snapshot = latestSnapshot;
+    record.firstIndex = latestSnapshot.lastIncludedIndex.next();
+    for (LogIndex index = record.firstIndex; index <= lastIndex(); index = index.next())
       record.entries.push_back(entry(index));
-    sinceWhole = 0;
-    bytesWritten = 0;
+    logRecordCount = 0;
+    logRecordBytes = 0;
   } else {
-    record.first = dirtyFrom;
-    for (LogIndex index = dirtyFrom; index <= last(); index = index.next()) {
+    record.firstIndex = dirtyFromIndex;
+    for (LogIndex index = dirtyFromIndex; index <= lastIndex(); index = index.next()) {
       record.entries.push_back(entry(index));
-      bytesWritten += bytesOf(entry(index));
+      logRecordBytes += bytesOf(entry(index));
     }
-    ++sinceWhole;
+    ++logRecordCount;
   }
-  inFlight = InFlight{record.version, last(), ownVotePending};
+  writeInFlight = WriteInFlight{record.version, lastIndex(), ownVotePending};
   ownVotePending = false;
-  dirty = wantWhole = false;
+  dirty = snapshotWritePending = false;
   return record;
 }
 
-void RaftNode::synced(DiskVersion version, MonotonicTime now) {
-  if (!inFlight || inFlight->version != version)
+void RaftNode::onWriteSynced(DiskVersion version, MonotonicTime now) {
+  if (!writeInFlight || writeInFlight->version != version)
     return;
-  clockNow = now;
-  syncedIndex = std::max(syncedIndex, inFlight->covers);
-  durableIndex = std::max(std::min(durableIndex, last()), syncedIndex);
-  const bool ownVote = inFlight->ownVote;
-  inFlight.reset();
+  currentTime = now;
+  syncedIndex = std::max(syncedIndex, writeInFlight->lastIndex);
+  durableIndex = std::max(std::min(durableIndex, lastIndex()), syncedIndex);
+  const bool ownVote = writeInFlight->includesOwnVote;
+  writeInFlight.reset();
   std::vector<std::pair<DiskVersion, PeerMessage>> later;
-  for (auto& [needs, message] : afterSync) {
+  for (auto& [needs, message] : messagesAwaitingSync) {
     if (needs <= version) {
-      outgoing.push_back(std::move(message));
+      outgoingMessages.push_back(std::move(message));
     } else
       later.emplace_back(needs, std::move(message));
   }
-  afterSync = std::move(later);
-  if (ownVote && currentRole == Role::candidate && !trialElection && vote == own.id) {
-    votes.insert(own.id);
+  messagesAwaitingSync = std::move(later);
+  if (ownVote && currentRole == Role::candidate && !preVoteElection && votedFor == selfMember.id) {
+    votesGranted.insert(selfMember.id);
     countVotes(now);
   }
-  if (leads())
-    advanceCommit();
+  if (isLeader())
+    advanceCommitIndex();
   else if (!lastAppender.value.empty() && lastAppender == knownLeader)
-    replyAppend(lastAppender, true, std::min(syncedIndex, shownBy), lastRoundSeen);
+    sendAppendReply(lastAppender, true, std::min(syncedIndex, verifiedIndex), lastAppendRound);
 }
 
 }  // namespace aniseline
--- a/source/raft/snapshot.cpp
+++ b/source/raft/snapshot.cpp
@@ -4,12 +4,12 @@
 
 namespace aniseline {
 
-Members RaftNode::membersAt(LogIndex index) const {
-  Members members = base.members;
-  for (LogIndex at = base.index.next(); at <= index; at = at.next()) {
-    if (!entry(at).members)
+Membership RaftNode::membershipAt(LogIndex index) const {
+  Membership members = base.membership;
+  for (LogIndex at = base.lastIncludedIndex.next(); at <= index; at = at.next()) {
+    if (!entry(at).isMembership)
       continue;
-    if (auto found = unpack<Members>(entry(at).payload))
+    if (auto found = unpack<Membership>(entry(at).payload))
       members = found.value();
   }
   return members;
@@ -17,17 +17,18 @@
 
 // The last entry that is dropped when all up to `folded` is in a snapshot. What members who are
 // late still need stays, as long as the whole tail keeps within its bytes.
-LogIndex RaftNode::keptFrom(LogIndex folded) const {
-  const std::uint64_t newest = last().value;
-  LogIndex cut{newest - std::min<std::uint64_t>(newest, options.keepEntries)};
-  if (leads())
+LogIndex RaftNode::compactionIndex(LogIndex folded) const {
+  const std::uint64_t newest = lastIndex().value;
+  LogIndex cut{newest - std::min<std::uint64_t>(newest, options.retainedEntries)};
+  if (isLeader())
     for (const auto& [id, peer] : peers)
-      cut = std::min(cut, peer.installing ? peer.installing->identity.index : peer.match);
+      cut = std::min(cut, peer.snapshotTransfer ? peer.snapshotTransfer->identity.lastIncludedIndex
+                                                : peer.matchIndex);
   std::size_t bytes = 0;
-  LogIndex within = last();
-  while (within > base.index) {
+  LogIndex within = lastIndex();
+  while (within > base.lastIncludedIndex) {
     bytes += bytesOf(entry(within));
-    if (bytes > options.keepBytes)
+    if (bytes > options.maxRetainedBytes)
       break;
     within = LogIndex{within.value - 1};
   }
@@ -35,125 +36,131 @@
 }
 
 void RaftNode::compact(LogIndex index, std::string state) {
-  if (index > commit || index <= stored.index)
+  if (index > committedIndex || index <= latestSnapshot.lastIncludedIndex)
     return;
-  stored = Snapshot{index, termAt(index), membersAt(index), std::move(state)};
-  wantWhole = true;
-  const LogIndex cut = keptFrom(index);
-  if (cut <= base.index)
+  latestSnapshot = Snapshot{index, termAt(index), membershipAt(index), std::move(state)};
+  snapshotWritePending = true;
+  const LogIndex cut = compactionIndex(index);
+  if (cut <= base.lastIncludedIndex)
     return;
-  Snapshot begin{cut, termAt(cut), membersAt(cut), {}};
-  log.erase(log.begin(), log.begin() + std::ptrdiff_t(cut.value - base.index.value));
+  Snapshot begin{cut, termAt(cut), membershipAt(cut), {}};
+  log.erase(log.begin(), log.begin() + std::ptrdiff_t(cut.value - base.lastIncludedIndex.value));
   base = std::move(begin);
 }
 
 // The same snapshot goes on, also to another follower, until the log no longer holds what follows
 // it; then, or while nobody has any of it, the newest takes its place.
-void RaftNode::openTransfer() {
+void RaftNode::prepareOutgoingSnapshot() {
   if (outgoingSnapshot) {
     const SnapshotIdentity& current = outgoingSnapshot->identity;
     const bool begun = std::any_of(peers.begin(), peers.end(), [&](const auto& entry) {
-      const auto& progress = entry.second.installing;
-      return progress && progress->identity == current && progress->chunks.acknowledged > 0;
+      const auto& progress = entry.second.snapshotTransfer;
+      return progress && progress->identity == current && progress->chunks.acknowledgedOffset > 0;
     });
-    if (current.index == stored.index || (begun && current.index >= base.index))
+    if (current.lastIncludedIndex == latestSnapshot.lastIncludedIndex ||
+        (begun && current.lastIncludedIndex >= base.lastIncludedIndex))
       return;
   }
-  std::string bytes = pack(stored);
-  const SnapshotIdentity identity{stored.index, stored.term, bytes.size(), checksum(bytes)};
+  std::string bytes = pack(latestSnapshot);
+  const SnapshotIdentity identity{latestSnapshot.lastIncludedIndex, latestSnapshot.lastIncludedTerm,
+                                  bytes.size(), checksum(bytes)};
   outgoingSnapshot = OutgoingSnapshot{identity, std::move(bytes)};
 }
 
 // What no one is sent any more is not held any longer.
-void RaftNode::dropIdleTransfers() {
+void RaftNode::discardIdleTransfers() {
   const bool wanted = std::any_of(peers.begin(), peers.end(), [](const auto& entry) {
-    return entry.second.installing.has_value();
+    return entry.second.snapshotTransfer.has_value();
   });
-  if (!leads() || !wanted)
+  if (!isLeader() || !wanted)
     outgoingSnapshot.reset();
-  if (!leads())
+  if (!isLeader())
     return;
   incomingSnapshot.reset();
   incomingEntry.reset();
 }
 
-void RaftNode::sendSnapshot(const Member& to, Peer& peer, bool force) {
-  openTransfer();
+void RaftNode::sendSnapshotChunks(const Member& to, PeerProgress& peer, bool force) {
+  prepareOutgoingSnapshot();
   const SnapshotIdentity& identity = outgoingSnapshot->identity;
-  if (!peer.installing || peer.installing->identity != identity) {
-    peer.installing = SnapshotProgress{identity, {}};
-    peer.largeEntry.reset();
-    forgetUnacknowledged(peer);
+  if (!peer.snapshotTransfer || peer.snapshotTransfer->identity != identity) {
+    peer.snapshotTransfer = SnapshotTransfer{identity, {}};
+    peer.entryTransfer.reset();
+    clearUnacknowledged(peer);
   }
-  const InstallSnapshot chunk{currentTerm, identity, 0, {}, round};
-  sendChunks(to, peer, peer.installing->chunks, outgoingSnapshot->bytes, chunk, force);
+  const InstallSnapshot chunk{currentTerm, identity, 0, {}, currentRound};
+  sendChunks(to, peer, peer.snapshotTransfer->chunks, outgoingSnapshot->bytes, chunk, force);
 }
 
 // Adds what continues the snapshot that is being received; gives it once it is whole.
-std::optional<Snapshot> RaftNode::takeChunk(const InstallSnapshot& body) {
+std::optional<Snapshot> RaftNode::appendSnapshotChunk(const InstallSnapshot& body) {
   if (!incomingSnapshot || incomingSnapshot->identity != body.snapshot)
     incomingSnapshot = IncomingSnapshot{body.snapshot, {}};
   std::string& received = incomingSnapshot->bytes;
   if (body.offset == received.size())
     received += body.data;
-  if (received.size() < body.snapshot.size)
+  if (received.size() < body.snapshot.totalBytes)
     return std::nullopt;
   const std::string whole = std::exchange(received, {});
-  if (whole.size() != body.snapshot.size || checksum(whole) != body.snapshot.sum)
+  if (whole.size() != body.snapshot.totalBytes || checksum(whole) != body.snapshot.checksum)
     return std::nullopt;  // spoiled on the way: it begins anew
   auto snapshot = unpack<Snapshot>(whole);
-  if (!snapshot || snapshot.value().index != body.snapshot.index ||
-      snapshot.value().term != body.snapshot.term)
+  if (!snapshot || snapshot.value().lastIncludedIndex != body.snapshot.lastIncludedIndex ||
+      snapshot.value().lastIncludedTerm != body.snapshot.lastIncludedTerm)
     return std::nullopt;
   incomingSnapshot.reset();
   return std::move(snapshot.value());
 }
 
-void RaftNode::install(Snapshot snapshot) {
-  if (termAt(snapshot.index) == snapshot.term) {
+void RaftNode::installSnapshot(Snapshot snapshot) {
+  if (termAt(snapshot.lastIncludedIndex) == snapshot.lastIncludedTerm) {
     // Entries after it that lie here may have been claimed, and counted: they stay.
-    const auto folded = snapshot.index.value - base.index.value;
+    const auto folded = snapshot.lastIncludedIndex.value - base.lastIncludedIndex.value;
     log.erase(log.begin(), log.begin() + std::ptrdiff_t(folded));
-    shownBy = std::max(shownBy, snapshot.index);
+    verifiedIndex = std::max(verifiedIndex, snapshot.lastIncludedIndex);
   } else {
     // What the disk holds beyond what this leader has shown may be another log; it stands for
     // nothing of the snapshot.
-    syncedIndex = std::min(syncedIndex, shownBy);
-    if (inFlight)
-      inFlight->covers = std::min(inFlight->covers, shownBy);
+    syncedIndex = std::min(syncedIndex, verifiedIndex);
+    if (writeInFlight)
+      writeInFlight->lastIndex = std::min(writeInFlight->lastIndex, verifiedIndex);
     log.clear();
-    shownBy = snapshot.index;
+    verifiedIndex = snapshot.lastIncludedIndex;
   }
-  stored = std::move(snapshot);
-  base = Snapshot{stored.index, stored.term, stored.members, {}};
-  commit = stored.index;
-  wantWhole = true;
-  installed = true;
-  findMembers();
-  if (selfVotes() && currentRole == Role::learner)
+  latestSnapshot = std::move(snapshot);
+  base = Snapshot{latestSnapshot.lastIncludedIndex,
+                  latestSnapshot.lastIncludedTerm,
+                  latestSnapshot.membership,
+                  {}};
+  committedIndex = latestSnapshot.lastIncludedIndex;
+  snapshotWritePending = true;
+  snapshotInstalled = true;
+  reloadMembership();
+  if (isVoter() && currentRole == Role::learner)
     currentRole = Role::follower;
 }
 
-void RaftNode::on(const PeerMessage& message, const InstallSnapshot& body, MonotonicTime now) {
-  if (!hearChunk(message, body.term, body.round, now))
+void RaftNode::handle(const PeerMessage& message, const InstallSnapshot& body, MonotonicTime now) {
+  if (!acceptChunk(message, body.term, body.round, now))
     return;
-  if (body.snapshot.index > commit) {
-    auto whole = takeChunk(body);
+  if (body.snapshot.lastIncludedIndex > committedIndex) {
+    auto whole = appendSnapshotChunk(body);
     if (!whole)
       return send(message.from,
                   InstallSnapshotReply{currentTerm, body.snapshot, incomingSnapshot->bytes.size(),
-                                       body.round, wallNow + (clockNow - wallAt)});
-    install(std::move(*whole));
+                                       body.round, wallTimeAtTick + (currentTime - wallAt)});
+    installSnapshot(std::move(*whole));
   }
-  replyAppend(message.from, true, std::min(syncedIndex, shownBy), body.round);
+  sendAppendReply(message.from, true, std::min(syncedIndex, verifiedIndex), body.round);
 }
 
-void RaftNode::on(const PeerMessage& message, const InstallSnapshotReply& body, MonotonicTime now) {
-  Peer* peer = noteChunkReply(message, body.term, body.round, body.wall, now);
-  if (!peer || !peer->installing || peer->installing->identity != body.snapshot)
+void RaftNode::handle(const PeerMessage& message, const InstallSnapshotReply& body,
+                      MonotonicTime now) {
+  PeerProgress* peer = acceptChunkReply(message, body.term, body.round, body.wallTime, now);
+  if (!peer || !peer->snapshotTransfer || peer->snapshotTransfer->identity != body.snapshot)
     return;
-  peer->installing->chunks.answered(body.next, body.round);
-  if (const auto* to = member(message.from))
+  peer->snapshotTransfer->chunks.onReply(body.nextOffset, body.round);
+  if (const auto* to = findMember(message.from))
     sendAppend(*to, *peer, false);
 }
 
--- a/source/scheduling/planner.cpp
+++ b/source/scheduling/planner.cpp
@@ -4,82 +4,83 @@
 
 using namespace planning;
 
-bool Plan::empty(const Reservation& before) const {
-  if (!made.actions.empty())
+bool Plan::changesNothing(const Reservation& before) const {
+  if (!record.actions.empty())
     return false;
-  if (made.reservation.job != before.job || made.reservation.step != before.step)
+  if (record.reservation.job != before.job || record.reservation.stepIndex != before.stepIndex)
     return false;
-  if (!before.held())
+  if (!before.isActive())
     return true;
-  return std::abs((made.reservation.start - before.start).milliseconds) < 1000;
+  return std::abs((record.reservation.start - before.start).milliseconds) < 1000;
 }
 
-Plan Planner::Work::run() {
-  buildRooms();
-  moveGangs();
-  std::move(overdueStops.begin(), overdueStops.end(), std::back_inserter(plan.made.actions));
+Plan Planner::PlanBuilder::run() {
+  buildWorkers();
+  advanceGangs();
+  std::move(timeLimitStops.begin(), timeLimitStops.end(), std::back_inserter(plan.record.actions));
   collectUnits();
-  plan.waiting = units.size();
+  plan.pendingUnits = units.size();
   for (const auto& unit : units)
-    ++plan.standings[std::size_t(unit.batch->standing)];
-  for (const auto& room : rooms) {
-    ++(room.usable ? plan.usable : plan.passedOver);
-    plan.cores += room.usable ? room.cores : 0;
-    plan.coresUsed += room.usable ? room.usedCores : 0;
+    ++plan.unitsByTargetStatus[std::size_t(unit.batch->targetStatus)];
+  for (const auto& room : workers) {
+    ++(room.schedulable ? plan.schedulableWorkers : plan.excludedWorkers);
+    plan.schedulableCores += room.schedulable ? room.cores : 0;
+    plan.allocatedCores += room.schedulable ? room.usedCores : 0;
   }
-  if (clusterState.config.planner.urgencyFirst)
-    weighPools();
-  std::vector<const Unit*> notStarted;
+  if (clusterState.config().planner.strictPriority)
+    measureUrgentDemand();
+  std::vector<const PlacementUnit*> notStarted;
   for (const auto& unit : units) {
-    Batch& batch = *unit.batch;
-    FailedShapes& noBackfill = batch.step->suiting->noBackfill;
-    const bool reserved = plan.made.reservation.held();
+    TaskBatch& batch = *unit.batch;
+    FailedRequests& noBackfill = batch.step->eligible->failedBackfills;
+    const bool reserved = plan.record.reservation.isActive();
     auto shape = [&] {
-      return unit.shape(std::numeric_limits<std::int64_t>::max(), batch.runtime);
+      return unit.requestShape(std::numeric_limits<std::int64_t>::max(), batch.runtime);
     };
-    if (!batch.noBackfill && !unit.gang() && reserved && !unit.needs().apart)
-      batch.noBackfill = noBackfill.covers(shape());
-    if (batch.noBackfill) {
-      note(unit, "would delay the reserved start, or no worker has room");
+    if (!batch.backfillFailed && !unit.isGang() && reserved && !unit.needs().maxPerWorker)
+      batch.backfillFailed = noBackfill.covers(shape());
+    if (batch.backfillFailed) {
+      explainDecision(unit, "would delay the reserved start, or no worker has room");
       notStarted.push_back(&unit);
       continue;
     }
-    if (!leavesUrgentRoom(unit)) {
-      note(unit, "leaves room that urgent work has wanted lately");
+    if (!leavesUrgentHeadroom(unit)) {
+      explainDecision(unit, "leaves room that urgent work has wanted lately");
       continue;
     }
-    if (!batch.noRoom && startNow(unit)) {
-      unit.queue().pool->free -= batch.cores;
-      note(unit, "starts in this plan");
+    if (!batch.startFailed && startNow(unit)) {
+      unit.queue().pool->freeCores -= batch.coresPerUnit;
+      explainDecision(unit, "starts in this plan");
       continue;
     }
-    batch.noRoom = true;
+    batch.startFailed = true;
     notStarted.push_back(&unit);
     if (!reserved) {
-      auto reservation = batch.noReservation ? std::nullopt : reserve(unit);
-      batch.noReservation = !reservation;
+      auto reservation = batch.reservationFailed ? std::nullopt : findReservation(unit);
+      batch.reservationFailed = !reservation;
       if (reservation) {
-        keepReservation(unit, std::move(*reservation));
-        const Reservation& kept = plan.made.reservation;
-        note(unit, "holds the reserved start on " + kept.placements.front().worker.value + " in " +
-                       std::to_string((kept.start - now).milliseconds) + " ms");
+        recordReservation(unit, std::move(*reservation));
+        const Reservation& kept = plan.record.reservation;
+        explainDecision(unit, "holds the reserved start on " +
+                                  kept.placements.front().worker.value + " in " +
+                                  std::to_string((kept.start - now).milliseconds) + " ms");
       } else
-        note(unit, "no worker that is here now could ever hold it");
+        explainDecision(unit, "no worker that is here now could ever hold it");
       continue;
     }
-    const StepNeeds& needs = unit.needs();
-    if (!unit.gang() && !needs.apart && !needs.sameRack && needs.near.empty() &&
+    const StepRequirements& needs = unit.needs();
+    if (!unit.isGang() && !needs.maxPerWorker && !needs.sameRack && needs.preferredRack.empty() &&
         !unit.request(unit.tasks[0]).accelerators)
       noBackfill.add(shape());
-    note(unit, "would delay the reserved start, or no worker has room");
+    explainDecision(unit, "would delay the reserved start, or no worker has room");
   }
-  if (clusterState.config.planner.trials)
+  if (clusterState.config().planner.trialsEnabled)
     startTrials(notStarted);
-  startCopies();
-  plan.made.number = clusterState.plan.next();
-  for (auto& room : rooms) {
-    room.projections.clear();
-    planner.spare.push_back(std::move(room.projections));
+  startRedundantCopies();
+  plan.record.number = clusterState.lastPlan().next();
+  for (auto& room : workers) {
+    room.allocations.clear();
+    planner.recycledAllocations.push_back(std::move(room.allocations));
   }
   return std::move(plan);
 }
@@ -87,22 +88,25 @@
 Planner::Planner() = default;
 Planner::~Planner() = default;
 
-Plan Planner::make(const ClusterState& clusterState, ClusterTime now, const Silence& silence,
-                   bool explain, const Hints& hints) {
-  if (!any || compiled != clusterState.config.version) {
-    programs.clear();
-    for (const auto& [name, policy] : clusterState.config.policies)
-      programs.emplace(name, Programs{PolicyProgram(policy.rank), PolicyProgram(policy.mayHold)});
-    if (!programs.count("default"))
-      programs.emplace("default",
-                       Programs{PolicyProgram(PolicyOptions{}.rank), PolicyProgram("1")});
-    compiled = clusterState.config.version;
-    any = true;
+Plan Planner::makePlan(const ClusterState& clusterState, ClusterTime now,
+                       const LastContactAges& silence, bool explain, const PlannerHints& hints) {
+  if (!hasCompiledPolicies || compiledVersion != clusterState.config().version) {
+    compiledPolicies.clear();
+    for (const auto& [name, policy] : clusterState.config().policies)
+      compiledPolicies.emplace(name, CompiledPolicy{PolicyProgram(policy.rankExpression),
+                                                    PolicyProgram(policy.suspendExpression)});
+    if (!compiledPolicies.count("default"))
+      compiledPolicies.emplace(
+          "default",
+          CompiledPolicy{PolicyProgram(PolicyOptions{}.rankExpression), PolicyProgram("1")});
+    compiledVersion = clusterState.config().version;
+    hasCompiledPolicies = true;
   }
-  return Work(*this, clusterState, now, silence, explain, hints).run();
+  return PlanBuilder(*this, clusterState, now, silence, explain, hints).run();
 }
 
-std::optional<ClusterTime> Planner::nextDue(const ClusterState& clusterState, ClusterTime now) {
+std::optional<ClusterTime> Planner::nextPlanTime(const ClusterState& clusterState,
+                                                 ClusterTime now) {
   std::optional<ClusterTime> due;
   auto consider = [&](ClusterTime time) {
     if (time <= now)
@@ -111,37 +115,37 @@
       due = time;
   };
   const bool limits =
-      std::any_of(clusterState.config.queues.begin(), clusterState.config.queues.end(),
-                  [](const auto& queue) { return queue.second.hardLimit.milliseconds > 0; });
-  for (const auto& [number, attempt] : clusterState.attempts) {
-    if (attempt.lost)
+      std::any_of(clusterState.config().queues.begin(), clusterState.config().queues.end(),
+                  [](const auto& queue) { return queue.second.hardRuntimeLimit.milliseconds > 0; });
+  for (const auto& [number, attempt] : clusterState.attempts()) {
+    if (attempt.abandoned)
       continue;
-    if (attempt.trial() && attempt.state == AttemptState::running)
-      consider(now + (attempt.quantum + trialGrace - attempt.ranBy(now)) + Duration{1});
-    if (attempt.gang && !attempt.assembles &&
+    if (attempt.isTrial() && attempt.state == AttemptState::running)
+      consider(now + (attempt.quantum + trialStopGrace - attempt.runtimeAt(now)) + Duration{1});
+    if (attempt.gang && !attempt.selfAssembling &&
         (attempt.state == AttemptState::ordered || attempt.state == AttemptState::staged))
       consider(now + Duration{200});
-    if (attempt.gang && (attempt.state == AttemptState::going ||
-                         (attempt.assembles && attempt.state == AttemptState::ordered)))
-      consider(attempt.runningSince + goLimit + Duration{1});
-    if (limits && !attempt.trial() && attempt.state == AttemptState::running) {
-      const auto found = clusterState.jobs.find(attempt.job);
-      const auto* queue = found == clusterState.jobs.end()
+    if (attempt.gang && (attempt.state == AttemptState::launching ||
+                         (attempt.selfAssembling && attempt.state == AttemptState::ordered)))
+      consider(attempt.runningSince + startConfirmationTimeout + Duration{1});
+    if (limits && !attempt.isTrial() && attempt.state == AttemptState::running) {
+      const auto found = clusterState.jobs().find(attempt.job);
+      const auto* queue = found == clusterState.jobs().end()
                               ? nullptr
-                              : clusterState.config.queue(found->second.submission.queue);
-      if (queue && queue->hardLimit.milliseconds > 0)
-        consider(now + (queue->hardLimit - attempt.ranBy(now)) + Duration{1});
+                              : clusterState.config().findQueue(found->second.submission.queue);
+      if (queue && queue->hardRuntimeLimit.milliseconds > 0)
+        consider(now + (queue->hardRuntimeLimit - attempt.runtimeAt(now)) + Duration{1});
     }
   }
   const ClusterTime soonest = now + Duration{500};  // for what waits
-  for (const auto& id : clusterState.open) {
+  for (const auto& id : clusterState.openJobs()) {
     if (due && *due <= soonest)
       break;
-    const Job& job = clusterState.jobs.at(id);
-    if (job.state != JobState::open)
+    const Job& job = clusterState.jobs().at(id);
+    if (job.state != JobState::active)
       continue;
     for (const auto& task : job.tasks)
-      if (task.state == TaskState::waiting) {
+      if (task.state == TaskState::pending) {
         consider(std::max(task.notBefore, soonest));
         break;
       }
--- a/source/scheduling/planner.hpp
+++ b/source/scheduling/planner.hpp
@@ -5,61 +5,61 @@
 
 namespace aniseline {
 
-struct Reason {
+struct DecisionExplanation {
   JobId job;
   std::uint32_t step = 0;
-  double priority = 0;
+  double rank = 0;
   std::string text;
 };
 
 struct Plan {
-  PlanMade made;
-  std::vector<Reason> reasons;  // only when asked for
-  std::size_t waiting = 0;
+  PlanMade record;
+  std::vector<DecisionExplanation> explanations;  // only when asked for
+  std::size_t pendingUnits = 0;
   // For the log: workers that take work now, those passed over, and cores in thousandths.
   std::map<std::string, std::int64_t> urgentDemand;  // as of now, where urgency goes first
-  std::size_t usable = 0, passedOver = 0, copies = 0;
-  std::int64_t cores = 0, coresUsed = 0;
-  std::array<std::size_t, 3> standings{};
-  bool empty(const Reservation& before) const;
+  std::size_t schedulableWorkers = 0, excludedWorkers = 0, redundantCopies = 0;
+  std::int64_t schedulableCores = 0, allocatedCores = 0;
+  std::array<std::size_t, 3> unitsByTargetStatus{};
+  bool changesNothing(const Reservation& before) const;
 };
 
 // What the leader knows of workers and does not log: how long each has been unheard.
-using Silence = std::map<WorkerId, Duration>;
+using LastContactAges = std::map<WorkerId, Duration>;
 // How long the work of a worker takes against what was requested, lately. The leader's own, as a
 // hint; not logged.
-using Paces = std::map<WorkerId, double>;
+using RuntimeRatios = std::map<WorkerId, double>;
 // What the leader has seen lately; hints, none of it logged.
-struct Hints {
-  Paces paces;
+struct PlannerHints {
+  RuntimeRatios runtimeRatios;
   std::map<std::string, std::int64_t>
       urgentDemand;  // by pool: the cores that its most urgent queues have wanted at once
 };
 
 namespace planning {
-struct Projection;
+struct Allocation;
 }
 
 class Planner {
  public:
   Planner();
   ~Planner();
-  Plan make(const ClusterState& clusterState, ClusterTime now, const Silence& silence,
-            bool explain = false, const Hints& hints = {});
+  Plan makePlan(const ClusterState& clusterState, ClusterTime now, const LastContactAges& silence,
+                bool explain = false, const PlannerHints& hints = {});
   // When a plan is due though nothing was told: a trial's end, a hard limit, a retry's pause.
-  static std::optional<ClusterTime> nextDue(const ClusterState& clusterState, ClusterTime now);
+  static std::optional<ClusterTime> nextPlanTime(const ClusterState& clusterState, ClusterTime now);
 
  private:
-  struct Work;
-  struct Programs {
+  struct PlanBuilder;
+  struct CompiledPolicy {
     PolicyProgram rank;
-    PolicyProgram mayHold;
+    PolicyProgram maySuspend;
   };
-  std::map<std::string, Programs> programs;
-  ConfigVersion compiled;
-  bool any = false;
-  std::vector<std::vector<planning::Projection>>
-      spare;  // memory of the last plan's rooms, for the next one
+  std::map<std::string, CompiledPolicy> compiledPolicies;
+  ConfigVersion compiledVersion;
+  bool hasCompiledPolicies = false;
+  std::vector<std::vector<planning::Allocation>>
+      recycledAllocations;  // memory of the last plan's rooms, for the next one
 };
 
 }  // namespace aniseline
--- a/source/scheduling/planner_gangs.cpp
+++ b/source/scheduling/planner_gangs.cpp
@@ -7,52 +7,53 @@
 using namespace planning;
 
 // Gangs that are wholly staged go; those that cannot be are taken back.
-void Planner::Work::moveGangs() {
+void Planner::PlanBuilder::advanceGangs() {
   auto unheard = [](const Attempt& part) {
-    return part.state == AttemptState::going ||
-           (part.assembles && part.state == AttemptState::ordered);
+    return part.state == AttemptState::launching ||
+           (part.selfAssembling && part.state == AttemptState::ordered);
   };
   auto alone = [&](const Attempt& part) {
-    return unheard(part) && now - part.runningSince > goLimit;
+    return unheard(part) && now - part.runningSince > startConfirmationTimeout;
   };
   // Of most gangs all parts run, and there is nothing to tell.
   std::map<std::pair<std::string_view, std::uint32_t>, std::vector<const Attempt*>> gangs;
-  for (const auto& [step, part] : gangParts) {
+  for (const auto& [step, part] : gangAttempts) {
     const bool early = part->state == AttemptState::ordered ||
-                       part->state == AttemptState::staged || part->state == AttemptState::going;
-    if (part->assembles ? alone(*part) : early)
-      gangs[{part->job.value, step->number}];
+                       part->state == AttemptState::staged ||
+                       part->state == AttemptState::launching;
+    if (part->selfAssembling ? alone(*part) : early)
+      gangs[{part->job.value, step->index}];
   }
   if (gangs.empty())
     return;
-  for (const auto& [step, part] : gangParts)
-    if (auto found = gangs.find({part->job.value, step->number}); found != gangs.end())
+  for (const auto& [step, part] : gangAttempts)
+    if (auto found = gangs.find({part->job.value, step->index}); found != gangs.end())
       found->second.push_back(part);
   for (const auto& [key, parts] : gangs) {
-    const Job& job = *jobInPlan(parts.front()->job)->job;
+    const Job& job = *jobView(parts.front()->job)->job;
     std::size_t openParts = 0;
     for (const auto& task : job.tasks)
-      openParts += task.step == key.second && task.state != TaskState::done;
+      openParts += task.stepIndex == key.second && task.state != TaskState::succeeded;
     bool allStaged = parts.size() == openParts, staging = false, late = false, oneAlone = false;
     for (const auto* part : parts) {
       oneAlone = oneAlone || alone(*part);
-      if (part->assembles)
+      if (part->selfAssembling)
         continue;
       if (part->state == AttemptState::staged || part->state == AttemptState::ordered) {
         staging = true;
-        late = late || now - part->orderedAt > stagingLimit;
+        late = late || now - part->orderedAt > stagingTimeout;
       }
-      auto quiet = silence.find(part->worker);
-      const bool heard = quiet != silence.end() && quiet->second < Duration{1500};
+      auto quiet = contactAges.find(part->worker);
+      const bool heard = quiet != contactAges.end() && quiet->second < Duration{1500};
       allStaged = allStaged && part->state == AttemptState::staged && heard &&
-                  clusterState.workers.at(part->worker).open();
+                  clusterState.workers().at(part->worker).isSchedulable();
     }
     for (const auto* part : parts) {
       Action action;
       action.attempt = part->number;
       action.worker = part->worker;
-      if (allStaged && !part->assembles)
-        action.kind = ActionKind::go;
+      if (allStaged && !part->selfAssembling)
+        action.kind = ActionKind::launch;
       else if (oneAlone && part->state != AttemptState::stopping) {
         action.kind = ActionKind::stop;
         action.reason = "alone";
@@ -61,17 +62,18 @@
         action.reason = "staging";
       } else
         continue;
-      plan.made.actions.push_back(std::move(action));
+      plan.record.actions.push_back(std::move(action));
     }
   }
 }
 
-void Planner::Work::noteOverdue(const Attempt& attempt, const QueueOptions& queue) {
+void Planner::PlanBuilder::stopIfOverTimeLimit(const Attempt& attempt, const QueueOptions& queue) {
   if (attempt.state != AttemptState::running)
     return;
-  const bool trialOver = attempt.trial() && attempt.ranBy(now) > attempt.quantum + trialGrace;
-  const bool pastLimit =
-      !attempt.trial() && queue.hardLimit.milliseconds > 0 && attempt.ranBy(now) > queue.hardLimit;
+  const bool trialOver =
+      attempt.isTrial() && attempt.runtimeAt(now) > attempt.quantum + trialStopGrace;
+  const bool pastLimit = !attempt.isTrial() && queue.hardRuntimeLimit.milliseconds > 0 &&
+                         attempt.runtimeAt(now) > queue.hardRuntimeLimit;
   if (!trialOver && !pastLimit)
     return;
   Action action;
@@ -79,7 +81,7 @@
   action.attempt = attempt.number;
   action.worker = attempt.worker;
   action.reason = trialOver ? "trial" : "hard limit";
-  overdueStops.push_back(std::move(action));
+  timeLimitStops.push_back(std::move(action));
 }
 
 }  // namespace aniseline
--- a/source/scheduling/planner_trials.cpp
+++ b/source/scheduling/planner_trials.cpp
@@ -6,59 +6,57 @@
 
 using namespace planning;
 
-double Planner::Work::slowdown(const Attempt& attempt) const {
-  const Task& task = clusterState.jobs.at(attempt.job).tasks[attempt.task];
-  const double ran = std::max(1.0, double(attempt.ranBy(now).milliseconds));
+double Planner::PlanBuilder::slowdown(const Attempt& attempt) const {
+  const Task& task = clusterState.jobs().at(attempt.job).tasks[attempt.taskIndex];
+  const double ran = std::max(1.0, double(attempt.runtimeAt(now).milliseconds));
   return double((now - task.readyAt).milliseconds) / ran;
 }
-bool Planner::Work::mayHold(const Attempt& attempt) {
-  auto [known, isNew] = holdable.try_emplace(attempt.number);
+bool Planner::PlanBuilder::maySuspend(const Attempt& attempt) {
+  auto [known, isNew] = suspendableAttempts.try_emplace(attempt.number);
   if (!isNew)
     return known->second;
-  const QueueOptions& queue = *jobInPlan(attempt.job)->queue->options;
+  const QueueOptions& queue = *jobView(attempt.job)->queue->options;
   PolicyProgram::Inputs inputs;
   inputs.runtime = attempt.runtime.hours();
   inputs.running = (now - attempt.runningSince).hours();
   inputs.slowdown = slowdown(attempt);
   inputs.cores = attempt.cores / 1000.0;
   inputs.memory = double(attempt.memory);
-  inputs.urgency = double(queue.urgency);
-  return known->second = programsOf(queue.policy).mayHold.evaluate(inputs) != 0.0;
+  inputs.priority = double(queue.priority);
+  return known->second = compiledPolicyOf(queue.policy).maySuspend.evaluate(inputs) != 0.0;
 }
 
 // A trial may not delay the reserved start, but for the reserved unit's own, which gains by it.
 // docs/paper.md 4. Paper 2.4: idle cores first, else holds of those with the least slowdown among
 // the long uninterrupted.
-std::optional<Planner::Work::TrialPlace> Planner::Work::trialPlace(const Unit& unit,
-                                                                   const TaskRequest& request,
-                                                                   std::size_t avoid,
-                                                                   std::int64_t memory, bool holds,
-                                                                   bool own) {
+std::optional<Planner::PlanBuilder::TrialPlacement> Planner::PlanBuilder::findTrialPlacement(
+    const PlacementUnit& unit, const TaskRequest& request, std::size_t avoid, std::int64_t memory,
+    bool holds, bool own) {
   const TrialOptions& options = unit.queue().options->trial;
-  std::optional<TrialPlace> best;
-  for (auto place : unit.step().suiting->places) {
-    const Room& room = rooms[place];
-    if (!room.usable || room.penalty > 0 || place == avoid || !room.worker->capacity.pauses ||
-        !hasRoom(unit.step(), place, request))
+  std::optional<TrialPlacement> best;
+  for (auto place : unit.step().eligible->workerIndices) {
+    const WorkerView& room = workers[place];
+    if (!room.schedulable || room.penalty > 0 || place == avoid ||
+        !room.worker->capacity.supportsSuspend || !fits(unit.step(), place, request))
       continue;
     if (room.cores < request.cores || room.freeMemory() < memory)
       continue;
-    TrialPlace candidate;
-    candidate.place = place;
-    std::int64_t free = room.safeCores();
+    TrialPlacement candidate;
+    candidate.workerIndex = place;
+    std::int64_t free = room.guaranteedFreeCores();
     if (free < request.cores) {
       if (!holds)
         continue;
       std::vector<std::pair<double, const Attempt*>> eligible;
-      for (const auto& projection : room.projections) {
-        if (!projection.attempt || projection.held)
+      for (const auto& projection : room.allocations) {
+        if (!projection.attempt || projection.suspended)
           continue;
         const Attempt& attempt = *projection.attempt;
         // A gang's parts are never held: the others would run on alone. docs/paper.md 5.
-        if (attempt.state != AttemptState::running || attempt.trial() || attempt.gang ||
-            attempt.lost)
+        if (attempt.state != AttemptState::running || attempt.isTrial() || attempt.gang ||
+            attempt.abandoned)
           continue;
-        if (now - attempt.runningSince < options.minimumRun || !mayHold(attempt))
+        if (now - attempt.runningSince < options.minimumRuntime || !maySuspend(attempt))
           continue;
         eligible.emplace_back(slowdown(attempt), &attempt);
       }
@@ -75,99 +73,101 @@
       if (free < request.cores)
         continue;
     }
-    candidate.idleAfter = free - request.cores;
+    candidate.idleCoresAfter = free - request.cores;
     const ClusterTime end = now + options.quantum;
     if (candidate.victims.empty()) {
-      if (!own && delays(room, request.cores, memory, end))
+      if (!own && delaysReservation(room, request.cores, memory, end))
         continue;
     } else if (!own) {
-      Room changed = room;
-      for (auto& projection : changed.projections)
+      WorkerView changed = room;
+      for (auto& projection : changed.allocations)
         if (projection.attempt && std::count(candidate.victims.begin(), candidate.victims.end(),
                                              projection.attempt->number))
-          projection.end = projection.end + options.quantum;
-      const bool overlaps = end > plan.made.reservation.start;
-      if (!reservedStillFits(changed, overlaps ? request.cores : 0, overlaps ? memory : 0))
+          projection.expectedEnd = projection.expectedEnd + options.quantum;
+      const bool overlaps = end > plan.record.reservation.start;
+      if (!reservationStillFits(changed, overlaps ? request.cores : 0, overlaps ? memory : 0))
         continue;
     }
-    if (!best || candidate.idleAfter < best->idleAfter)
+    if (!best || candidate.idleCoresAfter < best->idleCoresAfter)
       best = std::move(candidate);
   }
   return best;
 }
 
-bool Planner::Work::tryTrial(const Unit& unit) {
-  if (!unit.step().suiting->pauses)
+bool Planner::PlanBuilder::tryTrial(const PlacementUnit& unit) {
+  if (!unit.step().eligible->anySupportsSuspend)
     return false;
   const TrialOptions& options = unit.queue().options->trial;
-  std::optional<std::vector<Room>> before;
-  const auto actionsBefore = plan.made.actions.size();
+  std::optional<std::vector<WorkerView>> before;
+  const auto actionsBefore = plan.record.actions.size();
   const AttemptNumber attemptBefore = lastAttempt;
-  const Reservation& reservation = plan.made.reservation;
-  const bool own = reservation.job == unit.step().id() && reservation.step == unit.step().number;
-  for (auto part : partsBySize(unit)) {
+  const Reservation& reservation = plan.record.reservation;
+  const bool own =
+      reservation.job == unit.step().jobId() && reservation.stepIndex == unit.step().index;
+  for (auto part : tasksByDescendingCores(unit)) {
     const TaskRequest& request = unit.request(part);
     const auto memory = std::int64_t(std::min<std::uint64_t>(request.memory, options.memory));
-    const WorkerId& avoided = unit.task(part).avoid;
-    const std::size_t avoid = avoided.value.empty() ? none : placeOf(avoided);
-    auto found = trialPlace(unit, request, avoid, memory, false, own);
+    const WorkerId& avoided = unit.task(part).avoidedWorker;
+    const std::size_t avoid = avoided.value.empty() ? noIndex : workerIndexOf(avoided);
+    auto found = findTrialPlacement(unit, request, avoid, memory, false, own);
     if (!found)
-      found = trialPlace(unit, request, avoid, memory, true, own);
+      found = findTrialPlacement(unit, request, avoid, memory, true, own);
     if (!found) {
       if (before)
-        rooms = std::move(*before);
-      plan.made.actions.resize(actionsBefore);
+        workers = std::move(*before);
+      plan.record.actions.resize(actionsBefore);
       lastAttempt = attemptBefore;
       return false;
     }
-    if (unit.gang() && !before)
-      before = rooms;
+    if (unit.isGang() && !before)
+      before = workers;
     lastAttempt = lastAttempt.next();
-    Room& room = rooms[found->place];
+    WorkerView& room = workers[found->workerIndex];
     for (auto victim : found->victims) {
       Action hold;
-      hold.kind = ActionKind::hold;
+      hold.kind = ActionKind::suspend;
       hold.attempt = victim;
       hold.worker = room.worker->id;
-      hold.heldFor = lastAttempt;
-      plan.made.actions.push_back(hold);
-      for (auto& projection : room.projections)
+      hold.suspendedForTrial = lastAttempt;
+      plan.record.actions.push_back(hold);
+      for (auto& projection : room.allocations)
         if (projection.attempt && projection.attempt->number == victim) {
-          room.hold(projection);
-          projection.end = projection.end + options.quantum;
+          room.suspend(projection);
+          projection.expectedEnd = projection.expectedEnd + options.quantum;
         }
     }
     Action action;
-    action.kind = unit.gang() ? ActionKind::stage : ActionKind::start;
+    action.kind = unit.isGang() ? ActionKind::stage : ActionKind::start;
     action.attempt = lastAttempt;
-    action.job = unit.step().id();
-    action.task = part;
+    action.job = unit.step().jobId();
+    action.taskIndex = part;
     action.worker = room.worker->id;
     action.trial = true;
     action.quantum = options.quantum;
     action.memory = std::uint64_t(memory);
-    occupy(found->place, request, memory, now + options.quantum, !found->victims.empty());
-    plan.made.actions.push_back(std::move(action));
+    allocate(found->workerIndex, request, memory, now + options.quantum, !found->victims.empty());
+    plan.record.actions.push_back(std::move(action));
   }
   return true;
 }
 
-void Planner::Work::startTrials(const std::vector<const Unit*>& notStarted) {
+void Planner::PlanBuilder::startTrials(const std::vector<const PlacementUnit*>& notStarted) {
   for (const auto* unit : notStarted) {
     const QueueOptions& queue = *unit->queue().options;
-    const bool plain = !unit->gang() && unit->needs().label.empty() && queue.pool.empty();
-    if (!unit->gang() && !plain)
+    const bool plain = !unit->isGang() && unit->needs().requiredLabel.empty() && queue.pool.empty();
+    if (!unit->isGang() && !plain)
       continue;
     const Task& first = unit->task(unit->tasks[0]);
-    if (first.trialled || first.tried || first.starts > 0)
+    if (first.trialStarted || first.trialExpired || first.countedStarts > 0)
       continue;
-    const auto shape = unit->shape(std::int64_t(queue.trial.memory), queue.trial.minimumRun);
-    if (plain && noTrial.covers(shape))
+    const auto shape =
+        unit->requestShape(std::int64_t(queue.trial.memory), queue.trial.minimumRuntime);
+    if (plain && failedTrials.covers(shape))
       continue;
     if (tryTrial(*unit))
-      note(*unit, "gets its trial in this plan");
+      explainDecision(*unit, "gets its trial in this plan");
     else if (plain && queue.trial.quantum >= Duration{1000})
-      noTrial.add(shape);
+      failedTrials.add(shape);
   }
 }
 
--- a/source/simulator/called_worker.cpp
+++ b/source/simulator/called_worker.cpp
@@ -10,10 +10,10 @@
 bool failsAlways(const std::string& payload) {
   return payload.ends_with(" fail");
 }
-EndingKind kindOf(const std::string& how) {
-  return how == "finished" ? EndingKind::finished
-         : how == "failed" ? EndingKind::failed
-                           : EndingKind::stopped;
+AttemptOutcome kindOf(const std::string& how) {
+  return how == "finished" ? AttemptOutcome::succeeded
+         : how == "failed" ? AttemptOutcome::failed
+                           : AttemptOutcome::stopped;
 }
 // A checkpoint says how far the work is; the mark makes each one's text its own.
 std::int64_t progressOf(const std::string& saved) {
@@ -21,75 +21,77 @@
 }
 }  // namespace
 
-CalledWorker::CalledWorker(CalledWorkerOptions given, GangMeetings& meetings, std::uint64_t seed,
-                           Book book, Tell tell, std::int64_t now)
+CalledWorker::CalledWorker(CalledWorkerOptions given, GangRendezvousTable& rendezvousTable,
+                           std::uint64_t seed, JobLookup findJob, EventSink recordEvent,
+                           std::int64_t now)
     : options(std::move(given)),
-      meetings(meetings),
+      rendezvousTable(rendezvousTable),
       random(seed),
-      book(std::move(book)),
-      tell(std::move(tell)),
-      bornAt(now),
-      tickedAt(now) {}
+      findJob(std::move(findJob)),
+      recordEvent(std::move(recordEvent)),
+      startedAt(now),
+      lastTickAt(now) {}
 
-WorkerAccount CalledWorker::account(std::int64_t now) const {
-  return {options.life, options.capacity, leaving, leaveWithin, clock(now)};
+WorkerRegistration CalledWorker::accountAt(std::int64_t now) const {
+  return {options.workerInstance, options.capacity, draining, drainTimeout, clock(now)};
 }
 
-HistoryEvent CalledWorker::witness(HistoryEvent::Kind kind, const RunName& name) const {
+HistoryEvent CalledWorker::makeEvent(HistoryEvent::Kind kind, const TaskRunId& name) const {
   HistoryEvent given;
   given.kind = kind;
-  given.worker = options.life.value;
+  given.worker = options.workerInstance.value;
   given.job = name.job.value;
-  given.attempt = std::to_string(name.run);
-  const auto* job = book(name.job);
+  given.attempt = std::to_string(name.runNumber);
+  const auto* job = findJob(name.job);
   if (!job)
     return given;
-  if (job->timed())
+  if (job->hasTimetable())
     given.job += "@" + std::to_string(name.occurrence);
-  given.task = name.within;
-  for (std::uint32_t step = 0; step < std::min<std::size_t>(name.step, job->steps.size()); ++step)
+  given.task = name.indexInStep;
+  for (std::uint32_t step = 0; step < std::min<std::size_t>(name.stepIndex, job->steps.size());
+       ++step)
     given.task += std::uint32_t(job->steps[step].tasks.size());
   return given;
 }
 
-void CalledWorker::hold(const std::optional<WorkerTime>& deadline, std::int64_t now) {
+void CalledWorker::extendLease(const std::optional<WorkerTime>& deadline, std::int64_t now) {
   if (!deadline)
     return;
-  const WorkerTime until = std::min(*deadline, clock(now) + options.longestHold);
-  if (until > clock(now) && (!heldUntil || until > *heldUntil))
-    heldUntil = until;
+  const WorkerTime until = std::min(*deadline, clock(now) + options.maxLease);
+  if (until > clock(now) && (!leaseExpiresAt || until > *leaseExpiresAt))
+    leaseExpiresAt = until;
 }
 
-WorkerReply CalledWorker::take(const WorkerCall& call, std::int64_t now, bool late) {
+WorkerReply CalledWorker::handleCall(const WorkerCall& call, std::int64_t now, bool late) {
   tick(now);
   WorkerReply reply;
-  if (call.life != options.life) {
-    reply.kind = WorkerReply::Kind::otherLife;
+  if (call.workerInstance != options.workerInstance) {
+    reply.status = WorkerReply::Status::instanceMismatch;
     return reply;
   }
-  reply.clock = clock(now);
-  if (call.kind == WorkerCall::Kind::start && sickness == Sickness::refusing) {
-    reply.kind = WorkerReply::Kind::sick;  // nothing was done
+  reply.clockReading = clock(now);
+  if (call.kind == WorkerCall::Kind::start && malfunction == Malfunction::rejecting) {
+    reply.status = WorkerReply::Status::unavailable;  // nothing was done
     return reply;
   }
-  if (call.fence < fence) {
-    reply.kind = WorkerReply::Kind::fenced;
+  if (call.fencingTerm < fencingTerm) {
+    reply.status = WorkerReply::Status::fenced;
     return reply;
   }
-  fence = call.fence;
-  reply.kind = WorkerReply::Kind::done;
+  fencingTerm = call.fencingTerm;
+  reply.status = WorkerReply::Status::ok;
   if (call.kind == WorkerCall::Kind::stop)
     stop(call, now);
   else
-    hold(call.deadline, now);
-  if (call.kind == WorkerCall::Kind::look)
-    forget(call.lastSeen);
+    extendLease(call.leaseDeadline, now);
+  if (call.kind == WorkerCall::Kind::poll)
+    confirmResults(call.confirmedUpTo);
   if (call.kind == WorkerCall::Kind::start)
     start(call, reply, now, late);
   return reply;
 }
 
-bool CalledWorker::hasRoom(const TaskRequest& request) const {
+bool CalledWorker::fits(const TaskRequest& request) const {
   std::uint64_t cores = request.cores, memory = request.memory, accelerators = request.accelerators;
   for (const auto& [name, run] : runs) {
     cores += run.request.cores;
@@ -101,177 +103,183 @@
 }
 
 void CalledWorker::start(const WorkerCall& call, WorkerReply& reply, std::int64_t now, bool late) {
-  if (runs.count(call.name))
+  if (runs.count(call.runId))
     return;  // it is there already
   const bool newerHere = std::any_of(runs.begin(), runs.end(), [&](const auto& entry) {
-    return task(entry.first) == task(call.name) && entry.first.run > call.name.run;
+    return withoutRunNumber(entry.first) == withoutRunNumber(call.runId) &&
+           entry.first.runNumber > call.runId.runNumber;
   });
-  if (auto known = fenced.find(task(call.name));
-      newerHere || (known != fenced.end() && call.name.run <= known->second)) {
-    reply.kind = WorkerReply::Kind::old;
+  if (auto known = fencedRuns.find(withoutRunNumber(call.runId));
+      newerHere || (known != fencedRuns.end() && call.runId.runNumber <= known->second)) {
+    reply.status = WorkerReply::Status::staleRun;
     return;
   }
-  if (!heldUntil || !call.deadline || *call.deadline <= clock(now)) {
-    reply.kind = WorkerReply::Kind::late;
+  if (!leaseExpiresAt || !call.leaseDeadline || *call.leaseDeadline <= clock(now)) {
+    reply.status = WorkerReply::Status::deadlineExceeded;
     return;
   }
-  Run run;
-  run.job = book(call.name.job);
-  if (run.job && call.name.step < run.job->steps.size())
-    run.step = &run.job->steps[call.name.step];
-  if (run.step && call.name.within < run.step->tasks.size())
-    run.request = run.step->tasks[call.name.within];
-  if (options.capacity.guardsRoom && !hasRoom(run.request)) {
-    reply.kind = WorkerReply::Kind::room;
+  ActiveRun run;
+  run.job = findJob(call.runId.job);
+  if (run.job && call.runId.stepIndex < run.job->steps.size())
+    run.step = &run.job->steps[call.runId.stepIndex];
+  if (run.step && call.runId.indexInStep < run.step->tasks.size())
+    run.request = run.step->tasks[call.runId.indexInStep];
+  if (options.capacity.enforcesCapacity && !fits(run.request)) {
+    reply.status = WorkerReply::Status::insufficientCapacity;
     return;
   }
   run.payload = call.payload;
-  run.saved = call.saved;
+  run.checkpoint = call.checkpoint;
   run.startedAt = now;
-  run.done = run.savedAt = progressOf(call.saved);
-  run.restoredAt = call.saved.empty() ? now : now + options.restoreTakes.milliseconds;
-  run.length = runOf(call.payload, run.request.runtime.milliseconds);
+  run.progress = run.checkpointedProgress = progressOf(call.checkpoint);
+  run.readyAt = call.checkpoint.empty() ? now : now + options.restoreTime.milliseconds;
+  run.runtime = runOf(call.payload, run.request.runtime.milliseconds);
   run.fails = failsAlways(call.payload);
-  if (run.step && run.step->needs.lasts) {  // it goes on until it is stopped, or fails at some time
-    run.length = random.between(4000, 40'000);
+  if (run.step && run.step->requirements
+                      .longRunning) {  // it goes on until it is stopped, or fails at some time
+    run.runtime = random.between(4000, 40'000);
     run.fails = true;
   }
-  if (run.step && !run.step->needs.near.empty() && !options.capacity.has(run.step->needs.near))
-    run.length = std::int64_t(double(run.length) * options.far);
-  if (sickness == Sickness::failing) {
-    run.length = std::min<std::int64_t>(run.length, run.done + 100);
+  if (run.step && !run.step->requirements.preferredRack.empty() &&
+      !options.capacity.hasLabel(run.step->requirements.preferredRack))
+    run.runtime = std::int64_t(double(run.runtime) * options.remoteSlowdown);
+  if (malfunction == Malfunction::failing) {
+    run.runtime = std::min<std::int64_t>(run.runtime, run.progress + 100);
     run.fails = true;
   }
-  auto given = witness(HistoryEvent::Kind::started, call.name);
+  auto given = makeEvent(HistoryEvent::Kind::started, call.runId);
   given.payload = call.payload;
-  given.saved = call.saved;
+  given.checkpoint = call.checkpoint;
   given.cores = run.request.cores;
   given.memory = run.request.memory;
   given.accelerators = run.request.accelerators;
-  given.late = late;
-  tell(given);
+  given.executedLate = late;
+  recordEvent(given);
   if (run.gang()) {
-    auto& met = meeting(call.name);
-    met.present.insert(call.name.within);
+    auto& met = rendezvousOf(call.runId);
+    met.membersPresent.insert(call.runId.indexInStep);
     met.racks.insert(options.capacity.rack);
-    if (!met.assembledAt && met.over.empty() && met.present.size() == run.step->tasks.size())
-      met.assembledAt = run.restoredAt;
+    if (!met.assembledAt && met.outcome.empty() &&
+        met.membersPresent.size() == run.step->tasks.size())
+      met.assembledAt = run.readyAt;
   }
-  runs.emplace(call.name, std::move(run));
+  runs.emplace(call.runId, std::move(run));
 }
 
 void CalledWorker::stop(const WorkerCall& call, std::int64_t now) {
-  auto& fencedTo = fenced[task(call.name)];
-  fencedTo = std::max(fencedTo, call.name.run);
-  auto found = runs.find(call.name);
-  if (found != runs.end() && !found->second.stoppedBy)
-    found->second.stoppedBy = now + random.between(0, options.stopTakes.milliseconds);
+  auto& fencedTo = fencedRuns[withoutRunNumber(call.runId)];
+  fencedTo = std::max(fencedTo, call.runId.runNumber);
+  auto found = runs.find(call.runId);
+  if (found != runs.end() && !found->second.stopsAt)
+    found->second.stopsAt = now + random.between(0, options.longestStop.milliseconds);
 }
 
 // Endings that nobody asks for again are final, unless the hold ran out before they were taken note
 // of.
-void CalledWorker::forget(std::uint64_t lastSeen) {
-  while (!endings.empty() && endings.front().number <= lastSeen) {
-    const Ended& ended = endings.front();
-    if (!ended.lapsed) {
-      auto given = witness(HistoryEvent::Kind::confirmed, ended.name);
-      given.detail = ended.how;
-      tell(given);
+void CalledWorker::confirmResults(std::uint64_t lastSeen) {
+  while (!unconfirmedResults.empty() && unconfirmedResults.front().number <= lastSeen) {
+    const EndedRun& ended = unconfirmedResults.front();
+    if (!ended.leaseExpired) {
+      auto given = makeEvent(HistoryEvent::Kind::resultConfirmed, ended.name);
+      given.detail = ended.outcome;
+      recordEvent(given);
     }
-    endings.pop_front();
+    unconfirmedResults.pop_front();
   }
 }
 
-void CalledWorker::list(WorkerReply& reply, std::int64_t now) const {
-  reply.clock = clock(now);
+void CalledWorker::listRuns(WorkerReply& reply, std::int64_t now) const {
+  reply.clockReading = clock(now);
   for (const auto& [name, run] : runs)
-    reply.active.push_back({name, run.saved});
-  for (const auto& ended : endings) {
-    if (reply.ended.size() >= options.endingsAtOnce) {
-      reply.whole = false;
+    reply.runningTasks.push_back({name, run.checkpoint});
+  for (const auto& ended : unconfirmedResults) {
+    if (reply.results.size() >= options.maxResultsPerPoll) {
+      reply.complete = false;
       break;
     }
-    reply.ended.push_back({ended.number, ended.name, kindOf(ended.how), ended.saved});
+    reply.results.push_back({ended.number, ended.name, kindOf(ended.outcome), ended.checkpoint});
   }
 }
 
-void CalledWorker::save(const RunName& name, Run& run) {
-  if (!run.step || !run.step->needs.saves || run.done <= run.savedAt)
+void CalledWorker::saveCheckpoint(const TaskRunId& name, ActiveRun& run) {
+  if (!run.step || !run.step->requirements.checkpointed || run.progress <= run.checkpointedProgress)
     return;
-  run.savedAt = run.done;
-  run.saved = std::to_string(run.done) + ":" + std::to_string(random.next());
-  auto given = witness(HistoryEvent::Kind::saved, name);
-  given.saved = run.saved;
-  tell(given);
+  run.checkpointedProgress = run.progress;
+  run.checkpoint = std::to_string(run.progress) + ":" + std::to_string(random.next());
+  auto given = makeEvent(HistoryEvent::Kind::checkpointed, name);
+  given.checkpoint = run.checkpoint;
+  recordEvent(given);
 }
 
-void CalledWorker::end(RunName name, const std::string& how) {
+void CalledWorker::endRun(TaskRunId name, const std::string& how) {
   auto found = runs.find(name);
-  auto given = witness(HistoryEvent::Kind::ended, name);
+  auto given = makeEvent(HistoryEvent::Kind::ended, name);
   given.detail = how;
-  tell(given);
-  endings.push_back({++lastEnding, name, how, found->second.saved});
+  recordEvent(given);
+  unconfirmedResults.push_back({++lastResultNumber, name, how, found->second.checkpoint});
   if (found->second.gang()) {
-    auto& met = meeting(name);
-    if (met.over.empty())
-      met.over = how == "finished" ? "finished" : "broken";
+    auto& met = rendezvousOf(name);
+    if (met.outcome.empty())
+      met.outcome = how == "finished" ? "finished" : "broken";
   }
   runs.erase(found);
-  auto& fencedTo = fenced[task(name)];
-  fencedTo = std::max(fencedTo, name.run);
+  auto& fencedTo = fencedRuns[withoutRunNumber(name)];
+  fencedTo = std::max(fencedTo, name.runNumber);
 }
 
 void CalledWorker::tick(std::int64_t now) {
-  const std::int64_t before = std::exchange(tickedAt, now);
-  if (heldUntil && clock(now) >= *heldUntil) {
-    heldUntil.reset();
+  const std::int64_t before = std::exchange(lastTickAt, now);
+  if (leaseExpiresAt && clock(now) >= *leaseExpiresAt) {
+    leaseExpiresAt.reset();
     while (!runs.empty())
-      end(runs.begin()->first, "lapsed");
-    for (auto& ended : endings)
-      ended.lapsed = true;
+      endRun(runs.begin()->first, "lapsed");
+    for (auto& ended : unconfirmedResults)
+      ended.leaseExpired = true;
   }
-  std::vector<std::pair<RunName, std::string>> over;
+  std::vector<std::pair<TaskRunId, std::string>> over;
   for (auto& [name, run] : runs) {
-    GangMeeting* met = run.gang() ? &meeting(name) : nullptr;
+    GangRendezvous* met = run.gang() ? &rendezvousOf(name) : nullptr;
     const bool works = !met || met->assembledAt;
-    if (works && sickness != Sickness::stalled) {
+    if (works && malfunction != Malfunction::stalled) {
       const std::int64_t from =
-          std::max({before, run.restoredAt, met ? *met->assembledAt : run.startedAt});
-      run.done += std::max<std::int64_t>(0, now - from);
-      const std::int64_t every = options.saveEvery.milliseconds;
-      if (run.done / every > run.savedAt / every && run.done < run.length)
-        save(name, run);
+          std::max({before, run.readyAt, met ? *met->assembledAt : run.startedAt});
+      run.progress += std::max<std::int64_t>(0, now - from);
+      const std::int64_t every = options.checkpointInterval.milliseconds;
+      if (run.progress / every > run.checkpointedProgress / every && run.progress < run.runtime)
+        saveCheckpoint(name, run);
     }
-    const std::int64_t length = met && run.step->needs.sameRack && met->racks.size() > 1
-                                    ? std::int64_t(double(run.length) * options.far)
-                                    : run.length;
-    if (run.stoppedBy) {
-      if (now < *run.stoppedBy)
+    const std::int64_t length = met && run.step->requirements.sameRack && met->racks.size() > 1
+                                    ? std::int64_t(double(run.runtime) * options.remoteSlowdown)
+                                    : run.runtime;
+    if (run.stopsAt) {
+      if (now < *run.stopsAt)
         continue;
-      save(name, run);
+      saveCheckpoint(name, run);
       over.emplace_back(name, "stopped");
-    } else if (met && !met->over.empty())
-      over.emplace_back(name, met->over);
+    } else if (met && !met->outcome.empty())
+      over.emplace_back(name, met->outcome);
     else if (met && !met->assembledAt) {
-      if (now - run.startedAt >= options.gangWait.milliseconds)
+      if (now - run.startedAt >= options.gangTimeout.milliseconds)
         over.emplace_back(name, "alone");
-    } else if (run.done >= length)
+    } else if (run.progress >= length)
       over.emplace_back(name, run.fails ? "failed" : "finished");
   }
   for (const auto& [name, how] : over) {
     // Another member may have ended in this very tick: the first ending speaks for all.
     const bool worked = how == "finished" || how == "failed";
     const auto& run = runs.at(name);
-    end(name, worked && run.gang() && !meeting(name).over.empty() ? meeting(name).over : how);
+    endRun(name, worked && run.gang() && !rendezvousOf(name).outcome.empty()
+                     ? rendezvousOf(name).outcome
+                     : how);
   }
 }
 
-void CalledWorker::vanish() {
+void CalledWorker::crash() {
   for (auto& [name, run] : runs)
     if (run.gang()) {
-      auto& met = meeting(name);
-      if (met.over.empty())
-        met.over = "broken";
+      auto& met = rendezvousOf(name);
+      if (met.outcome.empty())
+        met.outcome = "broken";
     }
   runs.clear();
 }
--- a/source/simulator/called_worker.hpp
+++ b/source/simulator/called_worker.hpp
@@ -8,97 +8,100 @@
 namespace aniseline {
 
 // Where the members of one run of a gang find each other.
-struct GangMeeting {
-  std::set<std::uint32_t> present;
+struct GangRendezvous {
+  std::set<std::uint32_t> membersPresent;
   std::set<std::string> racks;
   std::optional<std::int64_t> assembledAt;
-  std::string over;  // how it ended, once it has
+  std::string outcome;  // how it ended, once it has
 };
-using GangMeetings = std::map<std::tuple<JobId, std::uint32_t, std::uint32_t, std::uint32_t>,
-                              GangMeeting>;  // job, occurrence, step, run
+using GangRendezvousTable = std::map<std::tuple<JobId, std::uint32_t, std::uint32_t, std::uint32_t>,
+                                     GangRendezvous>;  // job, occurrence, step, run
 
 struct CalledWorkerOptions {
-  WorkerId life;
+  WorkerId workerInstance;
   Capacity capacity;
   double clockRate = 1.0;  // its steady clock against a true one
-  std::int64_t clockBase = 0;
-  Duration longestHold{6000}, stopTakes{250}, gangWait{3000}, saveEvery{1000}, restoreTakes{150};
-  std::size_t endingsAtOnce = 500;
-  double far = 2.0;
+  std::int64_t clockOrigin = 0;
+  Duration maxLease{6000}, longestStop{250}, gangTimeout{3000}, checkpointInterval{1000},
+      restoreTime{150};
+  std::size_t maxResultsPerPoll = 500;
+  double remoteSlowdown = 2.0;
 };
 
 class CalledWorker {
  public:
-  enum class Sickness : std::uint8_t { none, stalled, refusing, mute, failing };
-  using Book = std::function<const JobSubmission*(const JobId&)>;  // what the callers asked for
-  using Tell = std::function<void(HistoryEvent)>;
-  CalledWorker(CalledWorkerOptions options, GangMeetings& meetings, std::uint64_t seed, Book book,
-               Tell tell, std::int64_t now);
+  enum class Malfunction : std::uint8_t { none, stalled, rejecting, unresponsive, failing };
+  using JobLookup =
+      std::function<const JobSubmission*(const JobId&)>;  // what the callers asked for
+  using EventSink = std::function<void(HistoryEvent)>;
+  CalledWorker(CalledWorkerOptions options, GangRendezvousTable& rendezvousTable,
+               std::uint64_t seed, JobLookup findJob, EventSink recordEvent, std::int64_t now);
 
   // Of a look the lists are read when it is answered, which may be later.
-  WorkerReply take(const WorkerCall& call, std::int64_t now, bool late);
-  bool hasEnding(std::uint64_t lastSeen) const {
-    return !endings.empty() && endings.back().number > lastSeen;
+  WorkerReply handleCall(const WorkerCall& call, std::int64_t now, bool late);
+  bool hasResultAfter(std::uint64_t lastSeen) const {
+    return !unconfirmedResults.empty() && unconfirmedResults.back().number > lastSeen;
   }
-  void list(WorkerReply& reply, std::int64_t now) const;
+  void listRuns(WorkerReply& reply, std::int64_t now) const;
   void tick(std::int64_t now);
-  void vanish();  // its process ends, with all that runs there
+  void crash();  // its process ends, with all that runs there
 
-  WorkerAccount account(std::int64_t now) const;
-  Sickness sickness = Sickness::none;
-  bool leaving = false;
-  Duration leaveWithin{0};
-  const WorkerId& life() const { return options.life; }
-  std::size_t running() const { return runs.size(); }
+  WorkerRegistration accountAt(std::int64_t now) const;
+  Malfunction malfunction = Malfunction::none;
+  bool draining = false;
+  Duration drainTimeout{0};
+  const WorkerId& workerInstance() const { return options.workerInstance; }
+  std::size_t runCount() const { return runs.size(); }
 
  private:
-  struct Run {
-    std::string payload, saved;
+  struct ActiveRun {
+    std::string payload, checkpoint;
     const JobSubmission* job = nullptr;
     const StepRequest* step = nullptr;
     TaskRequest request;
-    std::int64_t startedAt = 0, restoredAt = 0, length = 0, done = 0, savedAt = 0;
-    std::optional<std::int64_t> stoppedBy;  // the stop is under way until then
+    std::int64_t startedAt = 0, readyAt = 0, runtime = 0, progress = 0, checkpointedProgress = 0;
+    std::optional<std::int64_t> stopsAt;  // the stop is under way until then
     bool fails = false;
     bool gang() const { return step && step->gang; }
   };
-  struct Ended {
+  struct EndedRun {
     std::uint64_t number = 0;
-    RunName name;
-    std::string how, saved;
-    bool lapsed = false;  // the hold ran out before anybody took note of it
+    TaskRunId name;
+    std::string outcome, checkpoint;
+    bool leaseExpired = false;  // the hold ran out before anybody took note of it
   };
   WorkerTime clock(std::int64_t now) const {
-    return WorkerTime{options.clockBase + std::int64_t(double(now - bornAt) * options.clockRate)};
+    return WorkerTime{options.clockOrigin +
+                      std::int64_t(double(now - startedAt) * options.clockRate)};
   }
-  void hold(const std::optional<WorkerTime>& deadline, std::int64_t now);
+  void extendLease(const std::optional<WorkerTime>& deadline, std::int64_t now);
   void start(const WorkerCall& call, WorkerReply& reply, std::int64_t now, bool late);
   void stop(const WorkerCall& call, std::int64_t now);
-  void forget(std::uint64_t lastSeen);
-  void save(const RunName& name, Run& run);
-  void end(RunName name, const std::string& how);
-  bool hasRoom(const TaskRequest& request) const;
-  HistoryEvent witness(HistoryEvent::Kind kind, const RunName& name) const;
-  GangMeeting& meeting(const RunName& name) {
-    return meetings[{name.job, name.occurrence, name.step, name.run}];
+  void confirmResults(std::uint64_t lastSeen);
+  void saveCheckpoint(const TaskRunId& name, ActiveRun& run);
+  void endRun(TaskRunId name, const std::string& how);
+  bool fits(const TaskRequest& request) const;
+  HistoryEvent makeEvent(HistoryEvent::Kind kind, const TaskRunId& name) const;
+  GangRendezvous& rendezvousOf(const TaskRunId& name) {
+    return rendezvousTable[{name.job, name.occurrence, name.stepIndex, name.runNumber}];
   }
-  static RunName task(RunName name) {
-    name.run = 0;
+  static TaskRunId withoutRunNumber(TaskRunId name) {
+    name.runNumber = 0;
     return name;
   }
 
   CalledWorkerOptions options;
-  GangMeetings& meetings;
+  GangRendezvousTable& rendezvousTable;
   Random random;
-  Book book;
-  Tell tell;
-  std::int64_t bornAt, tickedAt;
-  Term fence;
-  std::optional<WorkerTime> heldUntil;
-  std::map<RunName, Run> runs;
-  std::map<RunName, std::uint32_t> fenced;  // by task: the highest run stopped or ended here
-  std::deque<Ended> endings;
-  std::uint64_t lastEnding = 0;
+  JobLookup findJob;
+  EventSink recordEvent;
+  std::int64_t startedAt, lastTickAt;
+  Term fencingTerm;
+  std::optional<WorkerTime> leaseExpiresAt;
+  std::map<TaskRunId, ActiveRun> runs;
+  std::map<TaskRunId, std::uint32_t> fencedRuns;  // by task: the highest run stopped or ended here
+  std::deque<EndedRun> unconfirmedResults;
+  std::uint64_t lastResultNumber = 0;
 };
 
 }  // namespace aniseline
