--- a/source/simulator/campaign.cpp
+++ b/source/simulator/campaign.cpp
@@ -50,7 +50,7 @@
         world(worldOptions(options)),
         deck(world, random) {
     if (options.verbose)
-      world.say = [this](const std::string& text) {
+      world.trace = [this](const std::string& text) {
         std::fprintf(stderr, "%8lld %s\n", (long long)world.now, text.c_str());
       };
     deck.flood = [this] {
@@ -67,30 +67,30 @@
     applyUntilTaken(configText(), 0);
     world.runUntilTrue([&] { return applied >= 1; }, 10'000);
     planWorkload();
-    if (options.called)
+    if (options.calledWorkers)
       planCalledWorkload();
     if (options.operators)
       planOperators();
     watchConfig();
     lookAtConfigs();
-    const std::int64_t end = world.now + options.length;
+    const std::int64_t end = world.now + options.duration;
     auto faults = planFaults();
     world.runUntil(end);
     over = true;
     deck.disarm();
-    if (world.say)
-      world.sayControllers();
+    if (world.trace)
+      world.traceControllers();
     world.healAll();
-    result.recovery = probe("probe");
-    for (const auto& worker : deck.goneForGood())
+    result.recoveryTime = probe("probe");
+    for (const auto& worker : deck.removedWorkers())
       if (!world.isWorkerUp(worker))
         declareGone(worker);
     // Some days end with one last fault, after which nothing else moves: what is lost stays away.
     if (options.seed % 4 == 1 && options.faults > 0)
       lastFault();
-    world.runUntilTrue([&] { return world.allOver(); }, 240'000);
-    tell(HistoryEvent::Kind::settled);
-    if (world.say)
+    world.runUntilTrue([&] { return world.allJobsEnded(); }, 240'000);
+    tell(HistoryEvent::Kind::quiescent);
+    if (world.trace)
       sayWhatIsLeft();
     report(faults);
     return std::move(result);
@@ -98,24 +98,25 @@
 
  private:
   std::string configText(const std::string& change = "") const {
-    return options.called ? calledConfig(change) : standardConfig(change);
+    return options.calledWorkers ? calledConfig(change) : standardConfig(change);
   }
-  static WorldOptions worldOptions(const CampaignOptions& options) {
+  static SimulatedClusterOptions worldOptions(const CampaignOptions& options) {
     const std::uint64_t seed = options.seed;
-    WorldOptions world;
-    world.called = options.called;
+    SimulatedClusterOptions world;
+    world.calledWorkers = options.calledWorkers;
     world.controllers = options.controllers;
-    world.controller.voters = options.voters;
-    if (options.called && seed % 2)
-      world.controller.margin = Duration{
+    world.controller.voterCount = options.voters;
+    if (options.calledWorkers && seed % 2)
+      world.controller.leaseMargin = Duration{
           350};  // a twentieth of the lease and 200 ms, as agents of called workers need no more
     world.seed = seed;
     // Workers without leases and workers that do not guard their room, in every mix.
-    world.leaseless = std::array<std::size_t, 4>{0, seed / 4 % 4 == 3 ? 0u : 2u, 0, 11}[seed % 4];
-    world.unguarded = std::array<std::size_t, 3>{6, 0, 11}[seed / 4 % 3];
-    world.controller.replaceAfter = Duration{6000};
-    world.controller.snapshotVersions = 60 + seed % 200;
-    world.controller.raft.keepEntries = 200;
+    world.workersIgnoringLeases =
+        std::array<std::size_t, 4>{0, seed / 4 % 4 == 3 ? 0u : 2u, 0, 11}[seed % 4];
+    world.workersNotEnforcingCapacity = std::array<std::size_t, 3>{6, 0, 11}[seed / 4 % 3];
+    world.controller.deadMemberTimeout = Duration{6000};
+    world.controller.maxRecordsBetweenSnapshots = 60 + seed % 200;
+    world.controller.raft.retainedEntries = 200;
     return world;
   }
 
@@ -126,9 +127,9 @@
     world.applyConfig(
         text, baseVersion,
         [this, text, baseVersion](int status, const std::string& body) {
-          if (world.say)
-            world.say("config based on " + std::to_string(baseVersion) + ": " +
-                      std::to_string(status) + " " + body);
+          if (world.trace)
+            world.trace("config based on " + std::to_string(baseVersion) + ": " +
+                        std::to_string(status) + " " + body);
           operatorAnswered(text, baseVersion, status);
         },
         gateway);
@@ -141,17 +142,18 @@
     const bool clear = status == 200 || status == 409 || status == 400;
     const bool lost = !over && operators.chance(0.3);
     if (!clear || lost)
-      return world.after(300, [this, text, baseVersion] { applyUntilTaken(text, baseVersion); });
+      return world.scheduleAfter(300,
+                                 [this, text, baseVersion] { applyUntilTaken(text, baseVersion); });
     if (!over && operators.chance(0.4))
-      world.after(operators.between(500, 8000), [this, text, baseVersion] {
+      world.scheduleAfter(operators.between(500, 8000), [this, text, baseVersion] {
         if (!over)
           applyUntilTaken(text, baseVersion);
       });
   }
   // Two operators at a time, over and over, beside whatever fails.
   void planOperators() {
-    for (std::int64_t time = 500; time < options.length; time += operators.between(1500, 6000))
-      world.after(time, [this] {
+    for (std::int64_t time = 500; time < options.duration; time += operators.between(1500, 6000))
+      world.scheduleAfter(time, [this] {
         if (operators.chance(0.3))
           loseLeaderSoon();
         operatorRace();
@@ -159,16 +161,16 @@
   }
   // The leader's process ends while the orders are under way, and is soon back.
   void loseLeaderSoon() {
-    world.after(operators.between(0, 40), [this] {
+    world.scheduleAfter(operators.between(0, 40), [this] {
       const auto place = world.leader();
-      if (!place || over || !world.copiesWhole())
+      if (!place || over || !world.allReplicasIntact())
         return;
-      world.disturb("the operators' leader", false);
+      world.recordFault("the operators' leader", false);
       world.killController(*place, false);
-      ++result.effects["operators' leader lost"];
-      world.after(500, [this, place = *place] {
+      ++result.effectsByFault["operators' leader lost"];
+      world.scheduleAfter(500, [this, place = *place] {
         world.restartController(place);
-        world.disturb("the operators' leader", true);
+        world.recordFault("the operators' leader", true);
       });
     });
   }
@@ -176,67 +178,70 @@
   void watchConfig() {
     const std::size_t gateway = random.next() % 7;
     const std::int64_t askedAt = world.now;
-    world.ask(gateway, "GET", "/v1/config", "",
-              [this, askedAt](int status, const std::string& body) {
-                // One look at a time: looks that overlap may rightly tell of the change in either
-                // order.
-                world.after(random.between(300, 900), [this] { watchConfig(); });
-                picojson::value root;
-                if (status != 200 || !picojson::parse(root, body).empty())
-                  return;
-                HistoryEvent seen;
-                seen.kind = HistoryEvent::Kind::configSeen;
-                seen.at = World::calendar + askedAt;
-                seen.detail = "the leader";
-                seen.version = std::uint64_t(root.get("version").get<double>());
-                world.witness(seen);
-                HistoryEvent read;
-                read.kind = HistoryEvent::Kind::configRead;
-                read.since = seen.at;
-                read.version = seen.version;
-                if (root.contains("config"))
-                  read.digest = configDigest(root.get("config").serialize());
-                world.witness(read);
-                ++configsSeen;
-              });
+    world.sendRequest(gateway, "GET", "/v1/config", "",
+                      [this, askedAt](int status, const std::string& body) {
+                        // One look at a time: looks that overlap may rightly tell of the change in
+                        // either order.
+                        world.scheduleAfter(random.between(300, 900), [this] { watchConfig(); });
+                        picojson::value root;
+                        if (status != 200 || !picojson::parse(root, body).empty())
+                          return;
+                        HistoryEvent seen;
+                        seen.kind = HistoryEvent::Kind::configObserved;
+                        seen.timestamp = SimulatedCluster::epochMs + askedAt;
+                        seen.detail = "the leader";
+                        seen.version = std::uint64_t(root.get("version").get<double>());
+                        world.recordEvent(seen);
+                        HistoryEvent read;
+                        read.kind = HistoryEvent::Kind::configReturned;
+                        read.invokedAt = seen.timestamp;
+                        read.version = seen.version;
+                        if (root.contains("config"))
+                          read.digest = configDigest(root.get("config").serialize());
+                        world.recordEvent(read);
+                        ++configsSeen;
+                      });
   }
   void sayLeft(const std::string& what, const std::string& body) {
-    world.say("LEFT " + what + " " + body);
+    world.trace("LEFT " + what + " " + body);
   }
   void declareGone(const std::string& worker) {
-    world.ask(0, "POST", "/v1/workers/" + worker + "/gone", "",
-              [this, worker](int status, const std::string&) {
-                if (status != 200 && status != 404)
-                  world.after(300, [this, worker] { declareGone(worker); });
-              });
+    world.sendRequest(0, "POST", "/v1/workers/" + worker + "/gone", "",
+                      [this, worker](int status, const std::string&) {
+                        if (status != 200 && status != 404)
+                          world.scheduleAfter(300, [this, worker] { declareGone(worker); });
+                      });
   }
 
   void tell(HistoryEvent::Kind kind) {
     HistoryEvent told;
     told.kind = kind;
-    world.witness(told);
+    world.recordEvent(told);
   }
   // All is whole from now on: how long until a caller's job is served?
   std::int64_t probe(const std::string& id) {
-    tell(HistoryEvent::Kind::whole);
+    tell(HistoryEvent::Kind::clusterHealed);
     const std::int64_t wholeAt = world.now;
     world.submit(oneStep(id, "proofs", 1, 1, 256, 500, 100));
     if (world.runUntilTrue(
-            [&] { return world.lastShown.count(id) && world.lastShown[id] == "finished"; }, 30'000))
-      tell(HistoryEvent::Kind::served);
+            [&] {
+              return world.lastObservedState.count(id) && world.lastObservedState[id] == "finished";
+            },
+            30'000))
+      tell(HistoryEvent::Kind::serviceRestored);
     return world.now - wholeAt;
   }
   void lastFault() {
     // Any one of three or two of five may be lost, so all are there first.
-    world.runUntilTrue([&] { return world.copiesWhole() && world.voterCount() == options.voters; },
-                       40'000);
+    world.runUntilTrue(
+        [&] { return world.allReplicasIntact() && world.voterCount() == options.voters; }, 40'000);
     const std::size_t leader = world.leader().value_or(0);
     std::vector<std::size_t> lost{leader};
-    for (std::size_t place = 0; place < world.controllerCount() && lost.size() < world.bearable();
-         ++place)
+    for (std::size_t place = 0;
+         place < world.controllerCount() && lost.size() < world.tolerableLosses(); ++place)
       if (place != leader && world.isVoter(place))
         lost.push_back(place);
-    world.disturb("the last fault", false);
+    world.recordFault("the last fault", false);
     switch (options.seed / 4 % 4) {
       case 0:
         for (const auto place : lost)
@@ -247,36 +252,36 @@
           world.freezeController(place, true);
         break;
       case 2:
-        if (world.copiesWhole())
+        if (world.allReplicasIntact())
           for (const auto place : lost)
             world.loseDisk(place);
         break;
       default:
         if (options.voters == 3) {  // one of three in each zone
-          world.cutZones(leader % 3, (leader + 1) % 3, true);
-          world.cutZones(leader % 3, (leader + 2) % 3, true);
+          world.partitionZones(leader % 3, (leader + 1) % 3, true);
+          world.partitionZones(leader % 3, (leader + 2) % 3, true);
         } else
           for (const auto place : lost)
-            world.cutController(place, true);
+            world.isolateController(place, true);
     }
-    world.disturb("the last fault", true);
-    ++result.effects["one last fault"];
+    world.recordFault("the last fault", true);
+    ++result.effectsByFault["one last fault"];
     probe("last-probe");
   }
   void lookAtConfigs() {
-    world.lookAtConfigs();
+    world.observeConfigs();
     if (!over)
-      world.after(random.between(300, 700), [this] { lookAtConfigs(); });
+      world.scheduleAfter(random.between(300, 700), [this] { lookAtConfigs(); });
   }
 
   void planWorkload() {
     std::size_t count = 0;
     auto every = [&](double gap, const std::function<void(const std::string&)>& make) {
       for (double time = double(random.between(0, std::int64_t(gap)));
-           time < double(options.length);
+           time < double(options.duration);
            time += gap * (0.5 + double(random.between(0, 1000)) / 1000.0)) {
         const std::string id = "j" + std::to_string(++count);
-        world.after(std::int64_t(time), [make, id] { make(id); });
+        world.scheduleAfter(std::int64_t(time), [make, id] { make(id); });
       }
     };
     auto maybeCancel = [this]() -> std::int64_t {
@@ -289,7 +294,7 @@
       auto job = oneStep(id, "dielines", 1, 2, 1024, 3000, 900);
       world.submit(job, maybeCancel());
       if (random.chance(0.2))
-        world.after(random.between(1, 4000), [this, job] { world.resubmit(job); });
+        world.scheduleAfter(random.between(1, 4000), [this, job] { world.resubmit(job); });
     });
     every(5000, [=, this](const std::string& id) {
       auto job = oneStep(id, "plates", 4, 3, 2048, 10'000, random.between(2000, 9000), true);
@@ -307,10 +312,11 @@
       world.submit(oneStep(id, "strict", 2, 1, 512, 2000, 700));
     });
     // One that never ends by itself, stopped by its queue's limit or its caller.
-    world.submit(oneStep("endless", "long", 1, 2, 1024, 5000, 100'000'000), options.length + 5000);
+    world.submit(oneStep("endless", "long", 1, 2, 1024, 5000, 100'000'000),
+                 options.duration + 5000);
     auto timed = oneStep("nightly", "dielines", 1, 1, 512, 1000, 300);
-    timed.timetable.first = ClusterTime{World::calendar + world.now + 8000};
-    timed.timetable.every = Duration{7000};
+    timed.timetable.firstStart = ClusterTime{SimulatedCluster::epochMs + world.now + 8000};
+    timed.timetable.interval = Duration{7000};
     timed.timetable.count = 6;
     world.submit(timed);
   }
@@ -321,10 +327,10 @@
     std::size_t count = 0;
     auto every = [&](double gap, const std::function<void(const std::string&)>& make) {
       for (double time = double(random.between(0, std::int64_t(gap)));
-           time < double(options.length);
+           time < double(options.duration);
            time += gap * (0.5 + double(random.between(0, 1000)) / 1000.0)) {
         const std::string id = "c" + std::to_string(++count);
-        world.after(std::int64_t(time), [make, id] { make(id); });
+        world.scheduleAfter(std::int64_t(time), [make, id] { make(id); });
       }
     };
     auto maybeCancel = [this]() -> std::int64_t {
@@ -337,11 +343,11 @@
       auto job = oneStep(id, queue("prints", "sheets"), std::size_t(random.between(1, 3)), 1, 512,
                          1000, random.between(80, 900));
       if (random.chance(0.3))
-        job.steps[0].needs.label = random.chance(0.5) ? "fine" : "plain";
+        job.steps[0].requirements.requiredLabel = random.chance(0.5) ? "fine" : "plain";
       if (random.chance(0.3))
-        job.steps[0].needs.near = "shelf" + std::to_string(random.between(1, 2));
+        job.steps[0].requirements.preferredRack = "shelf" + std::to_string(random.between(1, 2));
       if (random.chance(0.2))
-        job.steps[0].needs.redundant = true;
+        job.steps[0].requirements.redundant = true;
       if (random.chance(0.2)) {  // one payload for all
         job.payload = job.steps[0].tasks[0].payload;
         for (auto& task : job.steps[0].tasks)
@@ -349,17 +355,17 @@
       }
       world.submit(job, maybeCancel());
       if (random.chance(0.1))
-        world.after(random.between(1, 4000), [this, job] { world.resubmit(job); });
+        world.scheduleAfter(random.between(1, 4000), [this, job] { world.resubmit(job); });
     });
     every(1800, [=, this](const std::string& id) {
       auto job =
           oneStep(id, queue("books", "maps"), std::size_t(random.between(2, 4)),
                   std::uint32_t(random.between(1, 6)), 2048, 4000, random.between(500, 6000), true);
-      job.steps[0].needs.saves = random.chance(0.6);
-      job.steps[0].needs.sameRack = random.chance(0.3);
+      job.steps[0].requirements.checkpointed = random.chance(0.6);
+      job.steps[0].requirements.sameRack = random.chance(0.3);
       // Two workers of a pool are enough, so that one zone may be away for good.
       if (random.chance(0.3))
-        job.steps[0].needs.apart = job.steps[0].tasks.size() > 2 ? 2 : 1;
+        job.steps[0].requirements.maxPerWorker = job.steps[0].tasks.size() > 2 ? 2 : 1;
       if (random.chance(0.5))
         job.steps.push_back({"after",
                              {"only"},
@@ -371,9 +377,9 @@
     every(1500, [=, this](const std::string& id) {
       auto job = oneStep(id, queue("books", "maps"), std::size_t(random.between(1, 6)), 2, 1024,
                          3000, random.between(1000, 9000));
-      job.steps[0].needs.saves = true;
+      job.steps[0].requirements.checkpointed = true;
       if (random.chance(0.5))
-        job.steps[0].needs.apart = 1;
+        job.steps[0].requirements.maxPerWorker = 1;
       if (random.chance(0.15))
         job.steps[0].tasks[0].accelerators = 1;
       if (random.chance(0.4))
@@ -386,7 +392,7 @@
     });
     every(4000, [=, this](const std::string& id) {
       auto job = oneStep(id, queue("prints", "maps"), 2, 1, 512, 1000, 100);
-      job.steps[0].needs.lasts = true;
+      job.steps[0].requirements.longRunning = true;
       world.submit(job, random.between(2000, 20'000));
     });
     every(3500, [=, this](const std::string& id) {
@@ -403,15 +409,16 @@
       if (random.chance(0.5))
         job.steps[0].tasks[0].cores = 900'000;
       else
-        job.steps[0].needs.label = "none has it";
+        job.steps[0].requirements.requiredLabel = "none has it";
       world.submit(job);
     });
     // Times that overlap, since one takes longer than the next is away.
     for (int place = 0; place < 2; ++place) {
       auto timed = oneStep("timed" + std::to_string(place), place ? "books" : "maps", 2, 1, 512,
                            1500, 1500, place > 0);
-      timed.timetable.first = ClusterTime{World::calendar + world.now + random.between(2000, 9000)};
-      timed.timetable.every = Duration{random.between(500, 2000)};
+      timed.timetable.firstStart =
+          ClusterTime{SimulatedCluster::epochMs + world.now + random.between(2000, 9000)};
+      timed.timetable.interval = Duration{random.between(500, 2000)};
       timed.timetable.count = std::uint32_t(random.between(4, 12));
       world.submit(timed, random.chance(0.2) ? random.between(4000, 15'000) : -1);
     }
@@ -419,19 +426,19 @@
 
   // For whoever looks into a run: what the leader thinks of jobs that are still open.
   void sayWhatIsLeft() {
-    world.sayControllers();
-    if (world.allOver())
+    world.traceControllers();
+    if (world.allJobsEnded())
       return;
     for (const char* target :
          {"/v1/plan", "/v1/workers", "/v1/jobs?state=open", "/v1/jobs?state=cancelling"})
       for (std::size_t gateway = 0; gateway < 3; ++gateway)
-        world.ask(gateway, "GET", target, "",
-                  [this, target](int, const std::string& body) { sayLeft(target, body); });
-    for (const auto& left : world.unfinished()) {
+        world.sendRequest(gateway, "GET", target, "",
+                          [this, target](int, const std::string& body) { sayLeft(target, body); });
+    for (const auto& left : world.unfinishedJobs()) {
       const std::string id = left.substr(0, left.find(' '));
       for (std::size_t gateway = 0; gateway < 3; ++gateway)
-        world.ask(gateway, "GET", "/v1/jobs/" + id, "",
-                  [this, id](int, const std::string& body) { sayLeft(id, body); });
+        world.sendRequest(gateway, "GET", "/v1/jobs/" + id, "",
+                          [this, id](int, const std::string& body) { sayLeft(id, body); });
     }
     world.runUntil(world.now + 3000);
   }
@@ -442,66 +449,67 @@
     for (std::size_t count = 0; count < options.faults; ++count) {
       // Some come at the very same instant.
       if (!count || !random.chance(0.25))
-        at = random.between(3000, options.length - 8000);
-      faults.push_back(deck.random(at));
+        at = random.between(3000, options.duration - 8000);
+      faults.push_back(deck.drawFault(at));
     }
     for (std::size_t place = 0; place < faults.size(); ++place) {
-      if (!options.only.empty() && !std::count(options.only.begin(), options.only.end(), place))
+      if (!options.keptFaults.empty() &&
+          !std::count(options.keptFaults.begin(), options.keptFaults.end(), place))
         continue;
       const Fault& fault = faults[place];
       const std::string label = std::to_string(place) + ": " + fault.name;
-      result.faults.push_back(label + " at " + std::to_string(world.now + fault.at) + " for " +
-                              std::to_string(fault.length));
-      world.after(fault.at, [this, fault, label] {
-        if (world.say)
-          world.say("FAULT " + label);
-        world.disturb(label, false);
+      result.faults.push_back(label + " at " + std::to_string(world.now + fault.startsAt) +
+                              " for " + std::to_string(fault.duration));
+      world.scheduleAfter(fault.startsAt, [this, fault, label] {
+        if (world.trace)
+          world.trace("FAULT " + label);
+        world.recordFault(label, false);
         if (fault.begin())
-          ++result.effects[fault.name];
+          ++result.effectsByFault[fault.name];
       });
-      world.after(fault.at + fault.length, [this, fault, label] {
+      world.scheduleAfter(fault.startsAt + fault.duration, [this, fault, label] {
         if (over)
           return;
-        if (world.say)
-          world.say("END OF FAULT " + label);
+        if (world.trace)
+          world.trace("END OF FAULT " + label);
         if (fault.end)
           fault.end();
-        world.disturb(label, true);
+        world.recordFault(label, true);
       });
     }
     return faults;
   }
   void report(const std::vector<Fault>& faults) {
     for (const auto& fault : faults)
-      if (fault.took && *fault.took)
-        ++result.effects[fault.name];
+      if (fault.tookEffect && *fault.tookEffect)
+        ++result.effectsByFault[fault.name];
     if (configsSeen < 10)
       result.unfinished.push_back("too few looks at the config");
-    auto findings = world.findings();
-    result.broken = std::move(findings.broken);
-    result.limits = std::move(findings.limits);
-    result.searched = findings.searched;
-    for (const auto& left : world.unfinished())
+    auto findings = world.checkHistory();
+    result.violations = std::move(findings.violations);
+    result.unavoidableViolations = std::move(findings.unavoidableViolations);
+    result.searchStatistics = findings.searchStatistics;
+    for (const auto& left : world.unfinishedJobs())
       result.unfinished.push_back(left);
-    for (const auto& misjudged : world.misjudgedOrders())
-      result.broken.push_back({11, World::calendar + world.now, misjudged});
-    result.hash = world.hash();
+    for (const auto& misjudged : world.misjudgedConfigOrders())
+      result.violations.push_back({11, SimulatedCluster::epochMs + world.now, misjudged});
+    result.transcriptHash = world.hash();
     result.durableDigest = world.durableDigest();
     result.jobs = world.submissions.size();
     for (const auto& given : world.history)
       result.starts += given.kind == HistoryEvent::Kind::started;
     if (auto leader = world.leader()) {
-      const auto& counters = world.controller(*leader)->committed().counters;
+      const auto& counters = world.controller(*leader)->committed().counters();
       result.counters = {{"trials", double(counters.trials)},
-                         {"ranOut", double(counters.trialsRanOut)},
-                         {"holds", double(counters.holds)},
+                         {"ranOut", double(counters.trialsExpired)},
+                         {"holds", double(counters.suspends)},
                          {"retries", double(counters.retries)},
-                         {"lost", double(counters.lost)},
+                         {"lost", double(counters.abandoned)},
                          {"failed", double(counters.failed)},
                          {"term", double(world.controller(*leader)->raftNode().term().value)}};
     }
     result.counters["orders resent later"] = double(resentLater);
-    if (options.called)
+    if (options.calledWorkers)
       countCalled();
   }
   // What workers that are called went through, so that a run which tries none of it is seen.
@@ -511,8 +519,8 @@
       result.counters[what] = 0;
     for (const auto& given : world.history) {
       if (given.kind == HistoryEvent::Kind::started) {
-        result.counters["started late"] += given.late;
-        result.counters["from a checkpoint"] += !given.saved.empty();
+        result.counters["started late"] += given.executedLate;
+        result.counters["from a checkpoint"] += !given.checkpoint.empty();
       } else if (given.kind == HistoryEvent::Kind::ended && given.worker.starts_with("w")) {
         if (auto known = result.counters.find("ended " + given.detail);
             known != result.counters.end())
@@ -546,8 +554,8 @@
   CampaignOptions options;
   Random random;
   Random operators;  // of its own, so that what operators do leaves the faults as they are
-  World world;
-  FaultDeck deck;
+  SimulatedCluster world;
+  FaultInjector deck;
   CampaignResult result;
   std::uint64_t applied = 0, configsSeen = 0;
   std::uint64_t resentLater = 0;  // acknowledged again after another was taken
--- a/source/simulator/campaign.hpp
+++ b/source/simulator/campaign.hpp
@@ -6,26 +6,26 @@
 
 struct CampaignOptions {
   std::uint64_t seed = 1;
-  std::int64_t length = 60'000;
+  std::int64_t duration = 60'000;
   std::size_t faults = 12;
-  std::size_t called = 0;  // workers that are called, beside the others
+  std::size_t calledWorkers = 0;  // workers that are called, beside the others
   std::size_t voters = 3, controllers = 3;
-  std::vector<std::size_t> only;  // the places of the faults to keep; empty: all
-  bool operators = false;         // two operators at work all the time, and leaders lost meanwhile
+  std::vector<std::size_t> keptFaults;  // the places of the faults to keep; empty: all
+  bool operators = false;  // two operators at work all the time, and leaders lost meanwhile
   bool verbose = false;
 };
 struct CampaignResult {
-  std::vector<InvariantViolation> broken, limits;
-  SearchStatistics searched;
+  std::vector<InvariantViolation> violations, unavoidableViolations;
+  SearchStatistics searchStatistics;
   std::vector<std::string> unfinished;
   std::vector<std::string> faults;
-  std::map<std::string, std::size_t> effects;  // by kind of fault: how often it took effect
-  std::uint64_t hash = 0;                      // of the history
-  std::uint64_t durableDigest = 0;             // of all durable writes and the final states
+  std::map<std::string, std::size_t> effectsByFault;  // by kind of fault: how often it took effect
+  std::uint64_t transcriptHash = 0;                   // of the history
+  std::uint64_t durableDigest = 0;                    // of all durable writes and the final states
   std::size_t jobs = 0, starts = 0;
-  std::int64_t recovery = 0;  // virtual ms from whole to served
+  std::int64_t recoveryTime = 0;  // virtual ms from whole to served
   std::map<std::string, double> counters;
-  bool good() const { return broken.empty() && unfinished.empty(); }
+  bool passed() const { return violations.empty() && unfinished.empty(); }
 };
 CampaignResult runCampaign(const CampaignOptions& options);
 
--- a/source/simulator/fault_kinds.cpp
+++ b/source/simulator/fault_kinds.cpp
@@ -2,8 +2,9 @@
 
 namespace aniseline {
 
-FaultKind lasting(const char* name, FaultStep begin, FaultStep end) {
-  return {name, [begin, end](FaultDeck&, World& world, const FaultVictims& victims, Fault& fault) {
+FaultKind lastingFault(const char* name, FaultStep begin, FaultStep end) {
+  return {name, [begin, end](FaultInjector&, SimulatedCluster& world, const FaultTargets& victims,
+                             Fault& fault) {
             fault.begin = [&world, victims, begin] {
               begin(world, victims);
               return true;
@@ -14,8 +15,9 @@
           }};
 }
 
-FaultKind momentary(const char* name, FaultStep begin) {
-  return {name, [begin](FaultDeck&, World& world, const FaultVictims& victims, Fault& fault) {
+FaultKind momentaryFault(const char* name, FaultStep begin) {
+  return {name, [begin](FaultInjector&, SimulatedCluster& world, const FaultTargets& victims,
+                        Fault& fault) {
             fault.begin = [&world, victims, begin] {
               begin(world, victims);
               return true;
@@ -23,12 +25,12 @@
           }};
 }
 
-FaultKind ofControllers(const char* name, ControllerStep begin, ControllerMend end) {
-  return {name,
-          [begin, end](FaultDeck& deck, World& world, const FaultVictims& victims, Fault& fault) {
+FaultKind faultOfControllers(const char* name, ControllerStep begin, ControllerRepair end) {
+  return {name, [begin, end](FaultInjector& deck, SimulatedCluster& world,
+                             const FaultTargets& victims, Fault& fault) {
             auto chosen = std::make_shared<std::vector<std::size_t>>();
             fault.begin = [&deck, &world, victims, chosen, begin] {
-              *chosen = deck.someControllers(victims);
+              *chosen = deck.chooseControllers(victims);
               return std::count_if(chosen->begin(), chosen->end(), [&](std::size_t place) {
                        return begin(deck, world, place, victims);
                      }) > 0;
@@ -40,24 +42,24 @@
           }};
 }
 
-FaultTable joined(std::initializer_list<FaultTable> tables) {
+FaultTable concatenate(std::initializer_list<FaultTable> tables) {
   FaultTable all;
   for (const auto& table : tables)
     all.insert(all.end(), table.begin(), table.end());
   return all;
 }
 
-void cutPair(World& world, std::size_t from, std::size_t to, bool cut) {
-  world.cutZones(from, to, cut);
-  world.cutZones(to, from, cut);
+void partitionPair(SimulatedCluster& world, std::size_t from, std::size_t to, bool cut) {
+  world.partitionZones(from, to, cut);
+  world.partitionZones(to, from, cut);
 }
 
-void powerOff(World& world) {
+void powerOffControllers(SimulatedCluster& world) {
   for (std::size_t place = 0; place < world.controllerCount(); ++place)
     world.killController(place, true);
 }
 
-void powerOn(World& world) {
+void powerOnControllers(SimulatedCluster& world) {
   for (std::size_t place = 0; place < world.controllerCount(); ++place)
     world.restartController(place);
 }
--- a/source/simulator/faults.cpp
+++ b/source/simulator/faults.cpp
@@ -16,12 +16,12 @@
 // The order of kinds is part of what a seed means: a new kind goes to the end of its table.
 const FaultTable& everyClusterTable() {
   static const FaultTable kinds =
-      joined({controllerFaults(), networkFaults(), machineFaults(), workerFaults(), zoneFaults(),
-              gatewayFaults(), callerFaults(), strikes()});
+      concatenate({controllerFaults(), networkFaults(), machineFaults(), workerFaults(),
+                   zoneFaults(), gatewayFaults(), callerFaults(), acknowledgementFaults()});
   return kinds;
 }
 const FaultTable& severalVotersTable() {
-  static const FaultTable kinds = joined({everyClusterTable(), severalControllerFaults()});
+  static const FaultTable kinds = concatenate({everyClusterTable(), severalControllerFaults()});
   return kinds;
 }
 const FaultTable& calledTable() {
@@ -31,39 +31,41 @@
 
 }  // namespace
 
-FaultDeck::FaultDeck(World& world, Random& random) : world(world), source(random) {
-  world.answering = [this](std::size_t place, const ApiRequest& request,
-                           const ApiResponse& answer) {
-    for (std::size_t at = 0; at < aims.size(); ++at)
-      if (aims[at].matches(request, answer)) {
-        auto strike = std::move(aims[at].strike);
-        aims.erase(aims.begin() + std::ptrdiff_t(at));
+FaultInjector::FaultInjector(SimulatedCluster& cluster, Random& drawFault)
+    : cluster(cluster), random(drawFault) {
+  cluster.onResponse = [this](std::size_t place, const ApiRequest& request,
+                              const ApiResponse& answer) {
+    for (std::size_t at = 0; at < armedFaults.size(); ++at)
+      if (armedFaults[at].matches(request, answer)) {
+        auto strike = std::move(armedFaults[at].action);
+        armedFaults.erase(armedFaults.begin() + std::ptrdiff_t(at));
         return strike(place);
       }
   };
-  world.onLogEvent = [this](std::size_t place, const LogEvent& note) {
-    if (note.what != "members change" || memberAims.empty())
+  cluster.onLogEvent = [this](std::size_t place, const LogEvent& note) {
+    if (note.what != "members change" || armedMembershipFaults.empty())
       return;
-    auto strike = std::move(memberAims.back());
-    memberAims.pop_back();
+    auto strike = std::move(armedMembershipFaults.back());
+    armedMembershipFaults.pop_back();
     strike(place);
   };
 }
 
 // The leader is as likely as any.
-std::vector<std::size_t> FaultDeck::someControllers(const FaultVictims& victims) const {
-  return withOthers(
-      victims.leader ? world.leader().value_or(victims.controller) : victims.controller, victims);
+std::vector<std::size_t> FaultInjector::chooseControllers(const FaultTargets& victims) const {
+  return chooseControllersBeside(
+      victims.prefersLeader ? cluster.leader().value_or(victims.controller) : victims.controller,
+      victims);
 }
 // Those beside the first are voters while there are any: there lies what can be lost.
-std::vector<std::size_t> FaultDeck::withOthers(std::size_t first,
-                                               const FaultVictims& victims) const {
+std::vector<std::size_t> FaultInjector::chooseControllersBeside(std::size_t first,
+                                                                const FaultTargets& victims) const {
   std::vector<std::size_t> chosen{first};
   for (const bool voters : {true, false})
-    for (std::size_t count = 0; count < world.controllerCount() && chosen.size() < victims.count;
-         ++count) {
-      const std::size_t place = (victims.other + count) % world.controllerCount();
-      if (!std::count(chosen.begin(), chosen.end(), place) && world.isVoter(place) == voters)
+    for (std::size_t count = 0;
+         count < cluster.controllerCount() && chosen.size() < victims.controllerCount; ++count) {
+      const std::size_t place = (victims.nextController + count) % cluster.controllerCount();
+      if (!std::count(chosen.begin(), chosen.end(), place) && cluster.isVoter(place) == voters)
         chosen.push_back(place);
     }
   return chosen;
@@ -72,48 +74,50 @@
 // Two of three copies, or three of five, may never be lost before the first are replaced: that is
 // beyond what they can bear. Two that moved know only each other's old address, so without the
 // others they count as lost.
-bool FaultDeck::loseDisk(std::size_t place, bool moves) {
-  const auto lost = world.copiesLost();
-  const std::size_t unknown = moving > 1 && world.now < moveFreeAt ? moving : 0;
-  if (!lost || *lost + unknown >= world.bearable())
+bool FaultInjector::tryLoseDisk(std::size_t place, bool moves) {
+  const auto lost = cluster.votersWithoutDisk();
+  const std::size_t unknown =
+      movingControllers > 1 && cluster.now < nextMoveAt ? movingControllers : 0;
+  if (!lost || *lost + unknown >= cluster.tolerableLosses())
     return false;
-  world.loseDisk(place);
+  cluster.loseDisk(place);
   if (moves)
-    world.moveController(place);
+    cluster.moveController(place);
   return true;
 }
 
-bool FaultDeck::killForGood(std::size_t worker) {
+bool FaultInjector::tryRemoveForGood(std::size_t worker) {
   const std::string id = workerName(worker);
-  if (gone.size() >= mostGone || gone.count(id))
+  if (removed.size() >= mostGone || removed.count(id))
     return false;
-  gone.insert(id);
+  removed.insert(id);
   return true;
 }
 
-void FaultDeck::forgetGone(std::size_t worker) {
-  gone.erase(workerName(worker));
+void FaultInjector::reinstate(std::size_t worker) {
+  removed.erase(workerName(worker));
 }
 
 // Arms a strike at the very next answer of its kind: the acknowledgement leaves, and the machine
 // with it.
-void FaultDeck::aim(Fault& fault, const FaultVictims& victims, Matches matches, Strike strike) {
+void FaultInjector::faultOnAcknowledgement(Fault& fault, const FaultTargets& victims,
+                                           Matches matches, ControllerAction strike) {
   auto took = std::make_shared<bool>(false);
-  fault.took = took;
-  const std::int64_t delay = std::abs(victims.jump % strikeDelays);
+  fault.tookEffect = took;
+  const std::int64_t delay = std::abs(victims.clockJump % strikeDelays);
   auto atAnswer = [this, strike = std::move(strike), took, delay](std::size_t place) {
     *took = true;
-    world.disturb("aimed strike", false);
-    world.after(delay, [strike, place] { strike(place); });
-    world.after(strikeLastsMs, [this] { world.disturb("aimed strike", true); });
+    cluster.recordFault("aimed strike", false);
+    cluster.scheduleAfter(delay, [strike, place] { strike(place); });
+    cluster.scheduleAfter(strikeLastsMs, [this] { cluster.recordFault("aimed strike", true); });
   };
   fault.begin = [this, matches = std::move(matches), atAnswer = std::move(atAnswer)] {
-    aims.push_back({matches, atAnswer});
+    armedFaults.push_back({matches, atAnswer});
     return false;
   };
 }
 
-std::vector<std::string> FaultDeck::kinds(bool called, bool several) {
+std::vector<std::string> FaultInjector::kindNames(bool called, bool several) {
   std::vector<std::string> names;
   for (const auto& kind : several ? severalVotersTable() : everyClusterTable())
     names.emplace_back(kind.name);
@@ -124,40 +128,40 @@
 }
 
 // Where there are workers that are called, half of the faults are theirs.
-const std::vector<FaultKind>& FaultDeck::drawTable() {
-  if (world.calledCount() > 0 && source.chance(0.5))
+const std::vector<FaultKind>& FaultInjector::drawTable() {
+  if (cluster.calledWorkerCount() > 0 && random.chance(0.5))
     return calledTable();
-  return world.bearable() > 1 ? severalVotersTable() : everyClusterTable();
+  return cluster.tolerableLosses() > 1 ? severalVotersTable() : everyClusterTable();
 }
 
-FaultVictims FaultDeck::drawVictims(std::int64_t length) {
-  FaultVictims victims;
-  victims.controller = source.next() % world.controllerCount();
-  victims.gateway = source.next() % faultGateways;
-  victims.worker = source.next() % faultWorkers;
-  victims.from = source.next() % faultZones;
-  victims.to = (victims.from + 1 + source.next() % 2) % faultZones;
-  victims.leader = source.chance(0.5);
-  victims.coin = source.chance(0.5);
-  victims.jump = source.between(-600'000, 600'000);
-  victims.length = length;
-  if (world.calledCount() > 0)
-    victims.called = source.next() % world.calledCount();
-  if (world.bearable() > 1) {
-    victims.count = 1 + source.next() % world.bearable();
-    victims.other = source.next() % world.controllerCount();
+FaultTargets FaultInjector::drawTargets(std::int64_t length) {
+  FaultTargets victims;
+  victims.controller = random.next() % cluster.controllerCount();
+  victims.gateway = random.next() % simulatedGateways;
+  victims.worker = random.next() % simulatedWorkers;
+  victims.fromZone = random.next() % simulatedZones;
+  victims.toZone = (victims.fromZone + 1 + random.next() % 2) % simulatedZones;
+  victims.prefersLeader = random.chance(0.5);
+  victims.coinFlip = random.chance(0.5);
+  victims.clockJump = random.between(-600'000, 600'000);
+  victims.duration = length;
+  if (cluster.calledWorkerCount() > 0)
+    victims.calledWorker = random.next() % cluster.calledWorkerCount();
+  if (cluster.tolerableLosses() > 1) {
+    victims.controllerCount = 1 + random.next() % cluster.tolerableLosses();
+    victims.nextController = random.next() % cluster.controllerCount();
   }
   return victims;
 }
 
-Fault FaultDeck::random(std::int64_t at) {
+Fault FaultInjector::drawFault(std::int64_t at) {
   const auto& kinds = drawTable();
-  const auto& kind = kinds[source.next() % kinds.size()];
+  const auto& kind = kinds[random.next() % kinds.size()];
   Fault fault;
-  fault.at = at;
-  fault.length = source.between(300, 9000);
+  fault.startsAt = at;
+  fault.duration = random.between(300, 9000);
   fault.name = kind.name;
-  kind.plan(*this, world, drawVictims(fault.length), fault);
+  kind.plan(*this, cluster, drawTargets(fault.duration), fault);
   return fault;
 }
 
--- a/source/simulator/faults_called.cpp
+++ b/source/simulator/faults_called.cpp
@@ -5,100 +5,119 @@
 
 namespace {
 
-using V = const FaultVictims&;
+using V = const FaultTargets&;
 
 constexpr std::int64_t backAtOnceMs = 60;      // a restart faster than any lease
 constexpr std::int64_t leavingLastsMs = 5000;  // at least, so that the notice runs out within it
 constexpr std::int64_t hastyNoticeMs = 600;
 constexpr std::int64_t lateOrdersMs = 12'000;  // until the last order held back has arrived
 
-void comeBackAtOnce(World& world, V victims) {
-  world.killCalled(victims.called);
-  world.after(backAtOnceMs, [&world, victims] { world.restartCalled(victims.called); });
+void comeBackAtOnce(SimulatedCluster& world, V victims) {
+  world.killCalledWorker(victims.calledWorker);
+  world.scheduleAfter(backAtOnceMs,
+                      [&world, victims] { world.restartCalledWorker(victims.calledWorker); });
 }
 
-void leave(FaultDeck&, World& world, V victims, Fault& fault) {
-  fault.length = std::max(fault.length, leavingLastsMs);
+void leave(FaultInjector&, SimulatedCluster& world, V victims, Fault& fault) {
+  fault.duration = std::max(fault.duration, leavingLastsMs);
   fault.begin = [&world, victims] {
-    world.leaveCalled(victims.called, victims.coin ? shortNoticeMs : hastyNoticeMs, awayForMs);
+    world.drainCalledWorker(victims.calledWorker, victims.coinFlip ? shortDrainMs : hastyNoticeMs,
+                            downtimeMs);
     return true;
   };
 }
 
-void killAgent(FaultDeck&, World& world, V victims, Fault& fault) {
-  if (victims.coin)
-    fault.length = 100 + fault.length % 900;  // most are started again at once
+void killAgent(FaultInjector&, SimulatedCluster& world, V victims, Fault& fault) {
+  if (victims.coinFlip)
+    fault.duration = 100 + fault.duration % 900;  // most are started again at once
   fault.begin = [&world, victims] {
-    world.killAgent(victims.called);
+    world.killAgent(victims.calledWorker);
     return true;
   };
   fault.end = [&world, victims] {
-    world.restartAgent(victims.called);
+    world.restartAgent(victims.calledWorker);
   };
 }
 
-void killMachine(World& world, V victims) {
-  world.killAgent(victims.called);
-  world.killCalled(victims.called);
+void killMachine(SimulatedCluster& world, V victims) {
+  world.killAgent(victims.calledWorker);
+  world.killCalledWorker(victims.calledWorker);
 }
-void restartMachine(World& world, V victims) {
-  world.restartAgent(victims.called);
-  world.restartCalled(victims.called);
+void restartMachine(SimulatedCluster& world, V victims) {
+  world.restartAgent(victims.calledWorker);
+  world.restartCalledWorker(victims.calledWorker);
 }
 
-void killAllAgents(World& world, V) {
-  for (std::size_t place = 0; place < world.calledCount(); ++place)
+void killAllAgents(SimulatedCluster& world, V) {
+  for (std::size_t place = 0; place < world.calledWorkerCount(); ++place)
     world.killAgent(place);
 }
-void restartAllAgents(World& world, V) {
-  for (std::size_t place = 0; place < world.calledCount(); ++place)
+void restartAllAgents(SimulatedCluster& world, V) {
+  for (std::size_t place = 0; place < world.calledWorkerCount(); ++place)
     world.restartAgent(place);
 }
 
-void deliverLateOrders(World& world, V victims) {
-  world.delayOrders(victims.called, false);
+void deliverLateOrders(SimulatedCluster& world, V victims) {
+  world.setOrdersDelayed(victims.calledWorker, false);
   // What is still on its way is trouble too.
   const std::string still = "orders on their way " + std::to_string(world.now);
-  world.disturb(still, false);
-  world.after(lateOrdersMs, [&world, still] { world.disturb(still, true); });
+  world.recordFault(still, false);
+  world.scheduleAfter(lateOrdersMs, [&world, still] { world.recordFault(still, true); });
 }
 
-template <World::Sickness sickness>
+template <SimulatedCluster::Malfunction sickness>
 FaultKind sick(const char* name) {
-  return lasting(
-      name, [](World& world, V victims) { world.sickenCalled(victims.called, sickness); },
-      [](World& world, V victims) { world.sickenCalled(victims.called, World::Sickness::none); });
+  return lastingFault(
+      name,
+      [](SimulatedCluster& world, V victims) {
+        world.setCalledWorkerMalfunction(victims.calledWorker, sickness);
+      },
+      [](SimulatedCluster& world, V victims) {
+        world.setCalledWorkerMalfunction(victims.calledWorker, SimulatedCluster::Malfunction::none);
+      });
 }
 
 FaultTable processFaults() {
   return {
-      lasting(
-          "kill a called worker", [](World& world, V victims) { world.killCalled(victims.called); },
-          [](World& world, V victims) { world.restartCalled(victims.called); }),
-      momentary("a called worker comes back at once", comeBackAtOnce),
+      lastingFault(
+          "kill a called worker",
+          [](SimulatedCluster& world, V victims) { world.killCalledWorker(victims.calledWorker); },
+          [](SimulatedCluster& world, V victims) {
+            world.restartCalledWorker(victims.calledWorker);
+          }),
+      momentaryFault("a called worker comes back at once", comeBackAtOnce),
       {"a called worker leaves", leave},
       {"kill an agent", killAgent},
-      lasting(
+      lastingFault(
           "freeze an agent",
-          [](World& world, V victims) { world.freezeAgent(victims.called, true); },
-          [](World& world, V victims) { world.freezeAgent(victims.called, false); }),
-      lasting(
-          "cut off an agent", [](World& world, V victims) { world.cutAgent(victims.called, true); },
-          [](World& world, V victims) { world.cutAgent(victims.called, false); }),
-      lasting("a called worker's machine out", killMachine, restartMachine),
-      lasting("all agents killed", killAllAgents, restartAllAgents),
+          [](SimulatedCluster& world, V victims) { world.freezeAgent(victims.calledWorker, true); },
+          [](SimulatedCluster& world, V victims) {
+            world.freezeAgent(victims.calledWorker, false);
+          }),
+      lastingFault(
+          "cut off an agent",
+          [](SimulatedCluster& world, V victims) {
+            world.isolateAgent(victims.calledWorker, true);
+          },
+          [](SimulatedCluster& world, V victims) {
+            world.isolateAgent(victims.calledWorker, false);
+          }),
+      lastingFault("a called worker's machine out", killMachine, restartMachine),
+      lastingFault("all agents killed", killAllAgents, restartAllAgents),
   };
 }
 
 FaultTable sicknesses() {
   return {
-      sick<World::Sickness::stalled>("a called worker stalls"),
-      sick<World::Sickness::refusing>("a called worker turns starts away"),
-      sick<World::Sickness::mute>("a called worker is mute"),
-      sick<World::Sickness::failing>("a called worker fails all"),
-      lasting(
+      sick<SimulatedCluster::Malfunction::stalled>("a called worker stalls"),
+      sick<SimulatedCluster::Malfunction::rejecting>("a called worker turns starts away"),
+      sick<SimulatedCluster::Malfunction::unresponsive>("a called worker is mute"),
+      sick<SimulatedCluster::Malfunction::failing>("a called worker fails all"),
+      lastingFault(
           "orders carried out late",
-          [](World& world, V victims) { world.delayOrders(victims.called, true); },
+          [](SimulatedCluster& world, V victims) {
+            world.setOrdersDelayed(victims.calledWorker, true);
+          },
           deliverLateOrders),
   };
 }
@@ -106,7 +125,7 @@
 }  // namespace
 
 FaultTable calledWorkerFaults() {
-  return joined({processFaults(), sicknesses(), calledWorkerStrikes()});
+  return concatenate({processFaults(), sicknesses(), calledWorkerAcknowledgementFaults()});
 }
 
 }  // namespace aniseline
--- a/source/simulator/faults_controllers.cpp
+++ b/source/simulator/faults_controllers.cpp
@@ -9,20 +9,21 @@
 constexpr std::int64_t moveRestMs = 5000;   // until all know the addresses of those that moved
 constexpr std::int64_t clockRestMs = 1000;  // until the next clock may lie
 
-void restartController(World& world, std::size_t place) {
+void restartController(SimulatedCluster& world, std::size_t place) {
   world.restartController(place);
 }
 
 // No more than may be lost, as two that move while both are down know only each other's old
 // address. docs/design.md 3.5.
-void moveWithDisks(FaultDeck& deck, World& world, const FaultVictims& victims, Fault& fault) {
+void moveWithDisks(FaultInjector& deck, SimulatedCluster& world, const FaultTargets& victims,
+                   Fault& fault) {
   auto moved = std::make_shared<std::vector<std::size_t>>();
   fault.begin = [&deck, &world, victims, moved] {
-    *moved = deck.someControllers(victims);
-    if (world.now < deck.moveFreeAt || world.voterCount() != world.votersWanted())
+    *moved = deck.chooseControllers(victims);
+    if (world.now < deck.nextMoveAt || world.voterCount() != world.configuredVoters())
       return false;
-    deck.moveFreeAt = world.now + victims.length + moveRestMs;
-    deck.moving = moved->size();
+    deck.nextMoveAt = world.now + victims.duration + moveRestMs;
+    deck.movingControllers = moved->size();
     for (const std::size_t place : *moved) {
       world.killController(place, true);
       world.moveController(place);
@@ -36,16 +37,17 @@
 }
 
 // One clock may lie at a time: two of three that lie alike outvote the truth.
-void jumpClock(FaultDeck& deck, World& world, const FaultVictims& victims, Fault& fault) {
+void jumpClock(FaultInjector& deck, SimulatedCluster& world, const FaultTargets& victims,
+               Fault& fault) {
   auto chosen = std::make_shared<std::vector<std::size_t>>();
   auto lying = std::make_shared<bool>(false);
   fault.begin = [&deck, &world, victims, chosen, lying] {
-    *chosen = deck.someControllers(victims);
+    *chosen = deck.chooseControllers(victims);
     for (const std::size_t place : *chosen) {
-      if (world.now < deck.clockFreeAt)
+      if (world.now < deck.nextClockFaultAt)
         continue;
-      deck.clockFreeAt = world.now + victims.length + clockRestMs;
-      world.setClock(place, victims.jump);
+      deck.nextClockFaultAt = world.now + victims.duration + clockRestMs;
+      world.setClockOffset(place, victims.clockJump);
       *lying = true;
     }
     return *lying;
@@ -53,90 +55,98 @@
   fault.end = [&world, chosen, lying] {
     for (const std::size_t place : *chosen)
       if (*lying)
-        world.setClock(place, 0);
+        world.setClockOffset(place, 0);
   };
 }
 
-void stallDisks(FaultDeck& deck, World& world, const FaultVictims& victims, Fault& fault) {
+void stallDisks(FaultInjector& deck, SimulatedCluster& world, const FaultTargets& victims,
+                Fault& fault) {
   fault.begin = [&deck, &world, victims] {
-    for (const std::size_t place : deck.someControllers(victims))
-      world.stallDisk(place, victims.length);
+    for (const std::size_t place : deck.chooseControllers(victims))
+      world.stallDisk(place, victims.duration);
     return true;
   };
 }
 
-void stallDisksOfTwoZones(World& world, const FaultVictims& victims) {
-  for (const std::size_t zone : {victims.from, victims.to})
-    eachOfZone(world.controllerCount(), zone,
-               [&](auto place) { world.stallDisk(place, victims.length); });
+void stallDisksOfTwoZones(SimulatedCluster& world, const FaultTargets& victims) {
+  for (const std::size_t zone : {victims.fromZone, victims.toZone})
+    forEachInZone(world.controllerCount(), zone,
+                  [&](auto place) { world.stallDisk(place, victims.duration); });
 }
 
-void freeDisk(World& world, std::size_t place) {
-  world.fillDisk(place, false);
+void freeDisk(SimulatedCluster& world, std::size_t place) {
+  world.setDiskFull(place, false);
   world.restartController(place);
 }
 
 // `begin` of a kind that takes effect on every controller it is tried on.
 template <class Step>
 ControllerStep onAny(Step) {
-  return [](FaultDeck&, World& world, std::size_t place, const FaultVictims&) {
+  return [](FaultInjector&, SimulatedCluster& world, std::size_t place, const FaultTargets&) {
     Step{}(world, place);
     return true;
   };
 }
 
 template <bool moves>
-bool loseDisk(FaultDeck& deck, World&, std::size_t place, const FaultVictims&) {
-  return deck.loseDisk(place, moves);
+bool loseDisk(FaultInjector& deck, SimulatedCluster&, std::size_t place, const FaultTargets&) {
+  return deck.tryLoseDisk(place, moves);
 }
 
 }  // namespace
 
 FaultTable controllerFaults() {
   return {
-      ofControllers("kill a controller", onAny([](World& world, std::size_t place) {
-                      world.killController(place, false);
-                    }),
-                    restartController),
-      ofControllers("power loss of a controller", onAny([](World& world, std::size_t place) {
-                      world.killController(place, true);
-                    }),
-                    restartController),
-      lasting(
+      faultOfControllers("kill a controller", onAny([](SimulatedCluster& world, std::size_t place) {
+                           world.killController(place, false);
+                         }),
+                         restartController),
+      faultOfControllers("power loss of a controller",
+                         onAny([](SimulatedCluster& world, std::size_t place) {
+                           world.killController(place, true);
+                         }),
+                         restartController),
+      lastingFault(
           "power loss of all controllers",
-          [](World& world, const FaultVictims&) { powerOff(world); },
-          [](World& world, const FaultVictims&) { powerOn(world); }),
-      ofControllers("disk lost", loseDisk<false>, restartController),
-      ofControllers("controller replaced at a new address", loseDisk<true>, restartController),
+          [](SimulatedCluster& world, const FaultTargets&) { powerOffControllers(world); },
+          [](SimulatedCluster& world, const FaultTargets&) { powerOnControllers(world); }),
+      faultOfControllers("disk lost", loseDisk<false>, restartController),
+      faultOfControllers("controller replaced at a new address", loseDisk<true>, restartController),
       {"controller moved with its disk", moveWithDisks},
-      ofControllers("freeze a controller", onAny([](World& world, std::size_t place) {
-                      world.freezeController(place, true);
-                    }),
-                    [](World& world, std::size_t place) { world.freezeController(place, false); }),
+      faultOfControllers(
+          "freeze a controller", onAny([](SimulatedCluster& world, std::size_t place) {
+            world.freezeController(place, true);
+          }),
+          [](SimulatedCluster& world, std::size_t place) { world.freezeController(place, false); }),
   };
 }
 
 FaultTable machineFaults() {
   return {
       {"stall a disk", stallDisks},
-      momentary("stall two disks", stallDisksOfTwoZones),
-      ofControllers("slow a disk", onAny([](World& world, std::size_t place) {
-                      world.slowDisk(place, slowDiskMs);
-                    }),
-                    [](World& world, std::size_t place) { world.slowDisk(place, 0); }),
-      ofControllers("disk full",
-                    onAny([](World& world, std::size_t place) { world.fillDisk(place, true); }),
-                    freeDisk),
+      momentaryFault("stall two disks", stallDisksOfTwoZones),
+      faultOfControllers(
+          "slow a disk", onAny([](SimulatedCluster& world, std::size_t place) {
+            world.slowDisk(place, slowDiskMs);
+          }),
+          [](SimulatedCluster& world, std::size_t place) { world.slowDisk(place, 0); }),
+      faultOfControllers("disk full", onAny([](SimulatedCluster& world, std::size_t place) {
+                           world.setDiskFull(place, true);
+                         }),
+                         freeDisk),
       {"jump a clock", jumpClock},
   };
 }
 
 FaultTable severalControllerFaults() {
   return {
-      ofControllers("controllers cut off", onAny([](World& world, std::size_t place) {
-                      world.cutController(place, true);
-                    }),
-                    [](World& world, std::size_t place) { world.cutController(place, false); }),
+      faultOfControllers("controllers cut off",
+                         onAny([](SimulatedCluster& world, std::size_t place) {
+                           world.isolateController(place, true);
+                         }),
+                         [](SimulatedCluster& world, std::size_t place) {
+                           world.isolateController(place, false);
+                         }),
   };
 }
 
--- a/source/simulator/faults_network.cpp
+++ b/source/simulator/faults_network.cpp
@@ -5,36 +5,45 @@
 
 namespace {
 
-void cutOff(World& world, std::size_t zone, bool cut) {
-  for (std::size_t other = 0; other < faultZones; ++other)
+void cutOff(SimulatedCluster& world, std::size_t zone, bool cut) {
+  for (std::size_t other = 0; other < simulatedZones; ++other)
     if (other != zone)
-      cutPair(world, zone, other, cut);
+      partitionPair(world, zone, other, cut);
 }
 
-void splitAll(World& world, bool cut) {
-  for (std::size_t zone = 0; zone < faultZones; ++zone)
+void splitAll(SimulatedCluster& world, bool cut) {
+  for (std::size_t zone = 0; zone < simulatedZones; ++zone)
     cutOff(world, zone, cut);
 }
 
 }  // namespace
 
 FaultTable networkFaults() {
-  using V = const FaultVictims&;
+  using V = const FaultTargets&;
   return {
-      lasting(
+      lastingFault(
           "cut zones both ways",
-          [](World& world, V victims) { cutPair(world, victims.from, victims.to, true); },
-          [](World& world, V victims) { cutPair(world, victims.from, victims.to, false); }),
-      lasting(
+          [](SimulatedCluster& world, V victims) {
+            partitionPair(world, victims.fromZone, victims.toZone, true);
+          },
+          [](SimulatedCluster& world, V victims) {
+            partitionPair(world, victims.fromZone, victims.toZone, false);
+          }),
+      lastingFault(
           "cut zones one way",
-          [](World& world, V victims) { world.cutZones(victims.from, victims.to, true); },
-          [](World& world, V victims) { world.cutZones(victims.from, victims.to, false); }),
-      lasting(
-          "a zone cut off", [](World& world, V victims) { cutOff(world, victims.from, true); },
-          [](World& world, V victims) { cutOff(world, victims.from, false); }),
-      lasting(
-          "centre split three ways", [](World& world, V) { splitAll(world, true); },
-          [](World& world, V) { splitAll(world, false); }),
+          [](SimulatedCluster& world, V victims) {
+            world.partitionZones(victims.fromZone, victims.toZone, true);
+          },
+          [](SimulatedCluster& world, V victims) {
+            world.partitionZones(victims.fromZone, victims.toZone, false);
+          }),
+      lastingFault(
+          "a zone cut off",
+          [](SimulatedCluster& world, V victims) { cutOff(world, victims.fromZone, true); },
+          [](SimulatedCluster& world, V victims) { cutOff(world, victims.fromZone, false); }),
+      lastingFault(
+          "centre split three ways", [](SimulatedCluster& world, V) { splitAll(world, true); },
+          [](SimulatedCluster& world, V) { splitAll(world, false); }),
   };
 }
 
--- a/source/simulator/faults_strikes.cpp
+++ b/source/simulator/faults_strikes.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-using V = const FaultVictims&;
+using V = const FaultTargets&;
 
 constexpr std::int64_t struckForMs = 1500;       // until those that were struck come back
 constexpr std::int64_t diskLostForMs = 500;      // until those without their disk come back
@@ -25,51 +25,52 @@
   return request.kind == RequestKind::applyConfig && acknowledged(answer);
 }
 bool acknowledgesLeaving(const ApiRequest& request, const ApiResponse& answer) {
-  return request.kind == RequestKind::sync && request.report.leaving && acknowledged(answer);
+  return request.kind == RequestKind::syncWorker && request.report.draining && acknowledged(answer);
 }
 bool confirmsEnding(const ApiRequest& request, const ApiResponse& answer) {
-  return request.kind == RequestKind::sync && !request.report.endings.empty() &&
+  return request.kind == RequestKind::syncWorker && !request.report.results.empty() &&
          acknowledged(answer);
 }
 bool confirmsNamedEnding(const ApiRequest& request, const ApiResponse& answer) {
-  return request.kind == RequestKind::sync && !request.report.namedEndings.empty() &&
+  return request.kind == RequestKind::syncWorker && !request.report.runResults.empty() &&
          acknowledged(answer);
 }
 bool acknowledgesPackedLeaving(const ApiRequest& request, const ApiResponse& answer) {
-  return request.kind == RequestKind::sync && request.report.packed && request.report.leaving &&
-         acknowledged(answer);
+  return request.kind == RequestKind::syncWorker && request.report.wantsPackedResponse &&
+         request.report.draining && acknowledged(answer);
 }
 
 // By turns: disks are lost, all controllers lose power, the struck controllers lose power.
 enum class StrikeWay { losesDisk, powerOffAll, powerOffStruck };
 
-void strikeControllers(FaultDeck& deck, World& world, V victims, std::size_t first) {
+void strikeControllers(FaultInjector& deck, SimulatedCluster& world, V victims, std::size_t first) {
   const auto way = StrikeWay(victims.controller % 3);
-  for (const std::size_t place : deck.withOthers(first, victims)) {
-    if (way == StrikeWay::losesDisk && deck.loseDisk(place, victims.coin))
+  for (const std::size_t place : deck.chooseControllersBeside(first, victims)) {
+    if (way == StrikeWay::losesDisk && deck.tryLoseDisk(place, victims.coinFlip))
       continue;
     if (way == StrikeWay::powerOffAll)
-      powerOff(world);
+      powerOffControllers(world);
     else
       world.killController(place, true);
   }
-  world.after(struckForMs, [&world] { powerOn(world); });
+  world.scheduleAfter(struckForMs, [&world] { powerOnControllers(world); });
 }
 
-void aimAtControllers(FaultDeck& deck, World& world, V victims, Fault& fault,
-                      FaultDeck::Matches matches) {
-  deck.aim(fault, victims, std::move(matches), [&deck, &world, victims](std::size_t first) {
-    strikeControllers(deck, world, victims, first);
-  });
+void aimAtControllers(FaultInjector& deck, SimulatedCluster& world, V victims, Fault& fault,
+                      FaultInjector::Matches matches) {
+  deck.faultOnAcknowledgement(fault, victims, std::move(matches),
+                              [&deck, &world, victims](std::size_t first) {
+                                strikeControllers(deck, world, victims, first);
+                              });
 }
 
 FaultKind struckAfter(const char* name, bool (*matches)(const ApiRequest&, const ApiResponse&)) {
-  return {name, [matches](FaultDeck& deck, World& world, V victims, Fault& fault) {
+  return {name, [matches](FaultInjector& deck, SimulatedCluster& world, V victims, Fault& fault) {
             aimAtControllers(deck, world, victims, fault, matches);
           }};
 }
 
-void strikeAfterConfig(FaultDeck& deck, World& world, V victims, Fault& fault) {
+void strikeAfterConfig(FaultInjector& deck, SimulatedCluster& world, V victims, Fault& fault) {
   aimAtControllers(deck, world, victims, fault, acknowledgesConfig);
   fault.begin = [&deck, arm = fault.begin] {
     arm();
@@ -78,39 +79,41 @@
   };
 }
 
-void strikeAfterLeaving(FaultDeck& deck, World& world, V victims, Fault& fault) {
+void strikeAfterLeaving(FaultInjector& deck, SimulatedCluster& world, V victims, Fault& fault) {
   aimAtControllers(deck, world, victims, fault, acknowledgesLeaving);
   fault.begin = [&deck, &world, victims, arm = fault.begin] {
     arm();
-    if (deck.killForGood(victims.worker))
-      world.leaveWorker(victims.worker, shortNoticeMs);
+    if (deck.tryRemoveForGood(victims.worker))
+      world.drainWorker(victims.worker, shortDrainMs);
     return false;
   };
 }
 
-void strikeOnMemberChange(World& world, std::size_t place) {
+void strikeOnMemberChange(SimulatedCluster& world, std::size_t place) {
   const char* name = "struck while members change";
-  world.disturb(name, false);
-  world.after(memberStrikeDelayMs, [&world, place] { world.killController(place, true); });
-  world.after(struckForMs, [&world, place, name] {
+  world.recordFault(name, false);
+  world.scheduleAfter(memberStrikeDelayMs, [&world, place] { world.killController(place, true); });
+  world.scheduleAfter(struckForMs, [&world, place, name] {
     world.restartController(place);
-    world.disturb(name, true);
+    world.recordFault(name, true);
   });
 }
 
-void strikeWhileMembersChange(FaultDeck& deck, World& world, V victims, Fault& fault) {
+void strikeWhileMembersChange(FaultInjector& deck, SimulatedCluster& world, V victims,
+                              Fault& fault) {
   auto took = std::make_shared<bool>(false);
-  fault.took = took;
+  fault.tookEffect = took;
   fault.begin = [&deck, &world, victims, took] {
-    std::vector<std::size_t> lost = deck.someControllers(victims);
-    std::erase_if(lost, [&](std::size_t place) { return !deck.loseDisk(place, victims.coin); });
+    std::vector<std::size_t> lost = deck.chooseControllers(victims);
+    std::erase_if(lost,
+                  [&](std::size_t place) { return !deck.tryLoseDisk(place, victims.coinFlip); });
     if (lost.empty())
       return false;
-    world.after(diskLostForMs, [&world, lost] {
+    world.scheduleAfter(diskLostForMs, [&world, lost] {
       for (const std::size_t place : lost)
         world.restartController(place);
     });
-    deck.aimAtMemberChange([&world, took](std::size_t place) {
+    deck.faultOnMembershipChange([&world, took](std::size_t place) {
       *took = true;
       strikeOnMemberChange(world, place);
     });
@@ -118,29 +121,31 @@
   };
 }
 
-void aimAtOne(FaultDeck& deck, World& world, V victims, Fault& fault, FaultDeck::Matches matches) {
-  deck.aim(fault, victims, std::move(matches), [&world](std::size_t place) {
+void aimAtOne(FaultInjector& deck, SimulatedCluster& world, V victims, Fault& fault,
+              FaultInjector::Matches matches) {
+  deck.faultOnAcknowledgement(fault, victims, std::move(matches), [&world](std::size_t place) {
     world.killController(place, true);
-    world.after(struckForMs, [&world, place] { world.restartController(place); });
+    world.scheduleAfter(struckForMs, [&world, place] { world.restartController(place); });
   });
 }
 
-void strikeAfterNamedEnding(FaultDeck& deck, World& world, V victims, Fault& fault) {
+void strikeAfterNamedEnding(FaultInjector& deck, SimulatedCluster& world, V victims, Fault& fault) {
   aimAtOne(deck, world, victims, fault, confirmsNamedEnding);
 }
 
-void strikeAfterAgentsLeaving(FaultDeck& deck, World& world, V victims, Fault& fault) {
+void strikeAfterAgentsLeaving(FaultInjector& deck, SimulatedCluster& world, V victims,
+                              Fault& fault) {
   aimAtOne(deck, world, victims, fault, acknowledgesPackedLeaving);
   fault.begin = [&world, victims, arm = fault.begin] {
     arm();
-    world.leaveCalled(victims.called, shortNoticeMs, awayForMs);
+    world.drainCalledWorker(victims.calledWorker, shortDrainMs, downtimeMs);
     return false;
   };
 }
 
 }  // namespace
 
-FaultTable strikes() {
+FaultTable acknowledgementFaults() {
   return {
       struckAfter("struck after acknowledging a job", acknowledgesJob),
       struckAfter("struck after acknowledging a cancel", acknowledgesCancel),
@@ -151,7 +156,7 @@
   };
 }
 
-FaultTable calledWorkerStrikes() {
+FaultTable calledWorkerAcknowledgementFaults() {
   return {
       {"struck after confirming a named ending", strikeAfterNamedEnding},
       {"struck after an agent's word of a leaving", strikeAfterAgentsLeaving},
--- a/source/simulator/faults_workers.cpp
+++ b/source/simulator/faults_workers.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-using V = const FaultVictims&;
+using V = const FaultTargets&;
 
 constexpr std::int64_t leavingLastsMs = 5000;  // at least, so that the notice runs out within it
 constexpr double slowFactor = 6;               // times the runtime of its tasks
@@ -15,70 +15,81 @@
 template <class Use>
 void eachInRack(std::size_t worker, Use use) {
   const std::size_t first = worker / workersPerRack * workersPerRack;
-  for (std::size_t place = first; place < std::min(first + workersPerRack, faultWorkers); ++place)
+  for (std::size_t place = first; place < std::min(first + workersPerRack, simulatedWorkers);
+       ++place)
     use(place);
 }
 
-void cutRack(World& world, std::size_t worker, bool cut) {
-  eachInRack(worker, [&](auto place) { world.cutWorker(place, cut); });
+void cutRack(SimulatedCluster& world, std::size_t worker, bool cut) {
+  eachInRack(worker, [&](auto place) { world.isolateWorker(place, cut); });
 }
 
-void vanish(FaultDeck& deck, World& world, V victims, Fault& fault) {
+void vanish(FaultInjector& deck, SimulatedCluster& world, V victims, Fault& fault) {
   fault.begin = [&deck, &world, victims] {
-    if (!deck.killForGood(victims.worker))
+    if (!deck.tryRemoveForGood(victims.worker))
       return false;
     world.killWorker(victims.worker, true);
     return true;
   };
 }
 
-void leaveAtShortNotice(FaultDeck& deck, World& world, V victims, Fault& fault) {
-  fault.length = std::max(fault.length, leavingLastsMs);
+void leaveAtShortNotice(FaultInjector& deck, SimulatedCluster& world, V victims, Fault& fault) {
+  fault.duration = std::max(fault.duration, leavingLastsMs);
   fault.begin = [&deck, &world, victims] {
-    if (!deck.killForGood(victims.worker))
+    if (!deck.tryRemoveForGood(victims.worker))
       return false;
-    world.leaveWorker(victims.worker, shortNoticeMs);
+    world.drainWorker(victims.worker, shortDrainMs);
     return true;
   };
 }
 
 FaultTable oneWorkerFaults() {
   return {
-      lasting(
-          "kill a worker", [](World& world, V victims) { world.killWorker(victims.worker, false); },
-          [](World& world, V victims) { world.restartWorker(victims.worker); }),
+      lastingFault(
+          "kill a worker",
+          [](SimulatedCluster& world, V victims) { world.killWorker(victims.worker, false); },
+          [](SimulatedCluster& world, V victims) { world.restartWorker(victims.worker); }),
       {"a worker vanishes", vanish},
-      lasting(
+      lastingFault(
           "freeze a worker",
-          [](World& world, V victims) { world.freezeWorker(victims.worker, true); },
-          [](World& world, V victims) { world.freezeWorker(victims.worker, false); }),
-      lasting(
+          [](SimulatedCluster& world, V victims) { world.freezeWorker(victims.worker, true); },
+          [](SimulatedCluster& world, V victims) { world.freezeWorker(victims.worker, false); }),
+      lastingFault(
           "cut a worker, its tasks run on",
-          [](World& world, V victims) { world.cutWorker(victims.worker, true); },
-          [](World& world, V victims) { world.cutWorker(victims.worker, false); }),
-      lasting(
+          [](SimulatedCluster& world, V victims) { world.isolateWorker(victims.worker, true); },
+          [](SimulatedCluster& world, V victims) { world.isolateWorker(victims.worker, false); }),
+      lastingFault(
           "a slow worker",
-          [](World& world, V victims) { world.setWorker(victims.worker, slowFactor, 0); },
-          [](World& world, V victims) { world.setWorker(victims.worker, 1, 0); }),
-      lasting(
+          [](SimulatedCluster& world, V victims) {
+            world.setWorkerBehaviour(victims.worker, slowFactor, 0);
+          },
+          [](SimulatedCluster& world, V victims) {
+            world.setWorkerBehaviour(victims.worker, 1, 0);
+          }),
+      lastingFault(
           "a worker fails its work quietly",
-          [](World& world, V victims) { world.setWorker(victims.worker, 1, quietFailures); },
-          [](World& world, V victims) { world.setWorker(victims.worker, 1, 0); }),
+          [](SimulatedCluster& world, V victims) {
+            world.setWorkerBehaviour(victims.worker, 1, quietFailures);
+          },
+          [](SimulatedCluster& world, V victims) {
+            world.setWorkerBehaviour(victims.worker, 1, 0);
+          }),
       {"a worker emptied at short notice", leaveAtShortNotice},
   };
 }
 
 FaultTable rackFaults() {
   return {
-      lasting(
-          "a rack cut off", [](World& world, V victims) { cutRack(world, victims.worker, true); },
-          [](World& world, V victims) { cutRack(world, victims.worker, false); }),
-      lasting(
+      lastingFault(
+          "a rack cut off",
+          [](SimulatedCluster& world, V victims) { cutRack(world, victims.worker, true); },
+          [](SimulatedCluster& world, V victims) { cutRack(world, victims.worker, false); }),
+      lastingFault(
           "a rack out",
-          [](World& world, V victims) {
+          [](SimulatedCluster& world, V victims) {
             eachInRack(victims.worker, [&](auto place) { world.killWorker(place, false); });
           },
-          [](World& world, V victims) {
+          [](SimulatedCluster& world, V victims) {
             eachInRack(victims.worker, [&](auto place) { world.restartWorker(place); });
           }),
   };
@@ -87,7 +98,7 @@
 }  // namespace
 
 FaultTable workerFaults() {
-  return joined({oneWorkerFaults(), rackFaults()});
+  return concatenate({oneWorkerFaults(), rackFaults()});
 }
 
 }  // namespace aniseline
--- a/source/simulator/faults_zones.cpp
+++ b/source/simulator/faults_zones.cpp
@@ -10,52 +10,57 @@
 constexpr std::int64_t zoneEmptyLastsMs =
     7000;  // at least, so that all of them are away for a time
 
-void killZone(World& world, std::size_t zone) {
-  eachOfZone(world.controllerCount(), zone, [&](auto place) { world.killController(place, true); });
-  eachOfZone(faultGateways, zone, [&](auto place) { world.killGateway(place); });
-  eachOfZone(faultWorkers, zone, [&](auto place) { world.killWorker(place, false); });
-  eachOfZone(world.calledCount(), zone, [&](auto place) {
+void killZone(SimulatedCluster& world, std::size_t zone) {
+  forEachInZone(world.controllerCount(), zone,
+                [&](auto place) { world.killController(place, true); });
+  forEachInZone(simulatedGateways, zone, [&](auto place) { world.killGateway(place); });
+  forEachInZone(simulatedWorkers, zone, [&](auto place) { world.killWorker(place, false); });
+  forEachInZone(world.calledWorkerCount(), zone, [&](auto place) {
     world.killAgent(place);
-    world.killCalled(place);
+    world.killCalledWorker(place);
   });
 }
 
-void restartZone(World& world, std::size_t zone) {
-  eachOfZone(world.controllerCount(), zone, [&](auto place) { world.restartController(place); });
-  eachOfZone(faultGateways, zone, [&](auto place) { world.restartGateway(place); });
-  eachOfZone(faultWorkers, zone, [&](auto place) { world.restartWorker(place); });
-  eachOfZone(world.calledCount(), zone, [&](auto place) {
+void restartZone(SimulatedCluster& world, std::size_t zone) {
+  forEachInZone(world.controllerCount(), zone, [&](auto place) { world.restartController(place); });
+  forEachInZone(simulatedGateways, zone, [&](auto place) { world.restartGateway(place); });
+  forEachInZone(simulatedWorkers, zone, [&](auto place) { world.restartWorker(place); });
+  forEachInZone(world.calledWorkerCount(), zone, [&](auto place) {
     world.restartAgent(place);
-    world.restartCalled(place);
+    world.restartCalledWorker(place);
   });
 }
 
-void freezeZone(World& world, std::size_t zone, bool frozen) {
-  eachOfZone(world.controllerCount(), zone,
-             [&](auto place) { world.freezeController(place, frozen); });
-  eachOfZone(faultGateways, zone, [&](auto place) { world.freezeGateway(place, frozen); });
-  eachOfZone(faultWorkers, zone, [&](auto place) { world.freezeWorker(place, frozen); });
-  eachOfZone(world.calledCount(), zone, [&](auto place) { world.freezeAgent(place, frozen); });
+void freezeZone(SimulatedCluster& world, std::size_t zone, bool frozen) {
+  forEachInZone(world.controllerCount(), zone,
+                [&](auto place) { world.freezeController(place, frozen); });
+  forEachInZone(simulatedGateways, zone, [&](auto place) { world.freezeGateway(place, frozen); });
+  forEachInZone(simulatedWorkers, zone, [&](auto place) { world.freezeWorker(place, frozen); });
+  forEachInZone(world.calledWorkerCount(), zone,
+                [&](auto place) { world.freezeAgent(place, frozen); });
 }
 
-void killServersOf(World& world, std::size_t zone) {
-  eachOfZone(world.controllerCount(), zone, [&](auto place) { world.killController(place, true); });
-  eachOfZone(faultGateways, zone, [&](auto place) { world.killGateway(place); });
+void killServersOf(SimulatedCluster& world, std::size_t zone) {
+  forEachInZone(world.controllerCount(), zone,
+                [&](auto place) { world.killController(place, true); });
+  forEachInZone(simulatedGateways, zone, [&](auto place) { world.killGateway(place); });
 }
 
-void emptyZone(FaultDeck& deck, World& world, const FaultVictims& victims, Fault& fault) {
-  fault.length = std::max(fault.length, zoneEmptyLastsMs);
+void emptyZone(FaultInjector& deck, SimulatedCluster& world, const FaultTargets& victims,
+               Fault& fault) {
+  fault.duration = std::max(fault.duration, zoneEmptyLastsMs);
   fault.begin = [&world, victims] {
-    eachOfZone(faultWorkers, victims.from,
-               [&](auto place) { world.leaveWorker(place, zoneNoticeMs); });
-    world.after(zoneEmptyAfterMs, [&world, victims] { killServersOf(world, victims.from); });
+    forEachInZone(simulatedWorkers, victims.fromZone,
+                  [&](auto place) { world.drainWorker(place, zoneNoticeMs); });
+    world.scheduleAfter(zoneEmptyAfterMs,
+                        [&world, victims] { killServersOf(world, victims.fromZone); });
     return true;
   };
   fault.end = [&deck, &world, victims] {
-    restartZone(world, victims.from);
-    eachOfZone(faultWorkers, victims.from, [&](auto place) {
-      world.returnWorker(place);
-      deck.forgetGone(place);
+    restartZone(world, victims.fromZone);
+    forEachInZone(simulatedWorkers, victims.fromZone, [&](auto place) {
+      world.reinstateWorker(place);
+      deck.reinstate(place);
     });
   };
 }
@@ -63,14 +68,16 @@
 }  // namespace
 
 FaultTable zoneFaults() {
-  using V = const FaultVictims&;
+  using V = const FaultTargets&;
   return {
-      lasting(
-          "a zone out", [](World& world, V victims) { killZone(world, victims.from); },
-          [](World& world, V victims) { restartZone(world, victims.from); }),
-      lasting(
-          "a zone frozen", [](World& world, V victims) { freezeZone(world, victims.from, true); },
-          [](World& world, V victims) { freezeZone(world, victims.from, false); }),
+      lastingFault(
+          "a zone out",
+          [](SimulatedCluster& world, V victims) { killZone(world, victims.fromZone); },
+          [](SimulatedCluster& world, V victims) { restartZone(world, victims.fromZone); }),
+      lastingFault(
+          "a zone frozen",
+          [](SimulatedCluster& world, V victims) { freezeZone(world, victims.fromZone, true); },
+          [](SimulatedCluster& world, V victims) { freezeZone(world, victims.fromZone, false); }),
       {"a zone emptied at short notice", emptyZone},
   };
 }
--- a/source/simulator/measures.cpp
+++ b/source/simulator/measures.cpp
@@ -4,7 +4,7 @@
 
 namespace aniseline {
 
-picojson::object measurePlan(std::size_t waiting, std::size_t workers) {
+picojson::object measurePlanning(std::size_t waiting, std::size_t workers) {
   ClusterState clusterState;
   std::int64_t now = 0;
   auto apply = [&](Event event) {
@@ -13,7 +13,7 @@
   auto config = ClusterConfig::parse(standardConfig());
   config.value().version = ConfigVersion{1};
   apply(ConfigCommitted{config.value()});
-  Silence heard;
+  LastContactAges heard;
   for (std::size_t place = 0; place < workers; ++place) {
     const WorkerId id{"m" + std::to_string(place)};
     Capacity capacity;
@@ -37,16 +37,16 @@
   };
   for (std::size_t count = 0; count < workers * 4; ++count)
     submit(count, "long", 4);
-  apply(planner.make(clusterState, ClusterTime{now}, heard).made);
-  for (const auto& [id, worker] : clusterState.workers)
-    apply(WorkerSynced{id, worker.lastOrder, {}});
+  apply(planner.makePlan(clusterState, ClusterTime{now}, heard).record);
+  for (const auto& [id, worker] : clusterState.workers())
+    apply(WorkerSynced{id, worker.lastIssuedOrder, {}});
   now = 500;
   for (std::size_t count = 0; count < waiting; ++count)
     submit(count, "plates", std::uint32_t(random.between(1, 8)));
   std::vector<double> costs;
   for (int round = 0; round < 31; ++round) {
     const auto begun = std::clock();
-    planner.make(clusterState, ClusterTime{now + round}, heard);
+    planner.makePlan(clusterState, ClusterTime{now + round}, heard);
     costs.push_back(double(std::clock() - begun) * 1000.0 / CLOCKS_PER_SEC);
   }
   std::sort(costs.begin(), costs.end());
@@ -60,11 +60,11 @@
 picojson::object measureFailover(std::int64_t from, std::int64_t seeds, bool freezes) {
   std::vector<std::int64_t> spans;
   for (std::int64_t seed = from; seed < from + seeds; ++seed) {
-    WorldOptions options;
+    SimulatedClusterOptions options;
     options.seed = std::uint64_t(seed);
     options.gateways = options.workers = 1;
-    World world(options);
-    if (!world.runUntilTrue([&] { return world.voterCount() == world.votersWanted(); }, 20'000))
+    SimulatedCluster world(options);
+    if (!world.runUntilTrue([&] { return world.voterCount() == world.configuredVoters(); }, 20'000))
       continue;
     world.runUntil(world.now + seed % 997);
     const std::size_t lost = *world.leader();
@@ -84,7 +84,7 @@
           {"max_ms", json(spans.back())}};
 }
 
-picojson::object measureView(std::size_t kept, bool whole) {
+picojson::object measureSnapshot(std::size_t kept, bool whole) {
   ClusterState clusterState;
   auto config = ClusterConfig::parse(standardConfig());
   config.value().version = ConfigVersion{1};
@@ -101,7 +101,7 @@
                  {"merge", {"separate"}, false, {TaskRequest{}}}};
     clusterState.apply(LogRecord{ClusterTime{1}, JobAccepted{job}});
     clusterState.apply(LogRecord{ClusterTime{2}, JobCancelled{job.id}});
-    shortened.shortened.push_back(job.id);
+    shortened.compacted.push_back(job.id);
   }
   if (!whole)
     clusterState.apply(LogRecord{ClusterTime{3}, shortened});
--- a/source/simulator/measures.hpp
+++ b/source/simulator/measures.hpp
@@ -6,10 +6,10 @@
 
 // One plan with so many tasks waiting and every worker full; the median of many, by the processor's
 // clock.
-picojson::object measurePlan(std::size_t waiting, std::size_t workers);
+picojson::object measurePlanning(std::size_t waiting, std::size_t workers);
 // From the loss of a leader to another that serves, over many seeds, in virtual time.
 picojson::object measureFailover(std::int64_t from, std::int64_t seeds, bool freezes);
 // Packing, copying and reading a cluster state that keeps so many jobs, as they ended or shortened.
-picojson::object measureView(std::size_t kept, bool whole);
+picojson::object measureSnapshot(std::size_t kept, bool whole);
 
 }  // namespace aniseline
--- a/source/simulator/nodes.hpp
+++ b/source/simulator/nodes.hpp
@@ -14,110 +14,111 @@
   return hash;
 }
 
-constexpr std::size_t noGateway = std::size_t(-1);  // nobody is at that address any more
+constexpr std::size_t gatewayNotFound = std::size_t(-1);  // nobody is at that address any more
 
-struct World::Node {
+struct SimulatedCluster::Node {
   std::size_t zone = 0;
-  bool up = true, frozen = false, cut = false;
+  bool up = true, frozen = false, isolated = false;
   std::uint64_t generation = 1;
-  std::vector<std::function<void()>> inbox;  // what arrives while frozen
+  std::vector<std::function<void()>> deferredWork;  // what arrives while frozen
   virtual ~Node() = default;
 };
 
-struct World::ControllerNode : Node {
-  std::size_t place = 0;
+struct SimulatedCluster::ControllerNode : Node {
+  std::size_t index = 0;
   Address address;
   ControllerId identity;
   std::unique_ptr<Controller> core;
-  SnapshotWriter keeper;
+  SnapshotWriter snapshotWriter;
   std::vector<WriteAheadRecord> disk;
-  std::optional<WriteAheadRecord> writing;
-  std::int64_t stalledUntil = 0, slow = 0, wallOffset = 0, monotonicBase = 0;
-  bool stepping = false, full = false;
-  std::int64_t seekAt = 0;
-  std::optional<std::size_t> voters;  // its own setting, if another than the others'
-  std::map<std::uint64_t, std::function<void()>> onDeath;  // who is told when the process ends
+  std::optional<WriteAheadRecord> writeInFlight;
+  std::int64_t diskStalledUntil = 0, diskDelay = 0, clockOffset = 0, monotonicBase = 0;
+  bool stepScheduled = false, diskFull = false;
+  std::int64_t nextJoinAttemptAt = 0;
+  std::optional<std::size_t> votersOverride;  // its own setting, if another than the others'
+  std::map<std::uint64_t, std::function<void()>> onExit;  // who is told when the process ends
 };
 
 // A process that asks the leader and holds the way to it.
-struct World::RoutedNode : Node {
-  RouteView route;
+struct SimulatedCluster::RoutedNode : Node {
+  LeaderRoute route;
 };
 
-struct World::GatewayNode : RoutedNode {
-  std::size_t place = 0;
-  Address outer;
-  std::map<std::uint64_t, std::function<void()>> onDeath;
+struct SimulatedCluster::GatewayNode : RoutedNode {
+  std::size_t index = 0;
+  Address publicAddress;
+  std::map<std::uint64_t, std::function<void()>> onExit;
 };
 
-struct World::WorkerNode : Node {
-  std::size_t place = 0;
+struct SimulatedCluster::WorkerNode : Node {
+  std::size_t index = 0;
   std::string id;
   Capacity capacity;
-  std::unique_ptr<WorkerSession> hand;
+  std::unique_ptr<WorkerSession> session;
   struct Running {
     Order order;
-    std::int64_t since = 0, left = 0, total = 0;
+    std::int64_t resumedAt = 0, remaining = 0, total = 0;
     bool active = true;
   };
   std::map<AttemptNumber, Running> tasks;
-  double slow = 1, fail = 0;
-  std::unique_ptr<PeerDirectory> contacts;
-  bool patientBusy = false, urgentBusy = false, gone = false;
+  double slowdown = 1, failureRate = 0;
+  std::unique_ptr<PeerDirectory> gatewayDirectory;
+  bool longPollInFlight = false, urgentSyncInFlight = false, removed = false;
 };
 
 // The agent of one worker that is called, on the same machine; killed, it begins empty.
-struct World::AgentNode : RoutedNode {
-  std::size_t place = 0, turn = 0;
+struct SimulatedCluster::AgentNode : RoutedNode {
+  std::size_t index = 0, nextController = 0;
   std::unique_ptr<NodeAgent> core;
-  bool patientBusy = false, urgentBusy = false;
-  std::int64_t beatWaitsUntil = 0;  // the word of a leaving is acknowledged once it is logged
-  WorkerId beatOf;                  // whose word that is
+  bool longPollInFlight = false, urgentSyncInFlight = false;
+  std::int64_t drainAcknowledgementDueBy =
+      0;                    // the word of a leaving is acknowledged once it is logged
+  WorkerId drainingWorker;  // whose word that is
 };
 
-struct World::CalledNode : Node {
-  std::size_t place = 0, lives = 0;
+struct SimulatedCluster::CalledWorkerNode : Node {
+  std::size_t index = 0, instanceCount = 0;
   Capacity capacity;
   std::unique_ptr<CalledWorker> worker;
-  struct Look {  // one that waits for an ending
+  struct PendingPoll {  // one that waits for an ending
     WorkerCall call;
-    std::int64_t until = 0;
+    std::int64_t deadline = 0;
     std::function<void(WorkerReply)> reply;
   };
-  std::vector<Look> looks;
-  CalledWorker::Sickness sickness = CalledWorker::Sickness::none;
-  std::int64_t beatAt = 0;
-  bool ordersLate = false, gone = false, leavingAcknowledged = false;
-  std::uint64_t beats = 0;  // of this life
+  std::vector<PendingPoll> pendingPolls;
+  CalledWorker::Malfunction malfunction = CalledWorker::Malfunction::none;
+  std::int64_t nextHeartbeatAt = 0;
+  bool ordersDelayed = false, removed = false, drainAcknowledged = false;
+  std::uint64_t heartbeats = 0;  // of this life
   // A leaving under way: announced by `draining`, or by a leave with beats that go on saying `up`.
-  struct Leaving {
-    bool byLeave = false;
-    std::int64_t since = 0;       // when it was first announced
-    std::int64_t sayAgainAt = 0;  // a leave that got no acknowledgement is sent again then
-    std::int64_t servesOn = 0;    // from the acknowledgement to its end
-    std::int64_t endsAt = 0;      // 0: not known yet
-    std::int64_t awayFor = 0;     // from its end to the start of the next life
-    bool lastWordSaid = false;
+  struct Drain {
+    bool byRequest = false;
+    std::int64_t announcedAt = 0;         // when it was first announced
+    std::int64_t nextAnnouncementAt = 0;  // a leave that got no acknowledgement is sent again then
+    std::int64_t servesAfterAcknowledgement = 0;  // from the acknowledgement to its end
+    std::int64_t endsAt = 0;                      // 0: not known yet
+    std::int64_t downtime = 0;                    // from its end to the start of the next life
+    bool finalAnnouncementSent = false;
   };
-  std::optional<Leaving> leaving;
+  std::optional<Drain> drain;
 };
 
-struct World::Meetings {
-  GangMeetings gangs;
+struct SimulatedCluster::GangState {
+  GangRendezvousTable rendezvous;
 };
 
-struct World::CallerState {
+struct SimulatedCluster::CallerState {
   JobSubmission job;
   std::size_t gateway = 0;
-  bool accepted = false, over = false, rejected = false, cancelled = false;
-  std::int64_t cancelAfter = -1, begunAt = 0, tries = 0;
-  bool resend = false;
+  bool accepted = false, ended = false, rejected = false, cancelled = false;
+  std::int64_t cancelAfter = -1, startedAt = 0, attempts = 0;
+  bool isResend = false;
 };
 
-inline HistoryEvent seen(HistoryEvent::Kind kind, std::int64_t at) {
+inline HistoryEvent makeEvent(HistoryEvent::Kind kind, std::int64_t at) {
   HistoryEvent witness;
   witness.kind = kind;
-  witness.at = at;
+  witness.timestamp = at;
   return witness;
 }
 
--- a/source/simulator/world.hpp
+++ b/source/simulator/world.hpp
@@ -11,30 +11,31 @@
 
 namespace aniseline {
 
-struct WorldOptions {
+struct SimulatedClusterOptions {
   std::uint64_t seed = 1;
   std::size_t zones = 3, controllers = 3, gateways = 7, workers = 11;
   std::uint32_t cores = 16'000;  // thousandths
   std::uint64_t memory = 32 * 1024;
-  std::size_t leaseless = 0;  // workers, from the last on, that do not honour leases
-  std::size_t unguarded = 6;  // workers, from the first on, that do not guard their room
-  std::size_t called =
+  std::size_t workersIgnoringLeases = 0;  // workers, from the last on, that do not honour leases
+  std::size_t workersNotEnforcingCapacity =
+      6;  // workers, from the first on, that do not guard their room
+  std::size_t calledWorkers =
       0;  // workers beside these that are called rather than call, each with its agent
-  std::size_t twins = 0;  // workers, from the last on, that wrongly bear the first one's id
-  double loss = 0;        // part of the messages between processes
+  std::size_t workersWithDuplicateId =
+      0;                   // workers, from the last on, that wrongly bear the first one's id
+  double messageLoss = 0;  // part of the messages between processes
   ControllerOptions controller;
 };
 
-class World {
+class SimulatedCluster {
  public:
-  explicit World(WorldOptions options);
-  ~World();
+  explicit SimulatedCluster(SimulatedClusterOptions options);
+  ~SimulatedCluster();
 
   // Time.
   std::int64_t now = 0;
-  static constexpr std::int64_t calendar =
-      1'800'000'000'000;  // the true calendar time at virtual 0
-  void after(std::int64_t delay, std::function<void()> work);
+  static constexpr std::int64_t epochMs = 1'800'000'000'000;  // the true calendar time at virtual 0
+  void scheduleAfter(std::int64_t delay, std::function<void()> work);
   void runUntil(std::int64_t time);
   bool runUntilTrue(const std::function<bool()>& condition, std::int64_t within);
 
@@ -45,13 +46,13 @@
   void loseDisk(std::size_t place);        // with the kill; the restart is a new identity
   void moveController(std::size_t place);  // its next start is at a new address
   void freezeController(std::size_t place, bool frozen);
-  void cutController(std::size_t place, bool cut);  // from everyone, both ways
+  void isolateController(std::size_t place, bool cut);  // from everyone, both ways
   void stallDisk(std::size_t place, std::int64_t milliseconds);
   void slowDisk(std::size_t place, std::int64_t extra);
   std::vector<WriteAheadRecord> copyDisk(std::size_t place) const;
-  void putDisk(std::size_t place, std::vector<WriteAheadRecord> records);
-  void setClock(std::size_t place, std::int64_t wrongBy);
-  void fillDisk(std::size_t place, bool full);  // a write then fails, and the process ends
+  void replaceDisk(std::size_t place, std::vector<WriteAheadRecord> records);
+  void setClockOffset(std::size_t place, std::int64_t wrongBy);
+  void setDiskFull(std::size_t place, bool full);  // a write then fails, and the process ends
   void transferLeadership(std::size_t place);
   void killGateway(std::size_t place);
   void restartGateway(std::size_t place);
@@ -59,83 +60,83 @@
   void freezeGateway(std::size_t place, bool frozen);
   void killWorker(std::size_t place, bool forGood);
   void restartWorker(std::size_t place);
-  void returnWorker(std::size_t place);  // one that went for good is there again, empty
+  void reinstateWorker(std::size_t place);  // one that went for good is there again, empty
   void freezeWorker(std::size_t place, bool frozen);
-  void cutWorker(std::size_t place, bool cut);
-  void leaveWorker(std::size_t place, std::int64_t within);
-  void setWorker(std::size_t place, double slow, double fail);
+  void isolateWorker(std::size_t place, bool cut);
+  void drainWorker(std::size_t place, std::int64_t within);
+  void setWorkerBehaviour(std::size_t place, double slow, double fail);
   // Workers that are called, and their agents, by place.
   void killAgent(std::size_t place);
   void restartAgent(std::size_t place);
   void freezeAgent(std::size_t place, bool frozen);
-  void cutAgent(std::size_t place, bool cut);
-  void killCalled(std::size_t place);
-  void restartCalled(std::size_t place);  // another life
-  void leaveCalled(std::size_t place, std::int64_t within, std::int64_t awayFor);
-  enum class Sickness : std::uint8_t { none, stalled, refusing, mute, failing };
-  void sickenCalled(std::size_t place, Sickness sickness);
-  void delayOrders(std::size_t place,
-                   bool delayed);  // calls get no answer and are carried out much later
-  std::size_t calledCount() const { return called.size(); }
-  void cutZones(std::size_t from, std::size_t to, bool cut);  // one way
+  void isolateAgent(std::size_t place, bool cut);
+  void killCalledWorker(std::size_t place);
+  void restartCalledWorker(std::size_t place);  // another life
+  void drainCalledWorker(std::size_t place, std::int64_t within, std::int64_t awayFor);
+  enum class Malfunction : std::uint8_t { none, stalled, rejecting, unresponsive, failing };
+  void setCalledWorkerMalfunction(std::size_t place, Malfunction sickness);
+  void setOrdersDelayed(std::size_t place,
+                        bool delayed);  // calls get no answer and are carried out much later
+  std::size_t calledWorkerCount() const { return calledWorkers.size(); }
+  void partitionZones(std::size_t from, std::size_t to, bool cut);  // one way
   void healAll();
   // The keeper's word in the history that a fault begins or ends.
-  void disturb(const std::string& fault, bool ends);
+  void recordFault(const std::string& fault, bool ends);
   // What each process acts on, for the rules of configs.
-  void lookAtConfigs();
-  void sayControllers() const;  // what each believes, for whoever looks into a run
+  void observeConfigs();
+  void traceControllers() const;  // what each believes, for whoever looks into a run
 
   // Callers and operators. The follower is told of the one answer, or of status 0 when there was
   // none.
-  using Follower = std::function<void(int status, const std::string& body)>;
-  void ask(std::size_t gateway, const std::string& method, const std::string& target,
-           const std::string& body, Follower follower, std::int64_t within = 3000);
+  using ResponseHandler = std::function<void(int status, const std::string& body)>;
+  void sendRequest(std::size_t gateway, const std::string& method, const std::string& target,
+                   const std::string& body, ResponseHandler follower, std::int64_t within = 3000);
   // A caller that resends after silence, asks until its job is over, and witnesses all it sees.
   void submit(const JobSubmission& job, std::int64_t cancelAfter = -1);
   void resubmit(const JobSubmission& job);
-  void applyConfig(const std::string& text, std::uint64_t baseVersion, Follower follower,
+  void applyConfig(const std::string& text, std::uint64_t baseVersion, ResponseHandler follower,
                    std::size_t gateway = 0);
 
   // What can be seen.
   std::optional<std::size_t> leader() const;
   const Controller* controller(std::size_t place) const;
   std::size_t controllerCount() const;
-  std::uint64_t startsOf(const std::string& job) const;
+  std::uint64_t countStartsOf(const std::string& job) const;
   bool isVoter(std::size_t place) const;
   bool isWorkerUp(const std::string& id) const;
   std::size_t voterCount() const;
-  std::size_t votersWanted() const { return options.controller.voters; }
-  std::size_t bearable() const {
-    return (votersWanted() - 1) / 2;
+  std::size_t configuredVoters() const { return options.controller.voterCount; }
+  std::size_t tolerableLosses() const {
+    return (configuredVoters() - 1) / 2;
   }  // voters that may be lost at once
   // Voters whose disk is gone; nothing while their number is not the wanted one or a change of
   // members is under way.
-  std::optional<std::size_t> copiesLost() const;
-  bool copiesWhole() const { return copiesLost() == std::size_t(0); }
+  std::optional<std::size_t> votersWithoutDisk() const;
+  bool allReplicasIntact() const { return votersWithoutDisk() == std::size_t(0); }
   // The orders for configs that a refusal was sent for, by digest and base, though the cluster took
   // them; and acknowledged ones that it does not hold.
-  std::vector<std::string> misjudgedOrders() const;
-  bool allOver() const;  // every job that was accepted has been shown as over
-  std::vector<std::string> unfinished() const;
-  CheckReport findings() const;
+  std::vector<std::string> misjudgedConfigOrders() const;
+  bool allJobsEnded() const;  // every job that was accepted has been shown as over
+  std::vector<std::string> unfinishedJobs() const;
+  CheckReport checkHistory() const;
   std::uint64_t hash() const { return transcriptHash; }
   // A digest of every durable write of every controller in its order, and of the replicated state
   // of those that are up: it depends on no name and no text of ours but what is on disk.
   std::uint64_t durableDigest() const;
   std::vector<HistoryEvent> history;
   std::map<std::string, JobSubmission> submissions;
-  std::map<std::string, std::uint32_t> retries, tries;
+  std::map<std::string, std::uint32_t> retriesByQueue, maxAttemptsByQueue;
   std::map<std::string, std::set<std::string>>
-      poolsOf;  // by queue: those that any config sent it to
-  std::map<std::string, std::string> lastShown;
-  std::vector<std::int64_t> acknowledgements;
-  std::function<void(const std::string&)> say;  // each thing of note, for transcripts
+      poolsByQueue;  // by queue: those that any config sent it to
+  std::map<std::string, std::string> lastObservedState;
+  std::vector<std::int64_t> acknowledgementLatencies;
+  std::function<void(const std::string&)> trace;  // each thing of note, for transcripts
   // The moment at which a controller sends an answer, or tells of something: faults are aimed at
   // these.
   std::function<void(std::size_t place, const ApiRequest& request, const ApiResponse& answer)>
-      answering;
+      onResponse;
   std::function<void(std::size_t place, const LogEvent& note)> onLogEvent;
-  void witness(HistoryEvent witness);
+  void recordEvent(HistoryEvent witness);
 
  private:
   struct Node;
@@ -144,64 +145,65 @@
   struct GatewayNode;
   struct WorkerNode;
   struct AgentNode;
-  struct CalledNode;
+  struct CalledWorkerNode;
   struct Call;
   struct CallerState;
   void schedule(std::int64_t time, std::function<void()> work);
   bool cutBetween(const Node& from, const Node& to) const;
   void deliver(Node& from, Node& to, std::function<void()> work);
-  void drive(ControllerNode& node);
+  void processOutputs(ControllerNode& node);
   void finishWrite(ControllerNode& node, std::uint64_t generation);
-  void stepSoon(ControllerNode& node);
+  void scheduleStep(ControllerNode& node);
   void bootController(ControllerNode& node);
   void tickController(ControllerNode& node, std::uint64_t generation);
-  void refreshGateway(GatewayNode& node, std::uint64_t generation);
-  void relay(RoutedNode& node, ApiRequest request, std::function<void(const ApiResponse&)> reply);
-  void follow(RoutedNode& node, std::shared_ptr<LeaderCall> course, ApiRequest request,
-              LeaderCall::Step step, std::function<void(const ApiResponse&)> reply);
+  void refreshRoute(GatewayNode& node, std::uint64_t generation);
+  void callLeader(RoutedNode& node, ApiRequest request,
+                  std::function<void(const ApiResponse&)> reply);
+  void continueLeaderCall(RoutedNode& node, std::shared_ptr<LeaderCall> course, ApiRequest request,
+                          LeaderCall::Step step, std::function<void(const ApiResponse&)> reply);
   void askController(Node& from, const Address& target, const ApiRequest& request,
                      std::int64_t within,
-                     std::function<void(std::optional<ApiResponse>, LeaderCall::Loss)> reply);
+                     std::function<void(std::optional<ApiResponse>, LeaderCall::Failure)> reply);
   void askGateway(Node& from, std::size_t gateway, const std::string& method,
                   const std::string& target, const std::string& body, std::int64_t within,
-                  Follower follower);
+                  ResponseHandler follower);
   void bootWorker(WorkerNode& node);
   void tickWorker(WorkerNode& node, std::uint64_t generation);
   void syncWorker(WorkerNode& node, bool patient);
   void learnContacts(WorkerNode& node, std::size_t place);
-  void followEffects(WorkerNode& node);
+  void applyWorkerEffects(WorkerNode& node);
   void bootAgent(AgentNode& node);
   void tickAgent(AgentNode& node, std::uint64_t generation);
   void learnRoute(AgentNode& node, std::uint64_t generation);
   void syncAgent(AgentNode& node, bool patient);
-  void perform(AgentNode& node, const WorkerCall& call);
-  void bootCalled(CalledNode& node);
-  void tickCalled(CalledNode& node, std::uint64_t generation);
-  void beat(CalledNode& node);
-  void endCalled(CalledNode& node);
-  void sayLeave(CalledNode& node);
-  void hearLeave(AgentNode& agent, const WorkerId& life);
-  void awaitLeavingTold(AgentNode& agent, const WorkerId& life);
-  void acknowledgeLeaving(std::size_t place, const WorkerId& life);
-  void leaveStep(CalledNode& node);
-  void nextTo(Node& to, std::function<void()> work);
+  void callWorker(AgentNode& node, const WorkerCall& call);
+  void bootCalledWorker(CalledWorkerNode& node);
+  void tickCalledWorker(CalledWorkerNode& node, std::uint64_t generation);
+  void sendHeartbeat(CalledWorkerNode& node);
+  void endCalledWorker(CalledWorkerNode& node);
+  void announceDrain(CalledWorkerNode& node);
+  void receiveDrainAnnouncement(AgentNode& agent, const WorkerId& life);
+  void awaitDrainAcknowledgement(AgentNode& agent, const WorkerId& life);
+  void acknowledgeDrain(std::size_t place, const WorkerId& life);
+  void advanceDrain(CalledWorkerNode& node);
+  void deliverLocally(Node& to, std::function<void()> work);
   // What reaches a process that is up still; a frozen one gets it when it wakes.
-  void arrive(Node& to, std::int64_t at, std::function<void()> work);
-  void trySubmit(std::shared_ptr<CallerState> state);
-  void tryCancel(std::shared_ptr<CallerState> state);
-  void watch(std::shared_ptr<CallerState> state);
+  void deliverAt(Node& to, std::int64_t at, std::function<void()> work);
+  void sendSubmission(std::shared_ptr<CallerState> state);
+  void sendCancel(std::shared_ptr<CallerState> state);
+  void pollJob(std::shared_ptr<CallerState> state);
   void freeze(Node& node, bool frozen);
-  ControllerNode* at(const Address& address);
+  ControllerNode* controllerAt(const Address& address);
 
   struct Event {
     std::int64_t time;
     std::uint64_t order;
-    std::function<void()> work;
+    std::function<void()> action;
     bool operator<(const Event& other) const {
       return std::tie(time, order) > std::tie(other.time, other.order);
     }
   };
-  WorldOptions options;
+  SimulatedClusterOptions options;
   Random random;
   std::priority_queue<Event> events;
   std::uint64_t nextEvent = 0;
@@ -211,16 +213,16 @@
   std::vector<std::unique_ptr<GatewayNode>> gateways;
   std::vector<std::unique_ptr<WorkerNode>> workers;
   std::vector<std::unique_ptr<AgentNode>> agents;
-  std::vector<std::unique_ptr<CalledNode>> called;
-  struct Meetings;
-  std::unique_ptr<Meetings> meetings;
-  std::unique_ptr<Node> outside;  // callers and operators
-  std::set<std::pair<std::size_t, std::size_t>> cuts;
+  std::vector<std::unique_ptr<CalledWorkerNode>> calledWorkers;
+  struct GangState;
+  std::unique_ptr<GangState> gangState;
+  std::unique_ptr<Node> clients;  // callers and operators
+  std::set<std::pair<std::size_t, std::size_t>> partitions;
   std::vector<std::shared_ptr<CallerState>> callers;
-  std::vector<Address> seeds;
+  std::vector<Address> seedAddresses;
   std::size_t gatewayAt(const Address& address) const;
   std::uint64_t nextIdentity = 1, nextAddress = 1, nextGatewayAddress = 1, nextExchange = 1;
-  std::map<RequestNumber, std::function<void(const ApiResponse&)>> pending;
+  std::map<RequestNumber, std::function<void(const ApiResponse&)>> pendingRequests;
 };
 
 }  // namespace aniseline
--- a/source/simulator/world_called.cpp
+++ b/source/simulator/world_called.cpp
@@ -3,18 +3,18 @@
 namespace aniseline {
 
 // What passes between two processes of one machine: no cut of the network comes between them.
-void World::nextTo(Node& to, std::function<void()> work) {
-  arrive(to, now + random.between(0, 1), std::move(work));
+void SimulatedCluster::deliverLocally(Node& to, std::function<void()> work) {
+  deliverAt(to, now + random.between(0, 1), std::move(work));
 }
 
 // --- agents
 // ---------------------------------------------------------------------------------------------------
 
-void World::bootAgent(AgentNode& node) {
+void SimulatedCluster::bootAgent(AgentNode& node) {
   node.up = true;
-  node.frozen = node.patientBusy = node.urgentBusy = false;
-  node.beatWaitsUntil = 0;
-  node.route = RouteView{};
+  node.frozen = node.longPollInFlight = node.urgentSyncInFlight = false;
+  node.drainAcknowledgementDueBy = 0;
+  node.route = LeaderRoute{};
   ++node.generation;
   node.core = std::make_unique<NodeAgent>(NodeAgentOptions{});
   learnRoute(node, node.generation);
@@ -22,17 +22,17 @@
 }
 
 // One controller after the other is asked: any of them may be frozen. docs/design.md 9.2.
-void World::learnRoute(AgentNode& node, std::uint64_t generation) {
+void SimulatedCluster::learnRoute(AgentNode& node, std::uint64_t generation) {
   if (!node.up || node.generation != generation)
     return;
   if (!node.frozen) {
-    const auto& known = node.route.controllers.empty() ? seeds : node.route.controllers;
-    if (auto* to = at(known[node.turn++ % known.size()]); to && to->up)
+    const auto& known = node.route.controllers.empty() ? seedAddresses : node.route.controllers;
+    if (auto* to = controllerAt(known[node.nextController++ % known.size()]); to && to->up)
       deliver(node, *to, [this, to, &node] {
-        if (to->core->raftNode().blank())
+        if (to->core->raftNode().isBlank())
           return;
         auto view = to->core->route(MonotonicTime{now + to->monotonicBase});
-        deliver(*to, node, [&node, view] { node.route.takeNewer(view); });
+        deliver(*to, node, [&node, view] { node.route.mergeNewer(view); });
       });
   }
   const bool learned = !node.route.leader.value.empty();
@@ -40,56 +40,58 @@
            [this, &node, generation] { learnRoute(node, generation); });
 }
 
-void World::tickAgent(AgentNode& node, std::uint64_t generation) {
+void SimulatedCluster::tickAgent(AgentNode& node, std::uint64_t generation) {
   if (!node.up || node.generation != generation)
     return;
   if (!node.frozen) {
     for (const auto& call : node.core->takeCalls(MonotonicTime{now}))
-      perform(node, call);
-    if (node.core->mayReport() && !node.patientBusy)
+      callWorker(node, call);
+    if (node.core->mayReport() && !node.longPollInFlight)
       syncAgent(node, true);
-    if (!node.urgentBusy && node.core->urgent(MonotonicTime{now}))
+    if (!node.urgentSyncInFlight && node.core->hasUrgentReport(MonotonicTime{now}))
       syncAgent(node, false);
-    if (node.beatWaitsUntil && (node.core->leavingTold(node.beatOf) || now > node.beatWaitsUntil)) {
-      node.beatWaitsUntil = 0;
-      if (node.core->leavingTold(node.beatOf))
-        acknowledgeLeaving(node.place, node.beatOf);
+    if (node.drainAcknowledgementDueBy && (node.core->drainAcknowledged(node.drainingWorker) ||
+                                           now > node.drainAcknowledgementDueBy)) {
+      node.drainAcknowledgementDueBy = 0;
+      if (node.core->drainAcknowledged(node.drainingWorker))
+        acknowledgeDrain(node.index, node.drainingWorker);
     }
   }
   schedule(now + 5, [this, &node, generation] { tickAgent(node, generation); });
 }
 
-void World::syncAgent(AgentNode& node, bool patient) {
-  (patient ? node.patientBusy : node.urgentBusy) = true;
+void SimulatedCluster::syncAgent(AgentNode& node, bool patient) {
+  (patient ? node.longPollInFlight : node.urgentSyncInFlight) = true;
   ApiRequest request;
-  request.kind = RequestKind::sync;
-  request.report = node.core->report(MonotonicTime{now});
-  request.report.wait = patient ? Duration{1000} : Duration{0};
-  request.id = request.report.id.value;
+  request.kind = RequestKind::syncWorker;
+  request.report = node.core->makeSyncReport(MonotonicTime{now});
+  request.report.longPollTimeout = patient ? Duration{1000} : Duration{0};
+  request.targetId = request.report.id.value;
   const std::int64_t sentAt = now;
-  relay(node, request,
-        [this, &node, patient, sentAt, report = request.report](const ApiResponse& answer) {
-          auto& busy = patient ? node.patientBusy : node.urgentBusy;
-          if (answer.status == 200) {
-            if (auto told = unpack<SyncResponse>(answer.body))
-              node.core->answered(report, told.value(), MonotonicTime{sentAt}, MonotonicTime{now});
-            busy = false;
-            return;
-          }
-          if (answer.status == 410 && report.id == node.core->life())
-            node.core->replaced(MonotonicTime{now});
-          schedule(now + 100, [&node, patient, generation = node.generation] {
-            if (node.generation == generation)
-              (patient ? node.patientBusy : node.urgentBusy) = false;
-          });
-        });
+  callLeader(node, request,
+             [this, &node, patient, sentAt, report = request.report](const ApiResponse& answer) {
+               auto& busy = patient ? node.longPollInFlight : node.urgentSyncInFlight;
+               if (answer.status == 200) {
+                 if (auto told = unpack<SyncResponse>(answer.body))
+                   node.core->onSyncResponse(report, told.value(), MonotonicTime{sentAt},
+                                             MonotonicTime{now});
+                 busy = false;
+                 return;
+               }
+               if (answer.status == 410 && report.id == node.core->workerInstance())
+                 node.core->onDeclaredGone(MonotonicTime{now});
+               schedule(now + 100, [&node, patient, generation = node.generation] {
+                 if (node.generation == generation)
+                   (patient ? node.longPollInFlight : node.urgentSyncInFlight) = false;
+               });
+             });
 }
 
 // --- what they ask of their workers
 // --------------------------------------------------------------------------------
 
-void World::perform(AgentNode& node, const WorkerCall& call) {
-  auto& to = *called[node.place];
+void SimulatedCluster::callWorker(AgentNode& node, const WorkerCall& call) {
+  auto& to = *calledWorkers[node.index];
   const std::uint64_t generation = node.generation;
   auto told = std::make_shared<bool>(false);
   auto tell = [this, &node, generation, told, call](WorkerReply reply) {
@@ -97,41 +99,41 @@
       return;
     *told = true;
     auto hear = [this, &node, call, reply] {
-      node.core->replied(call, reply, MonotonicTime{now});
+      node.core->onWorkerReply(call, reply, MonotonicTime{now});
     };
     if (node.frozen)
-      node.inbox.push_back(hear);
+      node.deferredWork.push_back(hear);
     else
       hear();
   };
   if (!to.up)
     return schedule(now + 1, [tell] { tell({}); });
-  schedule(now + call.within.milliseconds, [tell] { tell({}); });
-  if (to.ordersLate && random.chance(0.85)) {
+  schedule(now + call.timeout.milliseconds, [tell] { tell({}); });
+  if (to.ordersDelayed && random.chance(0.85)) {
     // No answer: it is carried out now, or seconds later and after newer ones.
     const std::int64_t delay =
         random.chance(0.3)
             ? 0
             : random.between(2000, random.chance(0.5) ? 3200 : 12'000);  // many within the lease
-    return schedule(now + delay, [this, &to, call, delay, life = to.worker->life()] {
-      if (to.up && to.worker->life() == life)
-        to.worker->take(call, now, delay > 0);
+    return schedule(now + delay, [this, &to, call, delay, life = to.worker->workerInstance()] {
+      if (to.up && to.worker->workerInstance() == life)
+        to.worker->handleCall(call, now, delay > 0);
     });
   }
-  nextTo(to, [this, &to, &node, call, tell] {
-    WorkerReply reply = to.worker->take(call, now, false);
-    if (to.worker->sickness == CalledWorker::Sickness::mute)
+  deliverLocally(to, [this, &to, &node, call, tell] {
+    WorkerReply reply = to.worker->handleCall(call, now, false);
+    if (to.worker->malfunction == CalledWorker::Malfunction::unresponsive)
       return;
     auto answer = [this, &node, tell](const WorkerReply& given) {
-      nextTo(node, [tell, given] { tell(given); });
+      deliverLocally(node, [tell, given] { tell(given); });
     };
-    if (call.kind != WorkerCall::Kind::look || reply.kind != WorkerReply::Kind::done)
+    if (call.kind != WorkerCall::Kind::poll || reply.status != WorkerReply::Status::ok)
       return answer(reply);
-    if (call.wait.milliseconds > 0 && !to.worker->hasEnding(call.lastSeen)) {
-      to.looks.push_back({call, now + call.wait.milliseconds, answer});
+    if (call.longPollTimeout.milliseconds > 0 && !to.worker->hasResultAfter(call.confirmedUpTo)) {
+      to.pendingPolls.push_back({call, now + call.longPollTimeout.milliseconds, answer});
       return;
     }
-    to.worker->list(reply, now);
+    to.worker->listRuns(reply, now);
     answer(reply);
   });
 }
@@ -139,130 +141,131 @@
 // --- workers that are called
 // ---------------------------------------------------------------------------------------
 
-void World::bootCalled(CalledNode& node) {
+void SimulatedCluster::bootCalledWorker(CalledWorkerNode& node) {
   node.up = true;
-  node.gone = node.leavingAcknowledged = false;
+  node.removed = node.drainAcknowledged = false;
   ++node.generation;
-  node.looks.clear();
-  node.leaving.reset();
-  node.beats = 0;
+  node.pendingPolls.clear();
+  node.drain.reset();
+  node.heartbeats = 0;
   CalledWorkerOptions given;
-  given.life = WorkerId{"w" + std::to_string(node.place + 1) + "." + std::to_string(++node.lives)};
+  given.workerInstance =
+      WorkerId{"w" + std::to_string(node.index + 1) + "." + std::to_string(++node.instanceCount)};
   given.capacity = node.capacity;
   given.clockRate = 0.98 + 0.02 * double(random.between(0, 1000)) / 1000.0;
-  given.clockBase = random.between(1000, 1'000'000);
-  given.gangWait = Duration{options.seed % 3 ? 3000 : 1500};
-  given.endingsAtOnce = std::size_t(std::array<int, 3>{500, 3, 40}[node.place % 3]);
+  given.clockOrigin = random.between(1000, 1'000'000);
+  given.gangTimeout = Duration{options.seed % 3 ? 3000 : 1500};
+  given.maxResultsPerPoll = std::size_t(std::array<int, 3>{500, 3, 40}[node.index % 3]);
   node.worker = std::make_unique<CalledWorker>(
-      given, meetings->gangs, random.next(),
+      given, gangState->rendezvous, random.next(),
       [this](const JobId& id) {
         auto found = submissions.find(id.value);
         return found == submissions.end() ? nullptr : &found->second;
       },
       [this](HistoryEvent told) {
-        told.at = calendar + now;
-        witness(std::move(told));
+        told.timestamp = epochMs + now;
+        recordEvent(std::move(told));
       },
       now);
-  node.worker->sickness = node.sickness;
-  auto capacity = seen(HistoryEvent::Kind::capacity, calendar + now);
-  capacity.worker = given.life.value;
+  node.worker->malfunction = node.malfunction;
+  auto capacity = makeEvent(HistoryEvent::Kind::capacityReported, epochMs + now);
+  capacity.worker = given.workerInstance.value;
   capacity.cores = node.capacity.cores;
   capacity.memory = node.capacity.memory;
   capacity.accelerators = node.capacity.accelerators;
-  capacity.guards = node.capacity.guardsRoom;
+  capacity.enforcesCapacity = node.capacity.enforcesCapacity;
   capacity.detail = "called";
   capacity.pool = node.capacity.pool;
   capacity.labels = node.capacity.labels;
-  witness(capacity);
-  node.beatAt = now + random.between(0, 300);
-  tickCalled(node, node.generation);
+  recordEvent(capacity);
+  node.nextHeartbeatAt = now + random.between(0, 300);
+  tickCalledWorker(node, node.generation);
 }
 
-void World::tickCalled(CalledNode& node, std::uint64_t generation) {
+void SimulatedCluster::tickCalledWorker(CalledWorkerNode& node, std::uint64_t generation) {
   if (!node.up || node.generation != generation)
     return;
   node.worker->tick(now);
-  std::erase_if(node.looks, [&](const CalledNode::Look& look) {
-    if (now < look.until && !node.worker->hasEnding(look.call.lastSeen))
+  std::erase_if(node.pendingPolls, [&](const CalledWorkerNode::PendingPoll& look) {
+    if (now < look.deadline && !node.worker->hasResultAfter(look.call.confirmedUpTo))
       return false;
     WorkerReply reply;
-    reply.kind = WorkerReply::Kind::done;
-    node.worker->list(reply, now);
+    reply.status = WorkerReply::Status::ok;
+    node.worker->listRuns(reply, now);
     look.reply(reply);
     return true;
   });
-  if (now >= node.beatAt) {
-    node.beatAt = now + 500;
-    beat(node);
+  if (now >= node.nextHeartbeatAt) {
+    node.nextHeartbeatAt = now + 500;
+    sendHeartbeat(node);
   }
-  if (node.leaving)
-    leaveStep(node);
-  schedule(now + 5, [this, &node, generation] { tickCalled(node, generation); });
+  if (node.drain)
+    advanceDrain(node);
+  schedule(now + 5, [this, &node, generation] { tickCalledWorker(node, generation); });
 }
 
 // Some beats come seconds late, behind newer ones and after the end of the life that sent them.
-void World::beat(CalledNode& node) {
+void SimulatedCluster::sendHeartbeat(CalledWorkerNode& node) {
   constexpr double lateShare = 0.06;
-  auto account = node.worker->account(now);
-  account.sequence = ++node.beats;
+  auto account = node.worker->accountAt(now);
+  account.sequence = ++node.heartbeats;
   const std::int64_t delay = random.chance(lateShare) ? random.between(500, 6000) : 0;
-  schedule(now + delay, [this, &agent = *agents[node.place], account] {
+  schedule(now + delay, [this, &agent = *agents[node.index], account] {
     if (!agent.up)
       return;
-    nextTo(agent, [this, &agent, account] {
-      if (!agent.core->known(account, MonotonicTime{now}))
+    deliverLocally(agent, [this, &agent, account] {
+      if (!agent.core->onRegistration(account, MonotonicTime{now}))
         return;
-      if (account.leaving)
-        awaitLeavingTold(agent, account.life);
+      if (account.draining)
+        awaitDrainAcknowledgement(agent, account.workerInstance);
     });
   });
 }
 
-void World::endCalled(CalledNode& node) {
+void SimulatedCluster::endCalledWorker(CalledWorkerNode& node) {
   if (!node.up)
     return;
-  node.worker->vanish();
+  node.worker->crash();
   node.up = false;
   ++node.generation;
-  node.looks.clear();
-  auto vanished = seen(HistoryEvent::Kind::vanished, calendar + now);
-  vanished.worker = node.worker->life().value;
-  witness(vanished);
+  node.pendingPolls.clear();
+  auto vanished = makeEvent(HistoryEvent::Kind::workerLost, epochMs + now);
+  vanished.worker = node.worker->workerInstance().value;
+  recordEvent(vanished);
 }
 
-void World::killAgent(std::size_t place) {
+void SimulatedCluster::killAgent(std::size_t place) {
   auto& node = *agents[place];
   if (!node.up)
     return;
   node.up = node.frozen = false;
   ++node.generation;
-  node.inbox.clear();
+  node.deferredWork.clear();
 }
-void World::restartAgent(std::size_t place) {
+void SimulatedCluster::restartAgent(std::size_t place) {
   if (!agents[place]->up)
     bootAgent(*agents[place]);
 }
-void World::freezeAgent(std::size_t place, bool frozen) {
+void SimulatedCluster::freezeAgent(std::size_t place, bool frozen) {
   freeze(*agents[place], frozen);
 }
-void World::cutAgent(std::size_t place, bool cut) {
-  agents[place]->cut = cut;
+void SimulatedCluster::isolateAgent(std::size_t place, bool cut) {
+  agents[place]->isolated = cut;
 }
-void World::killCalled(std::size_t place) {
-  endCalled(*called[place]);
+void SimulatedCluster::killCalledWorker(std::size_t place) {
+  endCalledWorker(*calledWorkers[place]);
 }
-void World::restartCalled(std::size_t place) {
-  if (!called[place]->up)
-    bootCalled(*called[place]);
+void SimulatedCluster::restartCalledWorker(std::size_t place) {
+  if (!calledWorkers[place]->up)
+    bootCalledWorker(*calledWorkers[place]);
 }
-void World::sickenCalled(std::size_t place, Sickness sickness) {
-  auto& node = *called[place];
-  node.sickness = CalledWorker::Sickness(sickness);
-  node.worker->sickness = node.sickness;
+void SimulatedCluster::setCalledWorkerMalfunction(std::size_t place, Malfunction sickness) {
+  auto& node = *calledWorkers[place];
+  node.malfunction = CalledWorker::Malfunction(sickness);
+  node.worker->malfunction = node.malfunction;
 }
-void World::delayOrders(std::size_t place, bool delayed) {
-  called[place]->ordersLate = delayed;
+void SimulatedCluster::setOrdersDelayed(std::size_t place, bool delayed) {
+  calledWorkers[place]->ordersDelayed = delayed;
 }
 
 // --- leavings
@@ -270,88 +273,91 @@
 
 // It announces its end, serves on from the acknowledgement, and ends; with no acknowledgement it
 // ends all the same, some seconds later. Another life begins after that. docs/design.md 12.4.
-void World::leaveCalled(std::size_t place, std::int64_t within, std::int64_t awayFor) {
-  auto& node = *called[place];
-  if (!node.up || node.leaving)
+void SimulatedCluster::drainCalledWorker(std::size_t place, std::int64_t within,
+                                         std::int64_t awayFor) {
+  auto& node = *calledWorkers[place];
+  if (!node.up || node.drain)
     return;
-  CalledNode::Leaving leaving;
-  leaving.byLeave = random.chance(0.5);
-  leaving.since = leaving.sayAgainAt = now;
-  leaving.servesOn =
+  CalledWorkerNode::Drain leaving;
+  leaving.byRequest = random.chance(0.5);
+  leaving.announcedAt = leaving.nextAnnouncementAt = now;
+  leaving.servesAfterAcknowledgement =
       within + (random.chance(0.3) ? random.between(2000, 9000) : random.between(0, 1500));
-  leaving.awayFor = awayFor;
-  node.leaving = leaving;
-  if (!leaving.byLeave) {
-    node.worker->leaving = true;
-    node.worker->leaveWithin = Duration{within};
-    node.beatAt = now;
+  leaving.downtime = awayFor;
+  node.drain = leaving;
+  if (!leaving.byRequest) {
+    node.worker->draining = true;
+    node.worker->drainTimeout = Duration{within};
+    node.nextHeartbeatAt = now;
   }
 }
 
-void World::leaveStep(CalledNode& node) {
+void SimulatedCluster::advanceDrain(CalledWorkerNode& node) {
   constexpr std::int64_t endsWithoutAnswerAfter = 5000, saysAgainAfter = 1000;
-  auto& leaving = *node.leaving;
-  if (leaving.byLeave && !node.leavingAcknowledged && now >= leaving.sayAgainAt) {
-    leaving.sayAgainAt = now + saysAgainAfter;
-    sayLeave(node);
+  auto& leaving = *node.drain;
+  if (leaving.byRequest && !node.drainAcknowledged && now >= leaving.nextAnnouncementAt) {
+    leaving.nextAnnouncementAt = now + saysAgainAfter;
+    announceDrain(node);
   }
-  if (!leaving.endsAt && node.leavingAcknowledged)
-    leaving.endsAt = now + leaving.servesOn;
-  if (!leaving.endsAt && now - leaving.since >= endsWithoutAnswerAfter)
+  if (!leaving.endsAt && node.drainAcknowledged)
+    leaving.endsAt = now + leaving.servesAfterAcknowledgement;
+  if (!leaving.endsAt && now - leaving.announcedAt >= endsWithoutAnswerAfter)
     leaving.endsAt = now;
   if (!leaving.endsAt || now < leaving.endsAt)
     return;
-  if (!leaving.byLeave && !leaving.lastWordSaid) {
-    leaving.lastWordSaid = true;
+  if (!leaving.byRequest && !leaving.finalAnnouncementSent) {
+    leaving.finalAnnouncementSent = true;
     leaving.endsAt = now + random.between(0, 400);
-    return sayLeave(node);
+    return announceDrain(node);
   }
-  const std::int64_t awayFor = leaving.awayFor;
+  const std::int64_t awayFor = leaving.downtime;
   const std::string what = "the end of a called worker that leaves " + std::to_string(now);
-  endCalled(node);
-  disturb(what, false);
-  after(awayFor, [this, &node, what] {
-    restartCalled(node.place);
-    disturb(what, true);
+  endCalledWorker(node);
+  recordFault(what, false);
+  scheduleAfter(awayFor, [this, &node, what] {
+    restartCalledWorker(node.index);
+    recordFault(what, true);
   });
 }
 
-void World::sayLeave(CalledNode& node) {
-  auto& agent = *agents[node.place];
+void SimulatedCluster::announceDrain(CalledWorkerNode& node) {
+  auto& agent = *agents[node.index];
   if (agent.up)
-    nextTo(agent, [this, &agent, life = node.worker->life()] { hearLeave(agent, life); });
+    deliverLocally(agent, [this, &agent, life = node.worker->workerInstance()] {
+      receiveDrainAnnouncement(agent, life);
+    });
 }
 
-void World::hearLeave(AgentNode& agent, const WorkerId& life) {
+void SimulatedCluster::receiveDrainAnnouncement(AgentNode& agent, const WorkerId& life) {
   const Duration within{2000};
-  if (agent.core->leaves(life, within, MonotonicTime{now}))
-    return awaitLeavingTold(agent, life);
+  if (agent.core->onDrainNotice(life, within, MonotonicTime{now}))
+    return awaitDrainAcknowledgement(agent, life);
   ApiRequest leaving;
-  leaving.kind = RequestKind::leave;
-  leaving.id = life.value;
-  leaving.within = within;
-  relay(agent, leaving, [this, &agent, life](const ApiResponse& answer) {
+  leaving.kind = RequestKind::workerShutdown;
+  leaving.targetId = life.value;
+  leaving.drainTimeout = within;
+  callLeader(agent, leaving, [this, &agent, life](const ApiResponse& answer) {
     if (answer.status < 500)
-      acknowledgeLeaving(agent.place, life);
+      acknowledgeDrain(agent.index, life);
   });
 }
 
 // The word of a leaving is acknowledged once it is logged, or not at all.
-void World::awaitLeavingTold(AgentNode& agent, const WorkerId& life) {
+void SimulatedCluster::awaitDrainAcknowledgement(AgentNode& agent, const WorkerId& life) {
   constexpr std::int64_t tellWithin = 900;
-  agent.beatWaitsUntil = now + tellWithin;
-  agent.beatOf = life;
+  agent.drainAcknowledgementDueBy = now + tellWithin;
+  agent.drainingWorker = life;
 }
 
-void World::acknowledgeLeaving(std::size_t place, const WorkerId& life) {
-  auto& node = *called[place];
-  nextTo(node, [this, &node, life] {
-    if (node.leavingAcknowledged || node.worker->life() != life)
+void SimulatedCluster::acknowledgeDrain(std::size_t place, const WorkerId& life) {
+  auto& node = *calledWorkers[place];
+  deliverLocally(node, [this, &node, life] {
+    if (node.drainAcknowledged || node.worker->workerInstance() != life)
       return;
-    node.leavingAcknowledged = true;
-    auto leaving = seen(HistoryEvent::Kind::leaving, calendar + now);
+    node.drainAcknowledged = true;
+    auto leaving = makeEvent(HistoryEvent::Kind::draining, epochMs + now);
     leaving.worker = life.value;
-    witness(leaving);
+    recordEvent(leaving);
   });
 }
 
--- a/source/simulator/world_controllers.cpp
+++ b/source/simulator/world_controllers.cpp
@@ -2,40 +2,40 @@
 
 namespace aniseline {
 
-void World::bootController(ControllerNode& node) {
+void SimulatedCluster::bootController(ControllerNode& node) {
   node.up = true;
   node.frozen = false;
   ++node.generation;
-  node.writing.reset();
+  node.writeInFlight.reset();
   if (node.identity.value.empty())
     node.identity = ControllerId{"r" + std::to_string(nextIdentity++)};
   const Member self{node.identity, node.address, ZoneName{"zone" + std::to_string(node.zone + 1)},
                     false};
-  node.keeper = SnapshotWriter();
+  node.snapshotWriter = SnapshotWriter();
   ControllerOptions settings = options.controller;
-  settings.voters = node.voters.value_or(settings.voters);
+  settings.voterCount = node.votersOverride.value_or(settings.voterCount);
   node.core = std::make_unique<Controller>(self, settings, random.next(), node.disk,
                                            MonotonicTime{now + node.monotonicBase});
   node.core->logEvent.connect([this, &node](const LogEvent& note) {
     if (onLogEvent)
-      schedule(now, [this, place = node.place, note] { onLogEvent(place, note); });
-    if (say)
-      say(node.identity.value + " " + note.what +
-          (note.fields.empty() ? "" : " " + picojson::value(note.fields).serialize()));
+      schedule(now, [this, place = node.index, note] { onLogEvent(place, note); });
+    if (trace)
+      trace(node.identity.value + " " + note.what +
+            (note.fields.empty() ? "" : " " + picojson::value(note.fields).serialize()));
   });
   schedule(now, [this, &node, generation = node.generation] { tickController(node, generation); });
 }
 
-void World::tickController(ControllerNode& node, std::uint64_t generation) {
+void SimulatedCluster::tickController(ControllerNode& node, std::uint64_t generation) {
   if (!node.up || node.generation != generation)
     return;
   if (!node.frozen) {
-    stepSoon(node);
-    if (node.core->raftNode().blank() && now >= node.seekAt) {
-      node.seekAt = now + 200;
+    scheduleStep(node);
+    if (node.core->raftNode().isBlank() && now >= node.nextJoinAttemptAt) {
+      node.nextJoinAttemptAt = now + 200;
       for (auto& other : controllers)
         if (other.get() != &node && other->up && !other->frozen && !cutBetween(node, *other) &&
-            !other->core->raftNode().blank()) {
+            !other->core->raftNode().isBlank()) {
           const auto route = other->core->route(MonotonicTime{now + other->monotonicBase});
           if (!route.leader.value.empty())
             node.core->join(route.leader);
@@ -43,8 +43,8 @@
     }
     if (node.core->raftNode().removedFromCluster()) {
       // docs/design.md 3.5: it puts its state aside and begins as a new identity.
-      if (say)
-        say(node.identity.value + " is retired and begins anew");
+      if (trace)
+        trace(node.identity.value + " is retired and begins anew");
       node.identity = ControllerId{};
       node.disk.clear();
       bootController(node);
@@ -54,136 +54,137 @@
   schedule(now + 10, [this, &node, generation] { tickController(node, generation); });
 }
 
-void World::stepSoon(ControllerNode& node) {
-  if (node.stepping)
+void SimulatedCluster::scheduleStep(ControllerNode& node) {
+  if (node.stepScheduled)
     return;
-  node.stepping = true;
+  node.stepScheduled = true;
   const std::uint64_t generation = node.generation;
   schedule(now, [this, &node, generation] {
-    node.stepping = false;
+    node.stepScheduled = false;
     if (!node.up || node.generation != generation || node.frozen)
       return;
     node.core->step(MonotonicTime{now + node.monotonicBase},
-                    WallTime{calendar + now + node.wallOffset});
-    drive(node);
+                    WallTime{epochMs + now + node.clockOffset});
+    processOutputs(node);
   });
 }
 
-void World::finishWrite(ControllerNode& node, std::uint64_t generation) {
-  if (!node.up || node.generation != generation || !node.writing)
+void SimulatedCluster::finishWrite(ControllerNode& node, std::uint64_t generation) {
+  if (!node.up || node.generation != generation || !node.writeInFlight)
     return;
-  if (now < node.stalledUntil)
-    return schedule(node.stalledUntil + 1,
+  if (now < node.diskStalledUntil)
+    return schedule(node.diskStalledUntil + 1,
                     [this, &node, generation] { finishWrite(node, generation); });
-  if (node.full)
-    return killController(node.place, true);  // a write that failed is not vouched for
+  if (node.diskFull)
+    return killController(node.index, true);  // a write that failed is not vouched for
   // The operating system's work goes on while the process is frozen; the news of it waits.
-  const DiskVersion version = node.writing->version;
-  if (node.writing->whole)
+  const DiskVersion version = node.writeInFlight->version;
+  if (node.writeInFlight->holdsSnapshot)
     node.disk.clear();
-  node.disk.push_back(std::move(*node.writing));
-  node.writing.reset();
+  node.disk.push_back(std::move(*node.writeInFlight));
+  node.writeInFlight.reset();
   auto tell = [this, &node, version] {
-    node.core->synced(version, MonotonicTime{now + node.monotonicBase});
-    stepSoon(node);
+    node.core->onRecordSynced(version, MonotonicTime{now + node.monotonicBase});
+    scheduleStep(node);
   };
   if (node.frozen)
-    node.inbox.push_back(tell);
+    node.deferredWork.push_back(tell);
   else
     tell();
 }
 
-void World::drive(ControllerNode& node) {
+void SimulatedCluster::processOutputs(ControllerNode& node) {
   if (auto record = node.core->takeWrite()) {
-    node.writing = std::move(*record);
-    writesDigest = hashBytes(writesDigest, pack(*node.writing));
-    const std::int64_t done = std::max(now, node.stalledUntil) + random.between(1, 4) + node.slow;
+    node.writeInFlight = std::move(*record);
+    writesDigest = hashBytes(writesDigest, pack(*node.writeInFlight));
+    const std::int64_t done =
+        std::max(now, node.diskStalledUntil) + random.between(1, 4) + node.diskDelay;
     const std::uint64_t generation = node.generation;
     schedule(done, [this, &node, generation] { finishWrite(node, generation); });
   }
   if (auto work = node.core->takeSnapshotWork(); !work.empty())
-    if (auto view = node.keeper.work(work))
+    if (auto view = node.snapshotWriter.process(work))
       schedule(now + random.between(1, 60),
                [this, &node, generation = node.generation, view = std::move(*view)] {
                  if (!node.up || node.generation != generation)
                    return;
                  auto tell = [this, &node, view] {
-                   node.core->packed(view);
-                   stepSoon(node);
+                   node.core->onSnapshotPacked(view);
+                   scheduleStep(node);
                  };
                  if (node.frozen)
-                   node.inbox.push_back(tell);
+                   node.deferredWork.push_back(tell);
                  else
                    tell();
                });
   for (auto& message : node.core->takeMessages()) {
-    auto* to = at(message.toAddress);
+    auto* to = controllerAt(message.toAddress);
     if (!to || !to->up)
       continue;
     deliver(node, *to, [this, to, message] {
       to->core->receive(message, MonotonicTime{now + to->monotonicBase});
-      stepSoon(*to);
+      scheduleStep(*to);
     });
   }
-  for (auto& [number, answer] : node.core->takeAnswers()) {
-    auto found = pending.find(number);
-    if (found == pending.end())
+  for (auto& [number, answer] : node.core->takeResponses()) {
+    auto found = pendingRequests.find(number);
+    if (found == pendingRequests.end())
       continue;
     auto reply = std::move(found->second);
-    pending.erase(found);
+    pendingRequests.erase(found);
     reply(answer);
   }
 }
 
-void World::killController(std::size_t place, bool losesUnsynced) {
+void SimulatedCluster::killController(std::size_t place, bool losesUnsynced) {
   auto& node = *controllers[place];
   if (!node.up)
     return;
   // A mere kill leaves what the system was already writing; a loss of power does not.
-  if (node.writing && !losesUnsynced && random.chance(0.5)) {
-    if (node.writing->whole)
+  if (node.writeInFlight && !losesUnsynced && random.chance(0.5)) {
+    if (node.writeInFlight->holdsSnapshot)
       node.disk.clear();
-    node.disk.push_back(*node.writing);
+    node.disk.push_back(*node.writeInFlight);
   }
-  node.writing.reset();
+  node.writeInFlight.reset();
   node.up = node.frozen = false;
   ++node.generation;
-  node.inbox.clear();
-  node.stepping = false;
-  auto dead = std::exchange(node.onDeath, {});
+  node.deferredWork.clear();
+  node.stepScheduled = false;
+  auto dead = std::exchange(node.onExit, {});
   for (auto& [key, tell] : dead)
     tell();
 }
-void World::restartController(std::size_t place) {
+void SimulatedCluster::restartController(std::size_t place) {
   if (!controllers[place]->up)
     bootController(*controllers[place]);
 }
-void World::setVoters(std::size_t place, std::size_t voters) {
-  controllers[place]->voters = voters;
+void SimulatedCluster::setVoters(std::size_t place, std::size_t voters) {
+  controllers[place]->votersOverride = voters;
 }
-void World::loseDisk(std::size_t place) {
+void SimulatedCluster::loseDisk(std::size_t place) {
   killController(place, true);
   controllers[place]->disk.clear();
   controllers[place]->identity = ControllerId{};
 }
-void World::moveController(std::size_t place) {
+void SimulatedCluster::moveController(std::size_t place) {
   controllers[place]->address = Address{"10.0.0." + std::to_string(nextAddress++) + ":1"};
 }
-void World::freezeController(std::size_t place, bool frozen) {
+void SimulatedCluster::freezeController(std::size_t place, bool frozen) {
   freeze(*controllers[place], frozen);
   if (!frozen)
-    controllers[place]->stepping = false, stepSoon(*controllers[place]);
+    controllers[place]->stepScheduled = false, scheduleStep(*controllers[place]);
 }
-void World::cutController(std::size_t place, bool cut) {
-  controllers[place]->cut = cut;
+void SimulatedCluster::isolateController(std::size_t place, bool cut) {
+  controllers[place]->isolated = cut;
 }
-void World::stallDisk(std::size_t place, std::int64_t milliseconds) {
-  controllers[place]->stalledUntil = now + milliseconds;
+void SimulatedCluster::stallDisk(std::size_t place, std::int64_t milliseconds) {
+  controllers[place]->diskStalledUntil = now + milliseconds;
 }
-void World::slowDisk(std::size_t place, std::int64_t extra) {
-  controllers[place]->slow = extra;
+void SimulatedCluster::slowDisk(std::size_t place, std::int64_t extra) {
+  controllers[place]->diskDelay = extra;
 }
-std::uint64_t World::durableDigest() const {
+std::uint64_t SimulatedCluster::durableDigest() const {
   std::uint64_t digest = writesDigest;
   for (const auto& node : controllers)
     if (node->up)
@@ -191,44 +192,44 @@
   return digest;
 }
 
-std::vector<WriteAheadRecord> World::copyDisk(std::size_t place) const {
+std::vector<WriteAheadRecord> SimulatedCluster::copyDisk(std::size_t place) const {
   return controllers[place]->disk;
 }
-void World::putDisk(std::size_t place, std::vector<WriteAheadRecord> records) {
+void SimulatedCluster::replaceDisk(std::size_t place, std::vector<WriteAheadRecord> records) {
   controllers[place]->disk = std::move(records);
 }
-void World::setClock(std::size_t place, std::int64_t wrongBy) {
-  controllers[place]->wallOffset = wrongBy;
+void SimulatedCluster::setClockOffset(std::size_t place, std::int64_t wrongBy) {
+  controllers[place]->clockOffset = wrongBy;
 }
-void World::fillDisk(std::size_t place, bool full) {
-  controllers[place]->full = full;
+void SimulatedCluster::setDiskFull(std::size_t place, bool full) {
+  controllers[place]->diskFull = full;
 }
-void World::sayControllers() const {
+void SimulatedCluster::traceControllers() const {
   for (const auto& node : controllers) {
     const auto& agreed = node->core->raftNode();
     std::string text =
         node->identity.value + " at " + node->address.value + (node->up ? "" : " down") +
         (node->frozen ? " frozen" : "") + ": " + name(agreed.role()) + " of term " +
-        std::to_string(agreed.term().value) + ", leader '" + agreed.leader().value + "', last " +
-        std::to_string(agreed.last().value) + ", commit " +
+        std::to_string(agreed.term().value) + ", leader '" + agreed.leaderId().value + "', last " +
+        std::to_string(agreed.lastIndex().value) + ", commit " +
         std::to_string(agreed.commitIndex().value) + ", disk " + std::to_string(node->disk.size()) +
-        (node->writing ? " writing" : "") + ", members";
-    for (const auto& member : agreed.members())
-      text += " " + member.id.value + "@" + member.peer.value + (member.voter ? "*" : "");
-    say(text);
+        (node->writeInFlight ? " writing" : "") + ", members";
+    for (const auto& member : agreed.membership())
+      text += " " + member.id.value + "@" + member.address.value + (member.voter ? "*" : "");
+    trace(text);
   }
 }
-std::optional<std::size_t> World::copiesLost() const {
+std::optional<std::size_t> SimulatedCluster::votersWithoutDisk() const {
   const RaftNode* latest = nullptr;
   for (const auto& node : controllers) {
     const auto& agreed = node->core->raftNode();
-    if (!agreed.membersSettled())
+    if (!agreed.membershipCommitted())
       return std::nullopt;
     if (!latest || agreed.commitIndex() > latest->commitIndex())
       latest = &agreed;
   }
   std::size_t voters = 0, lost = 0;
-  for (const auto& member : latest->members()) {
+  for (const auto& member : latest->membership()) {
     if (!member.voter)
       continue;
     ++voters;
@@ -236,9 +237,9 @@
       return node->identity == member.id && !node->disk.empty();
     });
   }
-  return voters == votersWanted() ? std::optional(lost) : std::nullopt;
+  return voters == configuredVoters() ? std::optional(lost) : std::nullopt;
 }
-void World::transferLeadership(std::size_t place) {
+void SimulatedCluster::transferLeadership(std::size_t place) {
   controllers[place]->core->transferLeadership(
       MonotonicTime{now + controllers[place]->monotonicBase});
 }
--- a/source/simulator/world_workers.cpp
+++ b/source/simulator/world_workers.cpp
@@ -2,89 +2,90 @@
 
 namespace aniseline {
 
-void World::bootWorker(WorkerNode& node) {
+void SimulatedCluster::bootWorker(WorkerNode& node) {
   node.up = true;
-  node.frozen = node.patientBusy = node.urgentBusy = false;
+  node.frozen = node.longPollInFlight = node.urgentSyncInFlight = false;
   ++node.generation;
   WorkerSession::Options hand;
   hand.id = WorkerId{node.id};
   hand.capacity = node.capacity;
-  node.hand = std::make_unique<WorkerSession>(hand, Incarnation{random.next() | 1});
+  node.session = std::make_unique<WorkerSession>(hand, Incarnation{random.next() | 1});
   std::vector<Address> firstContacts;  // what its settings say when it is started
   for (std::size_t place = 0; place < std::min<std::size_t>(3, gateways.size()); ++place)
-    firstContacts.push_back(gateways[place]->outer);
-  node.contacts = std::make_unique<PeerDirectory>(firstContacts, random.next());
-  auto capacity = seen(HistoryEvent::Kind::capacity, calendar + now);
+    firstContacts.push_back(gateways[place]->publicAddress);
+  node.gatewayDirectory = std::make_unique<PeerDirectory>(firstContacts, random.next());
+  auto capacity = makeEvent(HistoryEvent::Kind::capacityReported, epochMs + now);
   capacity.worker = node.id;
   capacity.cores = node.capacity.cores;
   capacity.memory = node.capacity.memory;
-  capacity.guards = node.capacity.guardsRoom;
+  capacity.enforcesCapacity = node.capacity.enforcesCapacity;
   if (!node.capacity.honoursLeases)
     capacity.detail = "leaseless";
-  witness(capacity);
+  recordEvent(capacity);
   tickWorker(node, node.generation);
 }
 
-void World::tickWorker(WorkerNode& node, std::uint64_t generation) {
+void SimulatedCluster::tickWorker(WorkerNode& node, std::uint64_t generation) {
   if (!node.up || node.generation != generation)
     return;
   if (!node.frozen) {
-    node.hand->tick(MonotonicTime{now});
-    followEffects(node);
+    node.session->tick(MonotonicTime{now});
+    applyWorkerEffects(node);
     std::vector<AttemptNumber> due;
     for (auto& [attempt, task] : node.tasks)
-      if (task.active && now - task.since >= task.left)
+      if (task.active && now - task.resumedAt >= task.remaining)
         due.push_back(attempt);
     for (auto attempt : due) {
       auto& task = node.tasks[attempt];
-      const bool well = !random.chance(node.fail);
-      auto ended = seen(HistoryEvent::Kind::ended, calendar + now);
+      const bool well = !random.chance(node.failureRate);
+      auto ended = makeEvent(HistoryEvent::Kind::ended, epochMs + now);
       ended.worker = node.id;
       ended.job = task.order.job.value;
-      ended.task = task.order.task;
+      ended.task = task.order.taskIndex;
       ended.attempt = std::to_string(attempt.value);
       ended.detail = well ? "finished" : "failed";
-      witness(ended);
+      recordEvent(ended);
       node.tasks.erase(attempt);
-      node.hand->ended(attempt, well, MonotonicTime{now});
+      node.session->onTaskEnded(attempt, well, MonotonicTime{now});
     }
-    if (!node.patientBusy)
+    if (!node.longPollInFlight)
       syncWorker(node, true);
-    if (!node.urgentBusy && node.hand->urgent())
+    if (!node.urgentSyncInFlight && node.session->hasUrgentReport())
       syncWorker(node, false);
   }
   schedule(now + 5, [this, &node, generation] { tickWorker(node, generation); });
 }
 
-void World::syncWorker(WorkerNode& node, bool patient) {
-  auto report = node.hand->report(MonotonicTime{now});
+void SimulatedCluster::syncWorker(WorkerNode& node, bool patient) {
+  auto report = node.session->makeSyncReport(MonotonicTime{now});
   if (!patient)
-    report.wait = Duration{0};
+    report.longPollTimeout = Duration{0};
   const std::int64_t sentAt = now;
-  (patient ? node.patientBusy : node.urgentBusy) = true;
+  (patient ? node.longPollInFlight : node.urgentSyncInFlight) = true;
   const auto incarnation = report.incarnation;
-  node.contacts->learn(node.hand->gateways());
-  askGateway(node, gatewayAt(node.contacts->current(MonotonicTime{now})), "POST",
-             "/v1/workers/" + node.id + "/sync", renderReport(report),
-             report.wait.milliseconds + 300,
+  node.gatewayDirectory->update(node.session->gateways());
+  askGateway(node, gatewayAt(node.gatewayDirectory->current(MonotonicTime{now})), "POST",
+             "/v1/workers/" + node.id + "/sync", renderSyncReport(report),
+             report.longPollTimeout.milliseconds + 300,
              [this, &node, patient, sentAt, incarnation](int status, const std::string& body) {
-               auto& busy = patient ? node.patientBusy : node.urgentBusy;
-               if (node.hand->currentIncarnation() != incarnation) {
+               auto& busy = patient ? node.longPollInFlight : node.urgentSyncInFlight;
+               if (node.session->currentIncarnation() != incarnation) {
                  busy = false;
                  return;
                }
                if (status == 200) {
                  if (auto answer = SyncResponse::parse(body))
-                   node.hand->answered(incarnation, answer.value(), MonotonicTime{sentAt},
-                                       MonotonicTime{now});
-                 followEffects(node);
+                   node.session->onSyncResponse(incarnation, answer.value(), MonotonicTime{sentAt},
+                                                MonotonicTime{now});
+                 applyWorkerEffects(node);
                } else if (status == 410) {
-                 node.hand->replaced(Incarnation{random.next() | 1});
-                 followEffects(node);
+                 node.session->onReplaced(Incarnation{random.next() | 1});
+                 applyWorkerEffects(node);
                } else {
-                 if (!node.contacts->knowsMore())
-                   learnContacts(node, gatewayAt(node.contacts->current(MonotonicTime{now})));
-                 node.contacts->failed(MonotonicTime{now});
+                 if (!node.gatewayDirectory->hasLearned())
+                   learnContacts(node,
+                                 gatewayAt(node.gatewayDirectory->current(MonotonicTime{now})));
+                 node.gatewayDirectory->markFailed(MonotonicTime{now});
                }
                if (status == 200 && patient) {
                  busy = false;
@@ -93,101 +94,103 @@
                const std::uint64_t generation = node.generation;
                schedule(now + (status == 200 ? 5 : 50), [&node, patient, generation] {
                  if (node.generation == generation)
-                   (patient ? node.patientBusy : node.urgentBusy) = false;
+                   (patient ? node.longPollInFlight : node.urgentSyncInFlight) = false;
                });
              });
 }
 
 // Whatever gateway answers names the others, even while no leader is there.
-void World::learnContacts(WorkerNode& node, std::size_t place) {
-  if (place == noGateway || !gateways[place]->up)
+void SimulatedCluster::learnContacts(WorkerNode& node, std::size_t place) {
+  if (place == gatewayNotFound || !gateways[place]->up)
     return;
   auto* from = gateways[place].get();
   deliver(node, *from, [this, &node, from] {
-    const auto inForce = preferred(from->route.gateways, node.capacity.zone, node.place);
-    deliver(*from, node, [&node, inForce] { node.contacts->learn(inForce); });
+    const auto inForce =
+        orderedByZonePreference(from->route.gateways, node.capacity.zone, node.index);
+    deliver(*from, node, [&node, inForce] { node.gatewayDirectory->update(inForce); });
   });
 }
 
-void World::followEffects(WorkerNode& node) {
-  for (const auto& [order, kind] : node.hand->takeConfirmed()) {
-    auto told = seen(HistoryEvent::Kind::confirmed, calendar + now);
+void SimulatedCluster::applyWorkerEffects(WorkerNode& node) {
+  for (const auto& [order, kind] : node.session->takeConfirmedResults()) {
+    auto told = makeEvent(HistoryEvent::Kind::resultConfirmed, epochMs + now);
     told.worker = node.id;
     told.job = order.job.value;
-    told.task = order.task;
+    told.task = order.taskIndex;
     told.attempt = std::to_string(order.attempt.value);
     told.detail = name(kind);
-    witness(told);
+    recordEvent(told);
   }
-  for (const auto& effect : node.hand->takeEffects()) {
+  for (const auto& effect : node.session->takeCommands()) {
     auto found = node.tasks.find(effect.attempt);
     auto base = [&](HistoryEvent::Kind kind, const Order& order) {
-      auto given = seen(kind, calendar + now);
+      auto given = makeEvent(kind, epochMs + now);
       given.worker = node.id;
       given.job = order.job.value;
-      given.task = order.task;
+      given.task = order.taskIndex;
       given.attempt = std::to_string(order.attempt.value);
       given.cores = order.cores;
       given.memory = order.memory;
       given.trial = order.quantum.milliseconds > 0;
       return given;
     };
-    if (effect.kind == HandEffect::Kind::start) {
+    if (effect.kind == TaskCommand::Kind::start) {
       std::int64_t run = effect.order.runtime.milliseconds;
       if (effect.order.payload.starts_with("run="))
         run = std::strtoll(effect.order.payload.c_str() + 4, nullptr, 10);
-      run = std::int64_t(double(run) * node.slow);
+      run = std::int64_t(double(run) * node.slowdown);
       node.tasks[effect.attempt] = {effect.order, now, run, run, true};
-      witness(base(HistoryEvent::Kind::started, effect.order));
+      recordEvent(base(HistoryEvent::Kind::started, effect.order));
     } else if (found == node.tasks.end())
       continue;
-    else if (effect.kind == HandEffect::Kind::hold) {
-      found->second.left -= now - found->second.since;
+    else if (effect.kind == TaskCommand::Kind::suspend) {
+      found->second.remaining -= now - found->second.resumedAt;
       found->second.active = false;
-      witness(base(HistoryEvent::Kind::held, found->second.order));
-    } else if (effect.kind == HandEffect::Kind::resume) {
-      found->second.since = now;
+      recordEvent(base(HistoryEvent::Kind::suspended, found->second.order));
+    } else if (effect.kind == TaskCommand::Kind::resume) {
+      found->second.resumedAt = now;
       found->second.active = true;
-      witness(base(HistoryEvent::Kind::resumed, found->second.order));
+      recordEvent(base(HistoryEvent::Kind::resumed, found->second.order));
     } else {
       auto& task = found->second;
-      const std::int64_t ran = task.total - task.left + (task.active ? now - task.since : 0);
+      const std::int64_t ran =
+          task.total - task.remaining + (task.active ? now - task.resumedAt : 0);
       auto ended = base(HistoryEvent::Kind::ended, task.order);
       ended.detail = task.order.quantum.milliseconds > 0 && ran >= task.order.quantum.milliseconds
                          ? "ran_out"
                          : "stopped";
-      witness(ended);
+      recordEvent(ended);
       node.tasks.erase(found);
     }
   }
 }
 
-void World::killWorker(std::size_t place, bool forGood) {
+void SimulatedCluster::killWorker(std::size_t place, bool forGood) {
   auto& node = *workers[place];
-  node.gone = node.gone || forGood;
+  node.removed = node.removed || forGood;
   if (!node.up)
     return;
   node.up = node.frozen = false;
   ++node.generation;
-  node.inbox.clear();
+  node.deferredWork.clear();
   node.tasks.clear();
-  auto vanished = seen(HistoryEvent::Kind::vanished, calendar + now);
+  auto vanished = makeEvent(HistoryEvent::Kind::workerLost, epochMs + now);
   vanished.worker = node.id;
-  witness(vanished);
+  recordEvent(vanished);
 }
-void World::restartWorker(std::size_t place) {
-  if (!workers[place]->up && !workers[place]->gone)
+void SimulatedCluster::restartWorker(std::size_t place) {
+  if (!workers[place]->up && !workers[place]->removed)
     bootWorker(*workers[place]);
 }
-bool World::isWorkerUp(const std::string& id) const {
+bool SimulatedCluster::isWorkerUp(const std::string& id) const {
   return std::any_of(workers.begin(), workers.end(),
                      [&](const auto& node) { return node->id == id && node->up; });
 }
-void World::returnWorker(std::size_t place) {
-  workers[place]->gone = false;
+void SimulatedCluster::reinstateWorker(std::size_t place) {
+  workers[place]->removed = false;
   restartWorker(place);
 }
-void World::freezeWorker(std::size_t place, bool frozen) {
+void SimulatedCluster::freezeWorker(std::size_t place, bool frozen) {
   auto& node = *workers[place];
   if (!node.up || node.frozen == frozen)
     return;
@@ -195,81 +198,81 @@
   for (auto& [attempt, task] : node.tasks) {
     if (!task.active)
       continue;
-    auto given =
-        seen(frozen ? HistoryEvent::Kind::held : HistoryEvent::Kind::resumed, calendar + now);
+    auto given = makeEvent(frozen ? HistoryEvent::Kind::suspended : HistoryEvent::Kind::resumed,
+                           epochMs + now);
     given.worker = node.id;
     given.job = task.order.job.value;
-    given.task = task.order.task;
+    given.task = task.order.taskIndex;
     given.attempt = std::to_string(attempt.value);
     if (frozen) {
-      task.left -= now - task.since;
-      witness(given);
+      task.remaining -= now - task.resumedAt;
+      recordEvent(given);
     }
   }
   if (!frozen) {
     // Woken, it looks at the time before anything else.
     for (auto& [attempt, task] : node.tasks)
       if (task.active)
-        task.since = now;
+        task.resumedAt = now;
     auto before = node.tasks;
     node.frozen = false;
-    node.hand->tick(MonotonicTime{now});
+    node.session->tick(MonotonicTime{now});
     node.frozen = true;
-    for (const auto& effect : node.hand->takeEffects()) {
+    for (const auto& effect : node.session->takeCommands()) {
       auto found = node.tasks.find(effect.attempt);
       if (found == node.tasks.end())
         continue;
-      if (effect.kind == HandEffect::Kind::hold)
+      if (effect.kind == TaskCommand::Kind::suspend)
         found->second.active = false;
-      else if (effect.kind == HandEffect::Kind::stop) {
-        auto ended = seen(HistoryEvent::Kind::ended, calendar + now);
+      else if (effect.kind == TaskCommand::Kind::stop) {
+        auto ended = makeEvent(HistoryEvent::Kind::ended, epochMs + now);
         ended.worker = node.id;
         ended.job = found->second.order.job.value;
-        ended.task = found->second.order.task;
+        ended.task = found->second.order.taskIndex;
         ended.attempt = std::to_string(effect.attempt.value);
         ended.detail = "ran_out";
-        witness(ended);
+        recordEvent(ended);
         node.tasks.erase(found);
       }
     }
     for (auto& [attempt, task] : node.tasks) {
       if (!task.active)
         continue;
-      auto given = seen(HistoryEvent::Kind::resumed, calendar + now);
+      auto given = makeEvent(HistoryEvent::Kind::resumed, epochMs + now);
       given.worker = node.id;
       given.job = task.order.job.value;
-      given.task = task.order.task;
+      given.task = task.order.taskIndex;
       given.attempt = std::to_string(attempt.value);
-      witness(given);
+      recordEvent(given);
     }
   }
   freeze(node, frozen);
 }
-void World::cutWorker(std::size_t place, bool cut) {
-  workers[place]->cut = cut;
+void SimulatedCluster::isolateWorker(std::size_t place, bool cut) {
+  workers[place]->isolated = cut;
 }
-void World::leaveWorker(std::size_t place, std::int64_t within) {
+void SimulatedCluster::drainWorker(std::size_t place, std::int64_t within) {
   auto& node = *workers[place];
   if (node.up && !node.frozen) {
-    node.hand->leave(Duration{within});
-    auto leaving = seen(HistoryEvent::Kind::leaving, calendar + now);
+    node.session->startDraining(Duration{within});
+    auto leaving = makeEvent(HistoryEvent::Kind::draining, epochMs + now);
     leaving.worker = node.id;
-    witness(leaving);
+    recordEvent(leaving);
   }
-  after(within + 2000, [this, place, generation = node.generation] {
+  scheduleAfter(within + 2000, [this, place, generation = node.generation] {
     if (workers[place]->generation == generation)
       killWorker(place, true);  // else it is another process by now
   });
 }
-void World::setWorker(std::size_t place, double slow, double fail) {
-  workers[place]->slow = slow;
-  workers[place]->fail = fail;
+void SimulatedCluster::setWorkerBehaviour(std::size_t place, double slow, double fail) {
+  workers[place]->slowdown = slow;
+  workers[place]->failureRate = fail;
 }
-void World::cutZones(std::size_t from, std::size_t to, bool cut) {
+void SimulatedCluster::partitionZones(std::size_t from, std::size_t to, bool cut) {
   if (cut)
-    cuts.insert({from, to});
+    partitions.insert({from, to});
   else
-    cuts.erase({from, to});
+    partitions.erase({from, to});
 }
 
 }  // namespace aniseline
--- a/source/state/api_request.cpp
+++ b/source/state/api_request.cpp
@@ -12,15 +12,15 @@
   return names[std::size_t(kind)];
 }
 
-bool RouteView::hasRoomFor(const ApiRequest& request, std::size_t underWay,
-                           std::size_t most) const {
-  return roomFor(request.kind,
-                 request.kind == RequestKind::submitJob &&
-                     !std::count(urgent.begin(), urgent.end(), request.job.queue),
-                 underWay, most);
+bool LeaderRoute::admits(const ApiRequest& request, std::size_t underWay, std::size_t most) const {
+  return admitsRequest(
+      request.kind,
+      request.kind == RequestKind::submitJob &&
+          !std::count(priorityQueues.begin(), priorityQueues.end(), request.job.queue),
+      underWay, most);
 }
-std::vector<Address> preferred(const std::vector<Contact>& contacts, const ZoneName& zone,
-                               std::uint64_t spread) {
+std::vector<Address> orderedByZonePreference(const std::vector<GatewayEndpoint>& contacts,
+                                             const ZoneName& zone, std::uint64_t spread) {
   std::vector<Address> near, far;
   for (const auto& contact : contacts)
     (contact.zone == zone ? near : far).push_back(contact.address);
@@ -31,8 +31,8 @@
   near.insert(near.end(), far.begin(), far.end());
   return near;
 }
-std::size_t textBytes(const ApiRequest& request) {
-  std::size_t bytes = request.text.size() + request.parsedConfig.size() + request.path.size() +
+std::size_t payloadBytes(const ApiRequest& request) {
+  std::size_t bytes = request.text.size() + request.packedConfig.size() + request.path.size() +
                       request.job.payload.size();
   for (const auto& step : request.job.steps)
     for (const auto& task : step.tasks)
@@ -40,8 +40,8 @@
   return bytes;
 }
 
-bool roomFor(RequestKind kind, bool plain, std::size_t underWay, std::size_t most) {
-  if (kind == RequestKind::sync)
+bool admitsRequest(RequestKind kind, bool plain, std::size_t underWay, std::size_t most) {
+  if (kind == RequestKind::syncWorker)
     return true;  // as many as there are workers, and without them nothing ends
   return underWay < (plain ? most - most / 5 : most);
 }
@@ -56,16 +56,16 @@
                                Duration retryAfter) {
   ApiResponse answer = of(status, {{"error", json(kind)}, {"text", json(text)}});
   answer.retryAfter = retryAfter;
-  answer.kind = kind;
+  answer.errorKind = kind;
   return answer;
 }
-ApiResponse ApiResponse::unknown(const std::string& text) {
+ApiResponse ApiResponse::outcomeUnknown(const std::string& text) {
   return error(503, "unknown", text, Duration{500});
 }
-ApiResponse ApiResponse::notTaken(const std::string& text) {
+ApiResponse ApiResponse::notApplied(const std::string& text) {
   return error(503, "not_taken", text + "; nothing was taken, ask again", Duration{300});
 }
-ApiResponse ApiResponse::from(const CoreError& error) {
+ApiResponse ApiResponse::fromError(const CoreError& error) {
   int status = 400;
   const char* kind = "invalid";
   Duration retryAfter{0};
@@ -78,10 +78,10 @@
     case CoreError::Kind::overloaded:
       status = 429, kind = "overloaded", retryAfter = Duration{1000};
       break;
-    case CoreError::Kind::missing:
+    case CoreError::Kind::notFound:
       status = 404, kind = "missing";
       break;
-    case CoreError::Kind::unknown:
+    case CoreError::Kind::outcomeUnknown:
       status = 503, kind = "unknown", retryAfter = Duration{500};
       break;
     case CoreError::Kind::gone:
@@ -95,7 +95,7 @@
   ApiResponse answer =
       of(status, {{"error", json(kind)}, {"text", json(error.text())}, {"details", json(details)}});
   answer.retryAfter = retryAfter;
-  answer.kind = kind;
+  answer.errorKind = kind;
   return answer;
 }
 
@@ -219,17 +219,17 @@
       if (request.name.empty())
         request.name = std::to_string(place);
       request.gang = step.flag("gang");
-      request.needs.label = step.words("label");
-      request.needs.near = step.words("near");
-      request.needs.apart = narrow(step.whole("apart", false));
-      request.needs.sameRack = step.flag("same_rack");
-      request.needs.redundant = step.flag("redundant");
-      request.needs.lasts = step.flag("lasts");
-      request.needs.saves = step.flag("saves");
+      request.requirements.requiredLabel = step.words("label");
+      request.requirements.preferredRack = step.words("near");
+      request.requirements.maxPerWorker = narrow(step.whole("apart", false));
+      request.requirements.sameRack = step.flag("same_rack");
+      request.requirements.redundant = step.flag("redundant");
+      request.requirements.longRunning = step.flag("lasts");
+      request.requirements.checkpointed = step.flag("saves");
       if (const auto* after = step.list("after"))
         for (const auto& before : *after) {
           if (before.is<std::string>())
-            request.after.push_back(before.get<std::string>());
+            request.dependencies.push_back(before.get<std::string>());
           else
             faults.push_back({step.path + "/after", "must hold names of steps"});
         }
@@ -253,14 +253,14 @@
     }
   if (const auto* timetable = fields.find("timetable")) {
     Fields timed(*timetable, "/timetable", faults);
-    job.timetable.first = ClusterTime{spanOf(timed.whole("first_ms", true)).milliseconds};
-    if (job.timetable.first.milliseconds == 0)
+    job.timetable.firstStart = ClusterTime{spanOf(timed.whole("first_ms", true)).milliseconds};
+    if (job.timetable.firstStart.milliseconds == 0)
       faults.push_back({"/timetable/first_ms", "must be a calendar time above 0"});
-    job.timetable.every = spanOf(timed.whole("every_ms", false));
+    job.timetable.interval = spanOf(timed.whole("every_ms", false));
     job.timetable.count = narrow(timed.whole("count", false, 1));
   }
   if (faults.empty())
-    faults = job.faults();
+    faults = job.validate();
   return job;
 }
 
@@ -283,7 +283,7 @@
   report.capacity.zone = ZoneName{fields.words("zone")};
   report.capacity.rack = fields.words("rack");
   report.capacity.honoursLeases = fields.flag("honours_leases");
-  report.capacity.guardsRoom = fields.flag("guards_room");
+  report.capacity.enforcesCapacity = fields.flag("guards_room");
   report.capacity.accelerators = narrow(fields.whole("accelerators", false));
   report.capacity.pool = fields.words("pool");
   if (const auto* labels = fields.list("labels"))
@@ -293,19 +293,19 @@
       else
         faults.push_back({"/labels", "must hold strings"});
     }
-  report.lastOrder = OrderNumber{fields.number("last_order", true)};
-  report.leaving = fields.flag("leaving");
-  report.leaveWithin = spanOf(fields.whole("leave_within_ms", false));
-  report.wait = spanOf(std::min<std::uint64_t>(fields.whole("wait_ms", false), 2000));
+  report.lastAppliedOrder = OrderNumber{fields.number("last_order", true)};
+  report.draining = fields.flag("leaving");
+  report.drainTimeout = spanOf(fields.whole("leave_within_ms", false));
+  report.longPollTimeout = spanOf(std::min<std::uint64_t>(fields.whole("wait_ms", false), 2000));
   if (const auto* endings = fields.list("endings"))
     for (std::size_t place = 0; place < endings->size() && place < 10'000; ++place) {
       Fields ending((*endings)[place], "/endings/" + std::to_string(place), faults);
       const auto attempt = ending.number("attempt", true);
-      const auto kind = endingKind(ending.words("kind", true));
+      const auto kind = parseAttemptOutcome(ending.words("kind", true));
       if (!kind)
         faults.push_back({ending.path + "/kind", "is not a known kind of ending"});
       else
-        report.endings.push_back({AttemptNumber{attempt}, *kind});
+        report.results.push_back({AttemptNumber{attempt}, *kind});
     }
   return report;
 }
@@ -336,7 +336,7 @@
   const std::string id = parts.size() > 2 ? parts[2] : "";
   const std::string verb = parts.size() > 3 ? parts[3] : "";
   ApiRequest request;
-  request.id = id;
+  request.targetId = id;
   bool wantsBody = false;
   const std::string shape =
       method + " " + noun + (id.empty() ? "" : "/*") + (verb.empty() ? "" : "/" + verb);
@@ -347,11 +347,11 @@
       {"GET jobs", {RequestKind::listJobs, false}},
       {"PUT config", {RequestKind::applyConfig, true}},
       {"GET config", {RequestKind::showConfig, false}},
-      {"POST workers/*/sync", {RequestKind::sync, true}},
-      {"POST workers/*/leave", {RequestKind::leave, false}},
-      {"POST workers/*/drain", {RequestKind::drain, false}},
-      {"POST workers/*/undrain", {RequestKind::undrain, false}},
-      {"POST workers/*/gone", {RequestKind::declareGone, false}},
+      {"POST workers/*/sync", {RequestKind::syncWorker, true}},
+      {"POST workers/*/leave", {RequestKind::workerShutdown, false}},
+      {"POST workers/*/drain", {RequestKind::drainWorker, false}},
+      {"POST workers/*/undrain", {RequestKind::undrainWorker, false}},
+      {"POST workers/*/gone", {RequestKind::removeWorker, false}},
       {"GET workers", {RequestKind::listWorkers, false}},
       {"GET cluster", {RequestKind::showCluster, false}},
       {"GET plan", {RequestKind::showPlan, false}},
@@ -362,7 +362,7 @@
   };
   auto found = parts.size() <= 4 ? shapes.find(shape) : shapes.end();
   if (found == shapes.end())
-    return fail(CoreError::Kind::missing, "", "there is no " + method + " " + path);
+    return fail(CoreError::Kind::notFound, "", "there is no " + method + " " + path);
   request.kind = found->second.first;
   wantsBody = found->second.second;
   if (query.count("state"))
@@ -370,9 +370,9 @@
   if (query.count("limit"))
     request.limit =
         std::min<std::uint64_t>(1000, std::strtoull(query["limit"].c_str(), nullptr, 10));
-  request.within = Duration{30'000};
+  request.drainTimeout = Duration{30'000};
   if (query.count("within_ms"))
-    request.within = Duration{std::min<std::int64_t>(
+    request.drainTimeout = Duration{std::min<std::int64_t>(
         86'400'000,
         std::max<std::int64_t>(0, std::strtoll(query["within_ms"].c_str(), nullptr, 10)))};
   if (!wantsBody)
@@ -386,7 +386,7 @@
   std::vector<ErrorDetail> faults;
   if (request.kind == RequestKind::submitJob)
     request.job = parseJob(root, faults);
-  if (request.kind == RequestKind::sync)
+  if (request.kind == RequestKind::syncWorker)
     request.report = parseReport(root, id, faults);
   if (request.kind == RequestKind::applyConfig) {
     Fields fields(root, "", faults);
@@ -399,22 +399,22 @@
   return request;
 }
 
-std::string renderReport(const SyncReport& report) {
+std::string renderSyncReport(const SyncReport& report) {
   picojson::array endings;
-  for (const auto& ending : report.endings)
+  for (const auto& ending : report.results)
     endings.push_back(json(picojson::object{{"attempt", json(std::to_string(ending.attempt.value))},
-                                            {"kind", json(name(ending.kind))}}));
+                                            {"kind", json(name(ending.outcome))}}));
   picojson::object shown{{"incarnation", json(std::to_string(report.incarnation.value))},
                          {"cores", json(report.capacity.cores / 1000.0)},
                          {"memory_mb", json(report.capacity.memory)},
                          {"zone", json(report.capacity.zone.value)},
                          {"rack", json(report.capacity.rack)},
                          {"honours_leases", json(report.capacity.honoursLeases)},
-                         {"guards_room", json(report.capacity.guardsRoom)},
-                         {"last_order", json(std::to_string(report.lastOrder.value))},
-                         {"leaving", json(report.leaving)},
-                         {"leave_within_ms", json(report.leaveWithin.milliseconds)},
-                         {"wait_ms", json(report.wait.milliseconds)},
+                         {"guards_room", json(report.capacity.enforcesCapacity)},
+                         {"last_order", json(std::to_string(report.lastAppliedOrder.value))},
+                         {"leaving", json(report.draining)},
+                         {"leave_within_ms", json(report.drainTimeout.milliseconds)},
+                         {"wait_ms", json(report.longPollTimeout.milliseconds)},
                          {"endings", json(endings)}};
   if (report.capacity.accelerators)
     shown["accelerators"] = json(report.capacity.accelerators);
@@ -429,11 +429,11 @@
   return json(shown).serialize();
 }
 
-std::string renderJob(const JobSubmission& job) {
+std::string renderJobSubmission(const JobSubmission& job) {
   picojson::array steps;
   for (const auto& step : job.steps) {
     picojson::array tasks, after;
-    for (const auto& before : step.after)
+    for (const auto& before : step.dependencies)
       after.push_back(json(before));
     for (const auto& task : step.tasks) {
       picojson::object shown{{"cores", json(task.cores / 1000.0)},
@@ -449,16 +449,16 @@
                                {"gang", json(step.gang)},
                                {"after", json(after)},
                                {"tasks", json(tasks)}};
-    if (!step.needs.label.empty())
-      shownStep["label"] = json(step.needs.label);
-    if (!step.needs.near.empty())
-      shownStep["near"] = json(step.needs.near);
-    if (step.needs.apart)
-      shownStep["apart"] = json(step.needs.apart);
-    for (const auto& [field, flag] : {std::pair{"same_rack", step.needs.sameRack},
-                                      {"redundant", step.needs.redundant},
-                                      {"lasts", step.needs.lasts},
-                                      {"saves", step.needs.saves}})
+    if (!step.requirements.requiredLabel.empty())
+      shownStep["label"] = json(step.requirements.requiredLabel);
+    if (!step.requirements.preferredRack.empty())
+      shownStep["near"] = json(step.requirements.preferredRack);
+    if (step.requirements.maxPerWorker)
+      shownStep["apart"] = json(step.requirements.maxPerWorker);
+    for (const auto& [field, flag] : {std::pair{"same_rack", step.requirements.sameRack},
+                                      {"redundant", step.requirements.redundant},
+                                      {"lasts", step.requirements.longRunning},
+                                      {"saves", step.requirements.checkpointed}})
       if (flag)
         shownStep[field] = json(flag);
     steps.push_back(json(shownStep));
@@ -467,10 +467,11 @@
       {"id", json(job.id.value)}, {"queue", json(job.queue.value)}, {"steps", json(steps)}};
   if (!job.payload.empty())
     shown["payload"] = json(job.payload);
-  if (job.timed())
-    shown["timetable"] = json(picojson::object{{"first_ms", json(job.timetable.first.milliseconds)},
-                                               {"every_ms", json(job.timetable.every.milliseconds)},
-                                               {"count", json(job.timetable.count)}});
+  if (job.hasTimetable())
+    shown["timetable"] =
+        json(picojson::object{{"first_ms", json(job.timetable.firstStart.milliseconds)},
+                              {"every_ms", json(job.timetable.interval.milliseconds)},
+                              {"count", json(job.timetable.count)}});
   return json(shown).serialize();
 }
 
@@ -482,7 +483,7 @@
                            {"attempt", json(std::to_string(order.attempt.value))}};
     if (order.kind == OrderKind::start || order.kind == OrderKind::stage) {
       shown["job"] = json(order.job.value);
-      shown["task"] = json(order.task);
+      shown["task"] = json(order.taskIndex);
       shown["cores"] = json(order.cores / 1000.0);
       shown["memory_mb"] = json(order.memory);
       shown["runtime_ms"] = json(order.runtime.milliseconds);
@@ -493,7 +494,7 @@
     }
     listed.push_back(json(shown));
   }
-  for (const auto& attempt : confirmed)
+  for (const auto& attempt : confirmedAttempts)
     ended.push_back(json(std::to_string(attempt.value)));
   for (const auto& address : gateways)
     known.push_back(json(address.value));
@@ -522,14 +523,14 @@
         Fields shown((*orders)[place], "/orders/" + std::to_string(place), faults);
         Order order;
         order.number = OrderNumber{shown.number("number", true)};
-        const auto kind = orderKind(shown.words("kind", true));
+        const auto kind = parseOrderKind(shown.words("kind", true));
         if (!kind)
           faults.push_back({shown.path + "/kind", "is not a known kind of order"});
         else
           order.kind = *kind;
         order.attempt = AttemptNumber{shown.number("attempt", true)};
         order.job = JobId{shown.words("job")};
-        order.task = narrow(shown.whole("task", false));
+        order.taskIndex = narrow(shown.whole("task", false));
         order.cores = shown.thousandths("cores", false);
         order.memory = shown.whole("memory_mb", false);
         order.runtime = spanOf(shown.whole("runtime_ms", false));
@@ -540,7 +541,7 @@
     if (const auto* confirmed = fields.list("confirmed", true))
       for (const auto& attempt : *confirmed)
         if (attempt.is<std::string>())
-          answer.confirmed.push_back(
+          answer.confirmedAttempts.push_back(
               AttemptNumber{std::strtoull(attempt.get<std::string>().c_str(), nullptr, 10)});
     if (const auto* gateways = fields.list("gateways"))
       for (const auto& address : *gateways)
--- a/source/state/api_request.hpp
+++ b/source/state/api_request.hpp
@@ -12,11 +12,11 @@
   listJobs,
   applyConfig,
   showConfig,
-  sync,
-  leave,
-  drain,
-  undrain,
-  declareGone,
+  syncWorker,
+  workerShutdown,
+  drainWorker,
+  undrainWorker,
+  removeWorker,
   listWorkers,
   showCluster,
   showPlan,
@@ -24,32 +24,32 @@
   replaceController,
   exportState,
   showPhase,
-  countWaiting,
+  countOpenJobs,
   readConfig
 };
 const char* name(RequestKind kind);
 
 struct ApiRequest {
   RequestKind kind = RequestKind::showCounters;
-  std::string id;    // the job, worker or controller named in the target
-  std::string text;  // a config's text, a queue or state to list
+  std::string targetId;  // the job, worker or controller named in the target
+  std::string text;      // a config's text, a queue or state to list
   ConfigVersion baseVersion;
   std::uint64_t limit = 100;
-  Duration within{0};
+  Duration drainTimeout{0};
   JobSubmission job;
   SyncReport report;
   std::string host, path;  // of one that came by an entrance; the config in force says which queue
                            // that is. docs/design.md 6.6
-  std::string parsedConfig;  // a packed ClusterConfig that an adapter has read, in place of a text
-  Duration patience{2500};   // how long whoever asks will wait; not sent on
-  bool byEntrance() const { return !path.empty(); }
+  std::string packedConfig;  // a packed ClusterConfig that an adapter has read, in place of a text
+  Duration clientTimeout{2500};  // how long whoever asks will wait; not sent on
+  bool viaIngress() const { return !path.empty(); }
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& kind& id& text& baseVersion& limit& within& host& path& parsedConfig;
+    archive& kind& targetId& text& baseVersion& limit& drainTimeout& host& path& packedConfig;
     // What only some requests carry is not sent with the others.
     if (kind == RequestKind::submitJob)
       archive& job;
-    if (kind == RequestKind::sync)
+    if (kind == RequestKind::syncWorker)
       archive& report;
   }
   // Turns a request of the outer interface into a typed request, or names every fault in it.
@@ -61,25 +61,25 @@
   int status = 200;
   std::string body;
   Duration retryAfter{0};
-  std::string kind;  // of an error, as in the body
-  std::string word;  // a job's phase, for who wants no more
-  std::uint64_t number = 0;
+  std::string errorKind;  // of an error, as in the body
+  std::string phase;      // a job's phase, for who wants no more
+  std::uint64_t openJobCount = 0;
   bool notLeader = false;  // nothing was done; ask the leader named here
   Address leader;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& status& body& retryAfter& kind& word& number& notLeader& leader;
+    archive& status& body& retryAfter& errorKind& phase& openJobCount& notLeader& leader;
   }
   static ApiResponse of(int status, const picojson::object& body);
   static ApiResponse error(int status, const std::string& kind, const std::string& text,
                            Duration retryAfter = Duration{0});
-  static ApiResponse from(const CoreError& error);
-  static ApiResponse unknown(const std::string& text);
-  static ApiResponse notTaken(const std::string& text);  // surely nothing was done: ask again
+  static ApiResponse fromError(const CoreError& error);
+  static ApiResponse outcomeUnknown(const std::string& text);
+  static ApiResponse notApplied(const std::string& text);  // surely nothing was done: ask again
 };
 
 // A gateway as others reach it.
-struct Contact {
+struct GatewayEndpoint {
   Address address;
   ZoneName zone;
   template <class Archive>
@@ -89,20 +89,21 @@
 };
 // Addresses as a process of a zone had best try them: its own zone's first, each asker beginning
 // elsewhere.
-std::vector<Address> preferred(const std::vector<Contact>& contacts, const ZoneName& zone,
-                               std::uint64_t spread);
+std::vector<Address> orderedByZonePreference(const std::vector<GatewayEndpoint>& contacts,
+                                             const ZoneName& zone, std::uint64_t spread);
 
 // What gateways hold of the cluster: the way to the leader. docs/design.md 9.2.
-struct RouteView {
+struct LeaderRoute {
   Term term;
   Address leader;
   std::vector<Address> controllers;
-  std::vector<Contact> gateways;  // for workers and callers
+  std::vector<GatewayEndpoint> gateways;  // for workers and callers
   ConfigVersion config;
-  std::vector<QueueName> urgent;  // queues whose submissions are let in last to be turned away
+  std::vector<QueueName>
+      priorityQueues;  // queues whose submissions are let in last to be turned away
   // Takes what another process tells, unless it is older; a config's version never slips back.
   // docs/design.md 6.5.
-  bool takeNewer(RouteView told) {
+  bool mergeNewer(LeaderRoute told) {
     if (told.term < term)
       return false;
     told.config = std::max(told.config, config);
@@ -113,33 +114,34 @@
   }
   // Of the room for requests a fifth is kept for urgent submissions and for all that is no
   // submission. docs/design.md 10.
-  bool hasRoomFor(const ApiRequest& request, std::size_t underWay, std::size_t most) const;
+  bool admits(const ApiRequest& request, std::size_t underWay, std::size_t most) const;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& term& leader& controllers& gateways& config& urgent;
+    archive& term& leader& controllers& gateways& config& priorityQueues;
   }
 };
 
 // What a request holds of memory, in texts and payloads; beside these it is small.
-std::size_t textBytes(const ApiRequest& request);
+std::size_t payloadBytes(const ApiRequest& request);
 
-bool roomFor(RequestKind kind, bool plain, std::size_t underWay, std::size_t most);
+bool admitsRequest(RequestKind kind, bool plain, std::size_t underWay, std::size_t most);
 
 // JSON of a worker's sync, both ways.
-std::string renderReport(const SyncReport& report);
-std::string renderJob(const JobSubmission& job);
+std::string renderSyncReport(const SyncReport& report);
+std::string renderJobSubmission(const JobSubmission& job);
 struct SyncResponse {
   Term term;
   std::vector<Order> orders;
-  std::vector<AttemptNumber> confirmed;
+  std::vector<AttemptNumber> confirmedAttempts;
   Duration lease{3000};
   std::vector<Address> gateways;
-  std::uint32_t closed = 0;  // so many of the report's named endings, from the first on, are final
-  OrderNumber after;  // of an agent's: the orders are all that are open past this one; earlier ones
-                      // were in another answer
+  std::uint32_t finalResultCount =
+      0;                    // so many of the report's named endings, from the first on, are final
+  OrderNumber ordersAfter;  // of an agent's: the orders are all that are open past this one;
+                            // earlier ones were in another answer
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& term& orders& confirmed& lease& closed& after;
+    archive& term& orders& confirmedAttempts& lease& finalResultCount& ordersAfter;
   }
   picojson::object render() const;
   static Result<SyncResponse> parse(const std::string& body);
--- a/source/state/cluster_config.cpp
+++ b/source/state/cluster_config.cpp
@@ -6,22 +6,23 @@
 
 namespace aniseline {
 
-struct PolicyProgram::Parts {
+struct PolicyProgram::Implementation {
   mutable Inputs inputs;
   mu::Parser parser;
 };
 
 // docs/design.md 6.3: programs are short expressions over numbers, so their cost is bounded by
 // their length.
-PolicyProgram::PolicyProgram(const std::string& text) : parts(std::make_unique<Parts>()) {
-  auto& parser = parts->parser;
-  auto& inputs = parts->inputs;
+PolicyProgram::PolicyProgram(const std::string& text)
+    : implementation(std::make_unique<Implementation>()) {
+  auto& parser = implementation->parser;
+  auto& inputs = implementation->inputs;
   parser.DefineVar("wait", &inputs.wait);
   parser.DefineVar("runtime", &inputs.runtime);
   parser.DefineVar("expansion", &inputs.expansion);
   parser.DefineVar("cores", &inputs.cores);
   parser.DefineVar("memory", &inputs.memory);
-  parser.DefineVar("urgency", &inputs.urgency);
+  parser.DefineVar("urgency", &inputs.priority);
   parser.DefineVar("slowdown", &inputs.slowdown);
   parser.DefineVar("running", &inputs.running);
   parser.DefineVar("weight_wait", &inputs.weightWait);
@@ -32,9 +33,9 @@
 PolicyProgram::~PolicyProgram() = default;
 
 double PolicyProgram::evaluate(const Inputs& inputs) const {
-  parts->inputs = inputs;
+  implementation->inputs = inputs;
   try {
-    const double value = parts->parser.Eval();
+    const double value = implementation->parser.Eval();
     return std::isfinite(value) ? value : 0.0;
   } catch (const mu::Parser::exception_type&) {
     return 0.0;
@@ -51,9 +52,9 @@
   try {
     PolicyProgram program(text);
     Inputs inputs{0.1, 0.2, 1.5, 1, 1024, 1, 1.5, 0.1, 0.0167, 1};
-    const double value = program.parts->parser.Eval();
-    program.parts->inputs = inputs;
-    const double second = program.parts->parser.Eval();
+    const double value = program.implementation->parser.Eval();
+    program.implementation->inputs = inputs;
+    const double second = program.implementation->parser.Eval();
     if (!std::isfinite(second) && !std::isfinite(value))
       return "gives no finite number";
   } catch (const mu::Parser::exception_type& error) {
@@ -69,16 +70,17 @@
   return TextDigest::of(root.serialize()).text();
 }
 
-const QueueOptions* ClusterConfig::queue(const QueueName& name) const {
+const QueueOptions* ClusterConfig::findQueue(const QueueName& name) const {
   auto found = queues.find(name);
   return found == queues.end() ? nullptr : &found->second;
 }
 
-const Entrance* ClusterConfig::entrance(const std::string& host, const std::string& path) const {
-  const Entrance* best = nullptr;
-  for (const auto& entrance : entrances)
-    if (entrance.host == host && path.starts_with(entrance.prefix) &&
-        (!best || entrance.prefix.size() > best->prefix.size()))
+const IngressRoute* ClusterConfig::findIngressRoute(const std::string& host,
+                                                    const std::string& path) const {
+  const IngressRoute* best = nullptr;
+  for (const auto& entrance : ingressRoutes)
+    if (entrance.host == host && path.starts_with(entrance.pathPrefix) &&
+        (!best || entrance.pathPrefix.size() > best->pathPrefix.size()))
       best = &entrance;
   return best;
 }
@@ -184,11 +186,11 @@
         for (const auto& [name, value] : policies->get<picojson::object>()) {
           Reader policy(value, "/policies/" + name, faults);
           PolicyOptions options;
-          policy.words("rank", options.rank);
-          policy.words("may_hold", options.mayHold);
-          if (auto fault = PolicyProgram::check(options.rank))
+          policy.words("rank", options.rankExpression);
+          policy.words("may_hold", options.suspendExpression);
+          if (auto fault = PolicyProgram::check(options.rankExpression))
             policy.fault("rank", *fault);
-          if (auto fault = PolicyProgram::check(options.mayHold))
+          if (auto fault = PolicyProgram::check(options.suspendExpression))
             policy.fault("may_hold", *fault);
           config.policies[name] = options;
         }
@@ -199,14 +201,15 @@
       planner.span("period_ms", config.planner.period, 5, 10'000);
       planner.real("weight_wait", config.planner.weightWait, 0, 1e6);
       planner.real("weight_expansion", config.planner.weightExpansion, 0, 1e6);
-      planner.flag("trials", config.planner.trials);
-      planner.whole("trial_room_mb", config.planner.trialRoom, 0, 1e9);
-      planner.whole("open_limit", config.planner.openLimit, 1, 100'000);
-      planner.span("keep_finished_ms", config.planner.keepFinished, 10'000, dayMilliseconds);
-      planner.whole("keep_limit", config.planner.keepLimit, 100, 2'000'000);
-      planner.flag("urgency_first", config.planner.urgencyFirst);
-      planner.real("far", config.planner.far, 1, 1000);
-      planner.span("known_after_ms", config.planner.knownAfter, 0, dayMilliseconds);
+      planner.flag("trials", config.planner.trialsEnabled);
+      planner.whole("trial_room_mb", config.planner.reservedTrialMemory, 0, 1e9);
+      planner.whole("open_limit", config.planner.maxOpenJobs, 1, 100'000);
+      planner.span("keep_finished_ms", config.planner.finishedJobRetention, 10'000,
+                   dayMilliseconds);
+      planner.whole("keep_limit", config.planner.maxRetainedJobs, 100, 2'000'000);
+      planner.flag("urgency_first", config.planner.strictPriority);
+      planner.real("far", config.planner.remoteSlowdown, 1, 1000);
+      planner.span("known_after_ms", config.planner.capacitySettleTime, 0, dayMilliseconds);
     }
     reader.whole("version", config.version.value, 1, 9007199254740991.0);
     if (const auto* pools = reader.find("pools")) {
@@ -215,7 +218,7 @@
       else
         for (const auto& [name, value] : pools->get<picojson::object>()) {
           Reader pool(value, "/pools/" + name, faults);
-          pool.flag("guards_room", config.pools[name].guardsRoom);
+          pool.flag("guards_room", config.pools[name].enforcesCapacity);
         }
     }
     const auto* queues = reader.find("queues");
@@ -229,18 +232,18 @@
           queue.fault("", "a queue's name holds 1 to 64 characters");
         QueueOptions options;
         options.name = QueueName{name};
-        queue.whole("urgency", options.urgency, -1000, 1000);
-        queue.whole("retries", options.retries, 0, 100);
-        queue.whole("open_limit", options.openLimit, 1, 100'000);
-        queue.whole("reserved", options.reserved, 0, 100'000);
-        queue.span("hard_limit_ms", options.hardLimit, 0, 366 * dayMilliseconds);
-        queue.span("replace_after_ms", options.replaceAfter, 0, dayMilliseconds);
+        queue.whole("urgency", options.priority, -1000, 1000);
+        queue.whole("retries", options.maxRetries, 0, 100);
+        queue.whole("open_limit", options.maxOpenJobs, 1, 100'000);
+        queue.whole("reserved", options.reservedOpenJobs, 0, 100'000);
+        queue.span("hard_limit_ms", options.hardRuntimeLimit, 0, 366 * dayMilliseconds);
+        queue.span("replace_after_ms", options.reassignAfter, 0, dayMilliseconds);
         queue.words("pool", options.pool);
         if (!options.pool.empty() && !config.pools.count(options.pool))
           queue.fault("pool", "names no pool of this config");
-        queue.whole("tries", options.tries, 1, 1000);
-        queue.real("extend", options.extend, 0, 1e6);
-        queue.span("target_ms", options.target, 0, dayMilliseconds);
+        queue.whole("tries", options.maxFailures, 1, 1000);
+        queue.real("extend", options.latencyTargetFactor, 0, 1e6);
+        queue.span("target_ms", options.latencyTargetBase, 0, dayMilliseconds);
         queue.words("policy", options.policy);
         if (!config.policies.count(options.policy))
           queue.fault("policy", "names no policy of this config");
@@ -248,12 +251,12 @@
           Reader trial(*trialValue, queue.path + "/trial", faults);
           trial.span("quantum_ms", options.trial.quantum, 10, 3'600'000);
           trial.whole("memory_mb", options.trial.memory, 1, 1e6);
-          trial.span("minimum_run_ms", options.trial.minimumRun, 0, dayMilliseconds);
+          trial.span("minimum_run_ms", options.trial.minimumRuntime, 0, dayMilliseconds);
         }
-        reserved += options.reserved;
+        reserved += options.reservedOpenJobs;
         config.queues[options.name] = options;
       }
-      if (reserved >= config.planner.openLimit)
+      if (reserved >= config.planner.maxOpenJobs)
         reader.fault("queues", "reserve together all of planner/open_limit");
     }
     if (const auto* entrances = reader.find("entrances")) {
@@ -263,16 +266,16 @@
         for (std::size_t place = 0; place < entrances->get<picojson::array>().size(); ++place) {
           Reader shown(entrances->get<picojson::array>()[place],
                        "/entrances/" + std::to_string(place), faults);
-          Entrance entrance;
+          IngressRoute entrance;
           shown.words("host", entrance.host);
-          shown.words("prefix", entrance.prefix);
+          shown.words("prefix", entrance.pathPrefix);
           shown.words("queue", entrance.queue.value);
           if (!config.queues.count(entrance.queue))
             shown.fault("queue", "names no queue of this config");
-          for (const auto& other : config.entrances)
-            if (other.host == entrance.host && other.prefix == entrance.prefix)
+          for (const auto& other : config.ingressRoutes)
+            if (other.host == entrance.host && other.pathPrefix == entrance.pathPrefix)
               shown.fault("prefix", "stands twice for this host");
-          config.entrances.push_back(std::move(entrance));
+          config.ingressRoutes.push_back(std::move(entrance));
         }
     }
   }
