--- a/source/state/cluster_config.hpp
+++ b/source/state/cluster_config.hpp
@@ -7,63 +7,66 @@
 namespace aniseline {
 
 struct TrialOptions {
-  Duration quantum{60'000};      // paper section 3: one minute
-  std::uint64_t memory = 1024;   // MB, paper section 3: one gigabyte
-  Duration minimumRun{600'000};  // paper section 2.4: ten minutes uninterrupted
+  Duration quantum{60'000};          // paper section 3: one minute
+  std::uint64_t memory = 1024;       // MB, paper section 3: one gigabyte
+  Duration minimumRuntime{600'000};  // paper section 2.4: ten minutes uninterrupted
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& quantum& memory& minimumRun;
+    archive& quantum& memory& minimumRuntime;
   }
 };
 
 struct QueueOptions {
   QueueName name;
-  std::int64_t urgency = 0;
-  std::uint32_t retries = 0;
-  std::uint64_t openLimit = 1000;  // open jobs past which a submission is rejected
-  std::uint64_t reserved = 0;      // open jobs of the whole that only this queue may use
+  std::int64_t priority = 0;
+  std::uint32_t maxRetries = 0;
+  std::uint64_t maxOpenJobs = 1000;    // open jobs past which a submission is rejected
+  std::uint64_t reservedOpenJobs = 0;  // open jobs of the whole that only this queue may use
   TrialOptions trial;
-  Duration hardLimit{0};  // 0: an overrunning task stays in place
-  Duration replaceAfter{
+  Duration hardRuntimeLimit{0};  // 0: an overrunning task stays in place
+  Duration reassignAfter{
       0};  // waited beyond lease and margin before a silent worker's tasks are started elsewhere
   std::string policy = "default";
   std::string pool;  // the workers its tasks run on; empty: those of no pool
-  std::uint32_t tries =
+  std::uint32_t maxFailures =
       0;  // not 0: a task may end as failed this often, and nothing else counts. docs/design.md 4.4
-  double extend = 1.0;  // the aim of a job is this times its longest chain of work, and the target
-  Duration target{0};
-  bool closed = false;  // removed from the config while jobs were open: runs on, takes nothing new
+  double latencyTargetFactor =
+      1.0;  // the aim of a job is this times its longest chain of work, and the target
+  Duration latencyTargetBase{0};
+  bool closedToSubmissions =
+      false;  // removed from the config while jobs were open: runs on, takes nothing new
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& name& urgency& retries& openLimit& reserved& trial& hardLimit& replaceAfter& policy&
-        pool& tries& extend& target& closed;
+    archive& name& priority& maxRetries& maxOpenJobs& reservedOpenJobs& trial& hardRuntimeLimit&
+        reassignAfter& policy& pool& maxFailures& latencyTargetFactor& latencyTargetBase&
+            closedToSubmissions;
   }
 };
 
 struct PoolOptions {
-  bool guardsRoom = false;  // its workers themselves reject what they can't hold
+  bool enforcesCapacity = false;  // its workers themselves reject what they can't hold
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& guardsRoom;
+    archive& enforcesCapacity;
   }
 };
 
 // Where callers that speak of hosts and paths reach a queue: the longest prefix of the path wins.
-struct Entrance {
-  std::string host, prefix;
+struct IngressRoute {
+  std::string host, pathPrefix;
   QueueName queue;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& host& prefix& queue;
+    archive& host& pathPrefix& queue;
   }
 };
 
 struct PolicyOptions {
-  std::string rank = "weight_wait * wait + weight_expansion * expansion";
-  std::string mayHold = "1";
+  std::string rankExpression = "weight_wait * wait + weight_expansion * expansion";
+  std::string suspendExpression = "1";
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& rank& mayHold;
+    archive& rankExpression& suspendExpression;
   }
 };
 
@@ -71,22 +74,23 @@
   Duration period{50};
   double weightWait = 0.0167;  // paper table 3, LXF&W-backfill
   double weightExpansion = 1.0;
-  bool trials = true;
-  std::uint64_t trialRoom =
+  bool trialsEnabled = true;
+  std::uint64_t reservedTrialMemory =
       0;  // MB of each worker that only trials may use; 0 is the paper's design
-  std::uint64_t openLimit = 20'000;
-  Duration keepFinished{3'600'000};
-  std::uint64_t keepLimit =
+  std::uint64_t maxOpenJobs = 20'000;
+  Duration finishedJobRetention{3'600'000};
+  std::uint64_t maxRetainedJobs =
       300'000;  // jobs kept; past it the earliest ended go first, docs/design.md 4.5
-  bool urgencyFirst =
+  bool strictPriority =
       false;  // a more urgent queue's work goes before all less urgent work, whatever its rank
-  double far = 1.0;  // what a task away from its data, or from its step's rack, takes of its time
-  Duration knownAfter{
+  double remoteSlowdown =
+      1.0;  // what a task away from its data, or from its step's rack, takes of its time
+  Duration capacitySettleTime{
       30'000};  // how long workers must have been as they are before a job is rejected as too large
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& period& weightWait& weightExpansion& trials& trialRoom& openLimit& keepFinished&
-        keepLimit& urgencyFirst& far& knownAfter;
+    archive& period& weightWait& weightExpansion& trialsEnabled& reservedTrialMemory& maxOpenJobs&
+        finishedJobRetention& maxRetainedJobs& strictPriority& remoteSlowdown& capacitySettleTime;
   }
 };
 
@@ -96,17 +100,17 @@
   std::map<std::string, PolicyOptions> policies;
   PlannerOptions planner;
   std::map<std::string, PoolOptions> pools;
-  std::vector<Entrance> entrances;
+  std::vector<IngressRoute> ingressRoutes;
   std::string text;  // as the operator wrote it
 
-  const QueueOptions* queue(const QueueName& name) const;
+  const QueueOptions* findQueue(const QueueName& name) const;
   // The queue behind a host and path, and how much of the path is its prefix.
-  const Entrance* entrance(const std::string& host, const std::string& path) const;
+  const IngressRoute* findIngressRoute(const std::string& host, const std::string& path) const;
   // Every fault is named by its path; nothing is taken from a faulty text.
   static Result<ClusterConfig> parse(const std::string& text);
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& version& queues& policies& planner& pools& entrances& text;
+    archive& version& queues& policies& planner& pools& ingressRoutes& text;
   }
 };
 
@@ -117,7 +121,7 @@
 class PolicyProgram {
  public:
   struct Inputs {
-    double wait = 0, runtime = 0, expansion = 0, cores = 0, memory = 0, urgency = 0, slowdown = 0,
+    double wait = 0, runtime = 0, expansion = 0, cores = 0, memory = 0, priority = 0, slowdown = 0,
            running = 0;
     double weightWait = 0, weightExpansion = 0;
   };
@@ -128,8 +132,8 @@
   static std::optional<std::string> check(const std::string& text);
 
  private:
-  struct Parts;
-  std::unique_ptr<Parts> parts;
+  struct Implementation;
+  std::unique_ptr<Implementation> implementation;
 };
 
 }  // namespace aniseline
--- a/source/state/config_history.cpp
+++ b/source/state/config_history.cpp
@@ -12,27 +12,29 @@
   return TextDigest{boost::endian::load_big_u64(id.data), boost::endian::load_big_u64(id.data + 8)};
 }
 
-void ConfigHistory::record(const ConfigOrder& order) {
-  kept.push_back(order);
-  if (kept.size() > keptOrders)
-    kept.pop_front();
+void ConfigHistory::record(const ConfigUpdate& order) {
+  recentUpdates.push_back(order);
+  if (recentUpdates.size() > maxUpdates)
+    recentUpdates.pop_front();
 }
 
-ConfigHistory::Finding ConfigHistory::find(const ConfigOrder& order) const {
+ConfigHistory::LookupResult ConfigHistory::find(const ConfigUpdate& order) const {
   // One that names its version is found by that, whatever it builds on: the text under a version
   // is the config. One that names none is found by its base, on which one order at most was taken.
   const bool named = order.version.value > 0;
-  const auto key = named ? &ConfigOrder::version : &ConfigOrder::base;
-  const auto found = std::lower_bound(
-      kept.begin(), kept.end(), order,
-      [key](const ConfigOrder& left, const ConfigOrder& right) { return left.*key < right.*key; });
-  if (found != kept.end() && (*found).*key == order.*key)
-    return found->digest == order.digest ? Finding{Outcome::taken, found->version}
-                                         : Finding{Outcome::notTaken, ConfigVersion{}};
+  const auto key = named ? &ConfigUpdate::version : &ConfigUpdate::baseVersion;
+  const auto found = std::lower_bound(recentUpdates.begin(), recentUpdates.end(), order,
+                                      [key](const ConfigUpdate& left, const ConfigUpdate& right) {
+                                        return left.*key < right.*key;
+                                      });
+  if (found != recentUpdates.end() && (*found).*key == order.*key)
+    return found->digest == order.digest ? LookupResult{Outcome::applied, found->version}
+                                         : LookupResult{Outcome::notApplied, ConfigVersion{}};
   // What was dropped had both a lower version and a lower base than the earliest that is kept.
-  const bool older = !kept.empty() && order.base < kept.front().base &&
-                     (!named || order.version < kept.front().version);
-  return Finding{older ? Outcome::forgotten : Outcome::notTaken, ConfigVersion{}};
+  const bool older = !recentUpdates.empty() &&
+                     order.baseVersion < recentUpdates.front().baseVersion &&
+                     (!named || order.version < recentUpdates.front().version);
+  return LookupResult{older ? Outcome::tooOld : Outcome::notApplied, ConfigVersion{}};
 }
 
 }  // namespace aniseline
--- a/source/state/config_history.hpp
+++ b/source/state/config_history.hpp
@@ -21,14 +21,14 @@
 };
 
 // An operator's order to put a config in force: what makes it the same order when it comes again.
-struct ConfigOrder {
-  ConfigVersion version;  // 0: the order leaves the number to us
-  ConfigVersion base;     // the version that it builds on
-  TextDigest digest;      // of the text as the operator wrote it
-  bool operator==(const ConfigOrder&) const = default;
+struct ConfigUpdate {
+  ConfigVersion version;      // 0: the order leaves the number to us
+  ConfigVersion baseVersion;  // the version that it builds on
+  TextDigest digest;          // of the text as the operator wrote it
+  bool operator==(const ConfigUpdate&) const = default;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& version& base& digest;
+    archive& version& baseVersion& digest;
   }
 };
 
@@ -39,29 +39,29 @@
  public:
   // Orders kept: an operator gives up long before so many others were taken after its own. At 32
   // bytes each they add 128 KiB to a snapshot at most.
-  static constexpr std::size_t keptOrders = 4096;
+  static constexpr std::size_t maxUpdates = 4096;
 
   enum class Outcome : std::uint8_t {
-    taken,     // this very order, under the version that is told with it
-    notTaken,  // surely not
-    forgotten  // older than all that is kept: nobody can tell any more
+    applied,     // this very order, under the version that is told with it
+    notApplied,  // surely not
+    tooOld       // older than all that is kept: nobody can tell any more
   };
-  struct Finding {
-    Outcome outcome = Outcome::notTaken;
+  struct LookupResult {
+    Outcome outcome = Outcome::notApplied;
     ConfigVersion version;
   };
 
-  void record(const ConfigOrder& order);
-  Finding find(const ConfigOrder& order) const;
-  const std::deque<ConfigOrder>& orders() const { return kept; }
+  void record(const ConfigUpdate& order);
+  LookupResult find(const ConfigUpdate& order) const;
+  const std::deque<ConfigUpdate>& updates() const { return recentUpdates; }
 
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& kept;
+    archive& recentUpdates;
   }
 
  private:
-  std::deque<ConfigOrder> kept;  // the earliest first
+  std::deque<ConfigUpdate> recentUpdates;  // the earliest first
 };
 
 }  // namespace aniseline
--- a/source/state/event.hpp
+++ b/source/state/event.hpp
@@ -43,11 +43,11 @@
 };
 struct JobsExpired {
   std::vector<JobId> jobs;
-  std::vector<JobId> shortened;   // over for a while: only what a resend and a look need is kept
+  std::vector<JobId> compacted;   // over for a while: only what a resend and a look need is kept
   std::vector<WorkerId> workers;  // gone as long ago
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& jobs& shortened& workers;
+    archive& jobs& compacted& workers;
   }
 };
 struct WorkerRegistered {  // a new worker, a new incarnation, or a changed word about itself
@@ -61,46 +61,46 @@
 };
 struct WorkerSynced {
   WorkerId worker;
-  OrderNumber applied;
-  std::vector<Ending> endings;
-  std::vector<std::pair<AttemptNumber, std::string>> saves{};  // checkpoints of what runs on
+  OrderNumber lastAppliedOrder;
+  std::vector<AttemptResult> results;
+  std::vector<std::pair<AttemptNumber, std::string>> checkpoints{};  // checkpoints of what runs on
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& worker& applied& endings& saves;
+    archive& worker& lastAppliedOrder& results& checkpoints;
   }
 };
-struct WorkerLeaves {
+struct WorkerDrainStarted {
   WorkerId worker;
-  Duration within;
+  Duration timeout;
   bool byOperator = false;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& worker& within& byOperator;
+    archive& worker& timeout& byOperator;
   }
 };
-struct WorkerLeaveOver {  // the deadline of its leaving passed
+struct WorkerDrainDeadlinePassed {  // the deadline of its leaving passed
   WorkerId worker;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& worker;
   }
 };
-struct WorkerReturned {  // back from silence, or undrained
+struct WorkerReconnected {  // back from silence, or undrained
   WorkerId worker;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& worker;
   }
 };
-struct WorkerSilent {
+struct WorkerUnreachable {
   WorkerId worker;
-  std::vector<AttemptNumber> givenUp;  // those whose queues wait no longer
+  std::vector<AttemptNumber> abandoned;  // those whose queues wait no longer
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& worker& givenUp;
+    archive& worker& abandoned;
   }
 };
-struct WorkerGone {
+struct WorkerRemoved {
   WorkerId worker;
   std::string reason;
   template <class Archive>
@@ -121,50 +121,51 @@
 struct ControllerReplacementRequested {  // an operator's word that a learner may take its place; or
                                          // that this is over
   ControllerId controller;
-  bool over = false;
+  bool completed = false;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& controller& over;
+    archive& controller& completed;
   }
 };
 
 struct Placement {
-  std::uint32_t task = 0;
+  std::uint32_t taskIndex = 0;
   WorkerId worker;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& task& worker;
+    archive& taskIndex& worker;
   }
 };
 struct Reservation {  // the ONE reserved start, docs/paper.md 3
   JobId job;
-  std::uint32_t step = 0;
+  std::uint32_t stepIndex = 0;
   ClusterTime start;
   std::vector<Placement> placements;
-  std::uint32_t moved = 0;  // how often an overrun has moved it
-  bool held() const { return !job.value.empty(); }
+  std::uint32_t timesMoved = 0;  // how often an overrun has moved it
+  bool isActive() const { return !job.value.empty(); }
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& job& step& start& placements& moved;
+    archive& job& stepIndex& start& placements& timesMoved;
   }
 };
-enum class ActionKind : std::uint8_t { start, stage, go, hold, stop };
+enum class ActionKind : std::uint8_t { start, stage, launch, suspend, stop };
 struct Action {
   ActionKind kind = ActionKind::start;
   AttemptNumber attempt;
   JobId job;
-  std::uint32_t task = 0;
+  std::uint32_t taskIndex = 0;
   WorkerId worker;
   bool trial = false;
   Duration quantum;
   std::uint64_t memory = 0;
-  AttemptNumber heldFor;  // of a hold: the trial it makes way for
-  std::uint32_t run = 0;  // of a start
-  bool twin = false;      // of a start: a copy beside the one that runs
+  AttemptNumber suspendedForTrial;  // of a hold: the trial it makes way for
+  std::uint32_t runNumber = 0;      // of a start
+  bool redundantCopy = false;       // of a start: a copy beside the one that runs
   std::string reason;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& kind& attempt& job& task& worker& trial& quantum& memory& heldFor& run& twin& reason;
+    archive& kind& attempt& job& taskIndex& worker& trial& quantum& memory& suspendedForTrial&
+        runNumber& redundantCopy& reason;
   }
 };
 struct PlanMade {
@@ -177,17 +178,18 @@
   }
 };
 
-using Event = boost::variant<LeaderStarted, ConfigCommitted, JobAccepted, JobCancelled,
-                             OccurrenceFired, JobsExpired, WorkerRegistered, WorkerSynced,
-                             WorkerLeaves, WorkerLeaveOver, WorkerReturned, WorkerSilent,
-                             WorkerGone, PlanMade, ControllerReplacementRequested, JobFailed>;
+using Event =
+    boost::variant<LeaderStarted, ConfigCommitted, JobAccepted, JobCancelled, OccurrenceFired,
+                   JobsExpired, WorkerRegistered, WorkerSynced, WorkerDrainStarted,
+                   WorkerDrainDeadlinePassed, WorkerReconnected, WorkerUnreachable, WorkerRemoved,
+                   PlanMade, ControllerReplacementRequested, JobFailed>;
 
 struct LogRecord {
-  ClusterTime at;
+  ClusterTime time;
   Event event;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& at& event;
+    archive& time& event;
   }
 };
 
--- a/source/state/job.cpp
+++ b/source/state/job.cpp
@@ -12,12 +12,12 @@
   return names[std::size_t(state)];
 }
 
-Duration JobSubmission::longestChain() const {
+Duration JobSubmission::criticalPath() const {
   std::vector<std::int64_t> chains(steps.size());
   std::int64_t longest = 0;
   for (std::size_t step = 0; step < steps.size(); ++step) {
     std::int64_t before = 0, own = 0;
-    for (const auto& name : steps[step].after)
+    for (const auto& name : steps[step].dependencies)
       for (std::size_t other = 0; other < step; ++other)
         if (steps[other].name == name)
           before = std::max(before, chains[other]);
@@ -29,7 +29,7 @@
   return Duration{longest};
 }
 
-std::vector<ErrorDetail> JobSubmission::faults() const {
+std::vector<ErrorDetail> JobSubmission::validate() const {
   std::vector<ErrorDetail> faults;
   auto fault = [&](std::string path, std::string text) {
     faults.push_back({std::move(path), std::move(text)});
@@ -75,7 +75,7 @@
   // Cycles: take away steps whose predecessors are all gone until none is left or none can go.
   std::vector<std::set<std::size_t>> before(steps.size());
   for (std::size_t place = 0; place < steps.size(); ++place)
-    for (const auto& name : steps[place].after) {
+    for (const auto& name : steps[place].dependencies) {
       auto found = places.find(name);
       if (found == places.end())
         fault("/steps/" + std::to_string(place) + "/after", "names the unknown step " + name);
@@ -98,20 +98,20 @@
   if (!left.empty())
     fault("/steps/" + std::to_string(*left.begin()) + "/after",
           "steps wait on each other in a circle");
-  if (timed()) {
-    if (timetable.first.milliseconds > 253402300799000ll)
+  if (hasTimetable()) {
+    if (timetable.firstStart.milliseconds > 253402300799000ll)
       fault("/timetable/first_ms", "is beyond the calendar");
     if (timetable.count < 1 || timetable.count > 10'000)
       fault("/timetable/count", "must be from 1 to 10000");
-    if (timetable.count > 1 && timetable.every.milliseconds < 100)
+    if (timetable.count > 1 && timetable.interval.milliseconds < 100)
       fault("/timetable/every_ms", "must be at least 100");
-    if (timetable.every.milliseconds > 366ll * 86'400'000)
+    if (timetable.interval.milliseconds > 366ll * 86'400'000)
       fault("/timetable/every_ms", "must be at most 366 days");
   }
   return faults;
 }
 
-std::size_t Job::place(std::uint32_t step, std::uint32_t within) const {
+std::size_t Job::taskIndexOf(std::uint32_t step, std::uint32_t within) const {
   if (step >= submission.steps.size() || within >= submission.steps[step].tasks.size())
     return tasks.size();
   std::size_t first = 0;
@@ -120,22 +120,22 @@
   return first + within;
 }
 
-bool Job::stepDone(std::uint32_t step) const {
+bool Job::isStepComplete(std::uint32_t step) const {
   return std::all_of(tasks.begin(), tasks.end(), [&](const Task& task) {
-    return task.step != step || task.state == TaskState::done;
+    return task.stepIndex != step || task.state == TaskState::succeeded;
   });
 }
 
-void Job::unblock(ClusterTime now) {
-  if (state != JobState::open || ending)
+void Job::releaseReadyTasks(ClusterTime now) {
+  if (state != JobState::active || terminating)
     return;
   std::vector<char> done(submission.steps.size());
   for (std::size_t step = 0; step < done.size(); ++step)
-    done[step] = stepDone(std::uint32_t(step));
+    done[step] = isStepComplete(std::uint32_t(step));
   for (auto& task : tasks) {
     if (task.state != TaskState::blocked)
       continue;
-    const auto& after = submission.steps[task.step].after;
+    const auto& after = submission.steps[task.stepIndex].dependencies;
     const bool ready = std::all_of(after.begin(), after.end(), [&](const std::string& name) {
       for (std::size_t step = 0; step < done.size(); ++step)
         if (submission.steps[step].name == name)
@@ -143,7 +143,7 @@
       return false;
     });
     if (ready) {
-      task.state = TaskState::waiting;
+      task.state = TaskState::pending;
       task.readyAt = now;
     }
   }
--- a/source/state/job.hpp
+++ b/source/state/job.hpp
@@ -18,30 +18,33 @@
 };
 
 // What a step asks of the places its tasks run on, and how they run. docs/design.md 4.6.
-struct StepNeeds {
-  std::string label;  // the worker must have it
-  std::string near;   // the rack that holds the data: elsewhere a task takes `far` times as long
-  std::uint32_t apart = 0;  // not 0: the most tasks of the step that may be on one worker
+struct StepRequirements {
+  std::string requiredLabel;  // the worker must have it
+  std::string
+      preferredRack;  // the rack that holds the data: elsewhere a task takes `far` times as long
+  std::uint32_t maxPerWorker = 0;  // not 0: the most tasks of the step that may be on one worker
   bool sameRack = false;   // the tasks take `far` times as long when they are on more than one rack
   bool redundant = false;  // copies of a task may run side by side; the first clean ending counts
-  bool lasts = false;      // runs until the job is cancelled, and is started again however it ends
-  bool saves = false;      // keeps its progress as checkpoints
-  bool operator==(const StepNeeds&) const = default;
+  bool longRunning =
+      false;  // runs until the job is cancelled, and is started again however it ends
+  bool checkpointed = false;  // keeps its progress as checkpoints
+  bool operator==(const StepRequirements&) const = default;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& label& near& apart& sameRack& redundant& lasts& saves;
+    archive& requiredLabel& preferredRack& maxPerWorker& sameRack& redundant& longRunning&
+        checkpointed;
   }
 };
 
 struct StepRequest {
   std::string name;
-  std::vector<std::string> after;
+  std::vector<std::string> dependencies;
   bool gang = false;
   std::vector<TaskRequest> tasks;
-  StepNeeds needs{};
+  StepRequirements requirements{};
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& name& after& gang& needs;
+    archive& name& dependencies& gang& requirements;
     // Tasks that are alike stand once, with their count: a step of a thousand is as short as one of
     // two.
     std::vector<std::pair<std::uint32_t, TaskRequest>> runs;
@@ -62,12 +65,12 @@
 };
 
 struct Timetable {
-  ClusterTime first;  // milliseconds of calendar time; 0: not timed
-  Duration every{0};
+  ClusterTime firstStart;  // milliseconds of calendar time; 0: not timed
+  Duration interval{0};
   std::uint32_t count = 1;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& first& every& count;
+    archive& firstStart& interval& count;
   }
 };
 
@@ -77,82 +80,85 @@
   std::vector<StepRequest> steps;
   Timetable timetable;
   std::string payload;  // for every task, where the task brings none of its own
-  bool timed() const { return timetable.first.milliseconds > 0; }
-  Duration longestChain() const;  // of requested run times, through steps that wait on each other
+  bool hasTimetable() const { return timetable.firstStart.milliseconds > 0; }
+  Duration criticalPath() const;  // of requested run times, through steps that wait on each other
   std::uint32_t digest() const { return checksum(pack(*this)); }
   // The rules that need no state: shape, sizes, cycles, unknown steps.
-  std::vector<ErrorDetail> faults() const;
+  std::vector<ErrorDetail> validate() const;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& id& queue& steps& timetable& payload;
   }
 };
 
-enum class TaskState : std::uint8_t { blocked, waiting, placed, done, failed, stopped };
-enum class JobState : std::uint8_t { timed, open, cancelling, finished, failed, cancelled };
+enum class TaskState : std::uint8_t { blocked, pending, placed, succeeded, failed, stopped };
+enum class JobState : std::uint8_t { scheduled, active, cancelling, succeeded, failed, cancelled };
 const char* name(TaskState state);
 const char* name(JobState state);
 
 struct Task {
-  std::uint32_t step = 0;
-  std::uint32_t within = 0;  // place in the step
+  std::uint32_t stepIndex = 0;
+  std::uint32_t indexInStep = 0;  // place in the step
   TaskState state = TaskState::blocked;
-  std::uint32_t starts = 0;  // that count against the allowance, docs/design.md 4.4
-  bool trialled = false;
-  bool tried = false;     // a trial ran out: it waits for a full allocation
-  AttemptNumber attempt;  // the current one, 0 if none
+  std::uint32_t countedStarts = 0;  // that count against the allowance, docs/design.md 4.4
+  bool trialStarted = false;
+  bool trialExpired = false;     // a trial ran out: it waits for a full allocation
+  AttemptNumber currentAttempt;  // the current one, 0 if none
   ClusterTime readyAt;
   ClusterTime notBefore;
-  WorkerId avoid;  // where it last failed
-  bool finishedBefore =
+  WorkerId avoidedWorker;  // where it last failed
+  bool succeededEarlier =
       false;  // an earlier attempt turned out to have ended well, docs/design.md 5.5
-  std::uint32_t run =
+  std::uint32_t runNumber =
       0;  // starts of any kind so far: the number that workers know a start by. docs/design.md 4.7
-  std::uint32_t failures = 0;   // runs that ended as failed; of a gang its first task counts them
-  std::uint32_t failedRun = 0;  // the last run that was counted among them
-  AttemptNumber twin;           // of a redundant step: a copy beside the current attempt
-  std::string saved;            // the latest checkpoint known, and the run it came from
-  std::uint32_t savedRun = 0;
+  std::uint32_t failureCount =
+      0;  // runs that ended as failed; of a gang its first task counts them
+  std::uint32_t lastFailedRun = 0;  // the last run that was counted among them
+  AttemptNumber redundantAttempt;   // of a redundant step: a copy beside the current attempt
+  std::string checkpoint;           // the latest checkpoint known, and the run it came from
+  std::uint32_t checkpointRun = 0;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& step& within& state& starts& trialled& tried& attempt& readyAt& notBefore& avoid&
-        finishedBefore& run& failures& failedRun& twin& saved& savedRun;
+    archive& stepIndex& indexInStep& state& countedStarts& trialStarted& trialExpired&
+        currentAttempt& readyAt& notBefore& avoidedWorker& succeededEarlier& runNumber&
+            failureCount& lastFailedRun& redundantAttempt& checkpoint& checkpointRun;
   }
 };
 
 struct Job {
   JobSubmission submission;
   std::uint32_t digest = 0;
-  JobState state = JobState::open;
+  JobState state = JobState::active;
   std::string reason;
-  bool ending = false;  // failed or cancelled, but a task is still open
-  ClusterTime allowedAt;
+  bool terminating = false;  // failed or cancelled, but a task is still open
+  ClusterTime admittedAt;
   ClusterTime endedAt;
   std::vector<Task> tasks;
-  std::uint32_t fired = 0;            // occurrences of a timetable so far
-  std::uint32_t occurrencesOpen = 0;  // of those, the ones not over yet
-  std::uint32_t shortenedTasks =
+  std::uint32_t firedOccurrences = 0;  // occurrences of a timetable so far
+  std::uint32_t openOccurrences = 0;   // of those, the ones not over yet
+  std::uint32_t compactedTaskCount =
       0;  // not 0: over, and its steps and tasks are no longer kept. docs/design.md 4.5
 
-  bool over() const {
-    return state == JobState::finished || state == JobState::failed || state == JobState::cancelled;
+  bool isTerminal() const {
+    return state == JobState::succeeded || state == JobState::failed ||
+           state == JobState::cancelled;
   }
-  const TaskRequest& request(const Task& task) const {
-    return submission.steps[task.step].tasks[task.within];
+  const TaskRequest& requestOf(const Task& task) const {
+    return submission.steps[task.stepIndex].tasks[task.indexInStep];
   }
-  const StepRequest& step(const Task& task) const { return submission.steps[task.step]; }
-  const std::string& payload(const Task& task) const {
-    return request(task).payload.empty() ? submission.payload : request(task).payload;
+  const StepRequest& stepOf(const Task& task) const { return submission.steps[task.stepIndex]; }
+  const std::string& payloadOf(const Task& task) const {
+    return requestOf(task).payload.empty() ? submission.payload : requestOf(task).payload;
   }
   // The place in `tasks` of a step's task; past the end if there is none such.
-  std::size_t place(std::uint32_t step, std::uint32_t within) const;
-  bool stepDone(std::uint32_t step) const;
+  std::size_t taskIndexOf(std::uint32_t step, std::uint32_t within) const;
+  bool isStepComplete(std::uint32_t step) const;
   // Tasks whose steps before them are done become ready.
-  void unblock(ClusterTime now);
+  void releaseReadyTasks(ClusterTime now);
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
-    archive& submission& digest& state& reason& ending& allowedAt& endedAt& tasks& fired&
-        occurrencesOpen& shortenedTasks;
+    archive& submission& digest& state& reason& terminating& admittedAt& endedAt& tasks&
+        firedOccurrences& openOccurrences& compactedTaskCount;
   }
 };
 
--- a/source/state/worker.cpp
+++ b/source/state/worker.cpp
@@ -21,7 +21,7 @@
 const char* name(OrderKind kind) {
   return orderNames[std::size_t(kind)];
 }
-const char* name(EndingKind kind) {
+const char* name(AttemptOutcome kind) {
   return endingNames[std::size_t(kind)];
 }
 const char* name(AttemptState state) {
@@ -30,32 +30,32 @@
 const char* name(WorkerState state) {
   return workerNames[std::size_t(state)];
 }
-std::optional<OrderKind> orderKind(const std::string& text) {
+std::optional<OrderKind> parseOrderKind(const std::string& text) {
   return fromName<OrderKind>(orderNames, text);
 }
-std::optional<EndingKind> endingKind(const std::string& text) {
-  return fromName<EndingKind>(endingNames, text);
+std::optional<AttemptOutcome> parseAttemptOutcome(const std::string& text) {
+  return fromName<AttemptOutcome>(endingNames, text);
 }
 
-Order& Worker::give(OrderKind kind, const Attempt& attempt) {
-  lastOrder = lastOrder.next();
+Order& Worker::issueOrder(OrderKind kind, const Attempt& attempt) {
+  lastIssuedOrder = lastIssuedOrder.next();
   Order order;
-  order.number = lastOrder;
+  order.number = lastIssuedOrder;
   order.kind = kind;
   order.attempt = attempt.number;
   order.job = attempt.job;
-  order.step = attempt.step;
-  order.within = attempt.within;
-  order.run = attempt.run;
+  order.stepIndex = attempt.stepIndex;
+  order.indexInStep = attempt.indexInStep;
+  order.runNumber = attempt.runNumber;
   if (kind == OrderKind::start || kind == OrderKind::stage) {
-    order.task = attempt.task;
+    order.taskIndex = attempt.taskIndex;
     order.cores = attempt.cores;
     order.memory = attempt.memory;
     order.runtime = attempt.runtime;
     order.quantum = attempt.quantum;
   }
-  orders.push_back(std::move(order));
-  return orders.back();
+  unappliedOrders.push_back(std::move(order));
+  return unappliedOrders.back();
 }
 
 }  // namespace aniseline
--- a/tests/admission_tests.cpp
+++ b/tests/admission_tests.cpp
@@ -16,7 +16,7 @@
   std::map<RequestNumber, ApiResponse> answers;
 
   void setup() override {
-    controller.found(MonotonicTime{now});
+    controller.bootstrap(MonotonicTime{now});
     run(2000);
     ApiRequest request;
     request.kind = RequestKind::applyConfig;
@@ -25,8 +25,8 @@
             "plates":{"urgency":0,"tries":3,"extend":3,"target_ms":3000},"plain":{"tries":3}}})";
     LONGS_EQUAL(200, ask(request).status);
     request = ApiRequest{};
-    request.kind = RequestKind::sync;
-    request.id = "m";
+    request.kind = RequestKind::syncWorker;
+    request.targetId = "m";
     request.report.id = WorkerId{"m"};
     request.report.incarnation = Incarnation{1};
     request.report.capacity.cores = 4000;
@@ -37,15 +37,15 @@
     for (const std::int64_t end = now + span; now < end; now += 10) {
       controller.step(MonotonicTime{now}, WallTime{now});
       while (auto record = controller.takeWrite())
-        controller.synced(record->version, MonotonicTime{now});
+        controller.onRecordSynced(record->version, MonotonicTime{now});
       controller.takeMessages();
-      for (auto& [number, answer] : controller.takeAnswers())
+      for (auto& [number, answer] : controller.takeResponses())
         answers[number] = answer;
     }
   }
   ApiResponse ask(const ApiRequest& request) {
     const RequestNumber number{++requests};
-    controller.take(number, request, MonotonicTime{now});
+    controller.submitRequest(number, request, MonotonicTime{now});
     run(50);
     CHECK(answers.count(number));
     return answers[number];
@@ -71,7 +71,7 @@
   run(300);
   const ApiResponse refused = submit("proofs", 200, 1);
   LONGS_EQUAL(429, refused.status);
-  STRCMP_EQUAL("overloaded", refused.kind.c_str());
+  STRCMP_EQUAL("overloaded", refused.errorKind.c_str());
   CHECK(refused.retryAfter >= Duration{500} && refused.retryAfter <= Duration{3000});
   // A queue without an aim is bounded by its limits alone.
   LONGS_EQUAL(202, submit("plain", 200, 1).status);
@@ -90,8 +90,8 @@
 // No workers are known yet, or all are away: nothing is said of how long a wait would be.
 TEST(AdmissionTests, withoutWorkersNothingIsTurnedAway) {
   ApiRequest gone;
-  gone.kind = RequestKind::declareGone;
-  gone.id = "m";
+  gone.kind = RequestKind::removeWorker;
+  gone.targetId = "m";
   LONGS_EQUAL(200, ask(gone).status);
   run(300);
   LONGS_EQUAL(202, submit("proofs", 200, 40).status);
@@ -103,23 +103,23 @@
 // docs/design.md 5.8.
 TEST(AdmissionTests, anOvertakenWordOfUnresponsivenessIsNotHeeded) {
   ApiRequest word;
-  word.kind = RequestKind::sync;
-  word.id = "p";
+  word.kind = RequestKind::syncWorker;
+  word.targetId = "p";
   word.report.id = WorkerId{"p"};
   word.report.incarnation = Incarnation{1};
   word.report.capacity.cores = 4000;
   word.report.capacity.memory = 100'000;
-  word.report.capacity.honoursLeases = word.report.capacity.lapses = true;
-  word.report.packed = true;
+  word.report.capacity.honoursLeases = word.report.capacity.killsOnLeaseExpiry = true;
+  word.report.wantsPackedResponse = true;
   word.report.reportedAt = MonotonicTime{200};
   LONGS_EQUAL(200, ask(word).status);
   word.report.unresponsive = true;
   word.report.reportedAt = MonotonicTime{100};
   LONGS_EQUAL(200, ask(word).status);
   run(1000);
-  CHECK(controller.committed().workers.at(WorkerId{"p"}).state == WorkerState::present);
+  CHECK(controller.committed().workers().at(WorkerId{"p"}).state == WorkerState::available);
   word.report.reportedAt = MonotonicTime{300};
   LONGS_EQUAL(200, ask(word).status);
   run(1000);
-  CHECK(controller.committed().workers.at(WorkerId{"p"}).state == WorkerState::silent);
+  CHECK(controller.committed().workers().at(WorkerId{"p"}).state == WorkerState::unreachable);
 }
--- a/tests/base/json_tests.cpp
+++ b/tests/base/json_tests.cpp
@@ -22,12 +22,12 @@
 }
 
 TEST(JsonTests, aNumberIsHeldWithinItsType) {
-  LONGS_EQUAL(0, wholeOf<std::uint32_t>(-5));
-  LONGS_EQUAL(0xffffffffu, wholeOf<std::uint32_t>(1e300));
-  LONGS_EQUAL(0, wholeOf<std::uint64_t>(-1));
-  CHECK(wholeOf<std::int64_t>(1e300) == std::int64_t(1) << 53);
-  CHECK(wholeOf<std::int64_t>(-1e300) == -(std::int64_t(1) << 53));
-  LONGS_EQUAL(-7, wholeOf<std::int64_t>(-7.9));
+  LONGS_EQUAL(0, clampToInteger<std::uint32_t>(-5));
+  LONGS_EQUAL(0xffffffffu, clampToInteger<std::uint32_t>(1e300));
+  LONGS_EQUAL(0, clampToInteger<std::uint64_t>(-1));
+  CHECK(clampToInteger<std::int64_t>(1e300) == std::int64_t(1) << 53);
+  CHECK(clampToInteger<std::int64_t>(-1e300) == -(std::int64_t(1) << 53));
+  LONGS_EQUAL(-7, clampToInteger<std::int64_t>(-7.9));
 }
 
 // An exception there ended the process: a gateway's answer that of a worker, a file that of an
--- a/tests/bootstrap_tests.cpp
+++ b/tests/bootstrap_tests.cpp
@@ -18,9 +18,9 @@
         ClusterBootstrap founding(at(self), !diskless.count(self), seeds);
 for (const auto& seed : seeds)
   if (seed != at(self))
-    founding.hear(seed, !diskless.count(seed.value),
-                  diskless.count(seed.value) ? at(named) : Address{});
-return founding.may();
+    founding.addBlankSeed(seed, !diskless.count(seed.value),
+                          diskless.count(seed.value) ? at(named) : Address{});
+return founding.mayBootstrap();
 }
 }
 ;
@@ -41,20 +41,20 @@
   CHECK(!founds("e:1", none));
   // The word of another than the lowest does not count.
   ClusterBootstrap founding(at("e:1"), true, seeds);
-  founding.hear(at("a:1"), false, at("d:1"));
-  founding.hear(at("b:1"), false, at("e:1"));
-  founding.hear(at("c:1"), false, at("e:1"));
-  CHECK(!founding.may());
+  founding.addBlankSeed(at("a:1"), false, at("d:1"));
+  founding.addBlankSeed(at("b:1"), false, at("e:1"));
+  founding.addBlankSeed(at("c:1"), false, at("e:1"));
+  CHECK(!founding.mayBootstrap());
 }
 
 TEST(FoundingTests, everySeedMustBeThereAndBlank) {
   ClusterBootstrap founding(at("a:1"), true, seeds);
-  founding.hear(at("b:1"), true, Address{});
-  CHECK(!founding.may());
-  founding.hear(at("x:1"), true, Address{});  // no seed
-  CHECK(!founding.may());
-  founding.hear(at("c:1"), true, Address{});
-  CHECK(founding.may());
-  CHECK(ClusterBootstrap(at("a:1"), true, {at("a:1")}).may());
-  CHECK(!ClusterBootstrap(at("a:1"), false, {at("a:1")}).may());
+  founding.addBlankSeed(at("b:1"), true, Address{});
+  CHECK(!founding.mayBootstrap());
+  founding.addBlankSeed(at("x:1"), true, Address{});  // no seed
+  CHECK(!founding.mayBootstrap());
+  founding.addBlankSeed(at("c:1"), true, Address{});
+  CHECK(founding.mayBootstrap());
+  CHECK(ClusterBootstrap(at("a:1"), true, {at("a:1")}).mayBootstrap());
+  CHECK(!ClusterBootstrap(at("a:1"), false, {at("a:1")}).mayBootstrap());
 }
--- a/tests/called_worker_session_tests.cpp
+++ b/tests/called_worker_session_tests.cpp
@@ -8,23 +8,23 @@
 
 namespace {
 
-RunName runOf(const std::string& job, std::uint32_t run = 1, std::uint32_t within = 0) {
-  return RunName{JobId{job}, 0, 0, within, run};
+TaskRunId runOf(const std::string& job, std::uint32_t run = 1, std::uint32_t within = 0) {
+  return TaskRunId{JobId{job}, 0, 0, within, run};
 }
 
 WorkerCall startCall(const std::string& job, std::uint32_t run = 1, std::int64_t deadline = 3000) {
   WorkerCall call;
   call.kind = WorkerCall::Kind::start;
-  call.life = WorkerId{"m.1"};
-  call.fence = Term{2};
-  call.name = runOf(job, run);
-  call.deadline = WorkerTime{deadline};
+  call.workerInstance = WorkerId{"m.1"};
+  call.fencingTerm = Term{2};
+  call.runId = runOf(job, run);
+  call.leaseDeadline = WorkerTime{deadline};
   call.order.job = JobId{job};
   call.order.attempt = AttemptNumber{run * 100 + job.size()};
   call.order.cores = 500;
   call.order.memory = 100;
   call.order.runtime = Duration{1000};
-  call.order.run = run;
+  call.order.runNumber = run;
   call.order.payload = call.payload = "run=250";
   return call;
 }
@@ -35,101 +35,105 @@
 }
 WorkerCall lookCall(std::uint64_t lastSeen = 0, std::int64_t deadline = 0) {
   WorkerCall call;
-  call.life = WorkerId{"m.1"};
-  call.fence = Term{2};
-  call.lastSeen = lastSeen;
+  call.workerInstance = WorkerId{"m.1"};
+  call.fencingTerm = Term{2};
+  call.confirmedUpTo = lastSeen;
   if (deadline)
-    call.deadline = WorkerTime{deadline};
+    call.leaseDeadline = WorkerTime{deadline};
   return call;
 }
 CalledWorkerSession handOf(std::uint32_t cores = 1000) {
   CalledWorkerSession::Options options;
   options.capacity.cores = cores;
   options.capacity.memory = 1000;
-  options.capacity.guardsRoom = true;
+  options.capacity.enforcesCapacity = true;
   return CalledWorkerSession(options, WorkerId{"m.1"});
 }
 int kindOf(const WorkerReply& reply) {
-  return int(reply.kind);
+  return int(reply.status);
 }
-using K = WorkerReply::Kind;
+using K = WorkerReply::Status;
 
 }  // namespace
 
 TEST_GROUP(CalledWorkerSessionTests){};
 
 TEST(CalledWorkerSessionTests, CallsAndRepliesSurviveTheWords) {
-  const auto words = workerProtocol();
+  const auto words = jsonWorkerProtocol();
   auto call = startCall("job@0", 7);
-  call.order.task = 3;
+  call.order.taskIndex = 3;
   call.order.quantum = Duration{50};
-  call.saved = call.order.saved = "place";
-  auto read = readWorkerCall(words.render(call));
+  call.checkpoint = call.order.checkpoint = "place";
+  auto read = decodeWorkerCall(words.encodeCall(call));
   CHECK(read.has_value());
-  CHECK(read.value().name == call.name && read.value().deadline == call.deadline &&
-        read.value().fence == call.fence && read.value().life == call.life);
+  CHECK(read.value().runId == call.runId && read.value().leaseDeadline == call.leaseDeadline &&
+        read.value().fencingTerm == call.fencingTerm &&
+        read.value().workerInstance == call.workerInstance);
   STRCMP_EQUAL("job@0", read.value().order.job.value.c_str());
   LONGS_EQUAL(705, long(read.value().order.attempt.value));
-  CHECK(read.value().order.cores == 500 && read.value().order.task == 3 &&
-        read.value().order.quantum == Duration{50} && read.value().order.saved == "place");
+  CHECK(read.value().order.cores == 500 && read.value().order.taskIndex == 3 &&
+        read.value().order.quantum == Duration{50} && read.value().order.checkpoint == "place");
   auto look = lookCall(9, 4000);
-  look.wait = Duration{600};
-  read = readWorkerCall(words.render(look));
-  CHECK(read.has_value() && read.value().kind == WorkerCall::Kind::look &&
-        read.value().lastSeen == 9 && read.value().wait == Duration{600});
+  look.longPollTimeout = Duration{600};
+  read = decodeWorkerCall(words.encodeCall(look));
+  CHECK(read.has_value() && read.value().kind == WorkerCall::Kind::poll &&
+        read.value().confirmedUpTo == 9 && read.value().longPollTimeout == Duration{600});
 
   WorkerReply reply;
-  reply.kind = K::done;
-  reply.clock = WorkerTime{77};
-  reply.active.push_back({runOf("a"), "here"});
-  reply.ended.push_back({12, runOf("b", 2), EndingKind::ranOut, ""});
-  reply.whole = false;
+  reply.status = K::ok;
+  reply.clockReading = WorkerTime{77};
+  reply.runningTasks.push_back({runOf("a"), "here"});
+  reply.results.push_back({12, runOf("b", 2), AttemptOutcome::quantumExpired, ""});
+  reply.complete = false;
   auto answered = [&](const WorkerCall& asked, const WorkerReply& given) {
-    const ApiResponse answer = writeWorkerReply(asked, given);
-    return words.read(asked, HttpResponse{answer.status, answer.body, Duration{0}});
+    const ApiResponse answer = encodeWorkerReply(asked, given);
+    return words.decodeReply(asked, HttpResponse{answer.status, answer.body, Duration{0}});
   };
   const auto back = answered(look, reply);
-  CHECK(back.kind == K::done && back.clock == WorkerTime{77} && !back.whole &&
-        back.active.size() == 1 && back.ended.size() == 1);
-  CHECK(back.active[0].name == runOf("a") && back.active[0].saved == "here");
-  CHECK(back.ended[0].number == 12 && back.ended[0].name == runOf("b", 2) &&
-        back.ended[0].kind == EndingKind::ranOut);
-  for (auto kind : {K::fenced, K::old, K::late, K::room, K::sick, K::invalid, K::otherLife}) {
+  CHECK(back.status == K::ok && back.clockReading == WorkerTime{77} && !back.complete &&
+        back.runningTasks.size() == 1 && back.results.size() == 1);
+  CHECK(back.runningTasks[0].runId == runOf("a") && back.runningTasks[0].checkpoint == "here");
+  CHECK(back.results[0].sequenceNumber == 12 && back.results[0].runId == runOf("b", 2) &&
+        back.results[0].outcome == AttemptOutcome::quantumExpired);
+  for (auto kind : {K::fenced, K::staleRun, K::deadlineExceeded, K::insufficientCapacity,
+                    K::unavailable, K::invalidRequest, K::instanceMismatch}) {
     WorkerReply refused;
-    refused.kind = kind;
-    refused.clock = WorkerTime{5};
+    refused.status = kind;
+    refused.clockReading = WorkerTime{5};
     LONGS_EQUAL(int(kind), kindOf(answered(call, refused)));
   }
-  LONGS_EQUAL(int(K::lost), kindOf(words.read(look, HttpError{HttpError::Kind::late, "late"})));
+  LONGS_EQUAL(int(K::noResponse),
+              kindOf(words.decodeReply(look, HttpError{HttpError::Kind::timedOut, "late"})));
 }
 
 TEST(CalledWorkerSessionTests, AnAccountSurvivesTheWordsAndOthersAreNotHeard) {
-  const auto words = workerProtocol();
-  WorkerAccount account{WorkerId{"m.1"}, {}, true, Duration{2000}, WorkerTime{55}};
+  const auto words = jsonWorkerProtocol();
+  WorkerRegistration account{WorkerId{"m.1"}, {}, true, Duration{2000}, WorkerTime{55}};
   account.capacity.cores = 1500;
   account.capacity.memory = 64;
   account.capacity.zone = ZoneName{"zone1"};
   account.capacity.rack = "rack1";
   account.capacity.labels = {"fast"};
-  const auto word = words.hear(writeAccount(account));
-  CHECK(word && !word->left && word->account.life == account.life && word->account.leaving &&
-        word->account.leaveWithin == Duration{2000} && word->account.clock == account.clock);
+  const auto word = words.decodeNotice(encodeRegistration(account));
+  CHECK(word && !word->shuttingDown && word->account.workerInstance == account.workerInstance &&
+        word->account.draining && word->account.drainTimeout == Duration{2000} &&
+        word->account.clockReading == account.clockReading);
   CHECK(word->account.capacity.cores == 1500 &&
         word->account.capacity.labels == account.capacity.labels &&
         word->account.capacity.rack == "rack1");
-  CHECK(word->account.capacity.lapses && word->account.capacity.honoursLeases &&
-        !word->account.capacity.pauses && !word->account.capacity.assembles);
-  const auto leave = words.hear(writeLeave(WorkerId{"m.1"}));
-  CHECK(leave && leave->left && leave->account.life == WorkerId{"m.1"});
+  CHECK(word->account.capacity.killsOnLeaseExpiry && word->account.capacity.honoursLeases &&
+        !word->account.capacity.supportsSuspend && !word->account.capacity.selfAssemblingGangs);
+  const auto leave = words.decodeNotice(encodeShutdownNotice(WorkerId{"m.1"}));
+  CHECK(leave && leave->shuttingDown && leave->account.workerInstance == WorkerId{"m.1"});
   for (const HttpRequest& other :
        {HttpRequest{"GET", "/v1/account", "{}"}, HttpRequest{"POST", "/v1/account", "{}"},
         HttpRequest{"POST", "/v1/account", "no"}, HttpRequest{"POST", "/v1/leave", "{}"},
         HttpRequest{"POST", "/v1/jobs", "{\"life\":\"m\"}"}})
-    CHECK(!words.hear(other));
+    CHECK(!words.decodeNotice(other));
 }
 
 TEST(CalledWorkerSessionTests, WrongCallsAreNamedByPathAndUnreadableLooksTellNothing) {
-  const auto words = workerProtocol();
+  const auto words = jsonWorkerProtocol();
   struct Case {
     const char *target, *body, *path;
   };
@@ -143,82 +147,86 @@
            "/v1/run/start",
            R"({"life":"m","fence":"1","name":{"job":"a","step":0,"within":0,"run":1},"job":"a","attempt":"x"})",
            "/attempt"}}) {
-    auto read = readWorkerCall({"POST", wrong.target, wrong.body});
+    auto read = decodeWorkerCall({"POST", wrong.target, wrong.body});
     CHECK_TEXT(!read.has_value(), wrong.body);
     STRCMP_EQUAL(wrong.path, read.error().details.at(0).path.c_str());
   }
-  CHECK(readWorkerCall({"POST", "/v1/paint", "{}"}).error().kind == CoreError::Kind::missing);
+  CHECK(decodeWorkerCall({"POST", "/v1/paint", "{}"}).error().kind == CoreError::Kind::notFound);
   for (
       const char* body :
       {"no", "{}", R"({"now_ms":1e999,"active":[],"ended":[]})",
        R"({"active":[],"ended":[{"number":1}]})", R"({"active":[7],"ended":[]})",
        R"({"active":[],"ended":[{"number":1,"kind":"sung","name":{"job":"a","step":0,"within":0,"run":1}}]})"})
-    LONGS_EQUAL_TEXT(int(K::lost),
-                     kindOf(words.read(lookCall(), HttpResponse{200, body, Duration{0}})), body);
+    LONGS_EQUAL_TEXT(int(K::noResponse),
+                     kindOf(words.decodeReply(lookCall(), HttpResponse{200, body, Duration{0}})),
+                     body);
 }
 
 TEST(CalledWorkerSessionTests, AStartIsCarriedOutOnceAndRefusedWithItsReason) {
   auto hand = handOf();
-  LONGS_EQUAL(int(K::late), kindOf(hand.take(startCall("a", 1, 10), WorkerTime{10})));
-  LONGS_EQUAL(int(K::done), kindOf(hand.take(startCall("a"), WorkerTime{10})));
-  LONGS_EQUAL(int(K::old), kindOf(hand.take(startCall("a"), WorkerTime{11})));
-  LONGS_EQUAL(int(K::done), kindOf(hand.take(startCall("bb"), WorkerTime{12})));
-  LONGS_EQUAL(int(K::room), kindOf(hand.take(startCall("ccc"), WorkerTime{13})));
+  LONGS_EQUAL(int(K::deadlineExceeded), kindOf(hand.onCall(startCall("a", 1, 10), WorkerTime{10})));
+  LONGS_EQUAL(int(K::ok), kindOf(hand.onCall(startCall("a"), WorkerTime{10})));
+  LONGS_EQUAL(int(K::staleRun), kindOf(hand.onCall(startCall("a"), WorkerTime{11})));
+  LONGS_EQUAL(int(K::ok), kindOf(hand.onCall(startCall("bb"), WorkerTime{12})));
+  LONGS_EQUAL(int(K::insufficientCapacity), kindOf(hand.onCall(startCall("ccc"), WorkerTime{13})));
   auto older = startCall("ccc");
-  older.fence = Term{1};
-  LONGS_EQUAL(int(K::fenced), kindOf(hand.take(older, WorkerTime{14})));
-  older.life = WorkerId{"m.0"};
-  LONGS_EQUAL(int(K::otherLife), kindOf(hand.take(older, WorkerTime{14})));
-  LONGS_EQUAL(2, long(hand.takeEffects().size()));
+  older.fencingTerm = Term{1};
+  LONGS_EQUAL(int(K::fenced), kindOf(hand.onCall(older, WorkerTime{14})));
+  older.workerInstance = WorkerId{"m.0"};
+  LONGS_EQUAL(int(K::instanceMismatch), kindOf(hand.onCall(older, WorkerTime{14})));
+  LONGS_EQUAL(2, long(hand.takeCommands().size()));
   // A stop that overtakes its start turns the start away, and a later run is let in.
-  LONGS_EQUAL(int(K::done), kindOf(hand.take(stopCall("a"), WorkerTime{15})));
-  LONGS_EQUAL(int(K::done), kindOf(hand.take(stopCall("dddd", 2), WorkerTime{16})));
-  LONGS_EQUAL(int(K::old), kindOf(hand.take(startCall("dddd", 2), WorkerTime{17})));
-  LONGS_EQUAL(int(K::done), kindOf(hand.take(startCall("dddd", 3), WorkerTime{18})));
-  hand.leave();
-  LONGS_EQUAL(int(K::room), kindOf(hand.take(startCall("a", 9), WorkerTime{19})));
+  LONGS_EQUAL(int(K::ok), kindOf(hand.onCall(stopCall("a"), WorkerTime{15})));
+  LONGS_EQUAL(int(K::ok), kindOf(hand.onCall(stopCall("dddd", 2), WorkerTime{16})));
+  LONGS_EQUAL(int(K::staleRun), kindOf(hand.onCall(startCall("dddd", 2), WorkerTime{17})));
+  LONGS_EQUAL(int(K::ok), kindOf(hand.onCall(startCall("dddd", 3), WorkerTime{18})));
+  hand.startDraining();
+  LONGS_EQUAL(int(K::insufficientCapacity), kindOf(hand.onCall(startCall("a", 9), WorkerTime{19})));
 }
 
 TEST(CalledWorkerSessionTests, EndingsAreNumberedToldAgainAndFinalWhenSeen) {
   auto hand = handOf();
-  hand.take(startCall("a"), WorkerTime{10});
-  hand.take(startCall("bb"), WorkerTime{10});
-  hand.ended(AttemptNumber{101}, true, WorkerTime{20});
-  hand.ended(AttemptNumber{102}, false, WorkerTime{30});
+  hand.onCall(startCall("a"), WorkerTime{10});
+  hand.onCall(startCall("bb"), WorkerTime{10});
+  hand.onTaskEnded(AttemptNumber{101}, true, WorkerTime{20});
+  hand.onTaskEnded(AttemptNumber{102}, false, WorkerTime{30});
   for (int twice = 0; twice < 2; ++twice) {
-    const auto reply = hand.take(lookCall(), WorkerTime{40});
-    LONGS_EQUAL(2, long(reply.ended.size()));
-    CHECK(reply.ended[0].number == 1 && reply.ended[0].kind == EndingKind::finished &&
-          reply.ended[1].number == 2 && reply.ended[1].kind == EndingKind::failed);
+    const auto reply = hand.onCall(lookCall(), WorkerTime{40});
+    LONGS_EQUAL(2, long(reply.results.size()));
+    CHECK(reply.results[0].sequenceNumber == 1 &&
+          reply.results[0].outcome == AttemptOutcome::succeeded &&
+          reply.results[1].sequenceNumber == 2 &&
+          reply.results[1].outcome == AttemptOutcome::failed);
   }
-  CHECK(hand.takeConfirmed().empty());
-  LONGS_EQUAL(1, long(hand.take(lookCall(1), WorkerTime{50}).ended.size()));
-  const auto confirmed = hand.takeConfirmed();
-  CHECK(confirmed.size() == 1 && confirmed[0].second == EndingKind::finished);
+  CHECK(hand.takeConfirmedResults().empty());
+  LONGS_EQUAL(1, long(hand.onCall(lookCall(1), WorkerTime{50}).results.size()));
+  const auto confirmed = hand.takeConfirmedResults();
+  CHECK(confirmed.size() == 1 && confirmed[0].second == AttemptOutcome::succeeded);
 }
 
 TEST(CalledWorkerSessionTests, WhenTheHoldIsOverAllIsKilledAndUnconfirmedEndsAreVoid) {
   auto hand = handOf();
-  hand.take(startCall("a", 1, 3000), WorkerTime{10});
-  hand.take(startCall("bb", 1, 3000), WorkerTime{10});
-  hand.ended(AttemptNumber{101}, true, WorkerTime{20});
-  hand.take(lookCall(0, 4000), WorkerTime{100});
-  hand.takeEffects();
+  hand.onCall(startCall("a", 1, 3000), WorkerTime{10});
+  hand.onCall(startCall("bb", 1, 3000), WorkerTime{10});
+  hand.onTaskEnded(AttemptNumber{101}, true, WorkerTime{20});
+  hand.onCall(lookCall(0, 4000), WorkerTime{100});
+  hand.takeCommands();
   hand.tick(WorkerTime{3999});
-  CHECK(hand.takeEffects().empty());
+  CHECK(hand.takeCommands().empty());
   hand.tick(WorkerTime{4000});
-  const auto effects = hand.takeEffects();
-  CHECK(effects.size() == 1 && effects[0].kind == HandEffect::Kind::stop &&
+  const auto effects = hand.takeCommands();
+  CHECK(effects.size() == 1 && effects[0].kind == TaskCommand::Kind::stop &&
         effects[0].attempt == AttemptNumber{102});
-  const auto reply = hand.take(lookCall(), WorkerTime{4001});
-  CHECK(reply.ended.size() == 2 && reply.ended[0].kind == EndingKind::stopped &&
-        reply.ended[1].kind == EndingKind::stopped);
+  const auto reply = hand.onCall(lookCall(), WorkerTime{4001});
+  CHECK(reply.results.size() == 2 && reply.results[0].outcome == AttemptOutcome::stopped &&
+        reply.results[1].outcome == AttemptOutcome::stopped);
   // A task whose timer rings after the hold was over did not end well.
-  hand.take(startCall("ccc", 1, 5000), WorkerTime{4500});
-  hand.ended(AttemptNumber{103}, true, WorkerTime{5000});
-  CHECK(hand.take(lookCall(2), WorkerTime{5001}).ended.at(0).kind == EndingKind::stopped);
+  hand.onCall(startCall("ccc", 1, 5000), WorkerTime{4500});
+  hand.onTaskEnded(AttemptNumber{103}, true, WorkerTime{5000});
+  CHECK(hand.onCall(lookCall(2), WorkerTime{5001}).results.at(0).outcome ==
+        AttemptOutcome::stopped);
   // However long a deadline, the worker grants no more than its own longest.
-  hand.take(startCall("dddd", 1, 900'000), WorkerTime{6000});
+  hand.onCall(startCall("dddd", 1, 900'000), WorkerTime{6000});
   hand.tick(WorkerTime{12'000});
   CHECK(hand.idle());
 }
@@ -227,31 +235,32 @@
   auto hand = handOf();
   auto call = startCall("a");
   call.order.quantum = Duration{100};
-  hand.take(call, WorkerTime{10});
+  hand.onCall(call, WorkerTime{10});
   hand.tick(WorkerTime{109});
   CHECK(!hand.idle());
   hand.tick(WorkerTime{110});
-  CHECK(hand.take(lookCall(), WorkerTime{111}).ended.at(0).kind == EndingKind::ranOut);
+  CHECK(hand.onCall(lookCall(), WorkerTime{111}).results.at(0).outcome ==
+        AttemptOutcome::quantumExpired);
 }
 
 TEST(CalledWorkerSessionTests, AnotherLifeBeginsWithNothing) {
   auto hand = handOf();
-  hand.take(startCall("a"), WorkerTime{10});
-  hand.takeEffects();
-  hand.replaced(WorkerId{"m.2"});
+  hand.onCall(startCall("a"), WorkerTime{10});
+  hand.takeCommands();
+  hand.onReplaced(WorkerId{"m.2"});
   CHECK(hand.empty());
-  const auto effects = hand.takeEffects();
-  CHECK(effects.size() == 1 && effects[0].kind == HandEffect::Kind::stop);
+  const auto effects = hand.takeCommands();
+  CHECK(effects.size() == 1 && effects[0].kind == TaskCommand::Kind::stop);
   auto call = startCall("a");
-  LONGS_EQUAL(int(K::otherLife), kindOf(hand.take(call, WorkerTime{11})));
-  call.life = WorkerId{"m.2"};
-  LONGS_EQUAL(int(K::done), kindOf(hand.take(call, WorkerTime{12})));
+  LONGS_EQUAL(int(K::instanceMismatch), kindOf(hand.onCall(call, WorkerTime{11})));
+  call.workerInstance = WorkerId{"m.2"};
+  LONGS_EQUAL(int(K::ok), kindOf(hand.onCall(call, WorkerTime{12})));
 }
 
 TEST(CalledWorkerSessionTests, AGangsPartIsStagedInTheAgentAndStartedWhenToldToGo) {
   NodeAgent agent{NodeAgentOptions{}};
-  WorkerAccount account{WorkerId{"m.1"}, {}, false, Duration{0}, WorkerTime{1000}};
-  CHECK(agent.known(account, MonotonicTime{0}));
+  WorkerRegistration account{WorkerId{"m.1"}, {}, false, Duration{0}, WorkerTime{1000}};
+  CHECK(agent.onRegistration(account, MonotonicTime{0}));
   auto tell = [&](std::uint64_t number, OrderKind kind, const std::string& job, MonotonicTime now) {
     SyncResponse answer;
     answer.term = Term{2};
@@ -259,36 +268,36 @@
     order.number = OrderNumber{number};
     order.kind = kind;
     order.job = JobId{job};
-    order.run = 1;
+    order.runNumber = 1;
     answer.orders.push_back(order);
-    agent.answered(agent.report(now), answer, now, now);
+    agent.onSyncResponse(agent.makeSyncReport(now), answer, now, now);
   };
   auto starts = [&](MonotonicTime now) {
     std::size_t count = 0;
     for (const auto& call : agent.takeCalls(now)) {
       count += call.kind == WorkerCall::Kind::start;
       WorkerReply reply;
-      reply.kind = K::done;
-      reply.clock = WorkerTime{1000 + now.milliseconds};
-      agent.replied(call, reply, now);
+      reply.status = K::ok;
+      reply.clockReading = WorkerTime{1000 + now.milliseconds};
+      agent.onWorkerReply(call, reply, now);
     }
     return long(count);
   };
   tell(1, OrderKind::stage, "gang", MonotonicTime{10});
   LONGS_EQUAL(0, starts(MonotonicTime{20}));
-  LONGS_EQUAL(1, long(agent.report(MonotonicTime{21}).lastOrder.value));
-  tell(2, OrderKind::go, "gang", MonotonicTime{30});
-  LONGS_EQUAL(1, long(agent.report(MonotonicTime{31}).lastOrder.value));
+  LONGS_EQUAL(1, long(agent.makeSyncReport(MonotonicTime{21}).lastAppliedOrder.value));
+  tell(2, OrderKind::launch, "gang", MonotonicTime{30});
+  LONGS_EQUAL(1, long(agent.makeSyncReport(MonotonicTime{31}).lastAppliedOrder.value));
   LONGS_EQUAL(1, starts(MonotonicTime{40}));
-  LONGS_EQUAL(2, long(agent.report(MonotonicTime{41}).lastOrder.value));
+  LONGS_EQUAL(2, long(agent.makeSyncReport(MonotonicTime{41}).lastAppliedOrder.value));
   // Taken back before it was told to go, and told to go by what an earlier process staged: never
   // begun.
   tell(3, OrderKind::stage, "taken", MonotonicTime{50});
   tell(4, OrderKind::stop, "taken", MonotonicTime{60});
-  tell(5, OrderKind::go, "unknown", MonotonicTime{70});
+  tell(5, OrderKind::launch, "unknown", MonotonicTime{70});
   LONGS_EQUAL(0, starts(MonotonicTime{80}));
-  const auto endings = agent.report(MonotonicTime{90}).namedEndings;
+  const auto endings = agent.makeSyncReport(MonotonicTime{90}).runResults;
   LONGS_EQUAL(2, long(endings.size()));
   for (const auto& ending : endings)
-    CHECK(ending.kind == EndingKind::unstarted);
+    CHECK(ending.outcome == AttemptOutcome::neverStarted);
 }
--- a/tests/called_workers.cpp
+++ b/tests/called_workers.cpp
@@ -10,13 +10,14 @@
 
 namespace {
 
-WorkerAccount account(const std::string& life, std::int64_t clock) {
-  WorkerAccount given;
-  given.life = WorkerId{life};
+WorkerRegistration account(const std::string& life, std::int64_t clock) {
+  WorkerRegistration given;
+  given.workerInstance = WorkerId{life};
   given.capacity.cores = 4000;
   given.capacity.memory = 1000;
-  given.capacity.honoursLeases = given.capacity.lapses = given.capacity.assembles = true;
-  given.clock = WorkerTime{clock};
+  given.capacity.honoursLeases = given.capacity.killsOnLeaseExpiry =
+      given.capacity.selfAssemblingGangs = true;
+  given.clockReading = WorkerTime{clock};
   return given;
 }
 Order startOf(std::uint64_t number, const std::string& job) {
@@ -24,21 +25,21 @@
   order.number = OrderNumber{number};
   order.attempt = AttemptNumber{number};
   order.job = JobId{job};
-  order.run = 1;
+  order.runNumber = 1;
   return order;
 }
 SyncResponse answerWith(std::vector<Order> orders, std::uint64_t after) {
   SyncResponse answer;
   answer.term = Term{1};
   answer.orders = std::move(orders);
-  answer.after = OrderNumber{after};
+  answer.ordersAfter = OrderNumber{after};
   return answer;
 }
 std::set<std::string> started(NodeAgent& agent, std::int64_t now) {
   std::set<std::string> jobs;
   for (const auto& call : agent.takeCalls(MonotonicTime{now}))
     if (call.kind == WorkerCall::Kind::start)
-      jobs.insert(call.name.job.value);
+      jobs.insert(call.runId.job.value);
   return jobs;
 }
 
@@ -50,16 +51,17 @@
 // if they had been.
 TEST(CalledWorkerTests, noOrderIsPassedOver) {
   NodeAgent agent{NodeAgentOptions{}};
-  agent.known(account("w", 1000), MonotonicTime{0});
-  const auto first = agent.report(MonotonicTime{0});
-  const auto second = agent.report(MonotonicTime{3900});
-  agent.answered(first, answerWith({startOf(1, "a")}, 0), MonotonicTime{0}, MonotonicTime{4000});
-  agent.answered(second, answerWith({startOf(2, "b")}, 1), MonotonicTime{3900},
-                 MonotonicTime{4001});
+  agent.onRegistration(account("w", 1000), MonotonicTime{0});
+  const auto first = agent.makeSyncReport(MonotonicTime{0});
+  const auto second = agent.makeSyncReport(MonotonicTime{3900});
+  agent.onSyncResponse(first, answerWith({startOf(1, "a")}, 0), MonotonicTime{0},
+                       MonotonicTime{4000});
+  agent.onSyncResponse(second, answerWith({startOf(2, "b")}, 1), MonotonicTime{3900},
+                       MonotonicTime{4001});
   CHECK(started(agent, 4002).empty());
-  LONGS_EQUAL(0, agent.report(MonotonicTime{4003}).received.value);
-  agent.answered(second, answerWith({startOf(1, "a"), startOf(2, "b")}, 0), MonotonicTime{3900},
-                 MonotonicTime{4500});
+  LONGS_EQUAL(0, agent.makeSyncReport(MonotonicTime{4003}).lastReceivedOrder.value);
+  agent.onSyncResponse(second, answerWith({startOf(1, "a"), startOf(2, "b")}, 0),
+                       MonotonicTime{3900}, MonotonicTime{4500});
   LONGS_EQUAL(2, started(agent, 4501).size());
 }
 
@@ -67,75 +69,80 @@
 // called void, and no call renews the hold. docs/design.md 5.8.
 TEST(CalledWorkerTests, anEndingIsVoidOnlyWhenItsHoldHasSurelyRunOut) {
   NodeAgent agent{NodeAgentOptions{}};
-  agent.known(account("w", 0), MonotonicTime{0});
-  const auto report = agent.report(MonotonicTime{0});
-  agent.answered(report, answerWith({startOf(1, "a")}, 0), MonotonicTime{0}, MonotonicTime{0});
+  agent.onRegistration(account("w", 0), MonotonicTime{0});
+  const auto report = agent.makeSyncReport(MonotonicTime{0});
+  agent.onSyncResponse(report, answerWith({startOf(1, "a")}, 0), MonotonicTime{0},
+                       MonotonicTime{0});
   for (const auto& call : agent.takeCalls(MonotonicTime{0})) {
     WorkerReply reply;
-    reply.kind = WorkerReply::Kind::done;
-    reply.clock = WorkerTime{98};
-    if (call.kind == WorkerCall::Kind::look)
-      reply.ended.push_back({1, RunName::of(startOf(1, "a")), EndingKind::finished, ""});
-    agent.replied(call, reply, MonotonicTime{100});
+    reply.status = WorkerReply::Status::ok;
+    reply.clockReading = WorkerTime{98};
+    if (call.kind == WorkerCall::Kind::poll)
+      reply.results.push_back({1, TaskRunId::of(startOf(1, "a")), AttemptOutcome::succeeded, ""});
+    agent.onWorkerReply(call, reply, MonotonicTime{100});
   }
-  LONGS_EQUAL(1, agent.report(MonotonicTime{101}).namedEndings.size());
+  LONGS_EQUAL(1, agent.makeSyncReport(MonotonicTime{101}).runResults.size());
   // It was held until 2940 by its own clock, which is between 2886 and 2943 by now.
-  agent.answered(agent.report(MonotonicTime{2900}), answerWith({}, 1), MonotonicTime{2900},
-                 MonotonicTime{2940});
+  agent.onSyncResponse(agent.makeSyncReport(MonotonicTime{2900}), answerWith({}, 1),
+                       MonotonicTime{2900}, MonotonicTime{2940});
   for (const auto& call : agent.takeCalls(MonotonicTime{2945}))
-    CHECK(!call.deadline);
-  CHECK(agent.report(MonotonicTime{2946}).namedEndings.at(0).kind == EndingKind::finished);
+    CHECK(!call.leaseDeadline);
+  CHECK(agent.makeSyncReport(MonotonicTime{2946}).runResults.at(0).outcome ==
+        AttemptOutcome::succeeded);
   // Its clock shows that it is held still.
   // It tells so by an answer: an account may be seconds old.
   NodeAgent heard = agent;
   Order stop = startOf(2, "c");
   stop.kind = OrderKind::stop;
-  heard.answered(heard.report(MonotonicTime{2946}), answerWith({stop}, 1), MonotonicTime{2946},
-                 MonotonicTime{2946});
+  heard.onSyncResponse(heard.makeSyncReport(MonotonicTime{2946}), answerWith({stop}, 1),
+                       MonotonicTime{2946}, MonotonicTime{2946});
   for (const auto& call : heard.takeCalls(MonotonicTime{2947})) {
     CHECK(call.kind == WorkerCall::Kind::stop);
     WorkerReply reply;
-    reply.kind = WorkerReply::Kind::done;
-    reply.clock = WorkerTime{2890};
-    heard.replied(call, reply, MonotonicTime{2950});
+    reply.status = WorkerReply::Status::ok;
+    reply.clockReading = WorkerTime{2890};
+    heard.onWorkerReply(call, reply, MonotonicTime{2950});
   }
-  heard.answered(heard.report(MonotonicTime{2950}), answerWith({startOf(3, "b")}, 2),
-                 MonotonicTime{2950}, MonotonicTime{2950});
+  heard.onSyncResponse(heard.makeSyncReport(MonotonicTime{2950}), answerWith({startOf(3, "b")}, 2),
+                       MonotonicTime{2950}, MonotonicTime{2950});
   std::size_t renewed = 0;
   for (const auto& call : heard.takeCalls(MonotonicTime{2950}))
-    renewed += call.deadline.has_value();
+    renewed += call.leaseDeadline.has_value();
   CHECK(renewed > 0);
-  CHECK(heard.report(MonotonicTime{3100}).namedEndings.at(0).kind == EndingKind::finished);
+  CHECK(heard.makeSyncReport(MonotonicTime{3100}).runResults.at(0).outcome ==
+        AttemptOutcome::succeeded);
   // Or nothing more is heard.
   agent.takeCalls(MonotonicTime{3200});
-  CHECK(agent.report(MonotonicTime{3201}).namedEndings.at(0).kind == EndingKind::stopped);
+  CHECK(agent.makeSyncReport(MonotonicTime{3201}).runResults.at(0).outcome ==
+        AttemptOutcome::stopped);
 }
 
 // A worker lists so many endings at a time: the rest is asked for even where nothing runs any more.
 TEST(CalledWorkerTests, theRestOfTheEndingsIsAskedFor) {
   NodeAgent agent{NodeAgentOptions{}};
-  agent.known(account("w", 0), MonotonicTime{0});
-  agent.answered(agent.report(MonotonicTime{0}), answerWith({}, 0), MonotonicTime{0},
-                 MonotonicTime{0});
+  agent.onRegistration(account("w", 0), MonotonicTime{0});
+  agent.onSyncResponse(agent.makeSyncReport(MonotonicTime{0}), answerWith({}, 0), MonotonicTime{0},
+                       MonotonicTime{0});
   auto looks = [&](std::int64_t now) {
     std::vector<WorkerCall> found;
     for (const auto& call : agent.takeCalls(MonotonicTime{now}))
-      if (call.kind == WorkerCall::Kind::look)
+      if (call.kind == WorkerCall::Kind::poll)
         found.push_back(call);
     return found;
   };
   WorkerReply reply;
-  reply.kind = WorkerReply::Kind::done;
-  reply.clock = WorkerTime{10};
-  reply.ended.push_back({1, RunName::of(startOf(1, "a")), EndingKind::finished, ""});
-  reply.whole = false;
-  agent.replied(looks(10).at(0), reply, MonotonicTime{11});
+  reply.status = WorkerReply::Status::ok;
+  reply.clockReading = WorkerTime{10};
+  reply.results.push_back({1, TaskRunId::of(startOf(1, "a")), AttemptOutcome::succeeded, ""});
+  reply.complete = false;
+  agent.onWorkerReply(looks(10).at(0), reply, MonotonicTime{11});
   auto answer = answerWith({}, 0);
-  answer.closed = 1;
-  agent.answered(agent.report(MonotonicTime{12}), answer, MonotonicTime{12}, MonotonicTime{14});
+  answer.finalResultCount = 1;
+  agent.onSyncResponse(agent.makeSyncReport(MonotonicTime{12}), answer, MonotonicTime{12},
+                       MonotonicTime{14});
   const auto again = looks(20);
   LONGS_EQUAL(1, again.size());
-  LONGS_EQUAL(1, again.at(0).lastSeen);
+  LONGS_EQUAL(1, again.at(0).confirmedUpTo);
 }
 
 namespace {
@@ -165,20 +172,22 @@
       Action action;
       action.attempt = AttemptNumber{++lastAttempt};
       action.job = JobId{"a"};
-      action.task = task;
+      action.taskIndex = task;
       action.worker = WorkerId{task ? "w" : "v"};
       action.memory = 1;
-      action.run = run;
+      action.runNumber = run;
       plan.actions.push_back(action);
     }
     apply(plan);
     for (const char* id : {"v", "w"})
-      apply(WorkerSynced{WorkerId{id}, clusterState.workers.at(WorkerId{id}).lastOrder, {}});
+      apply(
+          WorkerSynced{WorkerId{id}, clusterState.workers().at(WorkerId{id}).lastIssuedOrder, {}});
   }
-  void end(const char* worker, std::uint64_t attempt, EndingKind kind) {
-    apply(WorkerSynced{WorkerId{worker}, OrderNumber{}, {Ending{AttemptNumber{attempt}, kind}}});
+  void end(const char* worker, std::uint64_t attempt, AttemptOutcome kind) {
+    apply(WorkerSynced{
+        WorkerId{worker}, OrderNumber{}, {AttemptResult{AttemptNumber{attempt}, kind}}});
   }
-  JobState state() const { return clusterState.jobs.at(JobId{"a"}).state; }
+  JobState state() const { return clusterState.jobs().at(JobId{"a"}).state; }
 };
 
 }  // namespace
@@ -188,19 +197,19 @@
 TEST(CalledWorkerTests, aGangsCleanEndingCountsForAll) {
   GangClusterState given;
   given.place(1, {0, 1});
-  given.end("v", 1, EndingKind::stopped);
-  given.end("w", 2, EndingKind::finished);
-  CHECK(given.state() == JobState::finished);
+  given.end("v", 1, AttemptOutcome::stopped);
+  given.end("w", 2, AttemptOutcome::succeeded);
+  CHECK(given.state() == JobState::succeeded);
 }
 TEST(CalledWorkerTests, aGangsLateCleanEndingStopsWhatTookItsPlace) {
   GangClusterState given;
   given.place(1, {0, 1});
-  given.end("v", 1, EndingKind::stopped);
+  given.end("v", 1, AttemptOutcome::stopped);
   given.place(2, {0});
-  given.end("w", 2, EndingKind::finished);
-  CHECK(given.clusterState.attempts.at(AttemptNumber{3}).state == AttemptState::stopping);
-  given.end("v", 3, EndingKind::stopped);
-  CHECK(given.state() == JobState::finished);
+  given.end("w", 2, AttemptOutcome::succeeded);
+  CHECK(given.clusterState.attempts().at(AttemptNumber{3}).state == AttemptState::stopping);
+  given.end("v", 3, AttemptOutcome::stopped);
+  CHECK(given.state() == JobState::succeeded);
 }
 
 // One that was silent while it leaves is not used again when it is heard. docs/design.md 5.7.
@@ -211,24 +220,24 @@
     clusterState.apply(LogRecord{ClusterTime{++now}, std::move(event)});
   };
   const WorkerId id{"v"};
-  const Worker& worker = clusterState.workers[id];
+  const Worker& worker = clusterState.workers().at(id);
   apply(WorkerRegistered{id, Incarnation{1}, account("v", 0).capacity});
-  apply(WorkerLeaves{id, Duration{2000}, false});
-  apply(WorkerSilent{id, {}});
-  apply(WorkerReturned{id});
-  CHECK(worker.state == WorkerState::leaving);
+  apply(WorkerDrainStarted{id, Duration{2000}, false});
+  apply(WorkerUnreachable{id, {}});
+  apply(WorkerReconnected{id});
+  CHECK(worker.state == WorkerState::draining);
   // Nor when the word came during the silence.
   apply(WorkerRegistered{id, Incarnation{2}, account("v", 0).capacity});
-  apply(WorkerSilent{id, {}});
-  apply(WorkerLeaves{id, Duration{2000}, false});
-  apply(WorkerReturned{id});
-  CHECK(worker.state == WorkerState::leaving);
+  apply(WorkerUnreachable{id, {}});
+  apply(WorkerDrainStarted{id, Duration{2000}, false});
+  apply(WorkerReconnected{id});
+  CHECK(worker.state == WorkerState::draining);
   // An operator takes it back, and a silence does not bring it up again.
-  apply(WorkerReturned{id});
-  CHECK(worker.state == WorkerState::present);
-  apply(WorkerSilent{id, {}});
-  apply(WorkerReturned{id});
-  CHECK(worker.state == WorkerState::present);
+  apply(WorkerReconnected{id});
+  CHECK(worker.state == WorkerState::available);
+  apply(WorkerUnreachable{id, {}});
+  apply(WorkerReconnected{id});
+  CHECK(worker.state == WorkerState::available);
 }
 
 // No start is reserved where too many of a step would be on one worker: it would never come, and
@@ -247,16 +256,16 @@
   job.id = JobId{"a"};
   job.queue = QueueName{"q"};
   job.steps = {{"only", {}, true, {TaskRequest{}, TaskRequest{}}}};
-  job.steps[0].needs.apart = 1;
+  job.steps[0].requirements.maxPerWorker = 1;
   apply(JobAccepted{job});
   Planner planner;
-  CHECK(!planner.make(clusterState, ClusterTime{now}, {{WorkerId{"v"}, Duration{0}}})
-             .made.reservation.held());
+  CHECK(!planner.makePlan(clusterState, ClusterTime{now}, {{WorkerId{"v"}, Duration{0}}})
+             .record.reservation.isActive());
   apply(WorkerRegistered{WorkerId{"w"}, Incarnation{1}, account("w", 0).capacity});
   LONGS_EQUAL(2, planner
-                     .make(clusterState, ClusterTime{now},
-                           {{WorkerId{"v"}, Duration{0}}, {WorkerId{"w"}, Duration{0}}})
-                     .made.actions.size());
+                     .makePlan(clusterState, ClusterTime{now},
+                               {{WorkerId{"v"}, Duration{0}}, {WorkerId{"w"}, Duration{0}}})
+                     .record.actions.size());
 }
 
 namespace {
@@ -267,7 +276,7 @@
                   const std::string& attempt = "1", const std::string& detail = "") {
   HistoryEvent witness;
   witness.kind = kind;
-  witness.at = at;
+  witness.timestamp = at;
   witness.job = job;
   witness.task = task;
   witness.worker = worker;
@@ -279,7 +288,7 @@
   return witness;
 }
 HistoryEvent worker(const std::string& life) {
-  auto witness = line(K::capacity, 1, "", 0, life, "", "called");
+  auto witness = line(K::capacityReported, 1, "", 0, life, "", "called");
   witness.cores = witness.memory = 2;
   witness.pool = "pool";
   witness.labels = {"fine", "shelf1"};
@@ -300,12 +309,12 @@
                                   const JobSubmission& job = oneTask()) {
   history.insert(history.begin(), {worker("v"), worker("w")});
   InvariantOptions options;
-  options.slack = 0;
-  options.triesOf["q"] = 2;
-  options.poolsOf["q"] = {"pool"};
+  options.clockSlackMs = 0;
+  options.maxAttemptsByQueue["q"] = 2;
+  options.poolsByQueue["q"] = {"pool"};
   std::map<int, std::string> found;
-  for (const auto& promise : checkInvariants(std::move(history), {{"a", job}}, options).broken)
-    found[promise.rule] += promise.text + "\n";
+  for (const auto& promise : checkInvariants(std::move(history), {{"a", job}}, options).violations)
+    found[promise.rule] += promise.description + "\n";
   return found;
 }
 std::vector<HistoryEvent> runOn(const std::string& life, std::int64_t from, std::int64_t to,
@@ -314,7 +323,7 @@
   std::vector<HistoryEvent> lines{line(K::started, from, "a", task, life, attempt),
                                   line(K::ended, to, "a", task, life, attempt, how)};
   if (noted)
-    lines.push_back(line(K::confirmed, noted, "a", task, life, attempt, how));
+    lines.push_back(line(K::resultConfirmed, noted, "a", task, life, attempt, how));
   return lines;
 }
 std::vector<HistoryEvent> both(std::vector<HistoryEvent> first,
@@ -330,7 +339,7 @@
 TEST(CalledInvariantTests, aGoodRunBreaksNothing) {
   auto history =
       both(runOn("v", 10, 20, "1", "failed", 25), runOn("w", 30, 40, "2", "finished", 45));
-  history.push_back(line(K::shown, 50, "a", 0, "", "", "finished"));
+  history.push_back(line(K::stateObserved, 50, "a", 0, "", "", "finished"));
   CHECK(broken(history).empty());
 }
 TEST(CalledInvariantTests, twice) {
@@ -344,7 +353,7 @@
             .count(1));
   CHECK(!broken(both(runOn("v", 10, 20, "1", "finished"), runOn("w", 30, 40, "2", "finished", 45)))
              .count(1));
-  const auto redundant = oneTask([](auto& job) { job.steps[0].needs.redundant = true; });
+  const auto redundant = oneTask([](auto& job) { job.steps[0].requirements.redundant = true; });
   CHECK(
       broken({line(K::started, 10, "a", 0, "v"), line(K::started, 11, "a", 0, "w", "2")}, redundant)
           .empty());
@@ -368,16 +377,18 @@
 }
 TEST(CalledInvariantTests, place) {
   const auto start = {line(K::started, 10, "a", 0, "v")};
-  CHECK(broken(start, oneTask([](auto& job) { job.steps[0].needs.label = "plain"; })).count(13));
-  CHECK(broken(start, oneTask([](auto& job) { job.steps[0].needs.label = "fine"; })).empty());
+  CHECK(broken(start, oneTask([](auto& job) { job.steps[0].requirements.requiredLabel = "plain"; }))
+            .count(13));
+  CHECK(broken(start, oneTask([](auto& job) { job.steps[0].requirements.requiredLabel = "fine"; }))
+            .empty());
   InvariantOptions elsewhere;
-  elsewhere.poolsOf["q"] = {"other"};
+  elsewhere.poolsByQueue["q"] = {"other"};
   LONGS_EQUAL(13, checkInvariants({worker("v"), line(K::started, 10, "a", 0, "v")},
                                   {{"a", oneTask()}}, elsewhere)
-                      .broken.at(0)
+                      .violations.at(0)
                       .rule);
   const auto apart = oneTask([](auto& job) {
-    job.steps[0].needs.apart = 1;
+    job.steps[0].requirements.maxPerWorker = 1;
     job.steps[0].tasks.resize(2, job.steps[0].tasks[0]);
   });
   CHECK(broken({line(K::started, 10, "a", 0, "v"), line(K::started, 11, "a", 1, "v")}, apart)
@@ -395,7 +406,7 @@
                     runOn("v", 50, 60, "3", "finished")))
             .empty());
   CHECK(broken(both(twoFailed, runOn("v", 50, 60, "3", "failed")),
-               oneTask([](auto& job) { job.steps[0].needs.lasts = true; }))
+               oneTask([](auto& job) { job.steps[0].requirements.longRunning = true; }))
             .empty());
 }
 TEST(CalledInvariantTests, unasked) {
@@ -405,10 +416,10 @@
   auto other = line(K::started, 10, "a", 0, "v");
   other.payload = "another";
   CHECK(broken({other}).count(15));
-  auto made = line(K::saved, 15, "a", 0, "v");
-  made.saved = "of task 0";
+  auto made = line(K::checkpointed, 15, "a", 0, "v");
+  made.checkpoint = "of task 0";
   auto from = line(K::started, 30, "a", 0, "w", "2");
-  from.saved = made.saved;
+  from.checkpoint = made.checkpoint;
   const auto first = line(K::started, 10, "a", 0, "v"),
              end = line(K::ended, 20, "a", 0, "v", "1", "stopped");
   CHECK(broken({first, made, end, from}).empty());
@@ -419,9 +430,9 @@
   auto gang = two;
   gang.steps[0].gang = true;
   auto beside = line(K::started, 31, "a", 1, "v", "2");
-  beside.saved = made.saved;
+  beside.checkpoint = made.checkpoint;
   CHECK(broken({first, made, end, from, beside}, gang).empty());
-  beside.saved.clear();
+  beside.checkpoint.clear();
   CHECK(broken({first, made, end, from, beside}, gang).count(15));
 }
 TEST(CalledInvariantTests, gangAlone) {
@@ -431,23 +442,23 @@
   });
   const auto alone = runOn("v", 10, 3010, "1", "alone");
   CHECK(broken(alone, gang).count(16));
-  CHECK(broken(both({line(K::disturbed, 5, "", 0, "", "", "a fault")}, alone), gang).empty());
+  CHECK(broken(both({line(K::faultBegan, 5, "", 0, "", "", "a fault")}, alone), gang).empty());
   CHECK(broken(both({line(K::cancelAcknowledged, 8, "a")}, alone), gang).empty());
 }
 TEST(CalledInvariantTests, leaving) {
-  const auto leaving = line(K::leaving, 5, "", 0, "v");
+  const auto leaving = line(K::draining, 5, "", 0, "v");
   auto start = line(K::started, 10, "a", 0, "v");
   CHECK(broken({leaving, start}).count(17));
-  start.late = true;  // an order from before, carried out seconds after it was given up
+  start.executedLate = true;  // an order from before, carried out seconds after it was given up
   CHECK(broken({leaving, start}).empty());
 }
 TEST(CalledInvariantTests, shownFinishedOrFailedTooSoon) {
-  const auto shown = line(K::shown, 50, "a", 0, "", "", "finished"),
-             failed = line(K::shown, 50, "a", 0, "", "", "failed");
+  const auto shown = line(K::stateObserved, 50, "a", 0, "", "", "finished"),
+             failed = line(K::stateObserved, 50, "a", 0, "", "", "failed");
   CHECK(broken(both(runOn("v", 10, 20, "1", "lapsed", 25), {shown})).count(4));
   const auto timed = oneTask([](auto& job) {
-    job.timetable.first = ClusterTime{5};
-    job.timetable.every = Duration{1};
+    job.timetable.firstStart = ClusterTime{5};
+    job.timetable.interval = Duration{1};
     job.timetable.count = 2;
   });
   auto first = runOn("v", 10, 20, "1", "finished", 25);
--- a/tests/checker/config_orders_tests.cpp
+++ b/tests/checker/config_orders_tests.cpp
@@ -9,39 +9,40 @@
                    std::uint64_t version = 0) {
   HistoryEvent given;
   given.kind = kind;
-  given.base = base;
+  given.baseVersion = base;
   given.digest = text;
   given.version = version;
   return given;
 }
 bool holds(const std::vector<HistoryEvent>& events) {
   ConfigOrderChecker checker;
-  return std::none_of(events.begin(), events.end(),
-                      [&](const HistoryEvent& given) { return checker.see(given).has_value(); });
+  return std::none_of(events.begin(), events.end(), [&](const HistoryEvent& given) {
+    return checker.observe(given).has_value();
+  });
 }
 }  // namespace
 
 TEST_GROUP(ConfigOrderCheckerTests){};
 
 TEST(ConfigOrderCheckerTests, aTakenOrderMayBeAcknowledgedAgainLater) {
-  CHECK(holds({event(Kind::configAsked, 5, "a"), event(Kind::configAsked, 5, "b"),
-               event(Kind::configAcknowledged, 5, "a", 7), event(Kind::configRefused, 5, "b"),
+  CHECK(holds({event(Kind::configSubmitted, 5, "a"), event(Kind::configSubmitted, 5, "b"),
+               event(Kind::configAcknowledged, 5, "a", 7), event(Kind::configRejected, 5, "b"),
                event(Kind::configAcknowledged, 7, "c", 9),
-               event(Kind::configAcknowledged, 5, "a", 7), event(Kind::configRefused, 5, "b")}));
+               event(Kind::configAcknowledged, 5, "a", 7), event(Kind::configRejected, 5, "b")}));
 }
 
 // Its first answer may have been lost, and another have been taken by then.
 TEST(ConfigOrderCheckerTests, theFirstAcknowledgementMayComeLate) {
-  CHECK(holds({event(Kind::configAsked, 5, "a"), event(Kind::configAcknowledged, 7, "c", 9),
+  CHECK(holds({event(Kind::configSubmitted, 5, "a"), event(Kind::configAcknowledged, 7, "c", 9),
                event(Kind::configAcknowledged, 5, "a", 7)}));
-  CHECK(!holds({event(Kind::configAcknowledged, 7, "c", 9), event(Kind::configAsked, 5, "a"),
+  CHECK(!holds({event(Kind::configAcknowledged, 7, "c", 9), event(Kind::configSubmitted, 5, "a"),
                 event(Kind::configAcknowledged, 5, "a", 7)}));
 }
 
 TEST(ConfigOrderCheckerTests, ofDifferentOrdersOneIsConfirmed) {
   CHECK(!holds(
       {event(Kind::configAcknowledged, 5, "a", 7), event(Kind::configAcknowledged, 6, "b", 7)}));
-  CHECK(!holds({event(Kind::configAsked, 5, "b"), event(Kind::configAcknowledged, 5, "a", 7),
+  CHECK(!holds({event(Kind::configSubmitted, 5, "b"), event(Kind::configAcknowledged, 5, "a", 7),
                 event(Kind::configAcknowledged, 5, "b", 8)}));
   CHECK(!holds(
       {event(Kind::configAcknowledged, 5, "a", 7), event(Kind::configAcknowledged, 5, "a", 8)}));
@@ -49,8 +50,8 @@
 
 TEST(ConfigOrderCheckerTests, takenAndRefusedExcludeEachOther) {
   CHECK(!holds({event(Kind::configAcknowledged, 5, "a", 7),
-                event(Kind::configAcknowledged, 7, "c", 9), event(Kind::configRefused, 5, "a")}));
-  CHECK(!holds({event(Kind::configRefused, 5, "a"), event(Kind::configAcknowledged, 5, "a", 7)}));
+                event(Kind::configAcknowledged, 7, "c", 9), event(Kind::configRejected, 5, "a")}));
+  CHECK(!holds({event(Kind::configRejected, 5, "a"), event(Kind::configAcknowledged, 5, "a", 7)}));
 }
 
 // Writers of histories that don't note the order: there versions must rise.
--- a/tests/checker/history_operations_tests.cpp
+++ b/tests/checker/history_operations_tests.cpp
@@ -14,10 +14,10 @@
                   std::int64_t since = 0) {
   HistoryEvent made;
   made.kind = kind;
-  made.at = at;
+  made.timestamp = at;
   made.job = "a";
   made.detail = detail;
-  made.since = since;
+  made.invokedAt = since;
   return made;
 }
 
@@ -25,32 +25,32 @@
                       std::int64_t since = 0, std::uint64_t version = 0) {
   HistoryEvent made = line(kind, at, "", since);
   made.job.clear();
-  made.base = base;
+  made.baseVersion = base;
   made.digest = digest;
   made.version = version;
   return made;
 }
 
-std::vector<Violation> violationsOf(const std::vector<HistoryEvent>& history) {
+std::vector<LinearizabilityViolation> violationsOf(const std::vector<HistoryEvent>& history) {
   return findViolations(history, HistoryOperationsOptions{});
 }
 
 void passes(const std::vector<HistoryEvent>& history) {
-  for (const Violation& violation : violationsOf(history))
-    FAIL(violation.text.c_str());
+  for (const LinearizabilityViolation& violation : violationsOf(history))
+    FAIL(violation.description.c_str());
 }
 
 // The one violation's last operation returned then.
 void failsAt(std::int64_t at, const std::vector<HistoryEvent>& history) {
   const auto violations = violationsOf(history);
   LONGS_EQUAL(1, violations.size());
-  LONGS_EQUAL(at, violations.front().at);
+  LONGS_EQUAL(at, violations.front().timestamp);
 }
 
 // A good life of a job, asked for at 10.
 std::vector<HistoryEvent> life() {
   return {line(Kind::submitted, 10), line(Kind::accepted, 20, "202", 10), line(Kind::started, 30),
-          line(Kind::shown, 50, "open", 40), line(Kind::shown, 80, "finished", 70)};
+          line(Kind::stateObserved, 50, "open", 40), line(Kind::stateObserved, 80, "finished", 70)};
 }
 
 std::vector<HistoryEvent> with(std::vector<HistoryEvent> history, const HistoryEvent& more) {
@@ -60,12 +60,12 @@
 
 // Two operators one after the other, the second's first try refused.
 std::vector<HistoryEvent> orders() {
-  return {ofConfig(Kind::configAsked, 10, 0, "x"),
+  return {ofConfig(Kind::configSubmitted, 10, 0, "x"),
           ofConfig(Kind::configAcknowledged, 20, 0, "x", 10, 1),
-          ofConfig(Kind::configAsked, 30, 0, "y"),
-          ofConfig(Kind::configRefused, 40, 0, "y", 30, 1),
-          ofConfig(Kind::configRead, 60, 0, "x", 50, 1),
-          ofConfig(Kind::configAsked, 70, 1, "y"),
+          ofConfig(Kind::configSubmitted, 30, 0, "y"),
+          ofConfig(Kind::configRejected, 40, 0, "y", 30, 1),
+          ofConfig(Kind::configReturned, 60, 0, "x", 50, 1),
+          ofConfig(Kind::configSubmitted, 70, 1, "y"),
           ofConfig(Kind::configAcknowledged, 80, 1, "y", 70, 2)};
 }
 
@@ -80,40 +80,40 @@
 }
 
 TEST(HistoryOperations, eachAnswerIsACallFromItsAsking) {
-  const auto operations = operationsOf(life(), {}).jobs;
+  const auto operations = extractOperations(life(), {}).jobOperations;
   LONGS_EQUAL(4, operations.size());
   LONGS_EQUAL(10, operations[0].invokedAt);
   LONGS_EQUAL(20, *operations[0].returnedAt);
   CHECK(operations[0].output.kind == JobOutput::Kind::accepted);
   CHECK(operations[1].input.kind == JobInput::Kind::run);
   LONGS_EQUAL(40, operations[2].invokedAt);
-  CHECK(operations[3].output.phase == JobPhase::done);
-  LONGS_EQUAL(4, operationsOf(orders(), {}).configuration.size());
+  CHECK(operations[3].output.phase == JobPhase::succeeded);
+  LONGS_EQUAL(4, extractOperations(orders(), {}).configurationOperations.size());
 }
 
 TEST(HistoryOperations, whatWasNeverAnsweredIsUnknown) {
   const std::vector<HistoryEvent> history{
-      line(Kind::submitted, 10),   line(Kind::unknown, 20, "0", 10),
-      line(Kind::submitted, 30),   line(Kind::accepted, 40, "202", 30),
-      line(Kind::cancelAsked, 50), ofConfig(Kind::configAsked, 60, 0, "x")};
-  const auto operations = operationsOf(history, {});
-  LONGS_EQUAL(3, operations.jobs.size());
-  CHECK(operations.jobs[1].outcome == Outcome::unknown);
-  LONGS_EQUAL(10, operations.jobs[1].invokedAt);
-  CHECK(operations.jobs[2].input.kind == JobInput::Kind::cancel);
-  CHECK(operations.jobs[2].outcome == Outcome::unknown);
-  LONGS_EQUAL(1, operations.configuration.size());
-  CHECK(operations.configuration[0].outcome == Outcome::unknown);
+      line(Kind::submitted, 10),       line(Kind::outcomeUnknown, 20, "0", 10),
+      line(Kind::submitted, 30),       line(Kind::accepted, 40, "202", 30),
+      line(Kind::cancelSubmitted, 50), ofConfig(Kind::configSubmitted, 60, 0, "x")};
+  const auto operations = extractOperations(history, {});
+  LONGS_EQUAL(3, operations.jobOperations.size());
+  CHECK(operations.jobOperations[1].outcome == OperationOutcome::unknown);
+  LONGS_EQUAL(10, operations.jobOperations[1].invokedAt);
+  CHECK(operations.jobOperations[2].input.kind == JobInput::Kind::cancel);
+  CHECK(operations.jobOperations[2].outcome == OperationOutcome::unknown);
+  LONGS_EQUAL(1, operations.configurationOperations.size());
+  CHECK(operations.configurationOperations[0].outcome == OperationOutcome::unknown);
   // The cancel may have reached the cluster, or not.
-  passes(with(history, line(Kind::shown, 80, "cancelled", 70)));
-  passes(with(history, line(Kind::shown, 80, "open", 70)));
+  passes(with(history, line(Kind::stateObserved, 80, "cancelled", 70)));
+  passes(with(history, line(Kind::stateObserved, 80, "open", 70)));
 }
 
 TEST(HistoryOperations, aStaleReadIsFound) {
-  failsAt(100, with(orders(), ofConfig(Kind::configRead, 100, 0, "x", 90, 1)));
-  failsAt(100, with(life(), line(Kind::shown, 100, "open", 90)));
+  failsAt(100, with(orders(), ofConfig(Kind::configReturned, 100, 0, "x", 90, 1)));
+  failsAt(100, with(life(), line(Kind::stateObserved, 100, "open", 90)));
   // One that was asked for before the later answer came is none.
-  passes(with(life(), line(Kind::shown, 100, "open", 75)));
+  passes(with(life(), line(Kind::stateObserved, 100, "open", 75)));
 }
 
 TEST(HistoryOperations, twoConfirmedConfigurationsUponOneBaseAreFound) {
@@ -121,18 +121,18 @@
 }
 
 TEST(HistoryOperations, aTakenOrderRefusedOnResendIsFound) {
-  failsAt(100, with(orders(), ofConfig(Kind::configRefused, 100, 0, "x", 90, 2)));
+  failsAt(100, with(orders(), ofConfig(Kind::configRejected, 100, 0, "x", 90, 2)));
   passes(with(orders(), ofConfig(Kind::configAcknowledged, 100, 0, "x", 90, 1)));
   failsAt(100, with(life(), line(Kind::rejected, 100, "409", 90)));
   passes(with(life(), line(Kind::rejected, 100, "429", 90)));
 }
 
 TEST(HistoryOperations, aForgottenJobIsFound) {
-  failsAt(100, with(life(), line(Kind::shown, 100, "missing", 90)));
-  failsAt(100, with(life(), line(Kind::cancelMissing, 100, "", 90)));
+  failsAt(100, with(life(), line(Kind::stateObserved, 100, "missing", 90)));
+  failsAt(100, with(life(), line(Kind::cancelNotFound, 100, "", 90)));
   // After an hour it may be.
   const std::int64_t later = 3'700'000;
-  passes(with(life(), line(Kind::shown, later, "missing", later - 10)));
+  passes(with(life(), line(Kind::stateObserved, later, "missing", later - 10)));
 }
 
 TEST(HistoryOperations, aTurnedAwayJobThatRanIsFound) {
@@ -140,17 +140,17 @@
                line(Kind::started, 30)});
   failsAt(30, {line(Kind::submitted, 10), line(Kind::rejected, 20, "429", 10),
                line(Kind::started, 30)});
-  passes({line(Kind::submitted, 10), line(Kind::unknown, 15, "0", 10), line(Kind::submitted, 16),
-          line(Kind::rejected, 20, "429", 16), line(Kind::started, 30)});
+  passes({line(Kind::submitted, 10), line(Kind::outcomeUnknown, 15, "0", 10),
+          line(Kind::submitted, 16), line(Kind::rejected, 20, "429", 16), line(Kind::started, 30)});
 }
 
 TEST(HistoryOperations, aJobThatGoesOnAfterItsCancelIsFound) {
   std::vector<HistoryEvent> history{line(Kind::submitted, 10), line(Kind::accepted, 20, "202", 10),
-                                    line(Kind::cancelAsked, 30),
+                                    line(Kind::cancelSubmitted, 30),
                                     line(Kind::cancelAcknowledged, 40, "cancelling", 30)};
-  passes(with(history, line(Kind::shown, 60, "cancelled", 50)));
-  failsAt(60, with(history, line(Kind::shown, 60, "open", 50)));
-  failsAt(60, with(history, line(Kind::shown, 60, "finished", 50)));
+  passes(with(history, line(Kind::stateObserved, 60, "cancelled", 50)));
+  failsAt(60, with(history, line(Kind::stateObserved, 60, "open", 50)));
+  failsAt(60, with(history, line(Kind::stateObserved, 60, "finished", 50)));
 }
 
 TEST(HistoryOperations, anOccurrenceIsOfItsJob) {
@@ -163,14 +163,14 @@
 // Histories of before calls were noted whole: an answer may have been asked for at any time before.
 TEST(HistoryOperations, aCallWithoutItsBeginningIsNoOrder) {
   passes({line(Kind::started, 5), line(Kind::submitted, 20), line(Kind::accepted, 20, "202"),
-          line(Kind::shown, 40, "finished"), line(Kind::shown, 41, "open")});
+          line(Kind::stateObserved, 40, "finished"), line(Kind::stateObserved, 41, "open")});
   const auto acknowledged = ofConfig(Kind::configAcknowledged, 20, 0, "", 0, 1);
-  CHECK(operationsOf({acknowledged}, {}).configuration.empty());
+  CHECK(extractOperations({acknowledged}, {}).configurationOperations.empty());
 }
 
 TEST(HistoryOperations, theInvariantsTellOfIt) {
-  const auto history = with(life(), line(Kind::shown, 100, "open", 90));
+  const auto history = with(life(), line(Kind::stateObserved, 100, "open", 90));
   const auto findings = checkInvariants(history, {}, InvariantOptions{});
-  CHECK(std::any_of(findings.broken.begin(), findings.broken.end(),
+  CHECK(std::any_of(findings.violations.begin(), findings.violations.end(),
                     [](const InvariantViolation& promise) { return promise.rule == 19; }));
 }
--- a/tests/checker/history_tests.cpp
+++ b/tests/checker/history_tests.cpp
@@ -9,26 +9,27 @@
 TEST(HistoryTests, aLineSurvivesItsWriting) {
   HistoryEvent given;
   given.kind = HistoryEvent::Kind::started;
-  given.at = 20;
+  given.timestamp = 20;
   given.job = "a";
   given.worker = "m";
   given.cores = 3;
-  given.trial = given.late = true;
+  given.trial = given.executedLate = true;
   given.payload = "run=5";
   given.labels = {"a", "rack1"};
-  given.since = 19;
-  given.base = 4;
+  given.invokedAt = 19;
+  given.baseVersion = 4;
   given.digest = "77";
-  STRCMP_EQUAL(given.line().c_str(), HistoryEvent::parse(given.line())->line().c_str());
-  CHECK(!HistoryEvent::parse("{\"at\":1,\"kind\":\"sung\"}"));
+  STRCMP_EQUAL(given.toJsonLine().c_str(),
+               HistoryEvent::parseJsonLine(given.toJsonLine())->toJsonLine().c_str());
+  CHECK(!HistoryEvent::parseJsonLine("{\"at\":1,\"kind\":\"sung\"}"));
 }
 
 TEST(HistoryTests, whatIsNoWholeHistoryIsAnErrorByLine) {
   auto at = [](std::int64_t time, HistoryEvent::Kind kind) {
     HistoryEvent given;
-    given.at = time;
+    given.timestamp = time;
     given.kind = kind;
-    return given.line() + "\n";
+    return given.toJsonLine() + "\n";
   };
   using K = HistoryEvent::Kind;
   auto fault = [](const std::string& text) {
@@ -44,5 +45,5 @@
                fault(at(5000, K::submitted) + at(1, K::closed)).c_str());
   STRCMP_EQUAL(
       "good",
-      fault(at(1, K::started) + "{\"at\":\n" + at(2, K::vanished) + at(3, K::closed)).c_str());
+      fault(at(1, K::started) + "{\"at\":\n" + at(2, K::workerLost) + at(3, K::closed)).c_str());
 }
--- a/tests/checker/invariants_tests.cpp
+++ b/tests/checker/invariants_tests.cpp
@@ -16,7 +16,7 @@
                   std::string worker = "m", std::string attempt = "1", std::string detail = "") {
   HistoryEvent witness;
   witness.kind = kind;
-  witness.at = at;
+  witness.timestamp = at;
   witness.job = "a";
   witness.task = task;
   witness.worker = std::move(worker);
@@ -29,7 +29,7 @@
 using K = HistoryEvent::Kind;
 // A run with nothing wrong: both parts of the gang, then the second step.
 std::vector<HistoryEvent> goodRun() {
-  auto capacity = line(K::capacity, 1);
+  auto capacity = line(K::capacityReported, 1);
   capacity.cores = 4;
   capacity.memory = 100;
   return {capacity,
@@ -38,17 +38,17 @@
           line(K::started, 20, 0),
           line(K::started, 21, 1, "m", "2"),
           line(K::ended, 100, 0, "m", "1", "finished"),
-          line(K::confirmed, 105, 0, "m", "1", "finished"),
+          line(K::resultConfirmed, 105, 0, "m", "1", "finished"),
           line(K::ended, 110, 1, "m", "2", "finished"),
-          line(K::confirmed, 115, 1, "m", "2", "finished"),
+          line(K::resultConfirmed, 115, 1, "m", "2", "finished"),
           line(K::started, 200, 2, "m", "3"),
           line(K::ended, 300, 2, "m", "3", "finished"),
-          line(K::shown, 400, 0, "", "", "finished")};
+          line(K::stateObserved, 400, 0, "", "", "finished")};
 }
 CheckReport findingsOf(std::vector<HistoryEvent> history, const JobSubmission& job = twoSteps()) {
   InvariantOptions options;
-  options.retriesOf["q"] = 0;
-  options.slack = 0;
+  options.retriesByQueue["q"] = 0;
+  options.clockSlackMs = 0;
   return checkInvariants(std::move(history), {{"a", job}}, options);
 }
 std::set<int> rulesOf(const std::vector<InvariantViolation>& promises) {
@@ -59,7 +59,7 @@
 }
 std::set<int> rulesBroken(std::vector<HistoryEvent> history,
                           const JobSubmission& job = twoSteps()) {
-  return rulesOf(findingsOf(std::move(history), job).broken);
+  return rulesOf(findingsOf(std::move(history), job).violations);
 }
 std::vector<HistoryEvent> with(std::vector<HistoryEvent> more) {
   auto history = goodRun();
@@ -79,9 +79,10 @@
   CHECK(rulesBroken(with({line(K::started, 50, 0, "n", "9")})).count(1));  // twice at once
   CHECK(rulesBroken(with({line(K::started, 500, 0, "n", "9")}))
             .count(1));  // again after finishing well
-  CHECK(rulesBroken(with({line(K::shown, 4000, 0, "", "", "missing")})).count(2));  // forgotten
+  CHECK(rulesBroken(with({line(K::stateObserved, 4000, 0, "", "", "missing")}))
+            .count(2));  // forgotten
   CHECK(rulesBroken({line(K::submitted, 1), line(K::rejected, 2), line(K::started, 3)}).count(3));
-  CHECK(rulesBroken(with({line(K::shown, 150, 0, "", "", "finished")}))
+  CHECK(rulesBroken(with({line(K::stateObserved, 150, 0, "", "", "finished")}))
             .count(4));  // shown finished too early
   CHECK(rulesBroken({line(K::submitted, 1), line(K::accepted, 2), line(K::cancelAcknowledged, 3),
                      line(K::started, 4000)})
@@ -91,7 +92,7 @@
             .count(5));
   CHECK(rulesBroken({line(K::started, 30, 2)}).count(6));  // before its step may
   auto timed = twoSteps();
-  timed.timetable.first = ClusterTime{1000};
+  timed.timetable.firstStart = ClusterTime{1000};
   CHECK(rulesBroken({line(K::started, 900)}, timed).count(6));  // early
   CHECK(rulesBroken({line(K::started, 1), line(K::ended, 2, 0, "m", "1", "failed"),
                      line(K::started, 3, 0, "m", "2")})
@@ -102,37 +103,37 @@
   CHECK(rulesBroken(
             {line(K::started, 1), line(K::started, 900, 1, "m", "2"), line(K::ended, 2000, 0)})
             .count(8));
-  CHECK(rulesBroken({line(K::leaving, 1), line(K::started, 2100)}).count(9));
-  auto tight = line(K::capacity, 1);
+  CHECK(rulesBroken({line(K::draining, 1), line(K::started, 2100)}).count(9));
+  auto tight = line(K::capacityReported, 1);
   tight.cores = 1;
   tight.memory = 1;
   CHECK(rulesBroken({tight, line(K::started, 2, 0), line(K::started, 3, 1, "m", "2")}).count(10));
   auto acknowledged = line(K::configAcknowledged, 1),
-       seen = line(K::configSeen, 2500, 0, "", "", "gateway");
+       seen = line(K::configObserved, 2500, 0, "", "", "gateway");
   acknowledged.version = 2;
   seen.version = 1;
   CHECK(rulesBroken({acknowledged, seen}).count(11));
-  CHECK(rulesBroken({line(K::whole, 1), line(K::served, 12'100)}).count(12));
+  CHECK(rulesBroken({line(K::clusterHealed, 1), line(K::serviceRestored, 12'100)}).count(12));
 }
 
 // What no line says is found all the same: things that never came.
 TEST(InvariantTests, silencePassesForNothing) {
-  const auto late = line(K::shown, 9000, 0, "", "", "open");
-  CHECK(rulesBroken({line(K::whole, 1), late}).count(12));  // service never returned
+  const auto late = line(K::stateObserved, 9000, 0, "", "", "open");
+  CHECK(rulesBroken({line(K::clusterHealed, 1), late}).count(12));  // service never returned
   CHECK(rulesBroken({line(K::started, 1), line(K::cancelAcknowledged, 3), late})
             .count(5));  // never ended after its cancel
   CHECK(rulesBroken({line(K::started, 1), line(K::ended, 4000, 0, "m", "1", "finished")})
             .count(8));  // ran to its end, alone
   CHECK(!rulesBroken({line(K::started, 1), line(K::ended, 600, 0, "m", "1", "stopped")}).count(8));
-  CHECK(rulesBroken({line(K::submitted, 1), line(K::accepted, 2), line(K::settled, 60'000)})
+  CHECK(rulesBroken({line(K::submitted, 1), line(K::accepted, 2), line(K::quiescent, 60'000)})
             .count(2));
-  CHECK(!rulesBroken({line(K::submitted, 1), line(K::accepted, 2), line(K::explained, 3),
-                      line(K::settled, 60'000)})
+  CHECK(!rulesBroken({line(K::submitted, 1), line(K::accepted, 2), line(K::waitExplained, 3),
+                      line(K::quiescent, 60'000)})
              .count(2));
   CHECK(rulesBroken(with({line(K::started, 111, 1, "n", "9")}))
             .count(1));  // ended well, nothing in the way, yet again
   // A part may run alone longer while a fault is about, but not for ever.
-  const auto fault = line(K::disturbed, 1);
+  const auto fault = line(K::faultBegan, 1);
   CHECK(!rulesBroken({fault, line(K::started, 10), line(K::ended, 4000, 0, "m", "1", "stopped")})
              .count(8));
   CHECK(rulesBroken({fault, line(K::started, 10), line(K::ended, 6000, 0, "m", "1", "stopped")})
@@ -142,17 +143,17 @@
 // What nobody can lift is told apart, with its cause, and only where the cause is there.
 TEST(InvariantTests, limitsAreCountedByThemselves) {
   const std::vector<HistoryEvent> unaware{
-      line(K::started, 20), line(K::ended, 100, 0, "m", "1", "finished"), line(K::vanished, 101),
+      line(K::started, 20), line(K::ended, 100, 0, "m", "1", "finished"), line(K::workerLost, 101),
       line(K::started, 5000, 0, "n", "2")};
-  CHECK(rulesOf(findingsOf(unaware).limits).count(1));
+  CHECK(rulesOf(findingsOf(unaware).unavoidableViolations).count(1));
   CHECK(!rulesBroken(unaware).count(1));
-  auto capacity = line(K::capacity, 1);
+  auto capacity = line(K::capacityReported, 1);
   capacity.cores = capacity.memory = 9;
   capacity.detail = "leaseless";
-  const std::vector<HistoryEvent> unresponsive{capacity, line(K::started, 2), line(K::disturbed, 3),
-                                               line(K::cancelAcknowledged, 4),
-                                               line(K::ended, 9000, 0, "m", "1", "finished")};
-  CHECK(rulesOf(findingsOf(unresponsive).limits).count(5));
+  const std::vector<HistoryEvent> unresponsive{
+      capacity, line(K::started, 2), line(K::faultBegan, 3), line(K::cancelAcknowledged, 4),
+      line(K::ended, 9000, 0, "m", "1", "finished")};
+  CHECK(rulesOf(findingsOf(unresponsive).unavoidableViolations).count(5));
   CHECK(!rulesBroken(unresponsive).count(5));
   auto calm = unresponsive;
   calm.erase(calm.begin() + 2);
--- a/tests/checker/linearizability_tests.cpp
+++ b/tests/checker/linearizability_tests.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-using Verdict = Violation::Verdict;
+using Verdict = LinearizabilityViolation::Verdict;
 using Configurations = std::vector<ConfigurationModel::Operation>;
 using Jobs = std::vector<JobModel::Operation>;
 
@@ -18,7 +18,7 @@
   made.key = "configuration";
   made.invokedAt = invokedAt;
   made.returnedAt = returnedAt;
-  made.outcome = returnedAt ? Outcome::ok : Outcome::unknown;
+  made.outcome = returnedAt ? OperationOutcome::ok : OperationOutcome::unknown;
   return made;
 }
 
@@ -37,7 +37,7 @@
 ConfigurationModel::Operation refusal(std::int64_t invokedAt, std::int64_t returnedAt,
                                       std::uint64_t base, const std::string& digest,
                                       std::uint64_t version = 0) {
-  return apply(invokedAt, returnedAt, base, digest, ConfigurationOutput::Kind::refused, version);
+  return apply(invokedAt, returnedAt, base, digest, ConfigurationOutput::Kind::rejected, version);
 }
 
 ConfigurationModel::Operation lost(std::int64_t invokedAt, std::uint64_t base,
@@ -58,7 +58,7 @@
   made.key = "job";
   made.invokedAt = invokedAt;
   made.returnedAt = returnedAt;
-  made.outcome = returnedAt ? Outcome::ok : Outcome::unknown;
+  made.outcome = returnedAt ? OperationOutcome::ok : OperationOutcome::unknown;
   made.input.kind = asked;
   return made;
 }
@@ -79,7 +79,7 @@
 }
 
 JobModel::Operation cancel(std::int64_t invokedAt, std::optional<std::int64_t> returnedAt,
-                           JobPhase phase = JobPhase::over) {
+                           JobPhase phase = JobPhase::cancellingOrEnded) {
   auto made = job(JobInput::Kind::cancel, invokedAt, returnedAt);
   made.output = JobOutput{JobOutput::Kind::acknowledged, phase};
   return made;
@@ -91,10 +91,10 @@
   return made;
 }
 
-std::optional<Violation> check(const Configurations& operations) {
+std::optional<LinearizabilityViolation> check(const Configurations& operations) {
   return checkLinearizable(ConfigurationModel(), operations);
 }
-std::optional<Violation> check(const Jobs& operations) {
+std::optional<LinearizabilityViolation> check(const Jobs& operations) {
   return checkLinearizable(JobModel(), operations);
 }
 
@@ -102,7 +102,7 @@
 void passes(const Operations& operations) {
   const auto violation = check(operations);
   if (violation)
-    FAIL(violation->text.c_str());
+    FAIL(violation->description.c_str());
 }
 
 // The history is refuted, and the last operation of the smallest prefix is the one at that
@@ -206,12 +206,12 @@
   CHECK(violation.has_value());
   LONGS_EQUAL(3, violation->prefix.size());
   LONGS_EQUAL(2, violation->prefix.back());
-  LONGS_EQUAL(5, violation->at);
+  LONGS_EQUAL(5, violation->timestamp);
   STRCMP_EQUAL(
       "configuration: the first 3 operations can't be linearised: [0, 1] apply a upon 0 -> "
       "applied; [2, 3] read -> 1 a; "
       "[4, 5] read -> 0 ",
-      violation->text.c_str());
+      violation->description.c_str());
 }
 
 TEST(Linearizability, eachKeyIsSearchedByItself) {
@@ -247,8 +247,9 @@
 
 TEST(Linearizability, aJobsWholeLifePasses) {
   passes(Jobs{show(0, 1, JobPhase::missing), submit(2, 3), show(4, 5, JobPhase::pending), ran(6),
-              show(7, 8, JobPhase::open), show(9, 10, JobPhase::running),
-              show(11, 12, JobPhase::done), show(13, 14, JobPhase::done), submit(15, 16)});
+              show(7, 8, JobPhase::pendingOrRunning), show(9, 10, JobPhase::running),
+              show(11, 12, JobPhase::succeeded), show(13, 14, JobPhase::succeeded),
+              submit(15, 16)});
   passes(Jobs{submit(0, 1), show(2, 3, JobPhase::failed)});
 }
 
@@ -260,53 +261,57 @@
 }
 
 TEST(Linearizability, aTurnedAwayJobThatRanIsFound) {
-  failsAt(1, Jobs{submit(0, 1, JobOutput::Kind::turnedAway), ran(2)});
+  failsAt(1, Jobs{submit(0, 1, JobOutput::Kind::rejected), ran(2)});
   failsAt(1, Jobs{submit(0, 1, JobOutput::Kind::overloaded), ran(2)});
-  failsAt(1, Jobs{submit(0, 1, JobOutput::Kind::turnedAway), show(2, 3, JobPhase::open)});
+  failsAt(1, Jobs{submit(0, 1, JobOutput::Kind::rejected), show(2, 3, JobPhase::pendingOrRunning)});
   failsAt(0, Jobs{ran(2)});
   // Its answer may have been lost on another try.
-  passes(Jobs{submit(0, std::nullopt), submit(1, 2, JobOutput::Kind::turnedAway), ran(3)});
+  passes(Jobs{submit(0, std::nullopt), submit(1, 2, JobOutput::Kind::rejected), ran(3)});
   passes(Jobs{submit(0, 1, JobOutput::Kind::overloaded), submit(2, 3), ran(4)});
 }
 
 TEST(Linearizability, aTakenJobTurnedAwayOnResendIsFound) {
-  failsAt(1, Jobs{submit(0, 1), submit(2, 3, JobOutput::Kind::turnedAway)});
-  passes(Jobs{submit(0, 1), submit(2, 3, JobOutput::Kind::turnedAway, "other content")});
+  failsAt(1, Jobs{submit(0, 1), submit(2, 3, JobOutput::Kind::rejected)});
+  passes(Jobs{submit(0, 1), submit(2, 3, JobOutput::Kind::rejected, "other content")});
   passes(Jobs{submit(0, 1), submit(2, 3, JobOutput::Kind::overloaded)});
 }
 
 TEST(Linearizability, aPhaseThatGoesBackIsFound) {
-  failsAt(2, Jobs{submit(0, 1), show(2, 3, JobPhase::done), show(4, 5, JobPhase::open)});
-  failsAt(2, Jobs{submit(0, 1), show(2, 3, JobPhase::done), show(4, 5, JobPhase::failed)});
+  failsAt(2, Jobs{submit(0, 1), show(2, 3, JobPhase::succeeded),
+                  show(4, 5, JobPhase::pendingOrRunning)});
+  failsAt(2, Jobs{submit(0, 1), show(2, 3, JobPhase::succeeded), show(4, 5, JobPhase::failed)});
   failsAt(2, Jobs{submit(0, 1), show(2, 3, JobPhase::running), show(4, 5, JobPhase::pending)});
   failsAt(2, Jobs{submit(0, 1), ran(2), show(4, 5, JobPhase::pending)});
-  passes(Jobs{submit(0, 1), show(2, 5, JobPhase::done), show(4, 6, JobPhase::open)});
+  passes(
+      Jobs{submit(0, 1), show(2, 5, JobPhase::succeeded), show(4, 6, JobPhase::pendingOrRunning)});
 }
 
 TEST(Linearizability, afterACancelNothingButItsEndIsShown) {
   for (const JobPhase phase :
-       {JobPhase::cancelling, JobPhase::cancelled, JobPhase::done, JobPhase::failed})
+       {JobPhase::cancelling, JobPhase::cancelled, JobPhase::succeeded, JobPhase::failed})
     passes(Jobs{submit(0, 1), cancel(2, 3), show(4, 5, phase)});
   for (const JobPhase phase :
-       {JobPhase::pending, JobPhase::running, JobPhase::open, JobPhase::missing})
+       {JobPhase::pending, JobPhase::running, JobPhase::pendingOrRunning, JobPhase::missing})
     failsAt(2, Jobs{submit(0, 1), cancel(2, 3), show(4, 5, phase)});
-  passes(Jobs{submit(0, 1), cancel(2, 6), show(4, 5, JobPhase::open)});
-  passes(Jobs{submit(0, 1), show(2, 3, JobPhase::done), cancel(4, 5), show(6, 7, JobPhase::done)});
-  failsAt(3, Jobs{submit(0, 1), show(2, 3, JobPhase::done), cancel(4, 5),
+  passes(Jobs{submit(0, 1), cancel(2, 6), show(4, 5, JobPhase::pendingOrRunning)});
+  passes(Jobs{submit(0, 1), show(2, 3, JobPhase::succeeded), cancel(4, 5),
+              show(6, 7, JobPhase::succeeded)});
+  failsAt(3, Jobs{submit(0, 1), show(2, 3, JobPhase::succeeded), cancel(4, 5),
                   show(6, 7, JobPhase::cancelled)});
   // Told as cancelling, it had not ended before.
-  failsAt(2, Jobs{submit(0, 1), cancel(2, 3, JobPhase::cancelling), show(4, 5, JobPhase::done)});
+  failsAt(2,
+          Jobs{submit(0, 1), cancel(2, 3, JobPhase::cancelling), show(4, 5, JobPhase::succeeded)});
   failsAt(3, Jobs{submit(0, 1), cancel(2, 3), show(4, 5, JobPhase::cancelling),
                   show(6, 7, JobPhase::failed)});
-  passes(Jobs{submit(0, 1), cancel(2, 3, JobPhase::done), show(4, 5, JobPhase::done)});
+  passes(Jobs{submit(0, 1), cancel(2, 3, JobPhase::succeeded), show(4, 5, JobPhase::succeeded)});
 }
 
 TEST(Linearizability, nothingIsCancelledWithoutACancel) {
   failsAt(1, Jobs{submit(0, 1), show(2, 3, JobPhase::cancelled)});
   failsAt(1, Jobs{submit(0, 1), show(2, 3, JobPhase::cancelling)});
-  passes(Jobs{submit(0, 1), cancel(2, std::nullopt), show(4, 5, JobPhase::open),
+  passes(Jobs{submit(0, 1), cancel(2, std::nullopt), show(4, 5, JobPhase::pendingOrRunning),
               show(6, 7, JobPhase::cancelled)});
-  failsAt(1, Jobs{cancel(0, 1, JobPhase::missing), show(2, 3, JobPhase::open)});
+  failsAt(1, Jobs{cancel(0, 1, JobPhase::missing), show(2, 3, JobPhase::pendingOrRunning)});
 }
 
 namespace {
@@ -318,7 +323,7 @@
   std::int64_t earliest = std::numeric_limits<std::int64_t>::max();
   bool answeredLeft = false;
   for (const std::size_t place : left) {
-    if (operations[place].outcome == Outcome::unknown)
+    if (operations[place].outcome == OperationOutcome::unknown)
       continue;
     earliest = std::min(earliest, *operations[place].returnedAt);
     answeredLeft = true;
@@ -330,7 +335,7 @@
     if (operation.invokedAt > earliest)
       continue;
     std::optional<typename Model::State> next = model.applyUnanswered(state, operation);
-    if (operation.outcome == Outcome::ok)
+    if (operation.outcome == OperationOutcome::ok)
       next = model.apply(state, operation);
     auto rest = left;
     rest.erase(place);
@@ -355,7 +360,7 @@
   const std::int64_t until = *history[prefix[count - 1]].returnedAt;
   for (std::size_t place = 0; place < history.size(); ++place) {
     if (!returned.count(place))
-      history[place].outcome = Outcome::unknown;
+      history[place].outcome = OperationOutcome::unknown;
   }
   std::erase_if(history, [&](const auto& operation) { return operation.invokedAt > until; });
   return history;
@@ -406,8 +411,9 @@
 }
 
 Jobs drawnJobs(Random& random) {
-  static constexpr JobPhase phases[] = {JobPhase::missing, JobPhase::open, JobPhase::cancelling,
-                                        JobPhase::cancelled, JobPhase::done};
+  static constexpr JobPhase phases[] = {JobPhase::missing, JobPhase::pendingOrRunning,
+                                        JobPhase::cancelling, JobPhase::cancelled,
+                                        JobPhase::succeeded};
   Jobs history{submit(0, 3)};
   const auto count = random.between(2, 6);
   for (std::int64_t place = 0; place < count; ++place) {
@@ -420,7 +426,7 @@
       case 1:
         history.push_back(
             submit(invokedAt, returnedAt,
-                   random.chance(0.8) ? JobOutput::Kind::accepted : JobOutput::Kind::turnedAway));
+                   random.chance(0.8) ? JobOutput::Kind::accepted : JobOutput::Kind::rejected));
         break;
       case 2:
         history.push_back(
--- a/tests/checker/model/model_check_tests.cpp
+++ b/tests/checker/model/model_check_tests.cpp
@@ -10,23 +10,23 @@
 
 constexpr std::uint64_t quickBound = 3000;
 
-std::string foundBy(const ModelWorld& start, std::uint64_t states = quickBound) {
+std::string foundBy(const ModelCluster& start, std::uint64_t states = quickBound) {
   const auto report = searchBreadthFirst(start, {states, 1000});
-  return report.finding ? print(start, *report.finding) : "nothing";
+  return report.counterexample ? print(start, *report.counterexample) : "nothing";
 }
 
-std::string ruleFound(const std::string& name, const Tamper& tamper, bool outcomesOnly = false,
-                      std::uint64_t states = 60'000) {
+std::string ruleFound(const std::string& name, const SeededDefect& tamper,
+                      bool outcomesOnly = false, std::uint64_t states = 60'000) {
   const auto start = prepare(scenario(name), tamper, outcomesOnly);
   const auto report = searchBreadthFirst(start, {states, 1000});
-  if (!report.finding)
+  if (!report.counterexample)
     return "nothing";
-  return report.finding->rule.substr(0, report.finding->rule.find(':'));
+  return report.counterexample->rule.substr(0, report.counterexample->rule.find(':'));
 }
 
-Tamper lyingDisk() {
-  Tamper tamper;
-  tamper.diskLies = true;
+SeededDefect lyingDisk() {
+  SeededDefect tamper;
+  tamper.acknowledgesUnsyncedWrites = true;
   return tamper;
 }
 
@@ -50,9 +50,10 @@
 
 TEST(ModelCheckTests, walksOfEveryKindFindNothing) {
   for (const std::string name : {"election", "entry", "fork", "snapshot", "slow disk"}) {
-    const auto start = openForWalks(prepare(scenario(name)));
+    const auto start = widenForWalks(prepare(scenario(name)));
     const auto report = searchRandomly(start, {1, 40, 80});
-    STRCMP_EQUAL("nothing", report.finding ? print(start, *report.finding).c_str() : "nothing");
+    STRCMP_EQUAL("nothing",
+                 report.counterexample ? print(start, *report.counterexample).c_str() : "nothing");
     CHECK(report.states > 500);
   }
 }
@@ -67,26 +68,26 @@
 }
 
 TEST(ModelCheckTests, aRestartFromAnOlderDiskIsFound) {
-  Tamper tamper;
-  tamper.oldDisk = true;
+  SeededDefect tamper;
+  tamper.restartsFromOldDisk = true;
   const auto start = prepare(scenario("restarts"), tamper, true);
   const auto report = searchBreadthFirst(start, {100'000, 1000});
-  CHECK(report.finding.has_value());
-  STRCMP_CONTAINS("one vote a term", report.finding->rule.c_str());
+  CHECK(report.counterexample.has_value());
+  STRCMP_CONTAINS("one vote a term", report.counterexample->rule.c_str());
 }
 
 TEST(ModelCheckTests, aClaimOfMoreThanItsDiskHoldsIsFound) {
-  Tamper tamper;
-  tamper.message = [](PeerMessage& message) {
-    if (auto* reply = boost::get<AppendEntriesReply>(&message.body); reply && reply->matched)
-      reply->match = reply->last = LogIndex{3};
+  SeededDefect tamper;
+  tamper.mutateMessage = [](PeerMessage& message) {
+    if (auto* reply = boost::get<AppendEntriesReply>(&message.body); reply && reply->success)
+      reply->matchIndex = reply->lastLogIndex = LogIndex{3};
   };
   STRCMP_EQUAL("committed is on a majority of disks", ruleFound("entry", tamper).c_str());
 }
 
 TEST(ModelCheckTests, aReadConfirmedByAnswersOfALaterTermIsFound) {
-  Tamper tamper;
-  tamper.message = [](PeerMessage& message) {
+  SeededDefect tamper;
+  tamper.mutateMessage = [](PeerMessage& message) {
     auto* reply = boost::get<AppendEntriesReply>(&message.body);
     if (!reply)
       return;
@@ -97,12 +98,12 @@
 }
 
 TEST(ModelCheckTests, votesThatNobodyGaveAreFound) {
-  Tamper tamper;
-  tamper.message = [](PeerMessage& message) {
+  SeededDefect tamper;
+  tamper.mutateMessage = [](PeerMessage& message) {
     auto* reply = boost::get<RequestVoteReply>(&message.body);
-    if (!reply || reply->given)
+    if (!reply || reply->voteGranted)
       return;
-    reply->given = true;
+    reply->voteGranted = true;
     reply->term = reply->term.next();  // the one that was asked for
   };
   STRCMP_EQUAL("leader completeness", ruleFound("behind", tamper, true).c_str());
@@ -111,23 +112,24 @@
 TEST(ModelCheckTests, theTraceOfABreadthFirstSearchIsTheShortest) {
   const auto start = prepare(scenario("entry"), lyingDisk());
   const auto report = searchBreadthFirst(start, {60'000, 1000});
-  CHECK(report.finding.has_value());
-  const auto rule = replay(start, report.finding->trace);
+  CHECK(report.counterexample.has_value());
+  const auto rule = replay(start, report.counterexample->trace);
   CHECK(rule.has_value());
-  STRCMP_EQUAL(report.finding->rule.c_str(), rule->c_str());
-  for (std::size_t left = 0; left < report.finding->trace.size(); ++left) {
-    Trace fewer = report.finding->trace;
+  STRCMP_EQUAL(report.counterexample->rule.c_str(), rule->c_str());
+  for (std::size_t left = 0; left < report.counterexample->trace.size(); ++left) {
+    Trace fewer = report.counterexample->trace;
     fewer.erase(fewer.begin() + std::ptrdiff_t(left));
     CHECK(!replay(start, fewer));
   }
 }
 
 TEST(ModelCheckTests, aWalksTraceIsShortenedToTheSameRule) {
-  const auto start = openForWalks(prepare(scenario("entry")), false, lyingDisk());
+  const auto start = widenForWalks(prepare(scenario("entry")), false, lyingDisk());
   const auto report = searchRandomly(start, {1, 200, 120});
-  CHECK(report.finding.has_value());
-  CHECK(report.finding->trace.size() < 12);
-  STRCMP_EQUAL(report.finding->rule.c_str(), replay(start, report.finding->trace)->c_str());
+  CHECK(report.counterexample.has_value());
+  CHECK(report.counterexample->trace.size() < 12);
+  STRCMP_EQUAL(report.counterexample->rule.c_str(),
+               replay(start, report.counterexample->trace)->c_str());
 }
 
 TEST(ModelCheckTests, theSameSearchSeesTheSameStates) {
@@ -142,7 +144,7 @@
 TEST(ModelCheckTests, ordersThatMakeNoDifferenceAreOneState) {
   const auto start = prepare(scenario("entry"));
   Trace arrivals;
-  for (const auto& action : start.enabled())
+  for (const auto& action : start.enabledActions())
     if (action.kind == ActionKind::deliver)
       arrivals.push_back(action);
   LONGS_EQUAL(2, arrivals.size());
@@ -158,15 +160,16 @@
   for (const auto& each : scenarios()) {
     auto world = prepare(each);
     for (std::size_t machine = 0; machine < world.machines(); ++machine) {
-      const DiskImage image = world.node(machine).image;
+      const DiskImage image = world.node(machine).diskImage;
       auto after = world;
-      after.allow(std::make_shared<ModelOptions>());
+      after.setOptions(std::make_shared<ModelOptions>());
       CHECK(after.apply({ActionKind::restart, std::uint8_t(machine)}));
       const auto& raft = after.node(machine).raft;
-      LONGS_EQUAL(image.last().value, raft.last().value);
+      LONGS_EQUAL(image.lastIndex().value, raft.lastIndex().value);
       LONGS_EQUAL(image.term.value, raft.term().value);
-      for (LogIndex index = raft.snapshotIndex().next(); index <= raft.last(); index = index.next())
-        CHECK(image.holds(index, raft.entry(index).term));
+      for (LogIndex index = raft.logBaseIndex().next(); index <= raft.lastIndex();
+           index = index.next())
+        CHECK(image.contains(index, raft.entry(index).term));
     }
   }
 }
--- a/tests/cli_tests.cpp
+++ b/tests/cli_tests.cpp
@@ -33,7 +33,7 @@
                     (request.body.empty() ? "" : " " + request.body));
     auto found = answers.find(request.method + " " + request.target);
     if (found == answers.end())
-      return ClientError{ClientError::Kind::missing, 404,
+      return ClientError{ClientError::Kind::notFound, 404,
                          R"({"error":"missing","text":"no such thing"})", Duration{0}};
     return found->second;
   }
@@ -46,10 +46,10 @@
   }
   int run(const std::string& line, const std::vector<std::string>& given = {}) {
     std::istringstream stream(line);
-    Words words;
+    Arguments words;
     for (std::string word; stream >> word;)
       words.push_back(word);
-    return int(runWords(session, words, given));
+    return int(runCommandLine(session, words, given));
   }
   bool complains(const std::string& part) const {
     return err.str().find(part) != std::string::npos;
@@ -167,10 +167,10 @@
   table.add({"\x1b[2J\n", "\xc3\xa9"});
   table.add({"x", "longer"});
   STRCMP_EQUAL("A           B\n?[2J?       \xc3\xa9\nx      longer\n", table.render().c_str());
-  STRCMP_EQUAL("-", spanText(-1).c_str());
-  STRCMP_EQUAL("999 ms", spanText(999).c_str());
-  STRCMP_EQUAL("2.0 min", spanText(120'000).c_str());
-  STRCMP_EQUAL("48.0 h", spanText(172'800'000).c_str());
+  STRCMP_EQUAL("-", formatDuration(-1).c_str());
+  STRCMP_EQUAL("999 ms", formatDuration(999).c_str());
+  STRCMP_EQUAL("2.0 min", formatDuration(120'000).c_str());
+  STRCMP_EQUAL("48.0 h", formatDuration(172'800'000).c_str());
 }
 
 TEST(CliTests, AnswersOfAnotherFormAreNoFault) {
@@ -212,9 +212,9 @@
     CHECK_TEXT(desk.asked.empty() && desk.out.str().empty(), wrong.words);
   }
   Desk desk;
-  desk.session.choices.state = "odd";
+  desk.session.options.state = "odd";
   LONGS_EQUAL(2, desk.run("jobs", {"state"}));
-  desk.session.ask = nullptr;
+  desk.session.send = nullptr;
   LONGS_EQUAL(2, desk.run("cluster"));
   CHECK(desk.complains("--gateways: is missing"));
   LONGS_EQUAL(0, desk.run("found 127.0.0.1:1"));
@@ -228,7 +228,7 @@
   };
   const std::vector<Case> cases = {
       {ClientError::Kind::rejected, 400, 3, R"({"error":"invalid","text":"t"})"},
-      {ClientError::Kind::missing, 404, 4, R"({"error":"missing","text":"t"})"},
+      {ClientError::Kind::notFound, 404, 4, R"({"error":"missing","text":"t"})"},
       {ClientError::Kind::rejected, 409, 6, R"({"error":"conflict","text":"t"})"},
       {ClientError::Kind::rejected, 429, 7, R"({"error":"overloaded","text":"t"})"},
       {ClientError::Kind::rejected, 413, 3, "too large"},
@@ -254,31 +254,31 @@
   LONGS_EQUAL(3, people.run("cancel a"));
   STRCMP_EQUAL("aniselinectl: 400 invalid: \n  /id: is missing\n  /steps: is missing\n",
                people.err.str().c_str());
-  programs.session.choices.json = true;
+  programs.session.options.json = true;
   LONGS_EQUAL(3, programs.run("cancel a"));
-  STRCMP_EQUAL("both", textIn(parsed(programs.err.str()), "text").c_str());
+  STRCMP_EQUAL("both", textField(parsed(programs.err.str()), "text").c_str());
 }
 
 TEST(CliTests, OldWordsStillWorkAndJsonIsTheAnswerItself) {
   Desk desk;
   desk.give("GET /v1/jobs?limit=100&state=open", R"({"jobs":[],"open":0,"kept":0})");
-  desk.session.choices.state = "open";
+  desk.session.options.state = "open";
   LONGS_EQUAL(0, desk.run("list", {"state"}));
   desk.give("GET /v1/cluster", clusterAnswer);
-  desk.session.choices.json = true;
+  desk.session.options.json = true;
   desk.out.str("");
   LONGS_EQUAL(0, desk.run("cluster"));
   CHECK(parsed(desk.out.str()) == parsed(clusterAnswer));
   desk.give("POST /v1/workers/m1/drain?within_ms=5000", R"({"worker":"m1","state":"draining"})");
-  desk.session.choices.drainWithin = 5000;
-  desk.session.choices.json = false;
+  desk.session.options.drainPeriodMilliseconds = 5000;
+  desk.session.options.json = false;
   LONGS_EQUAL(0, desk.run("drain m1", {"drain-within-ms"}));
   CHECK(desk.tells("worker m1: draining\n"));
 }
 
 TEST(CliTests, WatchRepeatsSoOftenAndGoesOnPastAFailure) {
   Desk desk;
-  desk.session.choices.times = 3;
+  desk.session.options.watchTurns = 3;
   desk.give("GET /v1/plan", R"({"plan":1,"waiting":0,"reasons":[]})");
   LONGS_EQUAL(0, desk.run("watch plan", {"times"}));
   LONGS_EQUAL(3, long(desk.asked.size()));
@@ -286,12 +286,12 @@
   CHECK(desk.tells(", 3 of 3\nplan 1, 0 units wait\n"));
   LONGS_EQUAL(4, desk.run("watch show none"));
   LONGS_EQUAL(6, long(desk.asked.size()));
-  desk.session.choices.json = true;
+  desk.session.options.json = true;
   desk.out.str("");
   LONGS_EQUAL(0, desk.run("watch plan"));
   const std::string lines = desk.out.str();
   LONGS_EQUAL(3, std::count(lines.begin(), lines.end(), '\n'));
-  desk.session.choices.state = "odd";
+  desk.session.options.state = "odd";
   LONGS_EQUAL(2, desk.run("watch jobs", {"state", "every-ms"}));
 }
 
@@ -303,10 +303,10 @@
     CHECK(commandHelp(command, "", "").starts_with("aniselinectl " + command.name));
     std::size_t taken = 0;
     std::istringstream stream(command.name);
-    Words words;
+    Arguments words;
     for (std::string word; stream >> word;)
       words.push_back(word);
-    POINTERS_EQUAL(&command, commandOf(words, taken));
+    POINTERS_EQUAL(&command, findCommand(words, taken));
     LONGS_EQUAL(long(words.size()), long(taken));
   }
 }
--- a/tests/cluster_state_bench.hpp
+++ b/tests/cluster_state_bench.hpp
@@ -6,31 +6,31 @@
 
 namespace aniseline {
 
-struct ClusterStateBench {
+struct ClusterStateFixture {
   ClusterState clusterState;
   Planner planner;
   std::int64_t now = 1000;
-  Silence heard;
+  LastContactAges silences;
 
   static constexpr const char* configText =
       R"({"planner":{"trials":false,"urgency_first":true,"far":1.5,"known_after_ms":3000},
         "pools":{"press":{},"store":{}},"queues":{"q":{"pool":"press","tries":3},"other":{"pool":"store","tries":1},"plain":{"retries":1}}})";
 
-  explicit ClusterStateBench(const std::string& text = configText) {
+  explicit ClusterStateFixture(const std::string& text = configText) {
     auto parsed = ClusterConfig::parse(text);
     CHECK_TEXT(parsed.has_value(), parsed ? "" : parsed.error().text().c_str());
     parsed.value().version = ConfigVersion{1};
     apply(ConfigCommitted{parsed.value()});
   }
-  std::function<void(const LogRecord&)> folded;  // whoever keeps a copy
+  std::function<void(const LogRecord&)> onApplied;  // whoever keeps a copy
   void apply(Event event) {
     const LogRecord record{ClusterTime{now}, std::move(event)};
     clusterState.apply(record);
-    if (folded)
-      folded(record);
+    if (onApplied)
+      onApplied(record);
   }
 
-  struct Place {
+  struct WorkerOptions {
     std::uint32_t cores = 4000;
     std::string rack{}, pool = "press";
     std::vector<std::string> labels{};
@@ -38,8 +38,8 @@
     std::string host{};
     std::uint64_t incarnation = 1;
   };
-  void worker(const std::string& id) { worker(id, Place{}); }
-  void worker(const std::string& id, const Place& place) {
+  void registerWorker(const std::string& id) { registerWorker(id, WorkerOptions{}); }
+  void registerWorker(const std::string& id, const WorkerOptions& place) {
     Capacity capacity;
     capacity.cores = place.cores;
     capacity.memory = 32'768;
@@ -50,13 +50,14 @@
       capacity.labels.push_back(place.rack);
     capacity.accelerators = place.accelerators;
     capacity.host = place.host.empty() ? id : place.host;
-    capacity.honoursLeases = capacity.lapses = capacity.assembles = true;
-    capacity.pauses = false;
+    capacity.honoursLeases = capacity.killsOnLeaseExpiry = capacity.selfAssemblingGangs = true;
+    capacity.supportsSuspend = false;
     apply(WorkerRegistered{WorkerId{id}, Incarnation{place.incarnation}, capacity});
-    heard[WorkerId{id}] = Duration{0};
+    silences[WorkerId{id}] = Duration{0};
   }
-  static StepRequest step(std::size_t tasks, std::uint32_t cores = 1000, StepNeeds needs = {},
-                          bool gang = false, std::int64_t runtime = 10'000) {
+  static StepRequest step(std::size_t tasks, std::uint32_t cores = 1000,
+                          StepRequirements needs = {}, bool gang = false,
+                          std::int64_t runtime = 10'000) {
     TaskRequest task;
     task.cores = cores;
     task.memory = 100;
@@ -64,10 +65,11 @@
     StepRequest made;
     made.gang = gang;
     made.tasks.assign(tasks, task);
-    made.needs = std::move(needs);
+    made.requirements = std::move(needs);
     return made;
   }
-  static StepRequest gang(std::size_t tasks, std::uint32_t cores = 1000, StepNeeds needs = {}) {
+  static StepRequest gang(std::size_t tasks, std::uint32_t cores = 1000,
+                          StepRequirements needs = {}) {
     return step(tasks, cores, std::move(needs), true);
   }
   void submit(const std::string& id, std::vector<StepRequest> steps, const std::string& queue = "q",
@@ -84,47 +86,47 @@
   }
   // What a plan does, in one line; folded, but not applied by the workers.
   std::string plan() {
-    auto made = planner.make(clusterState, ClusterTime{now}, heard);
+    auto made = planner.makePlan(clusterState, ClusterTime{now}, silences);
     std::string text;
-    for (const auto& action : made.made.actions) {
+    for (const auto& action : made.record.actions) {
       static const char* const names[] = {"start ", "stage ", "go ", "hold ", "stop "};
       const auto& job =
-          action.job.value.empty() ? clusterState.attempts.at(action.attempt).job : action.job;
+          action.job.value.empty() ? clusterState.attempts().at(action.attempt).job : action.job;
       text += (text.empty() ? "" : ", ") + std::string(names[int(action.kind)]) + job.value +
               " on " + action.worker.value;
     }
-    apply(made.made);
+    apply(made.record);
     return text;
   }
-  void applied() {
-    for (auto& [id, worker] : clusterState.workers)
-      apply(WorkerSynced{id, worker.lastOrder, {}});
+  void applyOrders() {
+    for (auto& [id, worker] : clusterState.workers())
+      apply(WorkerSynced{id, worker.lastIssuedOrder, {}});
   }
   std::string planAndRun() {
     auto text = plan();
-    applied();
+    applyOrders();
     return text;
   }
   // The attempt that a task has now, or had last where it was kept.
   AttemptNumber attempt(const std::string& id, std::size_t task = 0) const {
-    return clusterState.jobs.at(JobId{id}).tasks.at(task).attempt;
+    return clusterState.jobs().at(JobId{id}).tasks.at(task).currentAttempt;
   }
   std::string workerOf(const std::string& id, std::size_t task = 0) const {
-    return clusterState.attempts.at(attempt(id, task)).worker.value;
+    return clusterState.attempts().at(attempt(id, task)).worker.value;
   }
-  void end(AttemptNumber number, EndingKind kind, const std::string& saved = "") {
-    apply(WorkerSynced{clusterState.attempts.at(number).worker, {}, {{number, kind, saved}}});
+  void endAttempt(AttemptNumber number, AttemptOutcome kind, const std::string& saved = "") {
+    apply(WorkerSynced{clusterState.attempts().at(number).worker, {}, {{number, kind, saved}}});
   }
-  void end(const std::string& id, EndingKind kind = EndingKind::finished, std::size_t task = 0,
-           const std::string& saved = "") {
-    end(attempt(id, task), kind, saved);
+  void endAttempt(const std::string& id, AttemptOutcome kind = AttemptOutcome::succeeded,
+                  std::size_t task = 0, const std::string& saved = "") {
+    endAttempt(attempt(id, task), kind, saved);
   }
-  void save(const std::string& id, std::size_t task, const std::string& saved) {
-    WorkerSynced synced{clusterState.attempts.at(attempt(id, task)).worker, {}, {}};
-    synced.saves.emplace_back(attempt(id, task), saved);
+  void saveCheckpoint(const std::string& id, std::size_t task, const std::string& saved) {
+    WorkerSynced synced{clusterState.attempts().at(attempt(id, task)).worker, {}, {}};
+    synced.checkpoints.emplace_back(attempt(id, task), saved);
     apply(std::move(synced));
   }
-  const Job& job(const std::string& id) const { return clusterState.jobs.at(JobId{id}); }
+  const Job& job(const std::string& id) const { return clusterState.jobs().at(JobId{id}); }
   const Task& task(const std::string& id, std::size_t place = 0) const {
     return job(id).tasks.at(place);
   }
@@ -137,11 +139,11 @@
   }
   // The order that a worker was given last, for the attempt of a task.
   const Order& lastOrder(const std::string& worker) const {
-    return clusterState.workers.at(WorkerId{worker}).orders.back();
+    return clusterState.workers().at(WorkerId{worker}).unappliedOrders.back();
   }
   bool stopOrdered(AttemptNumber number) const {
-    return clusterState.attempts.count(number) &&
-           clusterState.attempts.at(number).state == AttemptState::stopping;
+    return clusterState.attempts().count(number) &&
+           clusterState.attempts().at(number).state == AttemptState::stopping;
   }
   std::size_t openAttempts(const std::string& id) const {
     return clusterState.attemptsOf(JobId{id}, true).size();
--- a/tests/cluster_state_index_tests.cpp
+++ b/tests/cluster_state_index_tests.cpp
@@ -9,7 +9,7 @@
 std::vector<AttemptNumber> walk(const ClusterState& clusterState,
                                 const std::function<bool(const Attempt&)>& wanted) {
   std::vector<AttemptNumber> found;
-  for (const auto& [number, attempt] : clusterState.attempts)
+  for (const auto& [number, attempt] : clusterState.attempts())
     if (wanted(attempt))
       found.push_back(number);
   return found;
@@ -17,20 +17,20 @@
 
 // The fold's own definition of a name, by a walk.
 AttemptNumber walkNamed(const ClusterState& clusterState, const WorkerId& worker,
-                        const RunName& name) {
-  auto job = clusterState.jobs.find(name.job);
-  if (job != clusterState.jobs.end() && job->second.submission.timed())
-    job = clusterState.jobs.find(JobId{name.job.value + "@" + std::to_string(name.occurrence)});
-  if (job == clusterState.jobs.end())
+                        const TaskRunId& name) {
+  auto job = clusterState.jobs().find(name.job);
+  if (job != clusterState.jobs().end() && job->second.submission.hasTimetable())
+    job = clusterState.jobs().find(JobId{name.job.value + "@" + std::to_string(name.occurrence)});
+  if (job == clusterState.jobs().end())
     return AttemptNumber{};
-  const std::size_t place = job->second.place(name.step, name.within);
+  const std::size_t place = job->second.taskIndexOf(name.stepIndex, name.indexInStep);
   if (place >= job->second.tasks.size())
     return AttemptNumber{};
   const auto all = walk(clusterState, [&](const Attempt& attempt) {
-    return attempt.run == name.run && attempt.worker == worker && attempt.job == job->first &&
-           attempt.task == place;
+    return attempt.runNumber == name.runNumber && attempt.worker == worker &&
+           attempt.job == job->first && attempt.taskIndex == place;
   });
-  const AttemptNumber current = job->second.tasks[place].attempt;
+  const AttemptNumber current = job->second.tasks[place].currentAttempt;
   if (std::count(all.begin(), all.end(), current))
     return current;
   return all.empty() ? AttemptNumber{} : all.front();
@@ -41,19 +41,19 @@
     "pools":{"press":{}},"queues":{"q":{"pool":"press","tries":2},"plain":{"pool":"press","retries":1}}})";
 
 struct Wanderer {
-  ClusterStateBench bench{configText};
+  ClusterStateFixture bench{configText};
   Random random;
   std::set<JobId> jobs;
-  std::set<std::pair<WorkerId, RunName>> names;  // also of attempts that are closed by now
+  std::set<std::pair<WorkerId, TaskRunId>> names;  // also of attempts that are closed by now
   std::uint64_t submitted = 0, incarnation = 1, holds = 0, lost = 0, ended = 0;
   explicit Wanderer(std::uint64_t seed) : random(seed) {
     for (int place = 0; place < 5; ++place)
-      bench.worker(worker(place));
+      bench.registerWorker(worker(place));
   }
   static std::string worker(std::int64_t place) { return "worker" + std::to_string(place); }
   WorkerId anyWorker() { return WorkerId{worker(random.between(0, 4))}; }
   std::optional<AttemptNumber> anyAttempt() {
-    const auto& attempts = bench.clusterState.attempts;
+    const auto& attempts = bench.clusterState.attempts();
     if (attempts.empty())
       return std::nullopt;
     return std::next(attempts.begin(), random.between(0, std::int64_t(attempts.size()) - 1))->first;
@@ -66,86 +66,86 @@
 
   void submit() {
     const std::string id = "job" + std::to_string(++submitted);
-    StepNeeds needs;
+    StepRequirements needs;
     needs.redundant = random.chance(0.2);
-    std::vector<StepRequest> steps{
-        ClusterStateBench::step(std::size_t(random.between(1, 4)), 500, needs, random.chance(0.3))};
+    std::vector<StepRequest> steps{ClusterStateFixture::step(std::size_t(random.between(1, 4)), 500,
+                                                             needs, random.chance(0.3))};
     if (random.chance(0.5)) {
-      steps.push_back(ClusterStateBench::step(2, 500));
-      steps.back().after = {"0"};
+      steps.push_back(ClusterStateFixture::step(2, 500));
+      steps.back().dependencies = {"0"};
     }
     const Timetable timetable =
         random.chance(0.2) ? Timetable{ClusterTime{5000}, Duration{1000}, 3} : Timetable{};
     bench.submit(id, std::move(steps), random.chance(0.5) ? "q" : "plain", timetable);
-    if (timetable.first.milliseconds)
+    if (timetable.firstStart.milliseconds)
       bench.apply(OccurrenceFired{JobId{id}});
   }
   // A trial of a waiting task, and what runs there held for it.
   void trial() {
-    for (const auto& [id, job] : bench.clusterState.jobs)
+    for (const auto& [id, job] : bench.clusterState.jobs())
       for (std::uint32_t task = 0; task < job.tasks.size(); ++task) {
-        if (job.over() || job.ending || job.tasks[task].state != TaskState::waiting ||
-            job.step(job.tasks[task]).gang)
+        if (job.isTerminal() || job.terminating || job.tasks[task].state != TaskState::pending ||
+            job.stepOf(job.tasks[task]).gang)
           continue;
         Action start;
-        start.attempt = bench.clusterState.lastAttempt.next();
+        start.attempt = bench.clusterState.lastAttempt().next();
         start.job = id;
-        start.task = task;
+        start.taskIndex = task;
         start.worker = anyWorker();
         start.trial = true;
         start.quantum = Duration{500};
         std::vector<Action> actions{start};
         for (auto number :
              bench.clusterState.attemptsOn(random.chance(0.7) ? start.worker : anyWorker())) {
-          if (bench.clusterState.attempts.at(number).state != AttemptState::running)
+          if (bench.clusterState.attempts().at(number).state != AttemptState::running)
             continue;
           Action hold;
-          hold.kind = ActionKind::hold;
+          hold.kind = ActionKind::suspend;
           hold.attempt = number;
-          hold.heldFor = start.attempt;
+          hold.suspendedForTrial = start.attempt;
           actions.push_back(hold);
           ++holds;
         }
-        return bench.apply(PlanMade{bench.clusterState.plan.next(), actions, {}});
+        return bench.apply(PlanMade{bench.clusterState.lastPlan().next(), actions, {}});
       }
   }
   void copy() {
     const auto number = anyAttempt();
     if (!number)
       return;
-    const Attempt attempt = bench.clusterState.attempts.at(*number);
-    auto job = bench.clusterState.jobs.find(attempt.job);
-    if (job == bench.clusterState.jobs.end() || job->second.tasks.empty() ||
-        !job->second.submission.steps[attempt.step].needs.redundant || attempt.gang)
+    const Attempt attempt = bench.clusterState.attempts().at(*number);
+    auto job = bench.clusterState.jobs().find(attempt.job);
+    if (job == bench.clusterState.jobs().end() || job->second.tasks.empty() ||
+        !job->second.submission.steps[attempt.stepIndex].requirements.redundant || attempt.gang)
       return;
-    if (job->second.tasks[attempt.task].attempt != *number ||
-        job->second.tasks[attempt.task].twin.value || job->second.ending)
+    if (job->second.tasks[attempt.taskIndex].currentAttempt != *number ||
+        job->second.tasks[attempt.taskIndex].redundantAttempt.value || job->second.terminating)
       return;
     Action start;
-    start.attempt = bench.clusterState.lastAttempt.next();
+    start.attempt = bench.clusterState.lastAttempt().next();
     start.job = attempt.job;
-    start.task = attempt.task;
+    start.taskIndex = attempt.taskIndex;
     start.worker = anyWorker();
-    start.twin = true;
-    bench.apply(PlanMade{bench.clusterState.plan.next(), {start}, {}});
+    start.redundantCopy = true;
+    bench.apply(PlanMade{bench.clusterState.lastPlan().next(), {start}, {}});
   }
   void end() {
     const auto number = anyAttempt();
     if (!number)
       return;
     ++ended;
-    bench.end(*number, EndingKind(random.between(0, 5)));
+    bench.endAttempt(*number, AttemptOutcome(random.between(0, 5)));
   }
   void silent() {
     const WorkerId id = anyWorker();
-    WorkerSilent silence{id, {}};
+    WorkerUnreachable silence{id, {}};
     for (auto number : bench.clusterState.attemptsOn(id))
       if (random.chance(0.6))
-        silence.givenUp.push_back(number);
-    lost += silence.givenUp.size();
+        silence.abandoned.push_back(number);
+    lost += silence.abandoned.size();
     bench.apply(silence);
     if (random.chance(0.5))
-      bench.apply(WorkerReturned{id});
+      bench.apply(WorkerReconnected{id});
   }
   void turn() {
     bench.now += random.between(1, 400);
@@ -163,36 +163,36 @@
     else if (kind < 83)
       silent();
     else if (kind < 85)
-      bench.apply(WorkerGone{anyWorker(), "declared"});
+      bench.apply(WorkerRemoved{anyWorker(), "declared"});
     else if (kind < 89) {
-      ClusterStateBench::Place place;
+      ClusterStateFixture::WorkerOptions place;
       place.incarnation = ++incarnation;
-      bench.worker(anyWorker().value, place);
+      bench.registerWorker(anyWorker().value, place);
     } else if (kind < 91)
-      bench.apply(WorkerLeaves{anyWorker(), Duration{500}, false});
+      bench.apply(WorkerDrainStarted{anyWorker(), Duration{500}, false});
     else if (kind < 92)
-      bench.apply(WorkerLeaveOver{anyWorker()});
+      bench.apply(WorkerDrainDeadlinePassed{anyWorker()});
     else if (kind < 94)
-      bench.apply(WorkerReturned{anyWorker()});
+      bench.apply(WorkerReconnected{anyWorker()});
     else if (kind < 96)
       bench.apply(JobCancelled{anyJob()});
     else if (kind < 98)
       bench.apply(JobFailed{anyJob(), "drawn"});
     else {
       JobsExpired forgotten;
-      for (const auto& [id, job] : bench.clusterState.jobs)
-        (random.chance(0.5) ? forgotten.jobs : forgotten.shortened).push_back(id);
+      for (const auto& [id, job] : bench.clusterState.jobs())
+        (random.chance(0.5) ? forgotten.jobs : forgotten.compacted).push_back(id);
       bench.apply(forgotten);
     }
-    for (const auto& [id, job] : bench.clusterState.jobs)
+    for (const auto& [id, job] : bench.clusterState.jobs())
       jobs.insert(id);
-    for (const auto& [number, attempt] : bench.clusterState.attempts) {
+    for (const auto& [number, attempt] : bench.clusterState.attempts()) {
       Order order;
       order.job = attempt.job;
-      order.step = attempt.step;
-      order.within = attempt.within;
-      order.run = attempt.run;
-      names.emplace(attempt.worker, RunName::of(order));
+      order.stepIndex = attempt.stepIndex;
+      order.indexInStep = attempt.indexInStep;
+      order.runNumber = attempt.runNumber;
+      names.emplace(attempt.worker, TaskRunId::of(order));
     }
   }
   void check(const ClusterState& clusterState) const {
@@ -200,17 +200,18 @@
       for (bool withLost : {false, true})
         CHECK(clusterState.attemptsOf(id, withLost) ==
               walk(clusterState, [&](const Attempt& attempt) {
-                return attempt.job == id && (withLost || !attempt.lost);
+                return attempt.job == id && (withLost || !attempt.abandoned);
               }));
     for (int place = 0; place < 5; ++place)
       CHECK(clusterState.attemptsOn(WorkerId{worker(place)}) ==
             walk(clusterState,
                  [&](const Attempt& attempt) { return attempt.worker.value == worker(place); }));
     for (const auto& [worker, name] : names)
-      CHECK(clusterState.attemptNamed(worker, name) == walkNamed(clusterState, worker, name));
+      CHECK(clusterState.findAttempt(worker, name) == walkNamed(clusterState, worker, name));
     // Whoever waits for a trial is resumed with its end. docs/design.md 7.5.
-    for (const auto& [number, attempt] : clusterState.attempts)
-      CHECK(attempt.state != AttemptState::held || clusterState.attempts.count(attempt.heldFor));
+    for (const auto& [number, attempt] : clusterState.attempts())
+      CHECK(attempt.state != AttemptState::suspended ||
+            clusterState.attempts().count(attempt.suspendedForTrial));
   }
 };
 
@@ -255,7 +256,7 @@
     Wanderer wanderer(seed);
     ClusterState follower = unpack<ClusterState>(pack(wanderer.bench.clusterState)).value();
     std::uint64_t folds = 0;
-    wanderer.bench.folded = [&](const LogRecord& record) {
+    wanderer.bench.onApplied = [&](const LogRecord& record) {
       follower.apply(unpack<LogRecord>(pack(record)).value());
       if (++folds % 17 == 0)
         follower = unpack<ClusterState>(pack(follower)).value();
--- a/tests/cluster_state_tests.cpp
+++ b/tests/cluster_state_tests.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-StepNeeds lasting() {
-  StepNeeds needs;
-  needs.lasts = true;
+StepRequirements lasting() {
+  StepRequirements needs;
+  needs.longRunning = true;
   return needs;
 }
-StepNeeds saving() {
-  StepNeeds needs;
-  needs.saves = true;
+StepRequirements saving() {
+  StepRequirements needs;
+  needs.checkpointed = true;
   return needs;
 }
 
@@ -22,83 +22,83 @@
 TEST_GROUP(ClusterStateGangs){};
 
 TEST(ClusterStateGangs, startTogetherWithOneRunNumber) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.worker("b");
-  bench.submit("gang", {ClusterStateBench::gang(6)});
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.registerWorker("b");
+  bench.submit("gang", {ClusterStateFixture::gang(6)});
   STRCMP_EQUAL(
       "start gang on a, start gang on a, start gang on a, start gang on a, start gang on b, start "
       "gang on b",
       bench.planAndRun().c_str());
   for (std::size_t task = 0; task < 6; ++task)
-    LONGS_EQUAL(1, bench.task("gang", task).run);
-  LONGS_EQUAL(1, bench.clusterState.attempts.at(bench.attempt("gang", 5)).run);
-  LONGS_EQUAL(1, bench.lastOrder("b").run);
+    LONGS_EQUAL(1, bench.task("gang", task).runNumber);
+  LONGS_EQUAL(1, bench.clusterState.attempts().at(bench.attempt("gang", 5)).runNumber);
+  LONGS_EQUAL(1, bench.lastOrder("b").runNumber);
 }
 
 TEST(ClusterStateGangs, areStartedWholeOrNotAtAll) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.submit("gang", {ClusterStateBench::gang(6)});
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.submit("gang", {ClusterStateFixture::gang(6)});
   STRCMP_EQUAL("", bench.plan().c_str());
-  bench.worker("b");
+  bench.registerWorker("b");
   CHECK(bench.plan().find("start gang on b") != std::string::npos);
 }
 
 TEST(ClusterStateGangs, oneCleanEndingCountsForAll) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.submit("gang", {ClusterStateBench::gang(3)});
-  bench.submit("next", {ClusterStateBench::step(1)});
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.submit("gang", {ClusterStateFixture::gang(3)});
+  bench.submit("next", {ClusterStateFixture::step(1)});
   bench.planAndRun();
   const AttemptNumber other = bench.attempt("gang", 2);
-  bench.end("gang", EndingKind::finished, 1);
+  bench.endAttempt("gang", AttemptOutcome::succeeded, 1);
   STRCMP_EQUAL("done done done", bench.tasks("gang").c_str());
   STRCMP_EQUAL("open", bench.state("gang").c_str());  // the others still take their room
   LONGS_EQUAL(2, bench.openAttempts("gang"));
   CHECK_FALSE(bench.stopOrdered(other));
   for (auto number : bench.clusterState.attemptsOf(JobId{"gang"}, true))
-    bench.end(number, EndingKind::finished);
+    bench.endAttempt(number, AttemptOutcome::succeeded);
   STRCMP_EQUAL("finished", bench.state("gang").c_str());
-  LONGS_EQUAL(1, bench.clusterState.counters.finished);
+  LONGS_EQUAL(1, bench.clusterState.counters().succeeded);
 }
 
 TEST(ClusterStateGangs, anyEndingOfTheOthersLeavesThemDone) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.submit("gang", {ClusterStateBench::gang(3)});
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.submit("gang", {ClusterStateFixture::gang(3)});
   bench.planAndRun();
-  bench.end("gang", EndingKind::finished, 0);
+  bench.endAttempt("gang", AttemptOutcome::succeeded, 0);
   const auto left = bench.clusterState.attemptsOf(JobId{"gang"}, true);
-  bench.end(left.at(0), EndingKind::stopped);
-  bench.end(left.at(1), EndingKind::failed);
+  bench.endAttempt(left.at(0), AttemptOutcome::stopped);
+  bench.endAttempt(left.at(1), AttemptOutcome::failed);
   STRCMP_EQUAL("finished", bench.state("gang").c_str());
   STRCMP_EQUAL("", bench.plan().c_str());
 }
 
 TEST(ClusterStateGangs, aFailureStopsTheRestAndCountsOnce) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.submit("gang", {ClusterStateBench::gang(3)});
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.submit("gang", {ClusterStateFixture::gang(3)});
   bench.planAndRun();
   const AttemptNumber second = bench.attempt("gang", 1), third = bench.attempt("gang", 2);
-  bench.end("gang", EndingKind::failed, 0);
+  bench.endAttempt("gang", AttemptOutcome::failed, 0);
   CHECK(bench.stopOrdered(second));
   CHECK(bench.stopOrdered(third));
-  STRCMP_EQUAL("", bench.plan().c_str());  // not before all of it is back
-  bench.end(second, EndingKind::failed);   // failed on its own before the stop came
-  bench.end(third, EndingKind::stopped);
-  LONGS_EQUAL(1, bench.task("gang", 0).failures);
+  STRCMP_EQUAL("", bench.plan().c_str());            // not before all of it is back
+  bench.endAttempt(second, AttemptOutcome::failed);  // failed on its own before the stop came
+  bench.endAttempt(third, AttemptOutcome::stopped);
+  LONGS_EQUAL(1, bench.task("gang", 0).failureCount);
   STRCMP_EQUAL("waiting waiting waiting", bench.tasks("gang").c_str());
   bench.now += 6000;
   bench.planAndRun();
   for (std::size_t task = 0; task < 3; ++task)
-    LONGS_EQUAL(2, bench.task("gang", task).run);
+    LONGS_EQUAL(2, bench.task("gang", task).runNumber);
   for (int count = 2; count <= 3; ++count) {
     STRCMP_EQUAL("open", bench.state("gang").c_str());
-    bench.end("gang", EndingKind::failed, 2);
+    bench.endAttempt("gang", AttemptOutcome::failed, 2);
     for (auto number : bench.clusterState.attemptsOf(JobId{"gang"}, true))
-      bench.end(number, EndingKind::stopped);
+      bench.endAttempt(number, AttemptOutcome::stopped);
     bench.now += 60'000;
     bench.planAndRun();
   }
@@ -108,47 +108,47 @@
 
 // `broken` of one part may be told before the failure that broke it.
 TEST(ClusterStateGangs, aPartBrokenFirstTakesNoTry) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.submit("gang", {ClusterStateBench::gang(2)});
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.submit("gang", {ClusterStateFixture::gang(2)});
   bench.planAndRun();
   const AttemptNumber second = bench.attempt("gang", 1);
-  bench.end("gang", EndingKind::stopped, 0);
+  bench.endAttempt("gang", AttemptOutcome::stopped, 0);
   CHECK(bench.stopOrdered(second));
-  bench.end(second, EndingKind::failed);
-  LONGS_EQUAL(1, bench.task("gang", 0).failures);
-  LONGS_EQUAL(0, bench.task("gang", 1).failures);
+  bench.endAttempt(second, AttemptOutcome::failed);
+  LONGS_EQUAL(1, bench.task("gang", 0).failureCount);
+  LONGS_EQUAL(0, bench.task("gang", 1).failureCount);
   bench.now += 6000;
   STRCMP_EQUAL("start gang on a, start gang on a", bench.plan().c_str());
 }
 
 TEST(ClusterStateGangs, oneTurnedAwayTakesTheOthersBack) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.submit("gang", {ClusterStateBench::gang(2)});
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.submit("gang", {ClusterStateFixture::gang(2)});
   bench.plan();
   const AttemptNumber second = bench.attempt("gang", 1);
-  bench.end("gang", EndingKind::refused, 0);
+  bench.endAttempt("gang", AttemptOutcome::rejected, 0);
   CHECK(bench.stopOrdered(second));
-  bench.end(second, EndingKind::stopped);
-  LONGS_EQUAL(0, bench.task("gang", 0).failures);
+  bench.endAttempt(second, AttemptOutcome::stopped);
+  LONGS_EQUAL(0, bench.task("gang", 0).failureCount);
   STRCMP_EQUAL("waiting waiting", bench.tasks("gang").c_str());
 }
 
 TEST(ClusterStateGangs, checkpointsBelongToAllOfIt) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.submit("gang", {ClusterStateBench::gang(2, 1000, saving())});
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.submit("gang", {ClusterStateFixture::gang(2, 1000, saving())});
   bench.planAndRun();
-  bench.save("gang", 1, "x1");
-  bench.end("gang", EndingKind::failed, 1);
-  bench.end("gang", EndingKind::stopped, 0);
+  bench.saveCheckpoint("gang", 1, "x1");
+  bench.endAttempt("gang", AttemptOutcome::failed, 1);
+  bench.endAttempt("gang", AttemptOutcome::stopped, 0);
   bench.now += 6000;
   bench.plan();
   std::vector<std::string> saved;
-  for (const auto& order : bench.clusterState.workers.at(WorkerId{"a"}).orders)
-    if (order.kind == OrderKind::start && order.run == 2)
-      saved.push_back(order.saved);
+  for (const auto& order : bench.clusterState.workers().at(WorkerId{"a"}).unappliedOrders)
+    if (order.kind == OrderKind::start && order.runNumber == 2)
+      saved.push_back(order.checkpoint);
   LONGS_EQUAL(2, saved.size());
   for (const auto& each : saved)
     STRCMP_EQUAL("x1", each.c_str());
@@ -158,23 +158,23 @@
 
 // docs/design.md 4.4: with `tries` only runs that ended as failed count.
 TEST(ClusterStateTries, countFailedRunsOnly) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.submit("job", {ClusterStateBench::step(1)});
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.submit("job", {ClusterStateFixture::step(1)});
   for (int count = 0; count < 12; ++count) {
     bench.planAndRun();
-    bench.end("job", count % 3 == 0   ? EndingKind::stopped
-                     : count % 3 == 1 ? EndingKind::unstarted
-                                      : EndingKind::refused);
+    bench.endAttempt("job", count % 3 == 0   ? AttemptOutcome::stopped
+                            : count % 3 == 1 ? AttemptOutcome::neverStarted
+                                             : AttemptOutcome::rejected);
     bench.now += 60'000;
     STRCMP_EQUAL("open", bench.state("job").c_str());
   }
-  LONGS_EQUAL(0, bench.task("job").failures);
+  LONGS_EQUAL(0, bench.task("job").failureCount);
   for (int count = 1; count <= 3; ++count) {
     STRCMP_EQUAL("open", bench.state("job").c_str());
     STRCMP_EQUAL("start job on a", bench.planAndRun().c_str());
-    bench.end("job", EndingKind::failed);
-    LONGS_EQUAL(count, bench.task("job").failures);
+    bench.endAttempt("job", AttemptOutcome::failed);
+    LONGS_EQUAL(count, bench.task("job").failureCount);
     bench.now += 60'000;
   }
   STRCMP_EQUAL("failed", bench.state("job").c_str());
@@ -182,231 +182,232 @@
 }
 
 TEST(ClusterStateTries, aLapseTakesNone) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.worker("b");
-  bench.submit("job", {ClusterStateBench::step(1)});
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.registerWorker("b");
+  bench.submit("job", {ClusterStateFixture::step(1)});
   for (int count = 0; count < 8; ++count) {
     bench.planAndRun();
     const AttemptNumber number = bench.attempt("job");
-    const WorkerId place = bench.clusterState.attempts.at(number).worker;
-    bench.apply(WorkerSilent{place, {number}});
+    const WorkerId place = bench.clusterState.attempts().at(number).worker;
+    bench.apply(WorkerUnreachable{place, {number}});
     STRCMP_EQUAL("waiting", bench.tasks("job").c_str());
     bench.now += 60'000;
-    bench.apply(WorkerReturned{place});
-    bench.end(number, count % 2 ? EndingKind::failed
-                                : EndingKind::stopped);  // told late: void, for its hold had lapsed
+    bench.apply(WorkerReconnected{place});
+    bench.endAttempt(
+        number, count % 2 ? AttemptOutcome::failed
+                          : AttemptOutcome::stopped);  // told late: void, for its hold had lapsed
     STRCMP_EQUAL("waiting", bench.tasks("job").c_str());
   }
-  LONGS_EQUAL(0, bench.task("job").failures);
+  LONGS_EQUAL(0, bench.task("job").failureCount);
 }
 
 // docs/design.md 5.5: given up means that its hold had lapsed; a clean ending told late is void
 // too.
 TEST(ClusterStateTries, aCleanEndingAfterALapseIsVoid) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.worker("b");
-  bench.submit("job", {ClusterStateBench::step(1)});
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.registerWorker("b");
+  bench.submit("job", {ClusterStateFixture::step(1)});
   bench.planAndRun();
   const AttemptNumber first = bench.attempt("job");
-  bench.apply(WorkerSilent{bench.clusterState.attempts.at(first).worker, {first}});
+  bench.apply(WorkerUnreachable{bench.clusterState.attempts().at(first).worker, {first}});
   STRCMP_EQUAL("start job on b", bench.planAndRun().c_str());
-  bench.end(first, EndingKind::finished);
+  bench.endAttempt(first, AttemptOutcome::succeeded);
   STRCMP_EQUAL("placed", bench.tasks("job").c_str());
   CHECK_FALSE(bench.stopOrdered(bench.attempt("job")));
-  bench.end("job");
+  bench.endAttempt("job");
   STRCMP_EQUAL("finished", bench.state("job").c_str());
 }
 
 TEST(ClusterStateTries, withoutTriesStartsCountAsBefore) {
-  ClusterStateBench bench;
-  bench.worker("a", {.pool = ""});
-  bench.submit("job", {ClusterStateBench::step(1)}, "plain");
+  ClusterStateFixture bench;
+  bench.registerWorker("a", {.pool = ""});
+  bench.submit("job", {ClusterStateFixture::step(1)}, "plain");
   bench.planAndRun();
-  bench.end("job", EndingKind::failed);
+  bench.endAttempt("job", AttemptOutcome::failed);
   bench.now += 60'000;
   bench.planAndRun();
-  bench.end("job", EndingKind::failed);
+  bench.endAttempt("job", AttemptOutcome::failed);
   STRCMP_EQUAL("failed", bench.state("job").c_str());
 }
 
 TEST_GROUP(ClusterStateLasting){};
 
 TEST(ClusterStateLasting, isStartedAgainHoweverItEnds) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.submit("job", {ClusterStateBench::step(2, 1000, lasting())});
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.submit("job", {ClusterStateFixture::step(2, 1000, lasting())});
   for (int count = 0; count < 20; ++count) {
     CHECK(bench.planAndRun().find("start job on a") != std::string::npos);
-    bench.end("job",
-              count % 3 == 0   ? EndingKind::failed
-              : count % 3 == 1 ? EndingKind::finished
-                               : EndingKind::stopped,
-              0);
+    bench.endAttempt("job",
+                     count % 3 == 0   ? AttemptOutcome::failed
+                     : count % 3 == 1 ? AttemptOutcome::succeeded
+                                      : AttemptOutcome::stopped,
+                     0);
     STRCMP_EQUAL("waiting placed", bench.tasks("job").c_str());
     STRCMP_EQUAL("open", bench.state("job").c_str());
     bench.now += 60'000;
   }
-  LONGS_EQUAL(20, bench.task("job").run);
+  LONGS_EQUAL(20, bench.task("job").runNumber);
   bench.apply(JobCancelled{JobId{"job"}});
   STRCMP_EQUAL("cancelling", bench.state("job").c_str());
-  bench.end("job", EndingKind::stopped, 1);
+  bench.endAttempt("job", AttemptOutcome::stopped, 1);
   STRCMP_EQUAL("cancelled", bench.state("job").c_str());
 }
 
 TEST(ClusterStateLasting, gangsAreStartedAgainWhole) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.submit("job", {ClusterStateBench::gang(2, 1000, lasting())});
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.submit("job", {ClusterStateFixture::gang(2, 1000, lasting())});
   bench.planAndRun();
   const AttemptNumber second = bench.attempt("job", 1);
-  bench.end("job", EndingKind::finished, 0);
+  bench.endAttempt("job", AttemptOutcome::succeeded, 0);
   CHECK(bench.stopOrdered(second));
-  bench.end(second, EndingKind::stopped);
+  bench.endAttempt(second, AttemptOutcome::stopped);
   bench.now += 1000;
   STRCMP_EQUAL("start job on a, start job on a", bench.plan().c_str());
-  LONGS_EQUAL(2, bench.task("job", 1).run);
+  LONGS_EQUAL(2, bench.task("job", 1).runNumber);
 }
 
 TEST_GROUP(ClusterStateTimetables){};
 
 TEST(ClusterStateTimetables, areOverOnlyWithAllTheirOccurrences) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.submit("job", {ClusterStateBench::step(1)}, "q",
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.submit("job", {ClusterStateFixture::step(1)}, "q",
                Timetable{ClusterTime{5000}, Duration{1000}, 3});
   STRCMP_EQUAL("timed", bench.state("job").c_str());
   STRCMP_EQUAL("", bench.plan().c_str());
   for (int count = 0; count < 3; ++count)
     bench.apply(OccurrenceFired{JobId{"job"}});
   bench.planAndRun();  // they overlap
-  bench.end("job@2");
-  bench.end("job@0");
+  bench.endAttempt("job@2");
+  bench.endAttempt("job@0");
   STRCMP_EQUAL("finished", bench.state("job@2").c_str());
   STRCMP_EQUAL("timed", bench.state("job").c_str());
-  bench.end("job@1");
+  bench.endAttempt("job@1");
   STRCMP_EQUAL("finished", bench.state("job").c_str());
-  CHECK(bench.clusterState.open.empty());
-  LONGS_EQUAL(0, bench.clusterState.openByQueue[QueueName{"q"}]);
+  CHECK(bench.clusterState.openJobs().empty());
+  LONGS_EQUAL(0, bench.clusterState.openJobsOf(QueueName{"q"}));
 }
 
 TEST(ClusterStateTimetables, areNotOverBetweenOccurrences) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.submit("job", {ClusterStateBench::step(1)}, "q",
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.submit("job", {ClusterStateFixture::step(1)}, "q",
                Timetable{ClusterTime{5000}, Duration{1000}, 2});
   bench.apply(OccurrenceFired{JobId{"job"}});
   bench.planAndRun();
-  bench.end("job@0");
+  bench.endAttempt("job@0");
   STRCMP_EQUAL("timed", bench.state("job").c_str());
   bench.apply(OccurrenceFired{JobId{"job"}});
   bench.planAndRun();
-  bench.end("job@1");
+  bench.endAttempt("job@1");
   STRCMP_EQUAL("finished", bench.state("job").c_str());
 }
 
 TEST(ClusterStateTimetables, failWholeWithTheFirstThatFails) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.submit("job", {ClusterStateBench::step(1)}, "other",
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.submit("job", {ClusterStateFixture::step(1)}, "other",
                Timetable{ClusterTime{5000}, Duration{1000}, 4});
-  bench.worker("s", {.pool = "store"});
+  bench.registerWorker("s", {.pool = "store"});
   bench.apply(OccurrenceFired{JobId{"job"}});
   bench.apply(OccurrenceFired{JobId{"job"}});
   bench.planAndRun();
-  bench.end("job@0", EndingKind::failed);
+  bench.endAttempt("job@0", AttemptOutcome::failed);
   STRCMP_EQUAL("failed", bench.state("job@0").c_str());
   STRCMP_EQUAL("failed", bench.state("job").c_str());
   CHECK(bench.job("job").reason.find("occurrence 0") == 0);
   STRCMP_EQUAL("cancelling", bench.state("job@1").c_str());
   CHECK(bench.stopOrdered(bench.attempt("job@1")));
   bench.apply(OccurrenceFired{JobId{"job"}});
-  CHECK(bench.clusterState.jobs.count(JobId{"job@2"}) == 0);
-  bench.end("job@1", EndingKind::stopped);
+  CHECK(bench.clusterState.jobs().count(JobId{"job@2"}) == 0);
+  bench.endAttempt("job@1", AttemptOutcome::stopped);
   STRCMP_EQUAL("cancelled", bench.state("job@1").c_str());
   STRCMP_EQUAL("failed", bench.state("job").c_str());
-  CHECK(bench.clusterState.open.empty());
+  CHECK(bench.clusterState.openJobs().empty());
 }
 
 TEST(ClusterStateTimetables, cancelWhole) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.submit("job", {ClusterStateBench::step(1)}, "q",
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.submit("job", {ClusterStateFixture::step(1)}, "q",
                Timetable{ClusterTime{5000}, Duration{1000}, 4});
   bench.apply(OccurrenceFired{JobId{"job"}});
   bench.apply(OccurrenceFired{JobId{"job"}});
   bench.planAndRun();
-  bench.end("job@0");
+  bench.endAttempt("job@0");
   bench.apply(JobCancelled{JobId{"job"}});
   STRCMP_EQUAL("cancelled", bench.state("job").c_str());
   STRCMP_EQUAL("finished", bench.state("job@0").c_str());
   CHECK(bench.stopOrdered(bench.attempt("job@1")));
-  bench.end("job@1", EndingKind::stopped);
+  bench.endAttempt("job@1", AttemptOutcome::stopped);
   STRCMP_EQUAL("cancelled", bench.state("job@1").c_str());
   bench.apply(OccurrenceFired{JobId{"job"}});
-  CHECK(bench.clusterState.jobs.count(JobId{"job@2"}) == 0);
-  LONGS_EQUAL(0, bench.clusterState.openByQueue[QueueName{"q"}]);
+  CHECK(bench.clusterState.jobs().count(JobId{"job@2"}) == 0);
+  LONGS_EQUAL(0, bench.clusterState.openJobsOf(QueueName{"q"}));
 }
 
 TEST_GROUP(ClusterStateHopeless){};
 
 TEST(ClusterStateHopeless, isSaidOnlyWhenTheWorkersAreKnown) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.submit("big", {ClusterStateBench::step(1, 9000)});
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.submit("big", {ClusterStateFixture::step(1, 9000)});
   const auto& big = bench.job("big").submission;
-  CHECK(!bench.clusterState.neverFits(big, big.steps[0]));
+  CHECK(!bench.clusterState.infeasibilityReason(big, big.steps[0]));
   bench.now += 3000;
   bench.apply(LeaderStarted{});
-  CHECK(bench.clusterState.neverFits(big, big.steps[0]).has_value());
+  CHECK(bench.clusterState.infeasibilityReason(big, big.steps[0]).has_value());
   bench.apply(JobFailed{JobId{"big"}, "no known worker could ever hold it"});
   STRCMP_EQUAL("failed", bench.state("big").c_str());
   STRCMP_EQUAL("no known worker could ever hold it", bench.job("big").reason.c_str());
-  CHECK(bench.clusterState.open.empty());
+  CHECK(bench.clusterState.openJobs().empty());
 }
 
 TEST(ClusterStateHopeless, dependsOnLabelPoolAcceleratorsAndApart) {
-  ClusterStateBench bench;
-  bench.worker("a", {.labels = {"colour"}, .accelerators = 1});
-  bench.worker("b");
-  bench.worker("s", {.cores = 64'000, .pool = "store"});
+  ClusterStateFixture bench;
+  bench.registerWorker("a", {.labels = {"colour"}, .accelerators = 1});
+  bench.registerWorker("b");
+  bench.registerWorker("s", {.cores = 64'000, .pool = "store"});
   bench.now += 3000;
   bench.apply(LeaderStarted{});
   auto never = [&](StepRequest step, const std::string& queue = "q") {
     JobSubmission job;
     job.queue = QueueName{queue};
     job.steps = {step};
-    return bench.clusterState.neverFits(job, job.steps[0]).has_value();
+    return bench.clusterState.infeasibilityReason(job, job.steps[0]).has_value();
   };
   auto labelled = [](const std::string& label) {
-    StepNeeds needs;
-    needs.label = label;
+    StepRequirements needs;
+    needs.requiredLabel = label;
     return needs;
   };
-  CHECK_FALSE(never(ClusterStateBench::step(9, 4000)));  // one after the other
-  CHECK(never(ClusterStateBench::step(1, 4001)));
-  CHECK_FALSE(never(ClusterStateBench::step(1, 4001), "other"));  // the other pool's worker
-  CHECK_FALSE(never(ClusterStateBench::step(1, 1000, labelled("colour"))));
-  CHECK(never(ClusterStateBench::step(1, 1000, labelled("absent"))));
-  auto accelerated = ClusterStateBench::step(1);
+  CHECK_FALSE(never(ClusterStateFixture::step(9, 4000)));  // one after the other
+  CHECK(never(ClusterStateFixture::step(1, 4001)));
+  CHECK_FALSE(never(ClusterStateFixture::step(1, 4001), "other"));  // the other pool's worker
+  CHECK_FALSE(never(ClusterStateFixture::step(1, 1000, labelled("colour"))));
+  CHECK(never(ClusterStateFixture::step(1, 1000, labelled("absent"))));
+  auto accelerated = ClusterStateFixture::step(1);
   accelerated.tasks[0].accelerators = 1;
   CHECK_FALSE(never(accelerated));
   accelerated.tasks[0].accelerators = 2;
   CHECK(never(accelerated));
-  CHECK_FALSE(never(ClusterStateBench::gang(8)));
-  CHECK(never(ClusterStateBench::gang(9)));
-  CHECK(never(ClusterStateBench::gang(5, 1000, labelled("colour"))));
-  StepNeeds apart;
-  apart.apart = 1;
-  CHECK_FALSE(never(ClusterStateBench::gang(2, 1000, apart)));
-  CHECK(never(ClusterStateBench::gang(3, 1000, apart)));
-  CHECK_FALSE(never(ClusterStateBench::step(3, 1000, apart)));  // one after the other
+  CHECK_FALSE(never(ClusterStateFixture::gang(8)));
+  CHECK(never(ClusterStateFixture::gang(9)));
+  CHECK(never(ClusterStateFixture::gang(5, 1000, labelled("colour"))));
+  StepRequirements apart;
+  apart.maxPerWorker = 1;
+  CHECK_FALSE(never(ClusterStateFixture::gang(2, 1000, apart)));
+  CHECK(never(ClusterStateFixture::gang(3, 1000, apart)));
+  CHECK_FALSE(never(ClusterStateFixture::step(3, 1000, apart)));  // one after the other
 }
 
 TEST(ClusterStateHopeless, anOccurrenceFailsItsTimetable) {
-  ClusterStateBench bench;
-  bench.submit("job", {ClusterStateBench::step(1)}, "q",
+  ClusterStateFixture bench;
+  bench.submit("job", {ClusterStateFixture::step(1)}, "q",
                Timetable{ClusterTime{5000}, Duration{1000}, 4});
   bench.apply(OccurrenceFired{JobId{"job"}});
   bench.apply(JobFailed{JobId{"job@0"}, "no room anywhere"});
@@ -417,85 +418,87 @@
 TEST_GROUP(ClusterStateCheckpoints){};
 
 TEST(ClusterStateCheckpoints, areKeptForTheNextStartOfTheTask) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.submit("job", {ClusterStateBench::step(2, 1000, saving())});
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.submit("job", {ClusterStateFixture::step(2, 1000, saving())});
   bench.planAndRun();
-  bench.save("job", 0, "x1");
-  bench.end("job", EndingKind::stopped, 0, "x2");
-  bench.end("job", EndingKind::failed, 1);
+  bench.saveCheckpoint("job", 0, "x1");
+  bench.endAttempt("job", AttemptOutcome::stopped, 0, "x2");
+  bench.endAttempt("job", AttemptOutcome::failed, 1);
   bench.now += 60'000;
   bench.plan();
   std::map<std::uint32_t, std::string> saved;
-  for (const auto& order : bench.clusterState.workers.at(WorkerId{"a"}).orders)
-    if (order.kind == OrderKind::start && order.run == 2)
-      saved[order.within] = order.saved;
+  for (const auto& order : bench.clusterState.workers().at(WorkerId{"a"}).unappliedOrders)
+    if (order.kind == OrderKind::start && order.runNumber == 2)
+      saved[order.indexInStep] = order.checkpoint;
   STRCMP_EQUAL("x2", saved.at(0).c_str());
   STRCMP_EQUAL("", saved.at(1).c_str());  // another task's is none of its own
 }
 
 TEST(ClusterStateCheckpoints, ofAnEarlierRunNeverReplaceALaterOnes) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.worker("b");
-  bench.submit("job", {ClusterStateBench::step(1, 1000, saving())});
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.registerWorker("b");
+  bench.submit("job", {ClusterStateFixture::step(1, 1000, saving())});
   bench.planAndRun();
   const AttemptNumber first = bench.attempt("job");
-  bench.save("job", 0, "x1");
-  bench.apply(WorkerSilent{bench.clusterState.attempts.at(first).worker, {first}});
-  STRCMP_EQUAL("x1", bench.task("job").saved.c_str());
+  bench.saveCheckpoint("job", 0, "x1");
+  bench.apply(WorkerUnreachable{bench.clusterState.attempts().at(first).worker, {first}});
+  STRCMP_EQUAL("x1", bench.task("job").checkpoint.c_str());
   bench.planAndRun();
-  bench.save("job", 0, "y2");
-  bench.end(first, EndingKind::stopped, "x9");
-  STRCMP_EQUAL("y2", bench.task("job").saved.c_str());
-  bench.end("job", EndingKind::stopped, 0, "");  // one that says nothing takes nothing away
-  STRCMP_EQUAL("y2", bench.task("job").saved.c_str());
+  bench.saveCheckpoint("job", 0, "y2");
+  bench.endAttempt(first, AttemptOutcome::stopped, "x9");
+  STRCMP_EQUAL("y2", bench.task("job").checkpoint.c_str());
+  bench.endAttempt("job", AttemptOutcome::stopped, 0,
+                   "");  // one that says nothing takes nothing away
+  STRCMP_EQUAL("y2", bench.task("job").checkpoint.c_str());
 }
 
 TEST_GROUP(ClusterStateWorkers){};
 
 TEST(ClusterStateWorkers, anotherLifeOnAHostPutsTheFormerOut) {
-  ClusterStateBench bench;
-  bench.worker("life-1", {.host = "h1"});
-  bench.worker("elsewhere", {.cores = 8000, .host = "h2"});
-  bench.submit("job", {ClusterStateBench::step(1)});
+  ClusterStateFixture bench;
+  bench.registerWorker("life-1", {.host = "h1"});
+  bench.registerWorker("elsewhere", {.cores = 8000, .host = "h2"});
+  bench.submit("job", {ClusterStateFixture::step(1)});
   bench.planAndRun();
   STRCMP_EQUAL("life-1", bench.workerOf("job").c_str());
-  bench.worker("life-2", {.host = "h1"});
-  CHECK(bench.clusterState.workers.at(WorkerId{"life-1"}).state == WorkerState::gone);
-  CHECK(bench.clusterState.workers.at(WorkerId{"elsewhere"}).state == WorkerState::present);
+  bench.registerWorker("life-2", {.host = "h1"});
+  CHECK(bench.clusterState.workers().at(WorkerId{"life-1"}).state == WorkerState::removed);
+  CHECK(bench.clusterState.workers().at(WorkerId{"elsewhere"}).state == WorkerState::available);
   STRCMP_EQUAL("waiting", bench.tasks("job").c_str());
   LONGS_EQUAL(0, bench.openAttempts("job"));
   STRCMP_EQUAL("start job on life-2", bench.planAndRun().c_str());
-  LONGS_EQUAL(2, bench.task("job").run);
+  LONGS_EQUAL(2, bench.task("job").runNumber);
 }
 
 TEST(ClusterStateWorkers, theSameLifeSeenAgainKeepsItsWork) {
-  ClusterStateBench bench;
-  bench.worker("life-1", {.host = "h1"});
-  bench.submit("job", {ClusterStateBench::step(1)});
+  ClusterStateFixture bench;
+  bench.registerWorker("life-1", {.host = "h1"});
+  bench.submit("job", {ClusterStateFixture::step(1)});
   bench.planAndRun();
-  bench.worker("life-1", {.cores = 8000, .host = "h1"});  // it says something else of itself
+  bench.registerWorker("life-1",
+                       {.cores = 8000, .host = "h1"});  // it says something else of itself
   STRCMP_EQUAL("placed", bench.tasks("job").c_str());
   LONGS_EQUAL(1, bench.openAttempts("job"));
 }
 
 TEST(ClusterStateWorkers, attemptsAreFoundByTheNamesWorkersKnow) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.worker("b");
-  auto second = ClusterStateBench::step(2);
-  second.after = {"0"};
-  bench.submit("job", {ClusterStateBench::step(2), second});
-  bench.submit("timed", {ClusterStateBench::step(1)}, "q",
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.registerWorker("b");
+  auto second = ClusterStateFixture::step(2);
+  second.dependencies = {"0"};
+  bench.submit("job", {ClusterStateFixture::step(2), second});
+  bench.submit("timed", {ClusterStateFixture::step(1)}, "q",
                Timetable{ClusterTime{5000}, Duration{1000}, 3});
   bench.apply(OccurrenceFired{JobId{"timed"}});
   bench.apply(OccurrenceFired{JobId{"timed"}});
   bench.planAndRun();
   auto named = [&](const std::string& worker, const std::string& job, std::uint32_t occurrence,
                    std::uint32_t step, std::uint32_t within, std::uint32_t run) {
-    return bench.clusterState.attemptNamed(WorkerId{worker},
-                                           RunName{JobId{job}, occurrence, step, within, run});
+    return bench.clusterState.findAttempt(WorkerId{worker},
+                                          TaskRunId{JobId{job}, occurrence, step, within, run});
   };
   const std::string place = bench.workerOf("job", 1);
   CHECK(named(place, "job", 0, 0, 1, 1) == bench.attempt("job", 1));
@@ -509,67 +512,67 @@
   LONGS_EQUAL(0, named(bench.workerOf("timed@1"), "timed", 2, 0, 0, 1).value);
   // Given up, it is found until its ending is known.
   const AttemptNumber first = bench.attempt("job", 1);
-  bench.apply(WorkerSilent{WorkerId{place}, {first}});
+  bench.apply(WorkerUnreachable{WorkerId{place}, {first}});
   bench.planAndRun();
   CHECK(bench.attempt("job", 1) != first);
   CHECK(named(place, "job", 0, 0, 1, 1) == first);
-  bench.end(first, EndingKind::stopped);
+  bench.endAttempt(first, AttemptOutcome::stopped);
   LONGS_EQUAL(0, named(place, "job", 0, 0, 1, 1).value);
   // So is the part of a gang that is done.
-  bench.apply(WorkerReturned{WorkerId{place}});
-  bench.submit("gang", {ClusterStateBench::gang(2)});
+  bench.apply(WorkerReconnected{WorkerId{place}});
+  bench.submit("gang", {ClusterStateFixture::gang(2)});
   bench.planAndRun();
   const std::string other = bench.workerOf("gang", 1);
   const AttemptNumber part = bench.attempt("gang", 1);
-  bench.end("gang", EndingKind::finished, 0);
+  bench.endAttempt("gang", AttemptOutcome::succeeded, 0);
   CHECK(named(other, "gang", 0, 0, 1, 1) == part);
 }
 
 TEST(ClusterStateWorkers, leavingTakesBackWhatWasNotBegun) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.worker("b", {.cores = 8000});
-  bench.submit("job", {ClusterStateBench::step(1)});
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.registerWorker("b", {.cores = 8000});
+  bench.submit("job", {ClusterStateFixture::step(1)});
   bench.planAndRun();
-  bench.submit("late", {ClusterStateBench::step(1)});
+  bench.submit("late", {ClusterStateFixture::step(1)});
   STRCMP_EQUAL("start late on a", bench.plan().c_str());
-  bench.apply(WorkerLeaves{WorkerId{"a"}, Duration{2000}, false});
+  bench.apply(WorkerDrainStarted{WorkerId{"a"}, Duration{2000}, false});
   CHECK(bench.stopOrdered(bench.attempt("late")));
   CHECK_FALSE(bench.stopOrdered(bench.attempt("job")));
-  bench.end("late", EndingKind::unstarted);
-  LONGS_EQUAL(0, bench.task("late").starts);
+  bench.endAttempt("late", AttemptOutcome::neverStarted);
+  LONGS_EQUAL(0, bench.task("late").countedStarts);
   STRCMP_EQUAL("start late on b", bench.plan().c_str());
 }
 
 TEST(ClusterStateWorkers, theFoldIsTheSameFromItsBytes) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.submit("gang", {ClusterStateBench::gang(2, 1000, saving())});
-  bench.submit("timed", {ClusterStateBench::step(1)}, "q",
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.submit("gang", {ClusterStateFixture::gang(2, 1000, saving())});
+  bench.submit("timed", {ClusterStateFixture::step(1)}, "q",
                Timetable{ClusterTime{5000}, Duration{1000}, 3});
   bench.apply(OccurrenceFired{JobId{"timed"}});
   bench.planAndRun();
-  bench.save("gang", 1, "x1");
+  bench.saveCheckpoint("gang", 1, "x1");
   auto read = unpack<ClusterState>(pack(bench.clusterState));
   CHECK(read.has_value());
   CHECK(pack(read.value()) == pack(bench.clusterState));
-  STRCMP_EQUAL("x1", read.value().jobs.at(JobId{"gang"}).tasks[0].saved.c_str());
+  STRCMP_EQUAL("x1", read.value().jobs().at(JobId{"gang"}).tasks[0].checkpoint.c_str());
 }
 
 // They end well together, and one such ending counts for all: also for a part whose worker went
 // before it could tell.
 TEST(ClusterStateGangs, oneCleanEndingCountsForAPartWhoseWorkerWent) {
-  ClusterStateBench bench;
-  bench.worker("a", {.cores = 1000});
-  bench.worker("b", {.cores = 1000});
-  bench.worker("c", {.cores = 1000});
-  bench.submit("gang", {ClusterStateBench::gang(2)});
+  ClusterStateFixture bench;
+  bench.registerWorker("a", {.cores = 1000});
+  bench.registerWorker("b", {.cores = 1000});
+  bench.registerWorker("c", {.cores = 1000});
+  bench.submit("gang", {ClusterStateFixture::gang(2)});
   STRCMP_EQUAL("start gang on a, start gang on b", bench.planAndRun().c_str());
   const AttemptNumber first = bench.attempt("gang", 0);
-  bench.apply(WorkerGone{WorkerId{"b"}, "crashed"});
+  bench.apply(WorkerRemoved{WorkerId{"b"}, "crashed"});
   STRCMP_EQUAL("placed waiting", bench.tasks("gang").c_str());
   CHECK(bench.stopOrdered(first));
-  bench.end(first, EndingKind::finished);  // it had ended before the stop came
+  bench.endAttempt(first, AttemptOutcome::succeeded);  // it had ended before the stop came
   STRCMP_EQUAL("done done", bench.tasks("gang").c_str());
   STRCMP_EQUAL("finished", bench.state("gang").c_str());
   STRCMP_EQUAL("", bench.plan().c_str());
@@ -578,12 +581,12 @@
 // A task whose turn has come and that has room is not kept waiting for 3 s, however often it failed
 // or was stopped before.
 TEST(ClusterStateLasting, noFailureMakesItWaitForLong) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.submit("job", {ClusterStateBench::step(1, 1000, lasting())});
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.submit("job", {ClusterStateFixture::step(1, 1000, lasting())});
   for (int count = 0; count < 10; ++count) {
     bench.planAndRun();
-    bench.end("job", EndingKind::failed);
+    bench.endAttempt("job", AttemptOutcome::failed);
     const Duration pause = bench.task("job").notBefore - ClusterTime{bench.now};
     CHECK_TEXT(pause < Duration{2500}, ("waits " + std::to_string(pause.milliseconds) +
                                         " ms after failure " + std::to_string(count + 1))
@@ -593,16 +596,16 @@
 }
 
 TEST(ClusterStateTries, stopsMakeNoFailureWaitLonger) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.submit("job", {ClusterStateBench::step(1)});
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.submit("job", {ClusterStateFixture::step(1)});
   for (int count = 0; count < 6; ++count) {
     bench.planAndRun();
-    bench.end("job", EndingKind::stopped);
+    bench.endAttempt("job", AttemptOutcome::stopped);
     bench.now += 60'000;
   }
   bench.planAndRun();
-  bench.end("job", EndingKind::failed);
+  bench.endAttempt("job", AttemptOutcome::failed);
   const Duration pause = bench.task("job").notBefore - ClusterTime{bench.now};
   CHECK_TEXT(
       pause < Duration{2500},
@@ -613,27 +616,28 @@
 // again. An agent that was killed gets all orders that are not applied, and one before this may
 // still be open; the task runs elsewhere by then.
 TEST(ClusterStateWorkers, theOrderOfAStartThatEndedIsNoStartAnyMore) {
-  ClusterStateBench bench;
-  bench.worker("a");
-  bench.worker("b");
-  bench.submit("first", {ClusterStateBench::step(1)});
-  bench.submit("second", {ClusterStateBench::step(1)});
+  ClusterStateFixture bench;
+  bench.registerWorker("a");
+  bench.registerWorker("b");
+  bench.submit("first", {ClusterStateFixture::step(1)});
+  bench.submit("second", {ClusterStateFixture::step(1)});
   STRCMP_EQUAL("start first on a, start second on a", bench.plan().c_str());
-  bench.end("second", EndingKind::refused);  // it had no room; the first still gets no answer
+  bench.endAttempt("second",
+                   AttemptOutcome::rejected);  // it had no room; the first still gets no answer
   STRCMP_EQUAL("start second on b", bench.plan().c_str());
-  for (const auto& order : bench.clusterState.workers.at(WorkerId{"a"}).orders)
+  for (const auto& order : bench.clusterState.workers().at(WorkerId{"a"}).unappliedOrders)
     CHECK_TEXT(order.job.value != "second" || order.kind != OrderKind::start,
                "a start that was refused is still ordered there");
 }
 
 TEST_GROUP(ClusterStateCopies) {
-  ClusterStateBench bench;
+  ClusterStateFixture bench;
   void setup() override {
-    StepNeeds needs;
+    StepRequirements needs;
     needs.redundant = true;
-    bench.worker("first", {.cores = 8000});
-    bench.worker("other", {.cores = 8000});
-    bench.submit("copied", {ClusterStateBench::step(1, 1000, needs, false, 100)});
+    bench.registerWorker("first", {.cores = 8000});
+    bench.registerWorker("other", {.cores = 8000});
+    bench.submit("copied", {ClusterStateFixture::step(1, 1000, needs, false, 100)});
   }
   void start(std::uint64_t attempt, const char* worker, bool twin) {
     Action action;
@@ -641,7 +645,7 @@
     action.job = JobId{"copied"};
     action.worker = WorkerId{worker};
     action.memory = 100;
-    action.twin = twin;
+    action.redundantCopy = twin;
     bench.now += 10;
     bench.apply(PlanMade{PlanNumber{attempt}, {action}, {}});
   }
@@ -652,13 +656,13 @@
 TEST(ClusterStateCopies, copiesUseTheirTasksTries) {
   start(1, "first", false);
   for (std::uint64_t copy = 2; copy <= 4; ++copy) {
-    CHECK_TEXT(!bench.job("copied").ending, "failed before its tries were used up");
+    CHECK_TEXT(!bench.job("copied").terminating, "failed before its tries were used up");
     start(copy, "other", true);
-    bench.end(AttemptNumber{copy}, EndingKind::failed);
+    bench.endAttempt(AttemptNumber{copy}, AttemptOutcome::failed);
   }
-  CHECK(bench.job("copied").ending);
+  CHECK(bench.job("copied").terminating);
   CHECK(bench.stopOrdered(AttemptNumber{1}));
-  bench.end(AttemptNumber{1}, EndingKind::stopped);
+  bench.endAttempt(AttemptNumber{1}, AttemptOutcome::stopped);
   STRCMP_EQUAL("failed", bench.state("copied").c_str());
 }
 
@@ -667,10 +671,10 @@
 TEST(ClusterStateCopies, theFirstCleanEndingCounts) {
   start(1, "first", false);
   start(2, "other", true);
-  bench.end(AttemptNumber{2}, EndingKind::finished);
+  bench.endAttempt(AttemptNumber{2}, AttemptOutcome::succeeded);
   STRCMP_EQUAL("finished", bench.state("copied").c_str());
   CHECK(bench.stopOrdered(AttemptNumber{1}));
-  bench.end(AttemptNumber{1}, EndingKind::finished);
-  CHECK(bench.clusterState.attempts.empty());
+  bench.endAttempt(AttemptNumber{1}, AttemptOutcome::succeeded);
+  CHECK(bench.clusterState.attempts().empty());
   STRCMP_EQUAL("finished", bench.state("copied").c_str());
 }
--- a/tests/controller/config_orders_tests.cpp
+++ b/tests/controller/config_orders_tests.cpp
@@ -16,7 +16,7 @@
   ApiRequest request;
   request.kind = RequestKind::applyConfig;
   request.baseVersion = ConfigVersion{base};
-  request.parsedConfig = pack(config);
+  request.packedConfig = pack(config);
   return request;
 }
 // As it comes by the product's own interface, which numbers it.
@@ -31,7 +31,7 @@
   return status >= 400 && status < 500 && status != 408 && status != 429;
 }
 std::uint64_t versionInForce(ControllerCluster& cluster) {
-  return cluster.at(cluster.leader()).committed().config.version.value;
+  return cluster.controller(cluster.leader()).committed().config().version.value;
 }
 
 }  // namespace
@@ -40,65 +40,65 @@
 
 TEST(ConfigOrdersTests, aTakenOrderIsAcknowledgedAgainAfterTheNext) {
   ControllerCluster cluster(1);
-  LONGS_EQUAL(200, cluster.served(order(5, 0)).status);
-  LONGS_EQUAL(200, cluster.served(order(7, 5)).status);
-  LONGS_EQUAL(200, cluster.served(order(9, 7)).status);
-  LONGS_EQUAL(200, cluster.served(order(7, 5)).status);
-  LONGS_EQUAL(200, cluster.served(order(5, 0)).status);
+  LONGS_EQUAL(200, cluster.askLeader(order(5, 0)).status);
+  LONGS_EQUAL(200, cluster.askLeader(order(7, 5)).status);
+  LONGS_EQUAL(200, cluster.askLeader(order(9, 7)).status);
+  LONGS_EQUAL(200, cluster.askLeader(order(7, 5)).status);
+  LONGS_EQUAL(200, cluster.askLeader(order(5, 0)).status);
   LONGS_EQUAL(9, versionInForce(cluster));
   // Another text under the number, on the same base or another, and another number on the base.
-  LONGS_EQUAL(409, cluster.served(order(7, 5, "plates")).status);
-  LONGS_EQUAL(400, cluster.served(order(7, 9, "plates")).status);
-  LONGS_EQUAL(409, cluster.served(order(8, 5)).status);
+  LONGS_EQUAL(409, cluster.askLeader(order(7, 5, "plates")).status);
+  LONGS_EQUAL(400, cluster.askLeader(order(7, 9, "plates")).status);
+  LONGS_EQUAL(409, cluster.askLeader(order(8, 5)).status);
   LONGS_EQUAL(9, versionInForce(cluster));
 }
 
 TEST(ConfigOrdersTests, anUnnumberedOneIsKnownByItsBaseAndText) {
   ControllerCluster cluster(1);
   for (std::uint64_t base = 0; base < 3; ++base)
-    LONGS_EQUAL(200, cluster.served(unnumbered(base)).status);
-  const ApiResponse again = cluster.served(unnumbered(1));
+    LONGS_EQUAL(200, cluster.askLeader(unnumbered(base)).status);
+  const ApiResponse again = cluster.askLeader(unnumbered(1));
   LONGS_EQUAL(200, again.status);
   STRCMP_EQUAL("{\"version\":2}", again.body.c_str());
-  LONGS_EQUAL(409, cluster.served(unnumbered(1, "plates")).status);
+  LONGS_EQUAL(409, cluster.askLeader(unnumbered(1, "plates")).status);
   LONGS_EQUAL(3, versionInForce(cluster));
 }
 
 TEST(ConfigOrdersTests, ordersAreKnownAfterSnapshotsAndARestart) {
   ControllerOptions options;
-  options.snapshotVersions = 5;
-  options.raft.keepEntries = 3;
+  options.maxRecordsBetweenSnapshots = 5;
+  options.raft.retainedEntries = 3;
   ControllerCluster cluster(1, 0, options);
   const std::uint64_t count = 40;
   for (std::uint64_t version = 1; version <= count; ++version)
-    LONGS_EQUAL(200, cluster.served(order(2 * version, 2 * version - 2)).status);
-  CHECK(cluster.at(0).raftNode().snapshotIndex() > LogIndex{20});
+    LONGS_EQUAL(200, cluster.askLeader(order(2 * version, 2 * version - 2)).status);
+  CHECK(cluster.controller(0).raftNode().logBaseIndex() > LogIndex{20});
   cluster.kill(0);
   cluster.start(0);
   for (std::uint64_t version = 1; version <= count; ++version) {
-    LONGS_EQUAL(200, cluster.served(order(2 * version, 2 * version - 2)).status);
-    CHECK(isRefusal(cluster.served(order(2 * version, 2 * version - 2, "plates")).status));
+    LONGS_EQUAL(200, cluster.askLeader(order(2 * version, 2 * version - 2)).status);
+    CHECK(isRefusal(cluster.askLeader(order(2 * version, 2 * version - 2, "plates")).status));
   }
   LONGS_EQUAL(2 * count, versionInForce(cluster));
 }
 
 TEST(ConfigOrdersTests, theNextLeaderKnowsWhatWasTaken) {
   ControllerCluster cluster(3);
-  LONGS_EQUAL(200, cluster.served(order(5, 0)).status);
-  LONGS_EQUAL(200, cluster.served(order(7, 5)).status);
+  LONGS_EQUAL(200, cluster.askLeader(order(5, 0)).status);
+  LONGS_EQUAL(200, cluster.askLeader(order(7, 5)).status);
   const std::size_t first = cluster.leader();
   // Its answer is lost with the leader.
-  cluster.ask(first, order(9, 7));
+  cluster.submit(first, order(9, 7));
   cluster.run(50);
   cluster.kill(first);
-  LONGS_EQUAL(200, cluster.served(order(9, 7)).status);
-  LONGS_EQUAL(200, cluster.served(order(12, 9)).status);
+  LONGS_EQUAL(200, cluster.askLeader(order(9, 7)).status);
+  LONGS_EQUAL(200, cluster.askLeader(order(12, 9)).status);
   cluster.start(first);
   cluster.run(500);
   for (int turn = 0; turn < 3; ++turn) {
-    LONGS_EQUAL(200, cluster.served(order(9, 7)).status);
-    LONGS_EQUAL(200, cluster.served(order(7, 5)).status);
-    CHECK(isRefusal(cluster.served(order(9, 7, "plates")).status));
+    LONGS_EQUAL(200, cluster.askLeader(order(9, 7)).status);
+    LONGS_EQUAL(200, cluster.askLeader(order(7, 5)).status);
+    CHECK(isRefusal(cluster.askLeader(order(9, 7, "plates")).status));
     const std::size_t leader = cluster.leader();
     cluster.kill(leader);
     cluster.run(2000);
@@ -110,19 +110,19 @@
 // again, the loser's too.
 TEST(ConfigOrdersTests, ofEightInOneCommitOneIsConfirmed) {
   ControllerCluster cluster(3);
-  LONGS_EQUAL(200, cluster.served(order(5, 0)).status);
+  LONGS_EQUAL(200, cluster.askLeader(order(5, 0)).status);
   std::vector<RequestNumber> asked;
   for (int place = 0; place < 8; ++place)
     asked.push_back(
-        cluster.ask(cluster.leader(), order(7 + place % 3, 5, "q" + std::to_string(place))));
+        cluster.submit(cluster.leader(), order(7 + place % 3, 5, "q" + std::to_string(place))));
   cluster.run(200);
   int confirmed = 0;
   for (int place = 0; place < 8; ++place) {
-    const auto answer = cluster.answer(asked[std::size_t(place)]);
+    const auto answer = cluster.response(asked[std::size_t(place)]);
     CHECK(answer.has_value());
     confirmed += answer->status == 200;
     CHECK(answer->status == 200 || isRefusal(answer->status));
-    const auto again = cluster.served(order(7 + place % 3, 5, "q" + std::to_string(place)));
+    const auto again = cluster.askLeader(order(7 + place % 3, 5, "q" + std::to_string(place)));
     LONGS_EQUAL(answer->status, again.status);
   }
   LONGS_EQUAL(1, confirmed);
@@ -131,46 +131,46 @@
 // Two operators may send the very same: it is one order, and both are told that it was taken.
 TEST(ConfigOrdersTests, identicalTextsAreOneOrder) {
   ControllerCluster cluster(3);
-  LONGS_EQUAL(200, cluster.served(order(5, 0)).status);
-  const auto one = cluster.ask(cluster.leader(), order(7, 5));
-  const auto other = cluster.ask(cluster.leader(), order(7, 5));
+  LONGS_EQUAL(200, cluster.askLeader(order(5, 0)).status);
+  const auto one = cluster.submit(cluster.leader(), order(7, 5));
+  const auto other = cluster.submit(cluster.leader(), order(7, 5));
   cluster.run(200);
-  LONGS_EQUAL(200, cluster.answer(one)->status);
-  LONGS_EQUAL(200, cluster.answer(other)->status);
-  LONGS_EQUAL(2, cluster.at(cluster.leader()).committed().configHistory.orders().size());
+  LONGS_EQUAL(200, cluster.response(one)->status);
+  LONGS_EQUAL(200, cluster.response(other)->status);
+  LONGS_EQUAL(2, cluster.controller(cluster.leader()).committed().configHistory().updates().size());
 }
 
 // A leader that is cut off holds an order that can't be committed: neither that one nor another on
 // the same base gets a clear answer there. What the others take meanwhile is what counts.
 TEST(ConfigOrdersTests, aLeaderThatIsCutOffGivesNoClearAnswer) {
   ControllerCluster cluster(3);
-  LONGS_EQUAL(200, cluster.served(order(5, 0)).status);
+  LONGS_EQUAL(200, cluster.askLeader(order(5, 0)).status);
   const std::size_t cutOff = cluster.leader();
-  cluster.cut(cutOff, true);
-  const auto lost = cluster.ask(cutOff, order(7, 5, "lost"));
+  cluster.setPartitioned(cutOff, true);
+  const auto lost = cluster.submit(cutOff, order(7, 5, "lost"));
   cluster.run(30);
-  const auto beside = cluster.ask(cutOff, order(7, 5, "beside"));
-  const auto again = cluster.ask(cutOff, order(5, 0));
+  const auto beside = cluster.submit(cutOff, order(7, 5, "beside"));
+  const auto again = cluster.submit(cutOff, order(5, 0));
   cluster.run(4000);
   for (const auto number : {lost, beside, again}) {
-    CHECK(cluster.answer(number).has_value());
-    LONGS_EQUAL(503, cluster.answer(number)->status);
+    CHECK(cluster.response(number).has_value());
+    LONGS_EQUAL(503, cluster.response(number)->status);
   }
-  LONGS_EQUAL(200, cluster.served(order(7, 5, "beside")).status);
-  cluster.cut(cutOff, false);
+  LONGS_EQUAL(200, cluster.askLeader(order(7, 5, "beside")).status);
+  cluster.setPartitioned(cutOff, false);
   cluster.run(2000);
-  LONGS_EQUAL(200, cluster.served(order(7, 5, "beside")).status);
-  CHECK(isRefusal(cluster.served(order(7, 5, "lost")).status));
+  LONGS_EQUAL(200, cluster.askLeader(order(7, 5, "beside")).status);
+  CHECK(isRefusal(cluster.askLeader(order(7, 5, "lost")).status));
 }
 
 // Nor does it refuse what it holds to be stale, invalid or without a queue, though nothing of its
 // own is open: it may know less than the others.
 TEST(ConfigOrdersTests, aLeaderThatIsCutOffRefusesNothing) {
   ControllerCluster cluster(3);
-  LONGS_EQUAL(200, cluster.served(order(5, 0)).status);
+  LONGS_EQUAL(200, cluster.askLeader(order(5, 0)).status);
   const std::size_t cutOff = cluster.leader();
   cluster.run(500);
-  cluster.cut(cutOff, true);
+  cluster.setPartitioned(cutOff, true);
   ApiRequest invalid = unnumbered(5);
   invalid.text = "{";
   ApiRequest noQueue;
@@ -179,10 +179,10 @@
   noQueue.path = "/nowhere/job";
   std::vector<RequestNumber> asked;
   for (const auto& request : {order(6, 3), order(4, 5), order(5, 0), invalid, noQueue})
-    asked.push_back(cluster.ask(cutOff, request));
+    asked.push_back(cluster.submit(cutOff, request));
   cluster.run(4000);
   for (const auto number : asked) {
-    CHECK(cluster.answer(number).has_value());
-    LONGS_EQUAL(503, cluster.answer(number)->status);
+    CHECK(cluster.response(number).has_value());
+    LONGS_EQUAL(503, cluster.response(number)->status);
   }
 }
