--- a/tests/raft/node_tests.cpp
+++ b/tests/raft/node_tests.cpp
@@ -4,16 +4,16 @@
 using namespace aniseline;
 
 namespace {
-const Members three{{ControllerId{"a"}, Address{"a:1"}, ZoneName{"x"}, true},
-                    {ControllerId{"b"}, Address{"b:1"}, ZoneName{"y"}, true},
-                    {ControllerId{"c"}, Address{"c:1"}, ZoneName{"z"}, true}};
+const Membership three{{ControllerId{"a"}, Address{"a:1"}, ZoneName{"x"}, true},
+                       {ControllerId{"b"}, Address{"b:1"}, ZoneName{"y"}, true},
+                       {ControllerId{"c"}, Address{"c:1"}, ZoneName{"z"}, true}};
 // A follower whose disk holds the members and entries of term 1 that no majority ever had.
 WriteAheadRecord heldBy(std::size_t entries) {
   WriteAheadRecord record;
   record.version = DiskVersion{1};
-  record.whole = true;
+  record.holdsSnapshot = true;
   record.term = Term{1};
-  record.first = LogIndex{1};
+  record.firstIndex = LogIndex{1};
   record.entries.push_back({Term{1}, true, pack(three)});
   for (std::size_t count = 0; count < entries; ++count)
     record.entries.push_back({Term{1}, false, "lost"});
@@ -36,7 +36,7 @@
   RaftNode follower{three[1], {}, 1, {heldBy(5)}, MonotonicTime{0}};
   void sync(std::int64_t now) {
     while (auto record = follower.takeWrite())
-      follower.synced(record->version, MonotonicTime{now});
+      follower.onWriteSynced(record->version, MonotonicTime{now});
   }
 };
 
@@ -44,35 +44,35 @@
 TEST(RaftTests, aFollowerClaimsNoEntriesThatItsLeaderHasNotShown) {
   AppendEntries heartbeat;
   heartbeat.term = Term{2};
-  heartbeat.previous = LogIndex{1};
-  heartbeat.previousTerm = Term{1};
+  heartbeat.previousLogIndex = LogIndex{1};
+  heartbeat.previousLogTerm = Term{1};
   heartbeat.round = RoundNumber{1};
   follower.receive(fromC(heartbeat), MonotonicTime{10});
   sync(12);
   for (const auto& reply : repliesOf(follower))
-    LONGS_EQUAL(1, reply.match.value);
+    LONGS_EQUAL(1, reply.matchIndex.value);
 }
 
 // docs/design.md 3.4: however its log differs, one answer tells the leader where to go on from.
 TEST(RaftTests, oneMismatchTellsWhereTheLogsAgree) {
   AppendEntries ahead;
   ahead.term = Term{2};
-  ahead.previous = LogIndex{9};
-  ahead.previousTerm = Term{2};
+  ahead.previousLogIndex = LogIndex{9};
+  ahead.previousLogTerm = Term{2};
   ahead.round = RoundNumber{1};
   follower.receive(fromC(ahead), MonotonicTime{10});
   auto replies = repliesOf(follower);
-  CHECK(!replies.empty() && !replies[0].matched);
+  CHECK(!replies.empty() && !replies[0].success);
   AppendEntries again = ahead;
-  again.previous = replies[0].match;
-  again.previousTerm = again.previous.value > 1 ? Term{2}
-                       : again.previous.value   ? Term{1}
-                                                : Term{};  // the leader's own from 2 on
-  again.entries.assign(9 - again.previous.value, LogEntry{Term{2}, false, "kept"});
+  again.previousLogIndex = replies[0].matchIndex;
+  again.previousLogTerm = again.previousLogIndex.value > 1 ? Term{2}
+                          : again.previousLogIndex.value   ? Term{1}
+                                                           : Term{};  // the leader's own from 2 on
+  again.entries.assign(9 - again.previousLogIndex.value, LogEntry{Term{2}, false, "kept"});
   follower.receive(fromC(again), MonotonicTime{12});
   replies = repliesOf(follower);
-  CHECK(!replies.empty() && replies.back().matched);
-  LONGS_EQUAL(9, follower.last().value);
+  CHECK(!replies.empty() && replies.back().success);
+  LONGS_EQUAL(9, follower.lastIndex().value);
 }
 
 // docs/design.md 3.2: a candidate behind in terms learns it from the refusal; else no one could
@@ -87,7 +87,7 @@
   const auto messages = follower.takeMessages();
   LONGS_EQUAL(1, messages.size());
   const auto& answer = boost::get<RequestVoteReply>(messages[0].body);
-  CHECK(!answer.given);
+  CHECK(!answer.voteGranted);
   LONGS_EQUAL(47, answer.term.value);
 }
 
@@ -95,7 +95,7 @@
 // docs/design.md 3.5.
 TEST(RaftTests, aLearnerThatHearsNoLeaderAsksToJoin) {
   auto record = heldBy(1);
-  Members members = three;
+  Membership members = three;
   members[1].voter = false;
   record.entries[0].payload = pack(members);
   RaftNode learner(three[1], {}, 1, {record}, MonotonicTime{0});
@@ -103,7 +103,7 @@
     learner.tick(MonotonicTime{now}, WallTime{now});
   std::size_t asked = 0;
   for (const auto& message : learner.takeMessages())
-    asked += message.body.type() == typeid(Join);
+    asked += message.body.type() == typeid(JoinRequest);
   CHECK(asked > 0);
 }
 
@@ -114,11 +114,11 @@
   const InstallSnapshot install{Term{2}, identity, 0, whole, RoundNumber{1}};
   follower.receive(fromC(install), MonotonicTime{10});
   for (const auto& reply : repliesOf(follower))
-    CHECK(reply.match.value < 4);
+    CHECK(reply.matchIndex.value < 4);
   sync(12);
   const auto after = repliesOf(follower);
   CHECK(!after.empty());
-  LONGS_EQUAL(4, after.back().match.value);
+  LONGS_EQUAL(4, after.back().matchIndex.value);
 }
 
 // docs/design.md 3.5: while a snapshot is being written the disk still holds what it held before; a
@@ -127,10 +127,10 @@
   const std::string whole = pack(Snapshot{LogIndex{9}, Term{2}, three, "state"});
   const SnapshotIdentity identity{LogIndex{9}, Term{2}, whole.size(), checksum(whole)};
   const InstallSnapshot install{Term{2}, identity, 0, whole, RoundNumber{1}};
-  const auto held = follower.last();
+  const auto held = follower.lastIndex();
   follower.receive(fromC(install), MonotonicTime{10});
   for (const auto& reply : repliesOf(follower))
-    CHECK(reply.last >= held);
+    CHECK(reply.lastLogIndex >= held);
 }
 
 // docs/design.md 3.4: what was claimed to a leader may have been counted by it; a snapshot that
@@ -141,28 +141,28 @@
   const auto syncAll = [&](std::int64_t now) {
     while (auto record = behind.takeWrite()) {
       disk.push_back(*record);
-      behind.synced(record->version, MonotonicTime{now});
+      behind.onWriteSynced(record->version, MonotonicTime{now});
     }
   };
   AppendEntries append;
   append.term = Term{2};
-  append.previous = LogIndex{1};
-  append.previousTerm = Term{1};
+  append.previousLogIndex = LogIndex{1};
+  append.previousLogTerm = Term{1};
   append.entries.assign(4, LogEntry{Term{2}, false, "kept"});
   append.round = RoundNumber{1};
   behind.receive(fromC(append), MonotonicTime{10});
   syncAll(12);
-  LONGS_EQUAL(5, repliesOf(behind).back().match.value);
+  LONGS_EQUAL(5, repliesOf(behind).back().matchIndex.value);
   const std::string whole = pack(Snapshot{LogIndex{4}, Term{2}, three, "state"});
   const SnapshotIdentity identity{LogIndex{4}, Term{2}, whole.size(), checksum(whole)};
   const InstallSnapshot install{Term{2}, identity, 0, whole, RoundNumber{2}};
   behind.receive(fromC(install), MonotonicTime{20});
   syncAll(22);
-  LONGS_EQUAL(5, behind.last().value);
+  LONGS_EQUAL(5, behind.lastIndex().value);
   LONGS_EQUAL(4, behind.commitIndex().value);
-  LONGS_EQUAL(5, repliesOf(behind).back().match.value);
+  LONGS_EQUAL(5, repliesOf(behind).back().matchIndex.value);
   RaftNode restarted{three[1], {}, 1, disk, MonotonicTime{0}};
-  LONGS_EQUAL(5, restarted.last().value);
+  LONGS_EQUAL(5, restarted.lastIndex().value);
 }
 
 // docs/design.md 3.3: a vote of one's own counts once it is synced; the write of an earlier term's
@@ -179,11 +179,11 @@
   LONGS_EQUAL(2, slow->term.value);
   campaign(10'000);
   LONGS_EQUAL(3, follower.term().value);
-  follower.synced(slow->version, MonotonicTime{10'010});
+  follower.onWriteSynced(slow->version, MonotonicTime{10'010});
   follower.receive(fromC(RequestVoteReply{Term{3}, false, true}), MonotonicTime{10'020});
-  CHECK(!follower.leads());
+  CHECK(!follower.isLeader());
   sync(10'030);
-  CHECK(follower.leads());
+  CHECK(follower.isLeader());
 }
 
 // A leader whose own term is not on its disk could lead that term again after a restart, with other
@@ -197,7 +197,7 @@
   follower.receive(given, MonotonicTime{5010});
   given.from = three[0].id;
   follower.receive(given, MonotonicTime{5010});
-  CHECK(!follower.leads());
-  follower.synced(slow->version, MonotonicTime{5020});
-  CHECK(follower.leads());
+  CHECK(!follower.isLeader());
+  follower.onWriteSynced(slow->version, MonotonicTime{5020});
+  CHECK(follower.isLeader());
 }
--- a/tests/raft/snapshot_transfer_tests.cpp
+++ b/tests/raft/snapshot_transfer_tests.cpp
@@ -15,7 +15,7 @@
 // So that the bytes, and who is being caught up, decide what is kept.
 RaftOptions fewEntriesKept() {
   RaftOptions options;
-  options.keepEntries = 20;
+  options.retainedEntries = 20;
   return options;
 }
 
@@ -59,7 +59,7 @@
       change();
       cluster.run(50);
     }
-    CHECK(cluster.leader()->snapshotIndex() > follower().last());
+    CHECK(cluster.leader()->logBaseIndex() > follower().lastIndex());
     cluster.cut(slow, false);
     heardAt = cluster.now;
     longestGap = 0;
@@ -89,21 +89,21 @@
 // The tail of the log behind the snapshot is some 16 MB, 67 s on this link.
 TEST(SnapshotTransferTests, aSnapshotGoesBesideHeartbeats) {
   leaveBehind();
-  const LogIndex wanted = cluster.leader()->snapshot().index;
-  cluster.runUntil([&] { return follower().snapshot().index >= wanted; }, 60'000);
-  CHECK(follower().snapshot().index >= wanted);
-  CHECK_COMPARE(longestGap, <, cluster.options.electionLow.milliseconds);
+  const LogIndex wanted = cluster.leader()->snapshot().lastIncludedIndex;
+  cluster.runUntil([&] { return follower().snapshot().lastIncludedIndex >= wanted; }, 60'000);
+  CHECK(follower().snapshot().lastIncludedIndex >= wanted);
+  CHECK_COMPARE(longestGap, <, cluster.options.electionTimeoutMin.milliseconds);
 }
 
 TEST(SnapshotTransferTests, aTransferResumesAfterCuts) {
   leaveBehind();
-  const LogIndex wanted = cluster.leader()->snapshot().index;
+  const LogIndex wanted = cluster.leader()->snapshot().lastIncludedIndex;
   const std::int64_t begun = cluster.now;
-  while (follower().snapshot().index < wanted && cluster.now - begun < 60'000) {
+  while (follower().snapshot().lastIncludedIndex < wanted && cluster.now - begun < 60'000) {
     cutNowAndThen();
     cluster.run(10);
   }
-  CHECK(follower().snapshot().index >= wanted);
+  CHECK(follower().snapshot().lastIncludedIndex >= wanted);
   CHECK_COMPARE(cluster.now - begun, <, 30'000);
 }
 
@@ -132,12 +132,12 @@
 // holds what follows it.
 TEST(SnapshotTransferTests, aTransferIsEndedThoughNewerSnapshotsAreTaken) {
   leaveBehind();
-  const LogIndex begun = cluster.leader()->snapshot().index;
+  const LogIndex begun = cluster.leader()->snapshot().lastIncludedIndex;
   for (const std::int64_t end = cluster.now + 30'000; cluster.now < end; cluster.run(10))
     if (cluster.now % 500 == 0)
       change();
-  CHECK(cluster.leader()->snapshot().index > begun);
-  CHECK(follower().snapshotIndex() >= begun);
+  CHECK(cluster.leader()->snapshot().lastIncludedIndex > begun);
+  CHECK(follower().logBaseIndex() >= begun);
 }
 
 // Every link is slow, a change takes 1.3 s on it: nobody takes the leader for lost meanwhile, and
@@ -157,20 +157,21 @@
   LONGS_EQUAL(term.value, cluster.leader()->term().value);
   LONGS_EQUAL(10, proposed);
   for (const auto& [id, node] : cluster.nodes)
-    LONGS_EQUAL(cluster.leader()->last().value, node->commitIndex().value);
-  CHECK_COMPARE(longestGap, <, cluster.options.electionLow.milliseconds);
+    LONGS_EQUAL(cluster.leader()->lastIndex().value, node->commitIndex().value);
+  CHECK_COMPARE(longestGap, <, cluster.options.electionTimeoutMin.milliseconds);
 }
 
 // What it has received lies in memory; a restart begins the transfer anew and ends it.
 TEST(SnapshotTransferTests, aRestartOfTheFollowerBeginsAnew) {
   leaveBehind();
-  const LogIndex wanted = cluster.leader()->snapshot().index;
+  const LogIndex wanted = cluster.leader()->snapshot().lastIncludedIndex;
   cluster.run(8000);
-  CHECK(follower().snapshot().index < wanted);
+  CHECK(follower().snapshot().lastIncludedIndex < wanted);
   cluster.kill(slow);
   cluster.run(500);
   cluster.boot(slow);
-  CHECK(cluster.runUntil([&] { return follower().snapshot().index >= wanted; }, 40'000));
+  CHECK(
+      cluster.runUntil([&] { return follower().snapshot().lastIncludedIndex >= wanted; }, 40'000));
   CHECK_COMPARE(timeToLevel(120'000), <, 120'000);
 }
 
@@ -198,8 +199,9 @@
     ++damaged;
     install->data.back() = char(install->data.back() ^ 1);
   };
-  const LogIndex wanted = cluster.leader()->snapshot().index;
-  CHECK(cluster.runUntil([&] { return follower().snapshot().index >= wanted; }, 60'000));
+  const LogIndex wanted = cluster.leader()->snapshot().lastIncludedIndex;
+  CHECK(
+      cluster.runUntil([&] { return follower().snapshot().lastIncludedIndex >= wanted; }, 60'000));
   LONGS_EQUAL(1, damaged);
   CHECK(follower().snapshot().state == cluster.leader()->snapshot().state);
 }
@@ -212,17 +214,17 @@
     if (message.to == slow && boost::get<InstallSnapshot>(&message.body))
       seen.push_back(message);
   };
-  const LogIndex wanted = cluster.leader()->snapshot().index;
+  const LogIndex wanted = cluster.leader()->snapshot().lastIncludedIndex;
   cluster.runUntil(
       [&] {
         if (!seen.empty() && cluster.now % 200 == 0) {
           follower().receive(seen[seen.size() / 2], MonotonicTime{cluster.now});
           follower().receive(seen.back(), MonotonicTime{cluster.now});
         }
-        return follower().snapshot().index >= wanted;
+        return follower().snapshot().lastIncludedIndex >= wanted;
       },
       60'000);
-  CHECK(follower().snapshot().index >= wanted);
+  CHECK(follower().snapshot().lastIncludedIndex >= wanted);
   CHECK(follower().snapshot().state == cluster.leader()->snapshot().state);
 }
 
@@ -235,11 +237,11 @@
     cluster.nodes.at(message.to)->receive(message, MonotonicTime{cluster.now});
   };
   change();
-  const LogIndex last = cluster.leader()->last();
+  const LogIndex last = cluster.leader()->lastIndex();
   CHECK(cluster.runUntil([&] { return follower().commitIndex() == last; }, 10'000));
   CHECK(doubled > 0);
   for (const auto& [id, node] : cluster.nodes) {
-    LONGS_EQUAL(last.value, node->last().value);
+    LONGS_EQUAL(last.value, node->lastIndex().value);
     CHECK(node->entry(last).payload == cluster.leader()->entry(last).payload);
   }
 }
--- a/tests/raft_tests.cpp
+++ b/tests/raft_tests.cpp
@@ -5,9 +5,9 @@
 using namespace aniseline;
 
 TEST_GROUP(LeaderTests) {
-  Members members{{ControllerId{"a"}, Address{"a:1"}, ZoneName{"x"}, true},
-                  {ControllerId{"b"}, Address{"b:1"}, ZoneName{"y"}, true},
-                  {ControllerId{"c"}, Address{"c:1"}, ZoneName{"z"}, true}};
+  Membership members{{ControllerId{"a"}, Address{"a:1"}, ZoneName{"x"}, true},
+                     {ControllerId{"b"}, Address{"b:1"}, ZoneName{"y"}, true},
+                     {ControllerId{"c"}, Address{"c:1"}, ZoneName{"z"}, true}};
   std::int64_t now = 0;
   std::map<std::string, std::unique_ptr<RaftNode>> nodes;
   std::vector<PeerMessage> unread;  // for the leader, while it is busy
@@ -16,9 +16,9 @@
   void setup() override {
     WriteAheadRecord record;
     record.version = DiskVersion{1};
-    record.whole = true;
+    record.holdsSnapshot = true;
     record.term = Term{1};
-    record.first = LogIndex{1};
+    record.firstIndex = LogIndex{1};
     record.entries.push_back({Term{1}, true, pack(members)});
     std::uint64_t seed = 1;
     for (const auto& member : members)
@@ -27,7 +27,7 @@
     while (leader.empty() && now < 10'000) {
       run(10);
       for (const auto& [id, node] : nodes)
-        if (node->leads())
+        if (node->isLeader())
           leader = id;
     }
     run(300);
@@ -41,7 +41,7 @@
         if (id != busy)
           node->tick(MonotonicTime{now}, WallTime{now});
         while (auto record = node->takeWrite())
-          node->synced(record->version, MonotonicTime{now});
+          node->onWriteSynced(record->version, MonotonicTime{now});
         for (auto& message : node->takeMessages())
           sent.push_back(std::move(message));
       }
@@ -71,25 +71,25 @@
         unread.push_back(std::move(message));
   now += 1200;
   nodes[leader]->tick(MonotonicTime{now}, WallTime{now});
-  CHECK(nodes[leader]->leads());
+  CHECK(nodes[leader]->isLeader());
   read();
   nodes[leader]->tick(MonotonicTime{now + 10}, WallTime{now});
-  CHECK(nodes[leader]->leads());
+  CHECK(nodes[leader]->isLeader());
 }
 
 // Cut off but not busy it steps down in time.
 TEST(LeaderTests, oneThatIsCutOffStepsDown) {
-  for (std::int64_t count = 0; count < 120 && nodes[leader]->leads(); ++count, now += 10) {
+  for (std::int64_t count = 0; count < 120 && nodes[leader]->isLeader(); ++count, now += 10) {
     nodes[leader]->tick(MonotonicTime{now}, WallTime{now});
     nodes[leader]->takeMessages();
   }
-  CHECK(!nodes[leader]->leads());
+  CHECK(!nodes[leader]->isLeader());
 }
 
 // Busy again and again it can't put that off for ever.
 TEST(LeaderTests, oneThatIsCutOffAndBusyStepsDownToo) {
   const std::int64_t begun = now;
-  while (nodes[leader]->leads() && now - begun < 20'000) {
+  while (nodes[leader]->isLeader() && now - begun < 20'000) {
     now += 400;
     nodes[leader]->tick(MonotonicTime{now}, WallTime{now});
     nodes[leader]->takeMessages();
@@ -102,11 +102,11 @@
   run(3000, leader);
   std::size_t others = 0;
   for (const auto& [id, node] : nodes)
-    others += id != leader && node->leads();
+    others += id != leader && node->isLeader();
   LONGS_EQUAL(1, others);
   nodes[leader]->tick(MonotonicTime{now}, WallTime{now});
   read();
-  CHECK(!nodes[leader]->leads());
+  CHECK(!nodes[leader]->isLeader());
 }
 
 // Requests come a thousand a second and the others answer late, being busy too: what is under way
@@ -121,7 +121,7 @@
     for (auto& [id, node] : nodes) {
       node->tick(MonotonicTime{now}, WallTime{now});
       while (auto record = node->takeWrite())
-        node->synced(record->version, MonotonicTime{now});
+        node->onWriteSynced(record->version, MonotonicTime{now});
       for (auto& message : node->takeMessages()) {
         requests += id == leader;
         underWay.emplace_back(now + way, std::move(message));
@@ -131,8 +131,8 @@
       nodes[underWay.front().second.to.value]->receive(underWay.front().second, MonotonicTime{now});
       underWay.pop_front();
     }
-    CHECK(nodes[leader]->leads());
-    if (!nodes[leader]->leads())
+    CHECK(nodes[leader]->isLeader());
+    if (!nodes[leader]->isLeader())
       return;
   }
   CHECK(requests < 2 * 3000 / 25);
--- a/tests/reference/planner.cpp
+++ b/tests/reference/planner.cpp
@@ -110,23 +110,23 @@
 
 }  // namespace
 
-bool Plan::empty(const Reservation& before) const {
-  if (!made.actions.empty())
+bool Plan::changesNothing(const Reservation& before) const {
+  if (!record.actions.empty())
     return false;
-  if (made.reservation.job != before.job || made.reservation.step != before.step)
+  if (record.reservation.job != before.job || record.reservation.stepIndex != before.stepIndex)
     return false;
-  if (!before.held())
+  if (!before.isActive())
     return true;
-  return std::abs((made.reservation.start - before.start).milliseconds) < 1000;
+  return std::abs((record.reservation.start - before.start).milliseconds) < 1000;
 }
 
-struct Planner::Work {
+struct Planner::PlanBuilder {
   Planner& planner;
   const ClusterState& clusterState;
   ClusterTime now;
-  const Silence& silence;
+  const LastContactAges& silence;
   bool explain;
-  const Hints& hints;
+  const PlannerHints& hints;
   Plan plan;
   std::vector<Room> rooms;
   std::map<WorkerId, std::size_t> roomOf;
@@ -137,35 +137,37 @@
   std::map<std::pair<JobId, std::uint32_t>, std::string>
       racks;  // chosen for steps that want one rack
 
-  Work(Planner& planner, const ClusterState& clusterState, ClusterTime now, const Silence& silence,
-       bool explain, const Hints& hints)
+  PlanBuilder(Planner& planner, const ClusterState& clusterState, ClusterTime now,
+              const LastContactAges& silence, bool explain, const PlannerHints& hints)
       : planner(planner),
         clusterState(clusterState),
         now(now),
         silence(silence),
         explain(explain),
         hints(hints),
-        trialRoom(std::int64_t(clusterState.config.planner.trialRoom)),
-        lastAttempt(clusterState.lastAttempt) {}
+        trialRoom(std::int64_t(clusterState.config().planner.reservedTrialMemory)),
+        lastAttempt(clusterState.lastAttempt()) {}
 
-  Programs& programsOf(const std::string& policy) {
-    auto found = planner.programs.find(policy);
-    return found != planner.programs.end() ? found->second : planner.programs.at("default");
+  CompiledPolicy& programsOf(const std::string& policy) {
+    auto found = planner.compiledPolicies.find(policy);
+    return found != planner.compiledPolicies.end() ? found->second
+                                                   : planner.compiledPolicies.at("default");
   }
   const QueueOptions& queueOf(const JobId& job) const {
     static const QueueOptions none;
-    const auto* queue = clusterState.config.queue(clusterState.jobs.at(job).submission.queue);
+    const auto* queue =
+        clusterState.config().findQueue(clusterState.jobs().at(job).submission.queue);
     return queue ? *queue : none;
   }
 
   // An overrunning task stays in place; it is expected to need half as long again as it has run.
   // docs/design.md 7.6.
   Duration remaining(const Attempt& attempt) const {
-    const Duration ran = attempt.ranBy(now);
-    const Duration wanted = attempt.trial() ? attempt.quantum : attempt.runtime;
+    const Duration ran = attempt.runtimeAt(now);
+    const Duration wanted = attempt.isTrial() ? attempt.quantum : attempt.runtime;
     if (wanted > ran)
       return wanted - ran;
-    if (attempt.trial())
+    if (attempt.isTrial())
       return Duration{1000};
     return Duration{std::max<std::int64_t>(1000, ran.milliseconds / 2)};
   }
@@ -173,14 +175,14 @@
   void buildRooms() {
     std::set<AttemptNumber> withVictims;
     std::map<AttemptNumber, ClusterTime> trialEnds;
-    for (const auto& [number, attempt] : clusterState.attempts) {
-      if (attempt.state == AttemptState::held)
-        withVictims.insert(attempt.heldFor);
-      if (attempt.trial())
+    for (const auto& [number, attempt] : clusterState.attempts()) {
+      if (attempt.state == AttemptState::suspended)
+        withVictims.insert(attempt.suspendedForTrial);
+      if (attempt.isTrial())
         trialEnds[number] = now + remaining(attempt);
     }
-    for (const auto& [id, worker] : clusterState.workers) {
-      if (worker.state == WorkerState::gone)
+    for (const auto& [id, worker] : clusterState.workers()) {
+      if (worker.state == WorkerState::removed)
         continue;
       Room room;
       room.worker = &worker;
@@ -188,13 +190,14 @@
       room.memory = std::int64_t(worker.capacity.memory);
       room.accelerators = worker.capacity.accelerators;
       auto quiet = silence.find(id);
-      room.usable = worker.open() && quiet != silence.end() && quiet->second < silentTooLong;
+      room.usable =
+          worker.isSchedulable() && quiet != silence.end() && quiet->second < silentTooLong;
       if (worker.failureScoreAt(now) >= blameLimit)
         room.penalty = 2;
       roomOf[id] = rooms.size();
       rooms.push_back(std::move(room));
     }
-    for (const auto& [number, attempt] : clusterState.attempts) {
+    for (const auto& [number, attempt] : clusterState.attempts()) {
       auto place = roomOf.find(attempt.worker);
       if (place == roomOf.end())
         continue;
@@ -204,28 +207,28 @@
       projection.cores = attempt.cores;
       projection.memory = std::int64_t(attempt.memory);
       projection.accelerators = attempt.accelerators;
-      projection.held = attempt.state == AttemptState::held;
-      projection.heldFor = attempt.heldFor;
+      projection.held = attempt.state == AttemptState::suspended;
+      projection.heldFor = attempt.suspendedForTrial;
       projection.trialWithVictims = withVictims.count(number) > 0;
       projection.end =
           attempt.state == AttemptState::stopping ? now + Duration{500} : now + remaining(attempt);
       if (projection.held) {
-        auto trial = trialEnds.find(attempt.heldFor);
+        auto trial = trialEnds.find(attempt.suspendedForTrial);
         projection.resumes = trial == trialEnds.end() ? now : trial->second;
         projection.end = projection.resumes + remaining(attempt);
       }
       room.add(projection);
-      if (const auto* needs = needsOf(attempt.job, attempt.step); needs && needs->apart)
-        ++room.ofStep[{attempt.job, attempt.step}];
+      if (const auto* needs = needsOf(attempt.job, attempt.stepIndex); needs && needs->maxPerWorker)
+        ++room.ofStep[{attempt.job, attempt.stepIndex}];
       // An agent says itself when its worker does not answer; one late order holds up what it tells
       // of the others.
-      if (!room.worker->capacity.lapses && attempt.state == AttemptState::ordered &&
+      if (!room.worker->capacity.killsOnLeaseExpiry && attempt.state == AttemptState::ordered &&
           now - attempt.orderedAt > unappliedTooLong)
         room.usable = false;
       // A worker that fails work is tried with one task at a time. docs/design.md 5.6.
       if (room.penalty > 0)
         room.usable = false;
-      if (!room.worker->capacity.pauses && overdue(attempt))
+      if (!room.worker->capacity.supportsSuspend && overdue(attempt))
         room.overdue.insert(
             attempt.job);  // jobs, not runs: a job's guess may be wrong for all of them
     }
@@ -235,16 +238,16 @@
   // Held against what was requested, its data's rack and a common overrun: does this run stand
   // still, or on a slow worker?
   bool overdue(const Attempt& attempt) const {
-    if (attempt.trial() || attempt.state == AttemptState::stopping ||
-        attempt.state == AttemptState::held)
+    if (attempt.isTrial() || attempt.state == AttemptState::stopping ||
+        attempt.state == AttemptState::suspended)
       return false;
-    const auto* needs = needsOf(attempt.job, attempt.step);
-    if (!needs || needs->lasts)
+    const auto* needs = needsOf(attempt.job, attempt.stepIndex);
+    if (!needs || needs->longRunning)
       return false;
-    const bool far = !needs->near.empty() || needs->sameRack;
+    const bool far = !needs->preferredRack.empty() || needs->sameRack;
     return double((now - attempt.orderedAt).milliseconds) >
            2.2 * double(attempt.runtime.milliseconds) *
-                   (far ? clusterState.config.planner.far : 1.0) +
+                   (far ? clusterState.config().planner.remoteSlowdown : 1.0) +
                300;
   }
   // Workers on which work takes far longer than on their peers, or stands still, get none while
@@ -253,18 +256,18 @@
   void passOverSlow() {
     std::map<std::string, std::vector<double>> known;
     for (const auto& room : rooms)
-      if (auto pace = hints.paces.find(room.worker->id); pace != hints.paces.end())
+      if (auto pace = hints.runtimeRatios.find(room.worker->id); pace != hints.runtimeRatios.end())
         known[room.worker->capacity.pool].push_back(pace->second);
     std::map<std::string, std::size_t> passedOver;
     std::vector<std::pair<double, std::size_t>> slow;
     for (std::size_t place = 0; place < rooms.size(); ++place) {
       Room& room = rooms[place];
-      if (room.worker->capacity.pauses)
+      if (room.worker->capacity.supportsSuspend)
         continue;
       auto& peers = known[room.worker->capacity.pool];
       double ratio = 0;
-      if (auto pace = hints.paces.find(room.worker->id);
-          pace != hints.paces.end() && peers.size() >= 3) {
+      if (auto pace = hints.runtimeRatios.find(room.worker->id);
+          pace != hints.runtimeRatios.end() && peers.size() >= 3) {
         auto middle = peers.begin() + std::ptrdiff_t(peers.size() / 2);
         std::nth_element(peers.begin(), middle, peers.end());
         ratio = pace->second / std::max(0.1, *middle);
@@ -294,19 +297,20 @@
   // touch. docs/paper.md 5.
   void startCopies() {
     std::size_t begun = 0;
-    for (const auto& [number, attempt] : clusterState.attempts) {
+    for (const auto& [number, attempt] : clusterState.attempts()) {
       if (begun >= 8)
         return;
-      const auto* needs = needsOf(attempt.job, attempt.step);
-      if (!needs || !needs->redundant || attempt.lost || attempt.gang ||
+      const auto* needs = needsOf(attempt.job, attempt.stepIndex);
+      if (!needs || !needs->redundant || attempt.abandoned || attempt.gang ||
           attempt.state == AttemptState::stopping)
         continue;
-      const Job& job = clusterState.jobs.at(attempt.job);
-      if (job.ending || job.over() || job.tasks.empty() ||
-          job.tasks[attempt.task].attempt != number || job.tasks[attempt.task].twin.value)
+      const Job& job = clusterState.jobs().at(attempt.job);
+      if (job.terminating || job.isTerminal() || job.tasks.empty() ||
+          job.tasks[attempt.taskIndex].currentAttempt != number ||
+          job.tasks[attempt.taskIndex].redundantAttempt.value)
         continue;
       const QueueOptions& queue = queueOf(attempt.job);
-      if (queue.tries && job.tasks[attempt.task].failures + 1 >= queue.tries)
+      if (queue.maxFailures && job.tasks[attempt.taskIndex].failureCount + 1 >= queue.maxFailures)
         continue;  // the one that runs is the last try
       auto quiet = silence.find(attempt.worker);
       const bool outOfTouch = quiet == silence.end() || quiet->second > silentTooLong;
@@ -314,11 +318,11 @@
         continue;
       Unit unit;
       unit.job = attempt.job;
-      unit.step = attempt.step;
-      unit.tasks = {attempt.task};
+      unit.step = attempt.stepIndex;
+      unit.tasks = {attempt.taskIndex};
       unit.needs = needs;
       unit.pool = queueOf(attempt.job).pool;
-      const TaskRequest& request = job.request(job.tasks[attempt.task]);
+      const TaskRequest& request = job.requestOf(job.tasks[attempt.taskIndex]);
       std::size_t best = rooms.size();
       for (std::size_t place = 0; place < rooms.size(); ++place) {
         const Room& room = rooms[place];
@@ -340,33 +344,34 @@
       action.kind = ActionKind::start;
       action.attempt = lastAttempt = lastAttempt.next();
       action.job = attempt.job;
-      action.task = attempt.task;
+      action.taskIndex = attempt.taskIndex;
       action.worker = rooms[best].worker->id;
       action.memory = request.memory;
-      action.twin = true;
-      ++plan.copies;
-      plan.made.actions.push_back(std::move(action));
+      action.redundantCopy = true;
+      ++plan.redundantCopies;
+      plan.record.actions.push_back(std::move(action));
       ++begun;
     }
   }
-  const StepNeeds* needsOf(const JobId& job, std::uint32_t step) const {
-    auto found = clusterState.jobs.find(job);
-    return found == clusterState.jobs.end() || step >= found->second.submission.steps.size()
+  const StepRequirements* needsOf(const JobId& job, std::uint32_t step) const {
+    auto found = clusterState.jobs().find(job);
+    return found == clusterState.jobs().end() || step >= found->second.submission.steps.size()
                ? nullptr
-               : &found->second.submission.steps[step].needs;
+               : &found->second.submission.steps[step].requirements;
   }
   // May a task of this step run there at all? Label, pool and accelerators are conditions.
   // docs/paper.md 2.
   bool suits(const Unit& unit, const Room& room) const {
-    return room.worker->capacity.pool == unit.pool && room.worker->capacity.has(unit.needs->label);
+    return room.worker->capacity.pool == unit.pool &&
+           room.worker->capacity.hasLabel(unit.needs->requiredLabel);
   }
   bool hasRoom(const Unit& unit, const Room& room, const TaskRequest& request) const {
     if (room.freeAccelerators() < request.accelerators)
       return false;
-    if (!unit.needs->apart)
+    if (!unit.needs->maxPerWorker)
       return true;
     auto found = room.ofStep.find({unit.job, unit.step});
-    return found == room.ofStep.end() || found->second < unit.needs->apart;
+    return found == room.ofStep.end() || found->second < unit.needs->maxPerWorker;
   }
   // The rack that a step which wants one rack is on, or had best go to: the one with the most idle
   // cores that suit.
@@ -374,8 +379,8 @@
     auto [found, isNew] = racks.try_emplace({unit.job, unit.step});
     if (!isNew)
       return found->second;
-    for (const auto& [number, attempt] : clusterState.attempts)
-      if (attempt.job == unit.job && attempt.step == unit.step && !attempt.lost)
+    for (const auto& [number, attempt] : clusterState.attempts())
+      if (attempt.job == unit.job && attempt.stepIndex == unit.step && !attempt.abandoned)
         return found->second = rackOf(attempt.worker);
     std::map<std::string, std::int64_t> idle;
     for (const auto& room : rooms)
@@ -390,13 +395,14 @@
   // Away from its data or from the rest of its step a task takes `far` times as long.
   // docs/paper.md 2.
   bool isFar(const Unit& unit, const Room& room) {
-    if (!unit.needs->near.empty() && !room.worker->capacity.has(unit.needs->near))
+    if (!unit.needs->preferredRack.empty() &&
+        !room.worker->capacity.hasLabel(unit.needs->preferredRack))
       return true;
     return unit.needs->sameRack && room.worker->capacity.rack != rackFor(unit);
   }
   Duration runtimeAt(const Unit& unit, const Room& room, const TaskRequest& request) {
     return isFar(unit, room) ? Duration{std::int64_t(double(request.runtime.milliseconds) *
-                                                     clusterState.config.planner.far)}
+                                                     clusterState.config().planner.remoteSlowdown)}
                              : request.runtime;
   }
 
@@ -408,7 +414,7 @@
   };
   std::map<JobId, Aim> aims;
   Aim aimOf(const Job& job, const QueueOptions& queue) {
-    if (queue.target.milliseconds <= 0)
+    if (queue.latencyTargetBase.milliseconds <= 0)
       return {};
     auto [found, isNew] = aims.try_emplace(job.submission.id);
     if (!isNew)
@@ -417,11 +423,11 @@
     std::vector<std::int64_t> whole(steps.size()), left(steps.size());
     std::vector<char> open(steps.size());
     for (const auto& task : job.tasks)
-      open[task.step] = open[task.step] || task.state != TaskState::done;
+      open[task.stepIndex] = open[task.stepIndex] || task.state != TaskState::succeeded;
     std::int64_t longest = 0, longestLeft = 0;
     for (std::size_t step = 0; step < steps.size(); ++step) {
       std::int64_t before = 0, beforeLeft = 0, own = 0;
-      for (const auto& name : steps[step].after)
+      for (const auto& name : steps[step].dependencies)
         for (std::size_t other = 0; other < step; ++other)
           if (steps[other].name == name)
             before = std::max(before, whole[other]), beforeLeft = std::max(beforeLeft, left[other]);
@@ -432,8 +438,9 @@
       longest = std::max(longest, whole[step]);
       longestLeft = std::max(longestLeft, left[step]);
     }
-    const double aim = queue.extend * double(longest) + double(queue.target.milliseconds);
-    const double done = double((now - job.allowedAt).milliseconds + longestLeft);
+    const double aim =
+        queue.latencyTargetFactor * double(longest) + double(queue.latencyTargetBase.milliseconds);
+    const double done = double((now - job.admittedAt).milliseconds + longestLeft);
     found->second.standing = done <= aim ? 0 : done <= 3 * aim ? 1 : 2;
     found->second.pressed = aim - done < std::max(1500.0, 0.4 * (aim - double(longest)));
     return found->second;
@@ -441,37 +448,37 @@
 
   std::vector<Unit> waitingUnits() {
     std::vector<Unit> units;
-    for (const auto& id : clusterState.open) {
-      const Job& job = clusterState.jobs.at(id);
-      if (job.state != JobState::open || job.ending)
+    for (const auto& id : clusterState.openJobs()) {
+      const Job& job = clusterState.jobs().at(id);
+      if (job.state != JobState::active || job.terminating)
         continue;
       std::map<std::uint32_t, Unit> gangs;
       std::set<std::uint32_t> unready;
       for (std::uint32_t place = 0; place < job.tasks.size(); ++place) {
         const Task& task = job.tasks[place];
-        if (task.state == TaskState::done)
+        if (task.state == TaskState::succeeded)
           continue;
-        const bool gang = job.submission.steps[task.step].gang;
-        const bool ready = task.state == TaskState::waiting && task.notBefore <= now;
+        const bool gang = job.submission.steps[task.stepIndex].gang;
+        const bool ready = task.state == TaskState::pending && task.notBefore <= now;
         if (gang && !ready)
-          unready.insert(task.step);
+          unready.insert(task.stepIndex);
         if (!ready)
           continue;
         if (!gang) {
           Unit& unit = units.emplace_back();
           unit.job = id;
-          unit.step = task.step;
+          unit.step = task.stepIndex;
           unit.tasks = {place};
-          unit.runtime = job.request(task).runtime;
+          unit.runtime = job.requestOf(task).runtime;
           unit.readyAt = task.readyAt;
           continue;
         }
-        Unit& unit = gangs[task.step];
+        Unit& unit = gangs[task.stepIndex];
         unit.job = id;
-        unit.step = task.step;
+        unit.step = task.stepIndex;
         unit.gang = true;
         unit.tasks.push_back(place);
-        unit.runtime = std::max(unit.runtime, job.request(task).runtime);
+        unit.runtime = std::max(unit.runtime, job.requestOf(task).runtime);
         unit.readyAt = task.readyAt;
       }
       for (auto& [step, unit] : gangs)
@@ -485,20 +492,20 @@
       inputs.wait = std::max(0.0, (now - unit.readyAt).hours());
       inputs.runtime = unit.runtime.hours();
       inputs.expansion = (inputs.wait + inputs.runtime) / inputs.runtime;
-      const Job& job = clusterState.jobs.at(unit.job);
-      unit.needs = &job.submission.steps[unit.step].needs;
+      const Job& job = clusterState.jobs().at(unit.job);
+      unit.needs = &job.submission.steps[unit.step].requirements;
       unit.pool = queue.pool;
-      unit.urgency = clusterState.config.planner.urgencyFirst ? queue.urgency : 0;
+      unit.urgency = clusterState.config().planner.strictPriority ? queue.priority : 0;
       const Aim aim = aimOf(job, queue);
       unit.standing = aim.standing;
       unit.pressed = aim.pressed;
       for (auto task : unit.tasks) {
-        inputs.cores += job.request(job.tasks[task]).cores / 1000.0;
-        inputs.memory += double(job.request(job.tasks[task]).memory);
+        inputs.cores += job.requestOf(job.tasks[task]).cores / 1000.0;
+        inputs.memory += double(job.requestOf(job.tasks[task]).memory);
       }
-      inputs.urgency = double(queue.urgency);
-      inputs.weightWait = clusterState.config.planner.weightWait;
-      inputs.weightExpansion = clusterState.config.planner.weightExpansion;
+      inputs.priority = double(queue.priority);
+      inputs.weightWait = clusterState.config().planner.weightWait;
+      inputs.weightExpansion = clusterState.config().planner.weightExpansion;
       unit.priority = programsOf(queue.policy).rank.evaluate(inputs);
     }
     std::sort(units.begin(), units.end(), [](const Unit& left, const Unit& right) {
@@ -518,15 +525,15 @@
 
   void leave(const Unit& unit, std::size_t place) {
     rooms[place].dropLast();
-    if (unit.needs->apart)
+    if (unit.needs->maxPerWorker)
       --rooms[place].ofStep[{unit.job, unit.step}];
   }
   const Task& taskOf(const Unit& unit, std::uint32_t task) const {
-    return clusterState.jobs.at(unit.job).tasks[task];
+    return clusterState.jobs().at(unit.job).tasks[task];
   }
   const TaskRequest& requestOf(const Unit& unit, std::uint32_t task) const {
-    const Job& job = clusterState.jobs.at(unit.job);
-    return job.request(job.tasks[task]);
+    const Job& job = clusterState.jobs().at(unit.job);
+    return job.requestOf(job.tasks[task]);
   }
   // Largest part first, so that a gang is not blocked by its own small parts.
   std::vector<std::uint32_t> partsBySize(const Unit& unit) const {
@@ -539,22 +546,22 @@
 
   // The one reserved start: would these additions on the room delay it? docs/paper.md 3.
   bool delays(std::size_t place, std::int64_t cores, std::int64_t memory, ClusterTime end) const {
-    const Reservation& reservation = plan.made.reservation;
-    if (!reservation.held() || end <= reservation.start)
+    const Reservation& reservation = plan.record.reservation;
+    if (!reservation.isActive() || end <= reservation.start)
       return false;
     return !reservedStillFits(place, rooms[place], cores, memory);
   }
   bool reservedStillFits(std::size_t place, const Room& room, std::int64_t cores,
                          std::int64_t memory) const {
-    const Reservation& reservation = plan.made.reservation;
-    if (!reservation.held())
+    const Reservation& reservation = plan.record.reservation;
+    if (!reservation.isActive())
       return true;
-    const Job& job = clusterState.jobs.at(reservation.job);
+    const Job& job = clusterState.jobs().at(reservation.job);
     std::int64_t wantedCores = 0, wantedMemory = 0;
     for (const auto& placement : reservation.placements)
       if (roomOf.at(placement.worker) == place) {
-        wantedCores += job.request(job.tasks[placement.task]).cores;
-        wantedMemory += std::int64_t(job.request(job.tasks[placement.task]).memory);
+        wantedCores += job.requestOf(job.tasks[placement.taskIndex]).cores;
+        wantedMemory += std::int64_t(job.requestOf(job.tasks[placement.taskIndex]).memory);
       }
     if (wantedCores == 0)
       return true;
@@ -575,8 +582,8 @@
   }
 
   std::string rackOf(const WorkerId& id) const {
-    auto found = clusterState.workers.find(id);
-    return found == clusterState.workers.end() ? std::string() : found->second.capacity.rack;
+    auto found = clusterState.workers().find(id);
+    return found == clusterState.workers().end() ? std::string() : found->second.capacity.rack;
   }
   // Among fitting workers the one with the fewest unallocated cores; ties by rack, then by name.
   // Paper 2.2.
@@ -584,7 +591,7 @@
     std::vector<std::pair<std::uint32_t, std::size_t>> placed;
     for (auto part : partsBySize(unit)) {
       const TaskRequest& request = requestOf(unit, part);
-      const WorkerId& avoid = taskOf(unit, part).avoid;
+      const WorkerId& avoid = taskOf(unit, part).avoidedWorker;
       const std::string rackToAvoid = rackOf(avoid);
       std::size_t best = rooms.size();
       std::tuple<int, int, std::int64_t, int> bestKey{};
@@ -622,7 +629,7 @@
       }
       occupy(best, AttemptNumber{}, request, std::int64_t(request.memory),
              now + runtimeAt(unit, rooms[best], request), false);
-      if (unit.needs->apart)
+      if (unit.needs->maxPerWorker)
         ++rooms[best].ofStep[{unit.job, unit.step}];
       placed.emplace_back(part, best);
     }
@@ -630,24 +637,24 @@
     // docs/design.md 7.3.
     const bool assembles =
         unit.gang && std::all_of(placed.begin(), placed.end(), [&](const auto& part) {
-          return rooms[part.second].worker->capacity.assembles;
+          return rooms[part.second].worker->capacity.selfAssemblingGangs;
         });
     std::uint32_t run = 0;
     if (unit.gang)
       for (auto part : unit.tasks)
-        run = std::max(run, taskOf(unit, part).run + 1);
+        run = std::max(run, taskOf(unit, part).runNumber + 1);
     for (auto& [task, place] : placed) {
       Action action;
       action.kind = unit.gang && !assembles ? ActionKind::stage : ActionKind::start;
-      action.run = run;
+      action.runNumber = run;
       action.attempt = lastAttempt = lastAttempt.next();
       action.job = unit.job;
-      action.task = task;
+      action.taskIndex = task;
       action.worker = rooms[place].worker->id;
       action.memory = requestOf(unit, task).memory;
       if (rooms[place].penalty > 0)
         rooms[place].usable = false;
-      plan.made.actions.push_back(std::move(action));
+      plan.record.actions.push_back(std::move(action));
     }
     return true;
   }
@@ -677,16 +684,16 @@
       }
       Reservation reservation;
       reservation.job = unit.job;
-      reservation.step = unit.step;
+      reservation.stepIndex = unit.step;
       reservation.start = time;
       for (auto part : parts) {
         const TaskRequest& request = requestOf(unit, part);
         std::size_t best = rooms.size();
         for (std::size_t place = 0; place < rooms.size(); ++place) {
-          if (!rooms[place].worker->open() || free[place].first < request.cores ||
+          if (!rooms[place].worker->isSchedulable() || free[place].first < request.cores ||
               !suits(unit, rooms[place]) || accelerators[place] < request.accelerators)
             continue;
-          if (unit.needs->apart && together[place] >= unit.needs->apart)
+          if (unit.needs->maxPerWorker && together[place] >= unit.needs->maxPerWorker)
             continue;
           if (!memoryFits(rooms[place], free[place].second, std::int64_t(request.memory),
                           trialRoom))
@@ -709,8 +716,8 @@
   }
 
   double slowdown(const Attempt& attempt) const {
-    const Task& task = clusterState.jobs.at(attempt.job).tasks[attempt.task];
-    const double ran = std::max(1.0, double(attempt.ranBy(now).milliseconds));
+    const Task& task = clusterState.jobs().at(attempt.job).tasks[attempt.taskIndex];
+    const double ran = std::max(1.0, double(attempt.runtimeAt(now).milliseconds));
     return double((now - task.readyAt).milliseconds) / ran;
   }
   bool mayHold(const Attempt& attempt) {
@@ -721,8 +728,8 @@
     inputs.slowdown = slowdown(attempt);
     inputs.cores = attempt.cores / 1000.0;
     inputs.memory = double(attempt.memory);
-    inputs.urgency = double(queue.urgency);
-    return programsOf(queue.policy).mayHold.evaluate(inputs) != 0.0;
+    inputs.priority = double(queue.priority);
+    return programsOf(queue.policy).maySuspend.evaluate(inputs) != 0.0;
   }
 
   struct TrialPlace {
@@ -740,7 +747,8 @@
     for (std::size_t place = 0; place < rooms.size(); ++place) {
       Room& room = rooms[place];
       if (!room.usable || room.penalty > 0 || room.worker->id == avoid ||
-          !room.worker->capacity.pauses || !suits(unit, room) || !hasRoom(unit, room, request))
+          !room.worker->capacity.supportsSuspend || !suits(unit, room) ||
+          !hasRoom(unit, room, request))
         continue;
       if (room.cores < request.cores || room.freeMemory() < memory)
         continue;
@@ -752,15 +760,15 @@
           continue;
         std::vector<std::pair<double, const Attempt*>> eligible;
         for (const auto& projection : room.projections) {
-          auto found = clusterState.attempts.find(projection.attempt);
-          if (found == clusterState.attempts.end() || projection.held)
+          auto found = clusterState.attempts().find(projection.attempt);
+          if (found == clusterState.attempts().end() || projection.held)
             continue;
           const Attempt& attempt = found->second;
           // A gang's parts are never held: the others would run on alone. docs/paper.md 5.
-          if (attempt.state != AttemptState::running || attempt.trial() || attempt.gang ||
-              attempt.lost)
+          if (attempt.state != AttemptState::running || attempt.isTrial() || attempt.gang ||
+              attempt.abandoned)
             continue;
-          if (now - attempt.runningSince < options.minimumRun || !mayHold(attempt))
+          if (now - attempt.runningSince < options.minimumRuntime || !mayHold(attempt))
             continue;
           eligible.emplace_back(slowdown(attempt), &attempt);
         }
@@ -787,7 +795,7 @@
         for (auto& projection : changed.projections)
           if (std::count(candidate.victims.begin(), candidate.victims.end(), projection.attempt))
             projection.end = projection.end + options.quantum;
-        const bool overlaps = end > plan.made.reservation.start;
+        const bool overlaps = end > plan.record.reservation.start;
         if (!reservedStillFits(place, changed, overlaps ? request.cores : 0, overlaps ? memory : 0))
           continue;
       }
@@ -802,32 +810,32 @@
     std::vector<Room> before;
     if (unit.gang)
       before = rooms;
-    const auto actionsBefore = plan.made.actions.size();
+    const auto actionsBefore = plan.record.actions.size();
     const AttemptNumber attemptBefore = lastAttempt;
-    const Reservation& reservation = plan.made.reservation;
-    const bool own = reservation.job == unit.job && reservation.step == unit.step;
+    const Reservation& reservation = plan.record.reservation;
+    const bool own = reservation.job == unit.job && reservation.stepIndex == unit.step;
     for (auto part : partsBySize(unit)) {
       const TaskRequest& request = requestOf(unit, part);
       const auto memory = std::int64_t(std::min<std::uint64_t>(request.memory, queue.trial.memory));
-      const WorkerId& avoid = taskOf(unit, part).avoid;
+      const WorkerId& avoid = taskOf(unit, part).avoidedWorker;
       auto found = trialPlace(unit, request, avoid, memory, queue.trial, false, own);
       if (!found)
         found = trialPlace(unit, request, avoid, memory, queue.trial, true, own);
       if (!found) {
         if (unit.gang)
           rooms = std::move(before);
-        plan.made.actions.resize(actionsBefore);
+        plan.record.actions.resize(actionsBefore);
         lastAttempt = attemptBefore;
         return false;
       }
       lastAttempt = lastAttempt.next();
       for (auto victim : found->victims) {
         Action hold;
-        hold.kind = ActionKind::hold;
+        hold.kind = ActionKind::suspend;
         hold.attempt = victim;
         hold.worker = rooms[found->place].worker->id;
-        hold.heldFor = lastAttempt;
-        plan.made.actions.push_back(hold);
+        hold.suspendedForTrial = lastAttempt;
+        plan.record.actions.push_back(hold);
         for (auto& projection : rooms[found->place].projections)
           if (projection.attempt == victim) {
             rooms[found->place].hold(projection);
@@ -838,14 +846,14 @@
       action.kind = unit.gang ? ActionKind::stage : ActionKind::start;
       action.attempt = lastAttempt;
       action.job = unit.job;
-      action.task = part;
+      action.taskIndex = part;
       action.worker = rooms[found->place].worker->id;
       action.trial = true;
       action.quantum = queue.trial.quantum;
       action.memory = std::uint64_t(memory);
       occupy(found->place, lastAttempt, request, memory, now + queue.trial.quantum,
              !found->victims.empty());
-      plan.made.actions.push_back(std::move(action));
+      plan.record.actions.push_back(std::move(action));
     }
     return true;
   }
@@ -853,20 +861,20 @@
   // Gangs that are wholly staged go; those that cannot be are taken back. docs/design.md 7.3.
   void moveGangs() {
     std::map<std::pair<JobId, std::uint32_t>, std::vector<const Attempt*>> gangs;
-    for (const auto& [number, attempt] : clusterState.attempts)
-      if (attempt.gang && !attempt.lost && !clusterState.jobs.at(attempt.job).tasks.empty())
-        gangs[{attempt.job, attempt.step}].push_back(&attempt);
+    for (const auto& [number, attempt] : clusterState.attempts())
+      if (attempt.gang && !attempt.abandoned && !clusterState.jobs().at(attempt.job).tasks.empty())
+        gangs[{attempt.job, attempt.stepIndex}].push_back(&attempt);
     for (const auto& [key, parts] : gangs) {
-      const Job& job = clusterState.jobs.at(key.first);
+      const Job& job = clusterState.jobs().at(key.first);
       std::size_t openParts = 0;
       for (const auto& task : job.tasks)
-        openParts += task.step == key.second && task.state != TaskState::done;
+        openParts += task.stepIndex == key.second && task.state != TaskState::succeeded;
       bool allStaged = parts.size() == openParts, staging = false, late = false, alone = false;
       for (const auto* part : parts) {
-        const bool unheard = part->state == AttemptState::going ||
-                             (part->assembles && part->state == AttemptState::ordered);
+        const bool unheard = part->state == AttemptState::launching ||
+                             (part->selfAssembling && part->state == AttemptState::ordered);
         alone = alone || (unheard && now - part->runningSince > goLimit);
-        if (part->assembles)
+        if (part->selfAssembling)
           continue;
         if (part->state == AttemptState::staged || part->state == AttemptState::ordered) {
           staging = true;
@@ -875,14 +883,14 @@
         auto quiet = silence.find(part->worker);
         const bool heard = quiet != silence.end() && quiet->second < Duration{1500};
         allStaged = allStaged && part->state == AttemptState::staged && heard &&
-                    clusterState.workers.at(part->worker).open();
+                    clusterState.workers().at(part->worker).isSchedulable();
       }
       for (const auto* part : parts) {
         Action action;
         action.attempt = part->number;
         action.worker = part->worker;
-        if (allStaged && !part->assembles)
-          action.kind = ActionKind::go;
+        if (allStaged && !part->selfAssembling)
+          action.kind = ActionKind::launch;
         else if (alone && part->state != AttemptState::stopping) {
           action.kind = ActionKind::stop;
           action.reason = "alone";
@@ -891,27 +899,27 @@
           action.reason = "staging";
         } else
           continue;
-        plan.made.actions.push_back(std::move(action));
+        plan.record.actions.push_back(std::move(action));
       }
     }
   }
 
   void stopOverdue() {
-    for (const auto& [number, attempt] : clusterState.attempts) {
-      if (attempt.lost || attempt.state != AttemptState::running)
+    for (const auto& [number, attempt] : clusterState.attempts()) {
+      if (attempt.abandoned || attempt.state != AttemptState::running)
         continue;
-      const Duration limit = queueOf(attempt.job).hardLimit;
+      const Duration limit = queueOf(attempt.job).hardRuntimeLimit;
       Action action;
       action.kind = ActionKind::stop;
       action.attempt = number;
       action.worker = attempt.worker;
-      if (attempt.trial() && attempt.ranBy(now) > attempt.quantum + trialGrace)
+      if (attempt.isTrial() && attempt.runtimeAt(now) > attempt.quantum + trialGrace)
         action.reason = "trial";
-      else if (!attempt.trial() && limit.milliseconds > 0 && attempt.ranBy(now) > limit)
+      else if (!attempt.isTrial() && limit.milliseconds > 0 && attempt.runtimeAt(now) > limit)
         action.reason = "hard limit";
       else
         continue;
-      plan.made.actions.push_back(std::move(action));
+      plan.record.actions.push_back(std::move(action));
     }
   }
 
@@ -924,16 +932,16 @@
   std::map<std::string, PoolRoom> poolRooms;
   std::int64_t mostUrgent = 0;
   void weighPools(const std::vector<Unit>& units) {
-    for (const auto& [name, queue] : clusterState.config.queues)
-      mostUrgent = std::max(mostUrgent, queue.urgency);
+    for (const auto& [name, queue] : clusterState.config().queues)
+      mostUrgent = std::max(mostUrgent, queue.priority);
     for (const auto& room : rooms)
       if (room.usable) {
         PoolRoom& pool = poolRooms[room.worker->capacity.pool];
         pool.cores += room.cores;
         pool.free += std::max<std::int64_t>(0, room.safeCores());
       }
-    for (const auto& [number, attempt] : clusterState.attempts)
-      if (!attempt.lost && queueOf(attempt.job).urgency == mostUrgent)
+    for (const auto& [number, attempt] : clusterState.attempts())
+      if (!attempt.abandoned && queueOf(attempt.job).priority == mostUrgent)
         poolRooms[queueOf(attempt.job).pool].urgentUsed += attempt.cores;
     for (const auto& unit : units)
       if (unit.urgency == mostUrgent && unit.standing < 2)
@@ -943,7 +951,7 @@
       plan.urgentDemand[name] = pool.urgentUsed + pool.urgentWanted;
   }
   bool leavesUrgentRoom(const Unit& unit) {
-    if (!clusterState.config.planner.urgencyFirst || unit.urgency == mostUrgent ||
+    if (!clusterState.config().planner.strictPriority || unit.urgency == mostUrgent ||
         (unit.pressed && unit.standing < 2))
       return true;
     auto demand = hints.urgentDemand.find(unit.pool);
@@ -959,7 +967,7 @@
 
   void note(const Unit& unit, std::string text) {
     if (explain)
-      plan.reasons.push_back({unit.job, unit.step, unit.priority, std::move(text)});
+      plan.explanations.push_back({unit.job, unit.step, unit.priority, std::move(text)});
   }
 
   Plan run() {
@@ -967,25 +975,25 @@
     moveGangs();
     stopOverdue();
     auto units = waitingUnits();
-    plan.waiting = units.size();
+    plan.pendingUnits = units.size();
     for (const auto& unit : units)
-      ++plan.standings[std::size_t(unit.standing)];
+      ++plan.unitsByTargetStatus[std::size_t(unit.standing)];
     for (const auto& room : rooms) {
-      ++(room.usable ? plan.usable : plan.passedOver);
-      plan.cores += room.usable ? room.cores : 0;
-      plan.coresUsed += room.usable ? room.usedCores : 0;
+      ++(room.usable ? plan.schedulableWorkers : plan.excludedWorkers);
+      plan.schedulableCores += room.usable ? room.cores : 0;
+      plan.allocatedCores += room.usable ? room.usedCores : 0;
     }
-    if (clusterState.config.planner.urgencyFirst)
+    if (clusterState.config().planner.strictPriority)
       weighPools(units);
     std::vector<const Unit*> notStarted;
     for (const auto& unit : units) {
-      const bool reserved = plan.made.reservation.held();
+      const bool reserved = plan.record.reservation.isActive();
       FailedShapes::Shape shape{0, 0, unit.runtime.milliseconds};
       if (!unit.gang) {
         shape.cores = requestOf(unit, unit.tasks[0]).cores;
         shape.memory = std::int64_t(requestOf(unit, unit.tasks[0]).memory);
-        if (reserved && !unit.needs->apart &&
-            noBackfill[{unit.pool, unit.needs->label}].covers(shape)) {
+        if (reserved && !unit.needs->maxPerWorker &&
+            noBackfill[{unit.pool, unit.needs->requiredLabel}].covers(shape)) {
           note(unit, "would delay the reserved start, or no worker has room");
           notStarted.push_back(&unit);
           continue;
@@ -1004,12 +1012,12 @@
       notStarted.push_back(&unit);
       if (!reserved) {
         if (auto reservation = reserve(unit)) {
-          const Reservation& before = clusterState.reservation;
-          const bool same = before.job == unit.job && before.step == unit.step;
-          reservation->moved = same ? before.moved : 0;
+          const Reservation& before = clusterState.reservation();
+          const bool same = before.job == unit.job && before.stepIndex == unit.step;
+          reservation->timesMoved = same ? before.timesMoved : 0;
           if (same && reservation->start > before.start + Duration{1000})
-            ++reservation->moved;
-          plan.made.reservation = *reservation;
+            ++reservation->timesMoved;
+          plan.record.reservation = *reservation;
           note(unit, "holds the reserved start on " + reservation->placements.front().worker.value +
                          " in " + std::to_string((reservation->start - now).milliseconds) + " ms");
           continue;
@@ -1017,34 +1025,34 @@
         note(unit, "no worker that is here now could ever hold it");
         continue;
       }
-      if (!unit.gang && !unit.needs->apart && !unit.needs->sameRack && unit.needs->near.empty() &&
-          !requestOf(unit, unit.tasks[0]).accelerators)
-        noBackfill[{unit.pool, unit.needs->label}].add(shape);
+      if (!unit.gang && !unit.needs->maxPerWorker && !unit.needs->sameRack &&
+          unit.needs->preferredRack.empty() && !requestOf(unit, unit.tasks[0]).accelerators)
+        noBackfill[{unit.pool, unit.needs->requiredLabel}].add(shape);
       note(unit, "would delay the reserved start, or no worker has room");
     }
-    if (clusterState.config.planner.trials)
+    if (clusterState.config().planner.trialsEnabled)
       for (const auto* unit : notStarted) {
         const Task& first = taskOf(*unit, unit->tasks[0]);
-        if (first.trialled || first.tried || first.starts > 0)
+        if (first.trialStarted || first.trialExpired || first.countedStarts > 0)
           continue;
         const QueueOptions& queue = queueOf(unit->job);
-        FailedShapes::Shape shape{0, 0, queue.trial.minimumRun.milliseconds};
+        FailedShapes::Shape shape{0, 0, queue.trial.minimumRuntime.milliseconds};
         if (!unit->gang) {
           const TaskRequest& request = requestOf(*unit, unit->tasks[0]);
           shape.cores = request.cores;
           shape.memory = std::int64_t(std::min<std::uint64_t>(request.memory, queue.trial.memory));
-          if (noTrial.covers(shape) || !unit->needs->label.empty() || !unit->pool.empty())
+          if (noTrial.covers(shape) || !unit->needs->requiredLabel.empty() || !unit->pool.empty())
             continue;
         }
         if (!tryTrial(*unit)) {
-          if (!unit->gang && unit->needs->label.empty() && unit->pool.empty() &&
+          if (!unit->gang && unit->needs->requiredLabel.empty() && unit->pool.empty() &&
               queue.trial.quantum >= Duration{1000})
             noTrial.add(shape);
         } else
           note(*unit, "gets its trial in this plan");
       }
     startCopies();
-    plan.made.number = clusterState.plan.next();
+    plan.record.number = clusterState.lastPlan().next();
     return std::move(plan);
   }
 };
@@ -1052,22 +1060,25 @@
 Planner::Planner() = default;
 Planner::~Planner() = default;
 
-Plan Planner::make(const ClusterState& clusterState, ClusterTime now, const Silence& silence,
-                   bool explain, const Hints& hints) {
-  if (!any || compiled != clusterState.config.version) {
-    programs.clear();
-    for (const auto& [name, policy] : clusterState.config.policies)
-      programs.emplace(name, Programs{PolicyProgram(policy.rank), PolicyProgram(policy.mayHold)});
-    if (!programs.count("default"))
-      programs.emplace("default",
-                       Programs{PolicyProgram(PolicyOptions{}.rank), PolicyProgram("1")});
-    compiled = clusterState.config.version;
-    any = true;
+Plan Planner::makePlan(const ClusterState& clusterState, ClusterTime now,
+                       const LastContactAges& silence, bool explain, const PlannerHints& hints) {
+  if (!hasCompiledPolicies || compiledVersion != clusterState.config().version) {
+    compiledPolicies.clear();
+    for (const auto& [name, policy] : clusterState.config().policies)
+      compiledPolicies.emplace(name, CompiledPolicy{PolicyProgram(policy.rankExpression),
+                                                    PolicyProgram(policy.suspendExpression)});
+    if (!compiledPolicies.count("default"))
+      compiledPolicies.emplace(
+          "default",
+          CompiledPolicy{PolicyProgram(PolicyOptions{}.rankExpression), PolicyProgram("1")});
+    compiledVersion = clusterState.config().version;
+    hasCompiledPolicies = true;
   }
-  return Work(*this, clusterState, now, silence, explain, hints).run();
+  return PlanBuilder(*this, clusterState, now, silence, explain, hints).run();
 }
 
-std::optional<ClusterTime> Planner::nextDue(const ClusterState& clusterState, ClusterTime now) {
+std::optional<ClusterTime> Planner::nextPlanTime(const ClusterState& clusterState,
+                                                 ClusterTime now) {
   std::optional<ClusterTime> due;
   auto consider = [&](ClusterTime time) {
     if (time <= now)
@@ -1075,32 +1086,32 @@
     if (!due || time < *due)
       due = time;
   };
-  for (const auto& [number, attempt] : clusterState.attempts) {
-    if (attempt.lost)
+  for (const auto& [number, attempt] : clusterState.attempts()) {
+    if (attempt.abandoned)
       continue;
-    if (attempt.trial() && attempt.state == AttemptState::running)
-      consider(now + (attempt.quantum + trialGrace - attempt.ranBy(now)) + Duration{1});
-    if (attempt.gang && !attempt.assembles &&
+    if (attempt.isTrial() && attempt.state == AttemptState::running)
+      consider(now + (attempt.quantum + trialGrace - attempt.runtimeAt(now)) + Duration{1});
+    if (attempt.gang && !attempt.selfAssembling &&
         (attempt.state == AttemptState::ordered || attempt.state == AttemptState::staged))
       consider(now + Duration{200});
-    if (attempt.gang && (attempt.state == AttemptState::going ||
-                         (attempt.assembles && attempt.state == AttemptState::ordered)))
+    if (attempt.gang && (attempt.state == AttemptState::launching ||
+                         (attempt.selfAssembling && attempt.state == AttemptState::ordered)))
       consider(attempt.runningSince + goLimit + Duration{1});
-    if (!attempt.trial() && attempt.state == AttemptState::running) {
-      const auto found = clusterState.jobs.find(attempt.job);
-      const auto* queue = found == clusterState.jobs.end()
+    if (!attempt.isTrial() && attempt.state == AttemptState::running) {
+      const auto found = clusterState.jobs().find(attempt.job);
+      const auto* queue = found == clusterState.jobs().end()
                               ? nullptr
-                              : clusterState.config.queue(found->second.submission.queue);
-      if (queue && queue->hardLimit.milliseconds > 0)
-        consider(now + (queue->hardLimit - attempt.ranBy(now)) + Duration{1});
+                              : clusterState.config().findQueue(found->second.submission.queue);
+      if (queue && queue->hardRuntimeLimit.milliseconds > 0)
+        consider(now + (queue->hardRuntimeLimit - attempt.runtimeAt(now)) + Duration{1});
     }
   }
-  for (const auto& id : clusterState.open) {
-    const Job& job = clusterState.jobs.at(id);
-    if (job.state != JobState::open)
+  for (const auto& id : clusterState.openJobs()) {
+    const Job& job = clusterState.jobs().at(id);
+    if (job.state != JobState::active)
       continue;
     for (const auto& task : job.tasks)
-      if (task.state == TaskState::waiting) {
+      if (task.state == TaskState::pending) {
         consider(std::max(task.notBefore, now + Duration{500}));
         break;
       }
--- a/tests/replacement_tests.cpp
+++ b/tests/replacement_tests.cpp
@@ -15,59 +15,59 @@
 constexpr Site grown{5, 10, 3750, 6000};
 constexpr std::uint64_t seeds = 40;
 
-WorldOptions optionsOf(const Site& site, std::uint64_t seed) {
-  WorldOptions options;
+SimulatedClusterOptions optionsOf(const Site& site, std::uint64_t seed) {
+  SimulatedClusterOptions options;
   options.seed = seed;
   options.controllers = site.controllers;
-  options.controller.voters = site.voters;
-  options.controller.raft.heartbeat = Duration{75};
-  options.controller.raft.electionLow = Duration{300};
-  options.controller.raft.electionHigh = Duration{600};
+  options.controller.voterCount = site.voters;
+  options.controller.raft.heartbeatInterval = Duration{75};
+  options.controller.raft.electionTimeoutMin = Duration{300};
+  options.controller.raft.electionTimeoutMax = Duration{600};
   return options;
 }
 
-struct Replacement : Script {
+struct Replacement : Scenario {
   Site site;
   std::size_t submitted = 0;
   bool submitting = true;
   std::set<std::size_t> lost;
 
   Replacement(const Site& site, std::uint64_t seed)
-      : Script(optionsOf(site, seed), site.replaceAfter), site(site) {
-    run(8000);  // until no zone has too many
-    untilVoters(site.voters, 10'000);
+      : Scenario(optionsOf(site, seed), site.replaceAfter), site(site) {
+    advance(8000);  // until no zone has too many
+    waitForVoters(site.voters, 10'000);
     keepSubmitting();
   }
-  ~Replacement() { world->onLogEvent = nullptr; }
+  ~Replacement() { cluster->onLogEvent = nullptr; }
   void keepSubmitting() {
     if (!submitting)
       return;
-    world->submit(typed(job("j" + std::to_string(submitted++), 200)));
-    world->after(150, [this] { keepSubmitting(); });
+    cluster->submit(parseJob(jobJson("j" + std::to_string(submitted++), 200)));
+    cluster->scheduleAfter(150, [this] { keepSubmitting(); });
   }
   std::set<std::size_t> voters() const {
     std::set<std::size_t> found;
-    for (std::size_t place = 0; place < world->controllerCount(); ++place)
-      if (world->isVoter(place) && !lost.count(place))
+    for (std::size_t place = 0; place < cluster->controllerCount(); ++place)
+      if (cluster->isVoter(place) && !lost.count(place))
         found.insert(place);
     return found;
   }
   std::set<std::size_t> learners() const {
-    const RaftNode& leader = world->controller(*world->leader())->raftNode();
+    const RaftNode& leader = cluster->controller(*cluster->leader())->raftNode();
     std::set<std::size_t> found;
-    for (std::size_t place = 0; place < world->controllerCount(); ++place)
-      for (const auto& member : leader.members())
-        if (!member.voter && world->controller(place)->raftNode().self().id == member.id)
+    for (std::size_t place = 0; place < cluster->controllerCount(); ++place)
+      for (const auto& member : leader.membership())
+        if (!member.voter && cluster->controller(place)->raftNode().self().id == member.id)
           found.insert(place);
     return found;
   }
   void lose(std::size_t place) {
     lost.insert(place);
-    world->loseDisk(place);
+    cluster->loseDisk(place);
   }
   // Who goes: the leader; one of `preferred`; any other.
   std::size_t victim(std::uint64_t draw, const std::set<std::size_t>& preferred) const {
-    const auto leader = world->leader();
+    const auto leader = cluster->leader();
     if (draw % 3 == 0 && leader)
       return *leader;
     for (const auto place : draw % 3 == 1 ? preferred : voters())
@@ -76,48 +76,49 @@
     return *voters().begin();
   }
   std::int64_t untilReplaced(std::int64_t within) {
-    const std::int64_t begun = world->now;
-    CHECK(world->runUntilTrue([&] { return replaced(); }, within));
-    return world->now - begun;
+    const std::int64_t begun = cluster->now;
+    CHECK(cluster->runUntilTrue([&] { return replaced(); }, within));
+    return cluster->now - begun;
   }
   // By the committed members of the leader as many vote as should, and each is there.
   bool replaced() const { return vote(site.voters); }
   bool vote(std::size_t wanted) const {
-    if (!world->leader())
+    if (!cluster->leader())
       return false;
-    const RaftNode& leader = world->controller(*world->leader())->raftNode();
-    if (!leader.serves() || !leader.membersSettled())
+    const RaftNode& leader = cluster->controller(*cluster->leader())->raftNode();
+    if (!leader.canServe() || !leader.membershipCommitted())
       return false;
     std::size_t voting = 0, there = 0;
-    for (const auto& member : leader.members()) {
+    for (const auto& member : leader.membership()) {
       voting += member.voter;
       there += member.voter && isThere(member.id);
     }
     return voting == wanted && there == voting;
   }
   bool isThere(const ControllerId& id) const {
-    for (std::size_t place = 0; place < world->controllerCount(); ++place)
-      if (const auto* controller = world->controller(place))
+    for (std::size_t place = 0; place < cluster->controllerCount(); ++place)
+      if (const auto* controller = cluster->controller(place))
         if (controller->raftNode().self().id == id)
           return true;
     return false;
   }
   void bringBack() {
     for (const auto place : std::exchange(lost, {}))
-      world->restartController(place);
+      cluster->restartController(place);
   }
   void end() {
     submitting = false;
-    world->submit(typed(job("last", 200)));
-    untilFinished("last", 6000);
+    cluster->submit(parseJob(jobJson("last", 200)));
+    waitForFinished("last", 6000);
     bringBack();
-    CHECK(world->runUntilTrue([&] { return world->allOver() && world->copiesWhole(); }, 20'000));
-    world->disturb("losses", true);
-    run(3000);
+    CHECK(cluster->runUntilTrue(
+        [&] { return cluster->allJobsEnded() && cluster->allReplicasIntact(); }, 20'000));
+    cluster->recordFault("losses", true);
+    advance(3000);
     for (std::size_t count = 0; count < submitted; ++count)
-      LONGS_EQUAL(1, world->startsOf("j" + std::to_string(count)));
-    for (const auto& promise : world->findings().broken)
-      FAIL(promise.text.c_str());
+      LONGS_EQUAL(1, cluster->countStartsOf("j" + std::to_string(count)));
+    for (const auto& promise : cluster->checkHistory().violations)
+      FAIL(promise.description.c_str());
   }
 };
 
@@ -125,9 +126,9 @@
 // 40 ms later) as many again.
 void loseAgainRightAfterARepair(const Site& site, std::uint64_t seed) {
   Replacement run(site, seed);
-  const std::size_t bearable = run.world->bearable();
+  const std::size_t bearable = run.cluster->tolerableLosses();
   const auto before = run.voters();
-  run.world->disturb("losses", false);
+  run.cluster->recordFault("losses", false);
   for (std::size_t count = 0; count < bearable; ++count)
     run.lose(run.victim(seed + count, before));
   const std::int64_t took = run.untilReplaced(10'000);
@@ -136,7 +137,7 @@
   for (const auto place : run.voters())
     if (!before.count(place))
       successors.insert(place);
-  run.run(std::int64_t(seed % 41));
+  run.advance(std::int64_t(seed % 41));
   for (std::size_t count = 0; count < bearable; ++count)
     run.lose(run.victim(seed / 3 + count, successors));
   CHECK(run.untilReplaced(10'000) <= site.replacedWithin);
@@ -150,20 +151,20 @@
   const auto before = run.voters();
   bool struck = false;
   std::optional<std::size_t> away;
-  run.world->onLogEvent = [&](std::size_t, const LogEvent& note) {
+  run.cluster->onLogEvent = [&](std::size_t, const LogEvent& note) {
     if (struck || note.what != "members change")
       return;
     struck = true;
-    run.world->after(std::int64_t(seed % 15), [&] {
+    run.cluster->scheduleAfter(std::int64_t(seed % 15), [&] {
       away = run.victim(seed, before);
-      run.world->killController(*away, true);
+      run.cluster->killController(*away, true);
     });
   };
-  run.world->disturb("losses", false);
+  run.cluster->recordFault("losses", false);
   run.lose(run.victim(seed + 1, before));
-  CHECK(run.world->runUntilTrue([&] { return away.has_value(); }, 10'000));
-  run.run(1000);
-  run.world->restartController(*away);
+  CHECK(run.cluster->runUntilTrue([&] { return away.has_value(); }, 10'000));
+  run.advance(1000);
+  run.cluster->restartController(*away);
   run.untilReplaced(12'000);
   run.end();
 }
@@ -175,7 +176,7 @@
   std::set<std::size_t> victims = run.learners();
   LONGS_EQUAL(1, victims.size());
   victims.insert(run.victim(seed, before));
-  run.world->disturb("losses", false);
+  run.cluster->recordFault("losses", false);
   for (const auto place : victims)
     run.lose(place);
   const std::int64_t took = run.untilReplaced(10'000);
@@ -219,16 +220,16 @@
 TEST(Replacements, anOrderIsDoneOnlyAfterTheRemoval) {
   Replacement run(small, 1);
   const std::size_t named = run.victim(2, {});
-  const ControllerId id = run.world->controller(named)->raftNode().self().id;
-  run.askQuietly("POST", "/v1/controllers/" + id.value + "/replace", "", [](int) {});
+  const ControllerId id = run.cluster->controller(named)->raftNode().self().id;
+  run.requestWithoutTranscript("POST", "/v1/controllers/" + id.value + "/replace", "", [](int) {});
   LogIndex removed, done;
   const auto seen = [&] {
-    const RaftNode& raft = run.world->controller(*run.world->leader())->raftNode();
+    const RaftNode& raft = run.cluster->controller(*run.cluster->leader())->raftNode();
     bool wasThere = false;
-    for (LogIndex at = raft.snapshotIndex().next(); at <= raft.commitIndex(); at = at.next()) {
+    for (LogIndex at = raft.logBaseIndex().next(); at <= raft.commitIndex(); at = at.next()) {
       const LogEntry& entry = raft.entry(at);
-      if (entry.members) {
-        const Members members = unpack<Members>(entry.payload).value();
+      if (entry.isMembership) {
+        const Membership members = unpack<Membership>(entry.payload).value();
         const bool there = std::any_of(members.begin(), members.end(),
                                        [&](const Member& member) { return member.id == id; });
         if (wasThere && !there)
@@ -238,12 +239,12 @@
       }
       const LogRecord record = unpack<LogRecord>(entry.payload).value();
       const auto* order = boost::get<ControllerReplacementRequested>(&record.event);
-      if (order && order->controller == id && order->over)
+      if (order && order->controller == id && order->completed)
         done = at;
     }
     return removed.value > 0 && done.value > 0;
   };
-  CHECK(run.world->runUntilTrue(seen, 15'000));
+  CHECK(run.cluster->runUntilTrue(seen, 15'000));
   CHECK(done > removed);
   run.end();
 }
@@ -254,21 +255,21 @@
   const Site site{3, 7, 2500, 4000};
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     Replacement run(site, seed);
-    run.world->disturb("losses", false);
+    run.cluster->recordFault("losses", false);
     for (const std::size_t wanted : {5, 3}) {
       for (std::size_t place = 0; place < site.controllers; ++place) {
-        run.world->killController(place, true);
-        run.world->setVoters(place, wanted);
-        run.run(300);
-        run.world->restartController(place);
-        run.run(1500);
-        const RaftNode& raft = run.world->controller(place)->raftNode();
-        const auto voting = std::count_if(raft.members().begin(), raft.members().end(),
+        run.cluster->killController(place, true);
+        run.cluster->setVoters(place, wanted);
+        run.advance(300);
+        run.cluster->restartController(place);
+        run.advance(1500);
+        const RaftNode& raft = run.cluster->controller(place)->raftNode();
+        const auto voting = std::count_if(raft.membership().begin(), raft.membership().end(),
                                           [](const Member& member) { return member.voter; });
-        CHECK(raft.blank() || (voting >= 3 && voting <= 6));
+        CHECK(raft.isBlank() || (voting >= 3 && voting <= 6));
       }
-      CHECK(run.world->runUntilTrue([&] { return run.vote(wanted); }, 15'000));
-      run.run(5000);
+      CHECK(run.cluster->runUntilTrue([&] { return run.vote(wanted); }, 15'000));
+      run.advance(5000);
       CHECK(run.vote(wanted));
     }
     run.end();
@@ -283,17 +284,17 @@
       Replacement run(site, seed);
       const auto ready = run.learners();
       LONGS_EQUAL(1, ready.size());
-      run.world->disturb("losses", false);
-      for (std::size_t count = 0; count < run.world->bearable(); ++count)
+      run.cluster->recordFault("losses", false);
+      for (std::size_t count = 0; count < run.cluster->tolerableLosses(); ++count)
         run.lose(run.victim(2, {}));
-      run.run(500);
-      run.world->stallDisk(*ready.begin(), 9000);
+      run.advance(500);
+      run.cluster->stallDisk(*ready.begin(), 9000);
       for (int count = 0; count < 12; ++count) {
         const std::string id = "p" + std::to_string(count);
-        run.world->submit(typed(job(id, 100)));
-        run.untilFinished(id, 1500);
+        run.cluster->submit(parseJob(jobJson(id, 100)));
+        run.waitForFinished(id, 1500);
       }
-      CHECK(run.world->runUntilTrue([&] { return run.replaced(); }, 10'000));
+      CHECK(run.cluster->runUntilTrue([&] { return run.replaced(); }, 10'000));
       run.end();
     }
 }
--- a/tests/scheduling/planner_tests.cpp
+++ b/tests/scheduling/planner_tests.cpp
@@ -10,7 +10,7 @@
   ClusterState clusterState;
   Planner planner;
   std::int64_t now = 0;
-  Silence heard;
+  LastContactAges heard;
   std::string unresponsive;  // a worker that hears no orders
   explicit Bench(const std::string& config = R"({"queues":{"q":{"retries":1}}})") {
     auto parsed = ClusterConfig::parse(config);
@@ -42,9 +42,9 @@
   }
   // What the plan does, one word an action; folded and applied by the workers at once.
   std::string plan() {
-    auto made = planner.make(clusterState, ClusterTime{now}, heard);
+    auto made = planner.makePlan(clusterState, ClusterTime{now}, heard);
     std::string text;
-    for (const auto& action : made.made.actions) {
+    for (const auto& action : made.record.actions) {
       static const char* const names[] = {"start", "stage", "go", "hold", "stop"};
       text += std::string(text.empty() ? "" : ", ") + names[int(action.kind)] +
               (action.trial ? " trial " : " ") +
@@ -52,18 +52,19 @@
                                         : action.job.value) +
               " on " + action.worker.value;
     }
-    if (made.made.reservation.held())
-      text += std::string(text.empty() ? "" : ", ") + "reserve " + made.made.reservation.job.value +
-              " on " + made.made.reservation.placements[0].worker.value + " at " +
-              std::to_string(made.made.reservation.start.milliseconds / 1000);
-    apply(made.made);
-    for (auto& [id, worker] : clusterState.workers)
+    if (made.record.reservation.isActive())
+      text += std::string(text.empty() ? "" : ", ") + "reserve " +
+              made.record.reservation.job.value + " on " +
+              made.record.reservation.placements[0].worker.value + " at " +
+              std::to_string(made.record.reservation.start.milliseconds / 1000);
+    apply(made.record);
+    for (auto& [id, worker] : clusterState.workers())
       if (id.value != unresponsive)
-        apply(WorkerSynced{id, worker.lastOrder, {}});
+        apply(WorkerSynced{id, worker.lastIssuedOrder, {}});
     return text;
   }
-  void end(std::uint64_t attempt, EndingKind kind = EndingKind::finished) {
-    apply(WorkerSynced{clusterState.attempts[AttemptNumber{attempt}].worker,
+  void end(std::uint64_t attempt, AttemptOutcome kind = AttemptOutcome::succeeded) {
+    apply(WorkerSynced{clusterState.attempts().at(AttemptNumber{attempt}).worker,
                        {},
                        {{AttemptNumber{attempt}, kind}}});
   }
@@ -134,14 +135,15 @@
   bench.now = 1'100'000;
   STRCMP_EQUAL("hold #1 on m, start trial new on m, reserve new on m at 36000",
                bench.plan().c_str());
-  CHECK(bench.clusterState.attempts[AttemptNumber{1}].state == AttemptState::held);
-  LONGS_EQUAL(1024, bench.clusterState.attempts[AttemptNumber{3}].memory);
+  CHECK(bench.clusterState.attempts().at(AttemptNumber{1}).state == AttemptState::suspended);
+  LONGS_EQUAL(1024, bench.clusterState.attempts().at(AttemptNumber{3}).memory);
   bench.now = 1'160'000;
-  bench.end(3, EndingKind::ranOut);
-  CHECK(bench.clusterState.attempts[AttemptNumber{1}].state == AttemptState::running);
-  LONGS_EQUAL(
-      0,
-      bench.clusterState.jobs[JobId{"new"}].tasks[0].starts);  // a trial that ran out takes nothing
+  bench.end(3, AttemptOutcome::quantumExpired);
+  CHECK(bench.clusterState.attempts().at(AttemptNumber{1}).state == AttemptState::running);
+  LONGS_EQUAL(0, bench.clusterState.jobs()
+                     .at(JobId{"new"})
+                     .tasks[0]
+                     .countedStarts);  // a trial that ran out takes nothing
   bench.now = 2'000'000;
   CHECK(bench.plan().find("trial") == std::string::npos);  // one trial a unit
 }
@@ -165,8 +167,8 @@
   bench.submit("gang", 2, 100, 1000, 2, true);
   STRCMP_EQUAL("stage gang on m, stage gang on n", bench.plan().c_str());
   STRCMP_EQUAL("go #1 on m, go #2 on n", bench.plan().c_str());
-  bench.apply(WorkerGone{WorkerId{"m"}, "test"});
-  CHECK(bench.clusterState.attempts[AttemptNumber{2}].state ==
+  bench.apply(WorkerRemoved{WorkerId{"m"}, "test"});
+  CHECK(bench.clusterState.attempts().at(AttemptNumber{2}).state ==
         AttemptState::stopping);  // it does not run alone
 }
 
@@ -195,7 +197,7 @@
   bench.worker("b1", 4, 4096, "B");
   bench.submit("j", 2, 100, 1000);
   STRCMP_EQUAL("start j on a1", bench.plan().c_str());
-  bench.end(1, EndingKind::failed);
+  bench.end(1, AttemptOutcome::failed);
   bench.now += 1000;
   STRCMP_EQUAL("start j on b1", bench.plan().c_str());
   Bench gangs(noTrials);
@@ -235,5 +237,5 @@
   STRCMP_EQUAL("reserve next on m at 10", bench.plan().c_str());
   bench.now = 20'000;
   STRCMP_EQUAL("reserve next on m at 30", bench.plan().c_str());
-  LONGS_EQUAL(1, bench.clusterState.reservation.moved);
+  LONGS_EQUAL(1, bench.clusterState.reservation().timesMoved);
 }
--- a/tests/simulator/operators_tests.cpp
+++ b/tests/simulator/operators_tests.cpp
@@ -12,12 +12,12 @@
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     CampaignOptions options;
     options.seed = seed;
-    options.length = 25'000;
+    options.duration = 25'000;
     options.faults = 5;
     options.operators = true;
     const auto result = runCampaign(options);
-    for (const auto& violation : result.broken)
-      FAIL(violation.text.c_str());
+    for (const auto& violation : result.violations)
+      FAIL(violation.description.c_str());
     CHECK(result.unfinished.empty());
     resentLater += result.counters.at("orders resent later");
   }
--- a/tests/state/api_request_tests.cpp
+++ b/tests/state/api_request_tests.cpp
@@ -45,18 +45,18 @@
 }
 
 TEST(ExchangeTests, aFloodOfOtherWorkLeavesRoomForUrgent) {
-  RouteView view;
-  view.urgent = {QueueName{"proofs"}};
+  LeaderRoute view;
+  view.priorityQueues = {QueueName{"proofs"}};
   ApiRequest plain, urgent, sync;
   plain.kind = urgent.kind = RequestKind::submitJob;
   plain.job.queue = QueueName{"plates"};
   urgent.job.queue = QueueName{"proofs"};
-  sync.kind = RequestKind::sync;
-  CHECK(view.hasRoomFor(plain, 79, 100));
-  CHECK(!view.hasRoomFor(plain, 80, 100));
-  CHECK(view.hasRoomFor(urgent, 99, 100));
-  CHECK(!view.hasRoomFor(urgent, 100, 100));
-  CHECK(view.hasRoomFor(sync, 1000, 100));
+  sync.kind = RequestKind::syncWorker;
+  CHECK(view.admits(plain, 79, 100));
+  CHECK(!view.admits(plain, 80, 100));
+  CHECK(view.admits(urgent, 99, 100));
+  CHECK(!view.admits(urgent, 100, 100));
+  CHECK(view.admits(sync, 1000, 100));
 }
 
 TEST(ExchangeTests, aJobSurvivesItsOwnRendering) {
@@ -64,7 +64,7 @@
       "POST", "/v1/jobs",
       R"({"id":"a","queue":"q","steps":[{"name":"x","gang":true,"tasks":[{"count":3,"cores":2,"memory_mb":5,"runtime_ms":7,"payload":"p"}]}]})");
   CHECK(parsed.has_value());
-  auto again = ApiRequest::parse("POST", "/v1/jobs", renderJob(parsed.value().job));
+  auto again = ApiRequest::parse("POST", "/v1/jobs", renderJobSubmission(parsed.value().job));
   CHECK(again.has_value());
   LONGS_EQUAL(parsed.value().job.digest(), again.value().job.digest());
 }
--- a/tests/state/cluster_config_tests.cpp
+++ b/tests/state/cluster_config_tests.cpp
@@ -12,8 +12,9 @@
       R"({"policies":{"short":{"rank":"expansion + urgency","may_hold":"runtime > 0.1"}},
         "queues":{"proofs":{"urgency":9,"retries":2,"policy":"short","trial":{"quantum_ms":5000}}}})");
   CHECK(config.has_value());
-  LONGS_EQUAL(5000, config.value().queue(QueueName{"proofs"})->trial.quantum.milliseconds);
-  LONGS_EQUAL(600000, config.value().queue(QueueName{"proofs"})->trial.minimumRun.milliseconds);
+  LONGS_EQUAL(5000, config.value().findQueue(QueueName{"proofs"})->trial.quantum.milliseconds);
+  LONGS_EQUAL(600000,
+              config.value().findQueue(QueueName{"proofs"})->trial.minimumRuntime.milliseconds);
 }
 
 TEST(ConfigTests, namesEveryFaultByItsPath) {
--- a/tests/state/config_history_tests.cpp
+++ b/tests/state/config_history_tests.cpp
@@ -6,28 +6,28 @@
 TEST_GROUP(ConfigHistoryTests) {
   ConfigHistory history;
   using Outcome = ConfigHistory::Outcome;
-  static ConfigOrder order(std::uint64_t version, std::uint64_t base,
-                           const std::string& text = "text") {
+  static ConfigUpdate order(std::uint64_t version, std::uint64_t base,
+                            const std::string& text = "text") {
     return {ConfigVersion{version}, ConfigVersion{base}, TextDigest::of(text)};
   }
-  Outcome found(const ConfigOrder& asked) const {
+  Outcome found(const ConfigUpdate& asked) const {
     return history.find(asked).outcome;
   }
 };
 
 TEST(ConfigHistoryTests, findsByVersionOrByBase) {
-  CHECK(found(order(5, 0)) == Outcome::notTaken);
+  CHECK(found(order(5, 0)) == Outcome::notApplied);
   history.record(order(5, 0));
   history.record(order(7, 5));
   history.record(order(12, 7, "other"));
-  CHECK(found(order(7, 5)) == Outcome::taken);
-  CHECK(found(order(7, 5, "other")) == Outcome::notTaken);
-  CHECK(found(order(12, 7)) == Outcome::notTaken);
-  CHECK(found(order(8, 7, "other")) == Outcome::notTaken);
+  CHECK(found(order(7, 5)) == Outcome::applied);
+  CHECK(found(order(7, 5, "other")) == Outcome::notApplied);
+  CHECK(found(order(12, 7)) == Outcome::notApplied);
+  CHECK(found(order(8, 7, "other")) == Outcome::notApplied);
   LONGS_EQUAL(12, history.find(order(0, 7, "other")).version.value);
   LONGS_EQUAL(5, history.find(order(0, 0)).version.value);
-  CHECK(found(order(0, 6)) == Outcome::notTaken);
-  CHECK(found(order(0, 12)) == Outcome::notTaken);
+  CHECK(found(order(0, 6)) == Outcome::notApplied);
+  CHECK(found(order(0, 12)) == Outcome::notApplied);
 }
 
 // The two texts have the same checksum of 32 bits.
@@ -35,25 +35,25 @@
   const std::string one = "plumless", other = "buckeroo";
   LONGS_EQUAL(checksum(one), checksum(other));
   history.record(order(5, 0, one));
-  CHECK(found(order(5, 0, other)) == Outcome::notTaken);
+  CHECK(found(order(5, 0, other)) == Outcome::notApplied);
 }
 
 // Nobody can tell whether what is older than all that is kept was taken; what would be among the
 // kept ones was not.
 TEST(ConfigHistoryTests, whatFellOutIsForgottenNotRefused) {
-  const std::uint64_t dropped = 10, count = ConfigHistory::keptOrders + dropped;
+  const std::uint64_t dropped = 10, count = ConfigHistory::maxUpdates + dropped;
   for (std::uint64_t version = 1; version <= count; ++version)
     history.record(order(2 * version, 2 * version - 2));
-  LONGS_EQUAL(ConfigHistory::keptOrders, history.orders().size());
+  LONGS_EQUAL(ConfigHistory::maxUpdates, history.updates().size());
   const std::uint64_t earliest = 2 * (dropped + 1);
-  CHECK(found(order(earliest, earliest - 2)) == Outcome::taken);
-  CHECK(found(order(0, earliest - 2)) == Outcome::taken);
-  CHECK(found(order(earliest - 2, earliest - 4)) == Outcome::forgotten);
-  CHECK(found(order(0, earliest - 4)) == Outcome::forgotten);
-  CHECK(found(order(earliest - 2, earliest)) == Outcome::notTaken);  // its base is kept
-  CHECK(found(order(earliest + 1, earliest - 4)) == Outcome::notTaken);
+  CHECK(found(order(earliest, earliest - 2)) == Outcome::applied);
+  CHECK(found(order(0, earliest - 2)) == Outcome::applied);
+  CHECK(found(order(earliest - 2, earliest - 4)) == Outcome::tooOld);
+  CHECK(found(order(0, earliest - 4)) == Outcome::tooOld);
+  CHECK(found(order(earliest - 2, earliest)) == Outcome::notApplied);  // its base is kept
+  CHECK(found(order(earliest + 1, earliest - 4)) == Outcome::notApplied);
   const auto copy = unpack<ConfigHistory>(pack(history));
-  CHECK(copy.value().find(order(2 * count, 2 * count - 2)).outcome == Outcome::taken);
+  CHECK(copy.value().find(order(2 * count, 2 * count - 2)).outcome == Outcome::applied);
 }
 
 TEST(ConfigHistoryTests, theDigestIsTheNamedUuid) {
--- a/tests/state/job_tests.cpp
+++ b/tests/state/job_tests.cpp
@@ -14,7 +14,7 @@
   job.steps = {{"one", {"two"}, false, {TaskRequest{}}},
                {"two", {"one"}, false, {zero}},
                {"three", {"nine"}, false, {TaskRequest{}}}};
-  std::string all = CoreError{CoreError::Kind::invalid, job.faults()}.text();
+  std::string all = CoreError{CoreError::Kind::invalid, job.validate()}.text();
   CHECK(all.find("circle") != std::string::npos);
   CHECK(all.find("unknown step nine") != std::string::npos);
   CHECK(all.find("/steps/1/tasks/0/cores") != std::string::npos);
--- a/tests/voters_tests.cpp
+++ b/tests/voters_tests.cpp
@@ -5,42 +5,42 @@
 
 namespace {
 
-WorldOptions five() {
-  WorldOptions options;
+SimulatedClusterOptions five() {
+  SimulatedClusterOptions options;
   options.controllers = 7;
-  options.controller.voters = 5;
+  options.controller.voterCount = 5;
   return options;
 }
 
-struct Centre : Script {
+struct Centre : Scenario {
   std::vector<std::string> changes;  // of members, as the leaders tell of them
-  explicit Centre(std::int64_t replaceAfter = 5000) : Script(five(), replaceAfter) {
-    run(8000);  // until no zone has too many
-    world->onLogEvent = [this](std::size_t, const LogEvent& note) {
+  explicit Centre(std::int64_t replaceAfter = 5000) : Scenario(five(), replaceAfter) {
+    advance(8000);  // until no zone has too many
+    cluster->onLogEvent = [this](std::size_t, const LogEvent& note) {
       if (note.what == "members change")
         changes.push_back(note.fields.at("change").to_str() + " " +
                           note.fields.at("member").to_str());
     };
   }
-  const RaftNode& raftNode() const { return world->controller(*world->leader())->raftNode(); }
+  const RaftNode& raftNode() const { return cluster->controller(*cluster->leader())->raftNode(); }
   std::string identity(std::size_t place) const {
-    return world->controller(place)->raftNode().self().id.value;
+    return cluster->controller(place)->raftNode().self().id.value;
   }
   std::size_t membersThat(bool vote) const {
-    if (!world->leader())
+    if (!cluster->leader())
       return 0;
-    return std::size_t(std::count_if(raftNode().members().begin(), raftNode().members().end(),
+    return std::size_t(std::count_if(raftNode().membership().begin(), raftNode().membership().end(),
                                      [&](const Member& member) { return member.voter == vote; }));
   }
   std::size_t blanks() const {
     std::size_t count = 0;
-    for (std::size_t place = 0; place < world->controllerCount(); ++place)
-      count += world->controller(place) && world->controller(place)->raftNode().blank();
+    for (std::size_t place = 0; place < cluster->controllerCount(); ++place)
+      count += cluster->controller(place) && cluster->controller(place)->raftNode().isBlank();
     return count;
   }
   std::size_t mostInAnZone() const {
     std::map<ZoneName, std::size_t> zones;
-    for (const auto& member : raftNode().members())
+    for (const auto& member : raftNode().membership())
       zones[member.zone] += member.voter;
     return std::max_element(
                zones.begin(), zones.end(),
@@ -49,28 +49,28 @@
   }
   // Voters, the leader first.
   std::vector<std::size_t> voters() const {
-    std::vector<std::size_t> found{*world->leader()};
-    for (std::size_t place = 0; place < world->controllerCount(); ++place)
-      if (place != found[0] && world->isVoter(place))
+    std::vector<std::size_t> found{*cluster->leader()};
+    for (std::size_t place = 0; place < cluster->controllerCount(); ++place)
+      if (place != found[0] && cluster->isVoter(place))
         found.push_back(place);
     return found;
   }
   void serves(const std::string& id, std::int64_t within) {
-    world->submit(typed(job(id, 300)));
-    untilFinished(id, within);
+    cluster->submit(parseJob(jobJson(id, 300)));
+    waitForFinished(id, within);
   }
   // Five that vote and are there, one that stands ready; the seventh stays blank or keeps what it
   // learnt without being a member.
   bool whole() const {
-    return world->copiesWhole() && world->voterCount() == 5 && membersThat(true) == 5 &&
+    return cluster->allReplicasIntact() && cluster->voterCount() == 5 && membersThat(true) == 5 &&
            membersThat(false) == 1;
   }
   void untilWhole(std::int64_t within) {
-    CHECK(world->runUntilTrue([&] { return whole(); }, within));
+    CHECK(cluster->runUntilTrue([&] { return whole(); }, within));
   }
   void nothingBroken() {
-    for (const auto& promise : world->findings().broken)
-      FAIL(promise.text.c_str());
+    for (const auto& promise : cluster->checkHistory().violations)
+      FAIL(promise.description.c_str());
   }
 };
 
@@ -82,7 +82,7 @@
   Centre centre;
   CHECK(centre.whole());
   LONGS_EQUAL(1, centre.blanks());
-  centre.run(20'000);
+  centre.advance(20'000);
   CHECK(centre.whole());
   LONGS_EQUAL(1, centre.blanks());
   LONGS_EQUAL(0, centre.changes.size());
@@ -94,26 +94,26 @@
   const auto voters = centre.voters();
   const std::vector<std::size_t> lost{voters[0], voters[1]};
   const std::vector<std::string> before{centre.identity(lost[0]), centre.identity(lost[1])};
-  centre.world->disturb("two lost", false);
+  centre.cluster->recordFault("two lost", false);
   for (const auto place : lost)
-    centre.world->killController(place, true);
-  const std::int64_t begun = centre.world->now;
+    centre.cluster->killController(place, true);
+  const std::int64_t begun = centre.cluster->now;
   centre.serves("a", 4000);
   // 5 s until they count as dead, after the new leader's beginning; then the two that stand by come
   // in one by one.
-  CHECK(centre.world->runUntilTrue(
-      [&] { return centre.world->voterCount() == 5 && centre.membersThat(true) == 5; },
-      begun + 10'000 - centre.world->now));
+  CHECK(centre.cluster->runUntilTrue(
+      [&] { return centre.cluster->voterCount() == 5 && centre.membersThat(true) == 5; },
+      begun + 10'000 - centre.cluster->now));
   centre.serves("b", 4000);
   for (const auto place : lost)
-    centre.world->restartController(place);
+    centre.cluster->restartController(place);
   centre.untilWhole(8000);
   for (const auto place : {0, 1}) {
     CHECK(centre.identity(lost[std::size_t(place)]) != before[std::size_t(place)]);
-    CHECK(!centre.world->isVoter(lost[std::size_t(place)]));
+    CHECK(!centre.cluster->isVoter(lost[std::size_t(place)]));
   }
-  centre.world->disturb("two lost", true);
-  centre.run(10'000);
+  centre.cluster->recordFault("two lost", true);
+  centre.advance(10'000);
   CHECK(centre.whole());
   centre.nothingBroken();
 }
@@ -123,29 +123,29 @@
     Centre centre;
     bool struck = false;
     std::vector<std::size_t> lost;
-    centre.world->answering = [&](std::size_t, const ApiRequest& request,
-                                  const ApiResponse& answer) {
+    centre.cluster->onResponse = [&](std::size_t, const ApiRequest& request,
+                                     const ApiResponse& answer) {
       if (struck || request.kind != RequestKind::submitJob || answer.status >= 300)
         return;
       struck = true;
-      centre.world->disturb("two disks lost", false);
-      centre.world->after(delay, [&] {
+      centre.cluster->recordFault("two disks lost", false);
+      centre.cluster->scheduleAfter(delay, [&] {
         const auto voters = centre.voters();
         lost = {voters[0], voters[1]};
         for (const auto place : lost)
-          centre.world->loseDisk(place);
+          centre.cluster->loseDisk(place);
       });
     };
-    centre.world->submit(typed(job("a", 300)));
-    CHECK(centre.world->runUntilTrue([&] { return !lost.empty(); }, 2000));
-    centre.run(1500);
+    centre.cluster->submit(parseJob(jobJson("a", 300)));
+    CHECK(centre.cluster->runUntilTrue([&] { return !lost.empty(); }, 2000));
+    centre.advance(1500);
     for (const auto place : lost)
-      centre.world->restartController(place);
-    centre.untilFinished("a");
+      centre.cluster->restartController(place);
+    centre.waitForFinished("a");
     centre.untilWhole(12'000);
-    centre.world->disturb("two disks lost", true);
-    centre.run(3000);
-    LONGS_EQUAL(1, centre.world->startsOf("a"));
+    centre.cluster->recordFault("two disks lost", true);
+    centre.advance(3000);
+    LONGS_EQUAL(1, centre.cluster->countStartsOf("a"));
     centre.nothingBroken();
   }
 }
@@ -156,26 +156,26 @@
     Centre centre;
     const auto victim = centre.voters()[2];
     const std::string before = centre.identity(victim);
-    centre.world->killController(victim, true);
-    centre.run(away);
-    centre.world->restartController(victim);
-    centre.run(200);  // until it is heard again
+    centre.cluster->killController(victim, true);
+    centre.advance(away);
+    centre.cluster->restartController(victim);
+    centre.advance(200);  // until it is heard again
     const bool replaced = !centre.changes.empty();
     if (away <= 4700)
       CHECK(!replaced);
     if (away >= 5300)
       CHECK(replaced);
     std::int64_t sixSince = 0;
-    for (const std::int64_t until = centre.world->now + 10'000; centre.world->now < until;
-         centre.run(10)) {
+    for (const std::int64_t until = centre.cluster->now + 10'000; centre.cluster->now < until;
+         centre.advance(10)) {
       if (centre.membersThat(true) <= 5)
-        sixSince = centre.world->now;
-      CHECK(centre.world->now - sixSince < 1500);
+        sixSince = centre.cluster->now;
+      CHECK(centre.cluster->now - sixSince < 1500);
     }
     CHECK(centre.whole());
     if (!replaced) {
       STRCMP_EQUAL(before.c_str(), centre.identity(victim).c_str());
-      CHECK(centre.world->isVoter(victim));
+      CHECK(centre.cluster->isVoter(victim));
       LONGS_EQUAL(0, centre.changes.size());
     }
   }
@@ -187,28 +187,29 @@
   std::vector<std::string> before;
   for (const auto place : voters)
     before.push_back(centre.identity(place));
-  centre.world->submit(typed(job("a", 8000, "plates")));
-  CHECK(centre.world->runUntilTrue([&] { return centre.world->startsOf("a") == 1; }, 3000));
-  centre.world->disturb("three away", false);
-  centre.world->cutController(voters[0], true);
-  centre.world->cutController(voters[1], true);
-  centre.world->freezeController(voters[2], true);
-  centre.run(2000);
-  CHECK(!centre.world->leader());
-  centre.world->submit(typed(job("b", 300)));
-  centre.run(18'000);
-  CHECK(!centre.world->leader());
-  centre.world->cutController(voters[0], false);
-  centre.world->cutController(voters[1], false);
-  centre.world->freezeController(voters[2], false);
-  centre.world->disturb("three away", true);
-  centre.untilFinished("a", 20'000);
-  centre.untilFinished("b");
-  centre.run(10'000);
+  centre.cluster->submit(parseJob(jobJson("a", 8000, "plates")));
+  CHECK(
+      centre.cluster->runUntilTrue([&] { return centre.cluster->countStartsOf("a") == 1; }, 3000));
+  centre.cluster->recordFault("three away", false);
+  centre.cluster->isolateController(voters[0], true);
+  centre.cluster->isolateController(voters[1], true);
+  centre.cluster->freezeController(voters[2], true);
+  centre.advance(2000);
+  CHECK(!centre.cluster->leader());
+  centre.cluster->submit(parseJob(jobJson("b", 300)));
+  centre.advance(18'000);
+  CHECK(!centre.cluster->leader());
+  centre.cluster->isolateController(voters[0], false);
+  centre.cluster->isolateController(voters[1], false);
+  centre.cluster->freezeController(voters[2], false);
+  centre.cluster->recordFault("three away", true);
+  centre.waitForFinished("a", 20'000);
+  centre.waitForFinished("b");
+  centre.advance(10'000);
   CHECK(centre.whole());
   LONGS_EQUAL(0, centre.changes.size());
   for (std::size_t place = 0; place < voters.size(); ++place) {
-    CHECK(centre.world->isVoter(voters[place]));
+    CHECK(centre.cluster->isVoter(voters[place]));
     STRCMP_EQUAL(before[place].c_str(), centre.identity(voters[place]).c_str());
   }
   centre.nothingBroken();
@@ -219,21 +220,22 @@
     Centre centre;
     const auto voters = centre.voters();
     for (int count = 0; count < 20; ++count)
-      centre.world->submit(typed(job("j" + std::to_string(count), 1500)));
-    CHECK(centre.world->runUntilTrue([&] { return centre.world->startsOf("j19") == 1; }, 5000));
-    centre.world->disturb("all power lost", false);
-    for (std::size_t place = 0; place < centre.world->controllerCount(); ++place)
-      centre.world->killController(place, true);
-    centre.world->loseDisk(voters[leaderToo ? 0 : 1]);
-    centre.world->loseDisk(voters[2]);
-    centre.run(1000);
-    for (std::size_t place = 0; place < centre.world->controllerCount(); ++place)
-      centre.world->restartController(place);
+      centre.cluster->submit(parseJob(jobJson("j" + std::to_string(count), 1500)));
+    CHECK(centre.cluster->runUntilTrue([&] { return centre.cluster->countStartsOf("j19") == 1; },
+                                       5000));
+    centre.cluster->recordFault("all power lost", false);
+    for (std::size_t place = 0; place < centre.cluster->controllerCount(); ++place)
+      centre.cluster->killController(place, true);
+    centre.cluster->loseDisk(voters[leaderToo ? 0 : 1]);
+    centre.cluster->loseDisk(voters[2]);
+    centre.advance(1000);
+    for (std::size_t place = 0; place < centre.cluster->controllerCount(); ++place)
+      centre.cluster->restartController(place);
     for (int count = 0; count < 20; ++count)
-      centre.untilFinished("j" + std::to_string(count), 15'000);
+      centre.waitForFinished("j" + std::to_string(count), 15'000);
     centre.untilWhole(15'000);
-    centre.world->disturb("all power lost", true);
-    centre.run(3000);
+    centre.cluster->recordFault("all power lost", true);
+    centre.advance(3000);
     centre.nothingBroken();
   }
 }
@@ -243,18 +245,18 @@
 TEST(Voters, votersSpreadAgainWhenAnZoneIsBack) {
   for (std::size_t zone = 0; zone < 3; ++zone) {
     Centre centre;
-    for (std::size_t place = zone; place < centre.world->controllerCount(); place += 3)
-      centre.world->killController(place, true);
-    CHECK(centre.world->runUntilTrue(
+    for (std::size_t place = zone; place < centre.cluster->controllerCount(); place += 3)
+      centre.cluster->killController(place, true);
+    CHECK(centre.cluster->runUntilTrue(
         [&] { return centre.membersThat(true) == 5 && !centre.changes.empty(); }, 12'000));
-    centre.run(8000);
-    for (std::size_t place = zone; place < centre.world->controllerCount(); place += 3)
-      centre.world->restartController(place);
-    centre.run(15'000);
+    centre.advance(8000);
+    for (std::size_t place = zone; place < centre.cluster->controllerCount(); place += 3)
+      centre.cluster->restartController(place);
+    centre.advance(15'000);
     CHECK(centre.whole());
     CHECK(centre.mostInAnZone() <= 2);
     const auto changes = centre.changes.size();
-    centre.run(20'000);
+    centre.advance(20'000);
     LONGS_EQUAL(changes, centre.changes.size());
   }
 }
@@ -265,9 +267,9 @@
   const auto victim = centre.voters()[2];
   const std::string named = centre.identity(victim);
   int status = 0;
-  centre.askQuietly("POST", "/v1/controllers/" + named + "/replace", "",
-                    [&](int given) { status = given; });
-  centre.run(15'000);
+  centre.requestWithoutTranscript("POST", "/v1/controllers/" + named + "/replace", "",
+                                  [&](int given) { status = given; });
+  centre.advance(15'000);
   LONGS_EQUAL(202, status);
   LONGS_EQUAL(1, std::count(centre.changes.begin(), centre.changes.end(), "removed " + named));
   LONGS_EQUAL(2, centre.changes.size());
