--- a/library/aniseline/library.hpp
+++ b/library/aniseline/library.hpp
@@ -1,6 +1,7 @@
 // libaniseline: for programs that submit jobs, and for programs that are workers. Only the standard
 // library is needed to read this. docs/api.md 4.
-#pragma once
+#ifndef ANISELINE_LIBRARY_HPP
+#define ANISELINE_LIBRARY_HPP
 #include <chrono>
 #include <cstdint>
 #include <functional>
@@ -129,3 +130,5 @@
 };
 
 }  // namespace aniseline::library
+
+#endif  // ANISELINE_LIBRARY_HPP
--- a/programs/core_benchmark.cpp
+++ b/programs/core_benchmark.cpp
@@ -1,6 +1,6 @@
 // core_benchmark: processor time and memory of each role, on the core alone: no sockets, no files,
 // virtual time. docs/CAPACITY.md.
-#include "net/disk.hpp"
+#include "net/data_folder.hpp"
 #include "net/options.hpp"
 #include "net/wire.hpp"
 #include "agent/node_agent.hpp"
--- a/programs/simulate.cpp
+++ b/programs/simulate.cpp
@@ -2,8 +2,8 @@
 // docs/operations.md 8.
 #include "net/options.hpp"
 #include "simulator/campaign.hpp"
-#include "simulator/faults.hpp"
-#include "simulator/measures.hpp"
+#include "simulator/fault_injector.hpp"
+#include "simulator/measurements.hpp"
 #include <iostream>
 #include <numeric>
 #include <thread>
--- a/source/agent/called_worker_session.hpp
+++ b/source/agent/called_worker_session.hpp
@@ -1,6 +1,7 @@
 // The core of a worker that is called rather than calls: starts, stops, looks, its hold, numbered
 // endings. Sans-IO. docs/api.md 5. WorkerSession is its fellow for workers that call.
-#pragma once
+#ifndef ANISELINE_AGENT_CALLED_WORKER_SESSION_HPP
+#define ANISELINE_AGENT_CALLED_WORKER_SESSION_HPP
 #include "agent/worker_session.hpp"
 #include "agent/node_agent.hpp"
 
@@ -73,3 +74,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_AGENT_CALLED_WORKER_SESSION_HPP
--- a/source/agent/node_agent.hpp
+++ b/source/agent/node_agent.hpp
@@ -1,6 +1,7 @@
 // The worker agent: carries the leader's orders out at ONE worker that is called rather than calls,
 // and tells of what it sees there. Sans-IO. docs/design.md 5.8.
-#pragma once
+#ifndef ANISELINE_AGENT_NODE_AGENT_HPP
+#define ANISELINE_AGENT_NODE_AGENT_HPP
 #include "state/api_request.hpp"
 
 namespace aniseline {
@@ -197,7 +198,7 @@
   bool leaseExpired = false;    // the hold may have run out: nothing is started before a look tells
   OrderNumber received;         // all up to here have come
   OrderNumber lastKnownOrder;   // there are orders up to here; while some are missing nothing is
-                               // started: a stop may be among them
+                                // started: a stop may be among them
   std::map<OrderNumber, OrderNumber>
       receivedSpans;  // spans beyond that have come too: after, up to
   std::set<OrderNumber> openOrders;
@@ -216,3 +217,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_AGENT_NODE_AGENT_HPP
--- a/source/agent/worker_session.hpp
+++ b/source/agent/worker_session.hpp
@@ -1,6 +1,7 @@
 // The worker library's core: orders, leases, holds and endings, for anything that can run tasks.
 // Sans-IO. docs/design.md 5, docs/api.md 3.
-#pragma once
+#ifndef ANISELINE_AGENT_WORKER_SESSION_HPP
+#define ANISELINE_AGENT_WORKER_SESSION_HPP
 #include "state/api_request.hpp"
 
 namespace aniseline {
@@ -89,3 +90,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_AGENT_WORKER_SESSION_HPP
--- a/source/base/archive.hpp
+++ b/source/base/archive.hpp
@@ -2,7 +2,8 @@
 // Boost's binary archives set up a stream, a locale and a registry of types and objects for each
 // record, and know each variant by its class and its object. These hold values only: no class ids,
 // versions or tracking; numbers as they stand in memory.
-#pragma once
+#ifndef ANISELINE_BASE_ARCHIVE_HPP
+#define ANISELINE_BASE_ARCHIVE_HPP
 #include <cstdint>
 #include <cstring>
 #include <stdexcept>
@@ -149,3 +150,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_BASE_ARCHIVE_HPP
--- a/source/base/json.hpp
+++ b/source/base/json.hpp
@@ -1,5 +1,6 @@
 // JSON from outside: any text is a value or a fault, never an exception. docs/design.md 9.4.
-#pragma once
+#ifndef ANISELINE_BASE_JSON_HPP
+#define ANISELINE_BASE_JSON_HPP
 #include "base/types.hpp"
 #include <limits>
 #include <picojson.h>
@@ -36,3 +37,5 @@
 }
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_BASE_JSON_HPP
--- a/source/base/types.hpp
+++ b/source/base/types.hpp
@@ -1,5 +1,6 @@
 // The project's one common header: small types, errors, archives. docs/design.md 2.
-#pragma once
+#ifndef ANISELINE_BASE_TYPES_HPP
+#define ANISELINE_BASE_TYPES_HPP
 #include <algorithm>
 #include <array>
 #include <atomic>
@@ -203,3 +204,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_BASE_TYPES_HPP
--- a/source/checker/config_orders.cpp
+++ b/source/checker/config_order_checker.cpp
@@ -1,4 +1,4 @@
-#include "checker/config_orders.hpp"
+#include "checker/config_order_checker.hpp"
 
 namespace aniseline {
 
--- a/source/checker/config_orders.hpp
+++ b/source/checker/config_order_checker.hpp
@@ -1,6 +1,7 @@
 // Rules for operators' orders, as the operators see them: of different ones on a base or under a
 // version one is confirmed, ever; one that was taken is never refused. docs/design.md 6.1.
-#pragma once
+#ifndef ANISELINE_CHECKER_CONFIG_ORDER_CHECKER_HPP
+#define ANISELINE_CHECKER_CONFIG_ORDER_CHECKER_HPP
 #include "checker/history.hpp"
 #include <map>
 #include <optional>
@@ -30,3 +31,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_CHECKER_CONFIG_ORDER_CHECKER_HPP
--- a/source/checker/history.hpp
+++ b/source/checker/history.hpp
@@ -1,6 +1,7 @@
 // One line of a witness' history: what a caller, worker, operator or the fleet's keeper saw.
 // docs/design.md 11.
-#pragma once
+#ifndef ANISELINE_CHECKER_HISTORY_HPP
+#define ANISELINE_CHECKER_HISTORY_HPP
 #include "state/job.hpp"
 
 namespace aniseline {
@@ -83,3 +84,5 @@
                                                             bool atWork = false);
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_CHECKER_HISTORY_HPP
--- a/source/checker/history_operations.hpp
+++ b/source/checker/history_operations.hpp
@@ -1,7 +1,8 @@
 // Makes operations for the linearizability checker of what callers, operators and workers
 // witnessed, and checks them. A call that was asked but never answered, or answered as unknown,
 // stays an operation whose outcome is unknown.
-#pragma once
+#ifndef ANISELINE_CHECKER_HISTORY_OPERATIONS_HPP
+#define ANISELINE_CHECKER_HISTORY_OPERATIONS_HPP
 #include "checker/linearizability.hpp"
 #include "checker/history.hpp"
 
@@ -35,3 +36,5 @@
                                                      SearchStatistics* statistics = nullptr);
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_CHECKER_HISTORY_OPERATIONS_HPP
--- a/source/checker/invariant_checker.hpp
+++ b/source/checker/invariant_checker.hpp
@@ -1,7 +1,8 @@
 // The checker of invariants, which plays a history through: what it keeps, and its rules by
 // subject. Its parts stand in invariants_*.cpp. docs/design.md 11.
-#pragma once
-#include "checker/config_orders.hpp"
+#ifndef ANISELINE_CHECKER_INVARIANT_CHECKER_HPP
+#define ANISELINE_CHECKER_INVARIANT_CHECKER_HPP
+#include "checker/config_order_checker.hpp"
 #include "checker/invariants.hpp"
 
 namespace aniseline {
@@ -192,3 +193,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_CHECKER_INVARIANT_CHECKER_HPP
--- a/source/checker/invariants.hpp
+++ b/source/checker/invariants.hpp
@@ -1,6 +1,7 @@
 // history_check's core: the never-rules, checked from what callers and workers witnessed.
 // docs/design.md 11.
-#pragma once
+#ifndef ANISELINE_CHECKER_INVARIANTS_HPP
+#define ANISELINE_CHECKER_INVARIANTS_HPP
 #include "checker/history.hpp"
 #include "checker/linearizability.hpp"
 
@@ -36,3 +37,5 @@
                             const InvariantOptions& options);
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_CHECKER_INVARIANTS_HPP
--- a/source/checker/linearizability.hpp
+++ b/source/checker/linearizability.hpp
@@ -4,7 +4,8 @@
 // configurations already tried: the set of operations that took effect, and the model's state
 // after them. Each key is searched by itself. A pure library: no files, sockets, clocks or
 // threads.
-#pragma once
+#ifndef ANISELINE_CHECKER_LINEARIZABILITY_HPP
+#define ANISELINE_CHECKER_LINEARIZABILITY_HPP
 #include "base/types.hpp"
 
 namespace aniseline {
@@ -196,3 +197,5 @@
 }
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_CHECKER_LINEARIZABILITY_HPP
--- a/source/checker/model/describe.hpp
+++ b/source/checker/model/describe.hpp
@@ -1,6 +1,7 @@
 // Messages and steps in words, for traces.
-#pragma once
-#include "checker/model/world.hpp"
+#ifndef ANISELINE_CHECKER_MODEL_DESCRIBE_HPP
+#define ANISELINE_CHECKER_MODEL_DESCRIBE_HPP
+#include "checker/model/model_cluster.hpp"
 
 namespace aniseline::model {
 
@@ -9,3 +10,5 @@
 std::string describe(const ModelNode& node);
 
 }  // namespace aniseline::model
+
+#endif  // ANISELINE_CHECKER_MODEL_DESCRIBE_HPP
--- a/source/checker/model/fingerprint.hpp
+++ b/source/checker/model/fingerprint.hpp
@@ -1,6 +1,7 @@
 // What of a RaftNode decides its further behaviour, as canonical bytes for the model checker.
 // docs/design.md 3.
-#pragma once
+#ifndef ANISELINE_CHECKER_MODEL_FINGERPRINT_HPP
+#define ANISELINE_CHECKER_MODEL_FINGERPRINT_HPP
 #include "raft/node.hpp"
 
 namespace aniseline {
@@ -27,3 +28,5 @@
 
 }  // namespace model
 }  // namespace aniseline
+
+#endif  // ANISELINE_CHECKER_MODEL_FINGERPRINT_HPP
--- a/source/checker/model/ghost.cpp
+++ b/source/checker/model/history_variables.cpp
@@ -1,4 +1,4 @@
-#include "checker/model/ghost.hpp"
+#include "checker/model/history_variables.hpp"
 
 namespace aniseline::model {
 
--- a/source/checker/model/ghost.hpp
+++ b/source/checker/model/history_variables.hpp
@@ -1,6 +1,7 @@
 // What an onlooker who sees everything remembers, so that each step can be judged against the
 // past. Part of a state: two worlds that differ here may be judged differently later.
-#pragma once
+#ifndef ANISELINE_CHECKER_MODEL_HISTORY_VARIABLES_HPP
+#define ANISELINE_CHECKER_MODEL_HISTORY_VARIABLES_HPP
 #include "checker/model/model_node.hpp"
 
 namespace aniseline::model {
@@ -47,3 +48,5 @@
 };
 
 }  // namespace aniseline::model
+
+#endif  // ANISELINE_CHECKER_MODEL_HISTORY_VARIABLES_HPP
--- a/source/checker/model/world.cpp
+++ b/source/checker/model/model_cluster.cpp
@@ -1,7 +1,7 @@
-#include "checker/model/world.hpp"
+#include "checker/model/model_cluster.hpp"
 
 #include "checker/model/describe.hpp"
-#include "checker/model/step_judge.hpp"
+#include "checker/model/step_invariants.hpp"
 
 namespace aniseline::model {
 
--- a/source/checker/model/world.hpp
+++ b/source/checker/model/model_cluster.hpp
@@ -1,7 +1,8 @@
 // The model: some RaftNodes, their disks and clocks, a network that is a multiset of messages, and
 // the steps that it may take. A world is a value; it shares with its copies what did not change.
-#pragma once
-#include "checker/model/ghost.hpp"
+#ifndef ANISELINE_CHECKER_MODEL_MODEL_CLUSTER_HPP
+#define ANISELINE_CHECKER_MODEL_MODEL_CLUSTER_HPP
+#include "checker/model/history_variables.hpp"
 
 namespace aniseline::model {
 
@@ -128,3 +129,5 @@
 };
 
 }  // namespace aniseline::model
+
+#endif  // ANISELINE_CHECKER_MODEL_MODEL_CLUSTER_HPP
--- a/source/checker/model/model_node.hpp
+++ b/source/checker/model/model_node.hpp
@@ -1,5 +1,6 @@
 // One controller of the model: its RaftNode, its disk and its clock.
-#pragma once
+#ifndef ANISELINE_CHECKER_MODEL_MODEL_NODE_HPP
+#define ANISELINE_CHECKER_MODEL_MODEL_NODE_HPP
 #include "checker/model/fingerprint.hpp"
 
 namespace aniseline::model {
@@ -62,3 +63,5 @@
 };
 
 }  // namespace aniseline::model
+
+#endif  // ANISELINE_CHECKER_MODEL_MODEL_NODE_HPP
--- a/source/checker/model/scenarios.hpp
+++ b/source/checker/model/scenarios.hpp
@@ -1,5 +1,6 @@
 // Worlds to begin a search from: what a search from nothing would reach too late.
-#pragma once
+#ifndef ANISELINE_CHECKER_MODEL_SCENARIOS_HPP
+#define ANISELINE_CHECKER_MODEL_SCENARIOS_HPP
 #include "checker/model/search.hpp"
 
 namespace aniseline::model {
@@ -68,3 +69,5 @@
 };
 
 }  // namespace aniseline::model
+
+#endif  // ANISELINE_CHECKER_MODEL_SCENARIOS_HPP
--- a/source/checker/model/search.hpp
+++ b/source/checker/model/search.hpp
@@ -1,6 +1,7 @@
 // Searches over the model: breadth first to a bound, and random walks. docs/design.md 3.
-#pragma once
-#include "checker/model/world.hpp"
+#ifndef ANISELINE_CHECKER_MODEL_SEARCH_HPP
+#define ANISELINE_CHECKER_MODEL_SEARCH_HPP
+#include "checker/model/model_cluster.hpp"
 
 namespace aniseline::model {
 
@@ -48,3 +49,5 @@
 std::string print(const ModelCluster& start, const Counterexample& finding);
 
 }  // namespace aniseline::model
+
+#endif  // ANISELINE_CHECKER_MODEL_SEARCH_HPP
--- a/source/checker/model/step_judge.cpp
+++ b/source/checker/model/step_invariants.cpp
@@ -1,4 +1,4 @@
-#include "checker/model/step_judge.hpp"
+#include "checker/model/step_invariants.hpp"
 
 namespace aniseline::model {
 
--- a/source/checker/model/step_judge.hpp
+++ b/source/checker/model/step_invariants.hpp
@@ -1,6 +1,7 @@
 // The invariants, judged after each step of one node.
-#pragma once
-#include "checker/model/world.hpp"
+#ifndef ANISELINE_CHECKER_MODEL_STEP_INVARIANTS_HPP
+#define ANISELINE_CHECKER_MODEL_STEP_INVARIANTS_HPP
+#include "checker/model/model_cluster.hpp"
 
 namespace aniseline::model {
 
@@ -50,3 +51,5 @@
 };
 
 }  // namespace aniseline::model
+
+#endif  // ANISELINE_CHECKER_MODEL_STEP_INVARIANTS_HPP
--- a/source/cli/cluster_commands.cpp
+++ b/source/cli/cluster_commands.cpp
@@ -1,4 +1,4 @@
-#include "net/loop.hpp"
+#include "net/event_loop.hpp"
 #include "cli/command.hpp"
 #include "cli/views.hpp"
 
--- a/source/cli/command.hpp
+++ b/source/cli/command.hpp
@@ -1,7 +1,8 @@
 // The commands of aniselinectl: what each is called, says of itself, takes and does.
 // docs/operations.md 3.
-#pragma once
-#include "cli/outcome.hpp"
+#ifndef ANISELINE_CLI_COMMAND_HPP
+#define ANISELINE_CLI_COMMAND_HPP
+#include "cli/errors.hpp"
 #include <iosfwd>
 
 namespace aniseline {
@@ -72,3 +73,5 @@
 std::vector<Command> watchCommands();
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_CLI_COMMAND_HPP
--- a/source/cli/outcome.cpp
+++ b/source/cli/errors.cpp
@@ -1,4 +1,4 @@
-#include "cli/outcome.hpp"
+#include "cli/errors.hpp"
 #include "base/json.hpp"
 #include "cli/table.hpp"
 
--- a/source/cli/outcome.hpp
+++ b/source/cli/errors.hpp
@@ -1,5 +1,6 @@
 // Exit codes by kind, and errors as people or programs read them. docs/operations.md 3.
-#pragma once
+#ifndef ANISELINE_CLI_ERRORS_HPP
+#define ANISELINE_CLI_ERRORS_HPP
 #include "net/client.hpp"
 
 namespace aniseline {
@@ -23,3 +24,5 @@
 std::string errorJson(const CoreError& error);
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_CLI_ERRORS_HPP
--- a/source/cli/table.hpp
+++ b/source/cli/table.hpp
@@ -1,5 +1,6 @@
 // Short aligned tables for people. docs/operations.md 3.
-#pragma once
+#ifndef ANISELINE_CLI_TABLE_HPP
+#define ANISELINE_CLI_TABLE_HPP
 #include "state/api_request.hpp"
 
 namespace aniseline {
@@ -39,3 +40,5 @@
 picojson::value jsonField(const picojson::value& object, const std::string& field);
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_CLI_TABLE_HPP
--- a/source/cli/views.hpp
+++ b/source/cli/views.hpp
@@ -1,5 +1,6 @@
 // What the answers look like to people; each takes an answer's JSON. docs/operations.md 3.
-#pragma once
+#ifndef ANISELINE_CLI_VIEWS_HPP
+#define ANISELINE_CLI_VIEWS_HPP
 #include "cli/table.hpp"
 
 namespace aniseline {
@@ -18,3 +19,5 @@
 picojson::value queuesWithOpenJobs(const picojson::value& config, const picojson::value& openJobs);
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_CLI_VIEWS_HPP
--- a/source/controller/controller.hpp
+++ b/source/controller/controller.hpp
@@ -1,6 +1,7 @@
 // The control plane's core: raft, cluster state, planner and the table of requests, in passes.
 // Sans-IO. docs/design.md 3, 8.
-#pragma once
+#ifndef ANISELINE_CONTROLLER_CONTROLLER_HPP
+#define ANISELINE_CONTROLLER_CONTROLLER_HPP
 #include "raft/node.hpp"
 #include "state/api_request.hpp"
 #include "scheduling/planner.hpp"
@@ -235,3 +236,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_CONTROLLER_CONTROLLER_HPP
--- a/source/controller/snapshot_writer.hpp
+++ b/source/controller/snapshot_writer.hpp
@@ -1,6 +1,7 @@
 // Keeps a fold of its own from which whole views are packed, off the thread that leads and plans.
 // docs/design.md 3.4.
-#pragma once
+#ifndef ANISELINE_CONTROLLER_SNAPSHOT_WRITER_HPP
+#define ANISELINE_CONTROLLER_SNAPSHOT_WRITER_HPP
 #include "state/cluster_state.hpp"
 
 namespace aniseline {
@@ -26,3 +27,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_CONTROLLER_SNAPSHOT_WRITER_HPP
--- a/source/daemons/agent_daemon.hpp
+++ b/source/daemons/agent_daemon.hpp
@@ -1,7 +1,8 @@
 // The agent as a daemon: the agent beside one worker that is called rather than calls.
 // docs/design.md 5.8, 9.
-#pragma once
-#include "net/relay.hpp"
+#ifndef ANISELINE_DAEMONS_AGENT_DAEMON_HPP
+#define ANISELINE_DAEMONS_AGENT_DAEMON_HPP
+#include "net/leader_forwarder.hpp"
 #include "agent/node_agent.hpp"
 
 namespace aniseline {
@@ -38,3 +39,5 @@
 int runAgent(AgentSettings settings);
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_DAEMONS_AGENT_DAEMON_HPP
--- a/source/daemons/controller_daemon.cpp
+++ b/source/daemons/controller_daemon.cpp
@@ -1,10 +1,10 @@
 #include "daemons/controller_daemon.hpp"
-#include "net/disk.hpp"
+#include "net/data_folder.hpp"
 #include "net/log.hpp"
 #include "net/peer_outbox.hpp"
 #include "net/signals.hpp"
 #include "net/wire.hpp"
-#include "raft/bootstrap.hpp"
+#include "raft/cluster_bootstrap.hpp"
 #include <thread>
 
 namespace aniseline {
--- a/source/daemons/controller_daemon.hpp
+++ b/source/daemons/controller_daemon.hpp
@@ -1,6 +1,7 @@
 // The controller as a daemon: sockets, disk and threads round the core. docs/design.md 9.
-#pragma once
-#include "net/relay.hpp"
+#ifndef ANISELINE_DAEMONS_CONTROLLER_DAEMON_HPP
+#define ANISELINE_DAEMONS_CONTROLLER_DAEMON_HPP
+#include "net/leader_forwarder.hpp"
 
 namespace aniseline {
 
@@ -30,3 +31,5 @@
 int runController(ControllerSettings settings);
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_DAEMONS_CONTROLLER_DAEMON_HPP
--- a/source/daemons/gateway_daemon.hpp
+++ b/source/daemons/gateway_daemon.hpp
@@ -1,6 +1,7 @@
 // The gateway as a daemon. docs/design.md 9.
-#pragma once
-#include "net/relay.hpp"
+#ifndef ANISELINE_DAEMONS_GATEWAY_DAEMON_HPP
+#define ANISELINE_DAEMONS_GATEWAY_DAEMON_HPP
+#include "net/leader_forwarder.hpp"
 
 namespace aniseline {
 
@@ -21,3 +22,5 @@
 int runGateway(GatewaySettings settings);
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_DAEMONS_GATEWAY_DAEMON_HPP
--- a/source/gateway/leader_call.hpp
+++ b/source/gateway/leader_call.hpp
@@ -1,6 +1,7 @@
 // The course of one request through a gateway to the leader: whom to ask next, when to give up.
 // Sans-IO. docs/design.md 8.3, 9.2.
-#pragma once
+#ifndef ANISELINE_GATEWAY_LEADER_CALL_HPP
+#define ANISELINE_GATEWAY_LEADER_CALL_HPP
 #include "state/api_request.hpp"
 
 namespace aniseline {
@@ -39,3 +40,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_GATEWAY_LEADER_CALL_HPP
--- a/source/gateway/leader_directory.hpp
+++ b/source/gateway/leader_directory.hpp
@@ -1,6 +1,7 @@
 // The route view that a gateway's threads read without waiting: read-copy-update by liburcu.
 // docs/design.md 9.2.
-#pragma once
+#ifndef ANISELINE_GATEWAY_LEADER_DIRECTORY_HPP
+#define ANISELINE_GATEWAY_LEADER_DIRECTORY_HPP
 #include "state/api_request.hpp"
 
 namespace aniseline {
@@ -34,3 +35,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_GATEWAY_LEADER_DIRECTORY_HPP
--- a/source/gateway/peer_directory.hpp
+++ b/source/gateway/peer_directory.hpp
@@ -1,6 +1,7 @@
 // Whom to ask next: the gateways given for first contact, and those learned since. Sans-IO.
 // docs/design.md 9.5.
-#pragma once
+#ifndef ANISELINE_GATEWAY_PEER_DIRECTORY_HPP
+#define ANISELINE_GATEWAY_PEER_DIRECTORY_HPP
 #include "base/types.hpp"
 
 namespace aniseline {
@@ -24,3 +25,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_GATEWAY_PEER_DIRECTORY_HPP
--- a/source/net/client.hpp
+++ b/source/net/client.hpp
@@ -1,5 +1,6 @@
 // libaniseline: the library for callers' and workers' programs. docs/api.md 4.
-#pragma once
+#ifndef ANISELINE_NET_CLIENT_HPP
+#define ANISELINE_NET_CLIENT_HPP
 #include "net/http.hpp"
 #include "gateway/peer_directory.hpp"
 #include "agent/worker_session.hpp"
@@ -71,3 +72,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_NET_CLIENT_HPP
--- a/source/net/disk.hpp
+++ b/source/net/data_folder.hpp
@@ -1,6 +1,7 @@
 // A controller's data folder: its identity, and one file for each version of its durable state.
 // docs/design.md 3.3.
-#pragma once
+#ifndef ANISELINE_NET_DATA_FOLDER_HPP
+#define ANISELINE_NET_DATA_FOLDER_HPP
 #include "net/file_system.hpp"
 #include "raft/node.hpp"
 
@@ -33,3 +34,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_NET_DATA_FOLDER_HPP
--- a/source/net/loop.cpp
+++ b/source/net/event_loop.cpp
@@ -1,4 +1,4 @@
-#include "net/loop.hpp"
+#include "net/event_loop.hpp"
 
 namespace aniseline {
 
--- a/source/net/loop.hpp
+++ b/source/net/event_loop.hpp
@@ -1,5 +1,6 @@
 // One thread's fibers over one Asio context. docs/design.md 9.1.
-#pragma once
+#ifndef ANISELINE_NET_EVENT_LOOP_HPP
+#define ANISELINE_NET_EVENT_LOOP_HPP
 #include "base/types.hpp"
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -130,3 +131,5 @@
                  bool shared = false);
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_NET_EVENT_LOOP_HPP
--- a/source/net/file_system.hpp
+++ b/source/net/file_system.hpp
@@ -1,6 +1,7 @@
 // The few operations that a data folder needs, so that tests can stop or lose any of them.
 // docs/design.md 3.3.
-#pragma once
+#ifndef ANISELINE_NET_FILE_SYSTEM_HPP
+#define ANISELINE_NET_FILE_SYSTEM_HPP
 #include "base/types.hpp"
 
 namespace aniseline {
@@ -38,3 +39,5 @@
 std::shared_ptr<FileSystem> posixFileSystem();
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_NET_FILE_SYSTEM_HPP
--- a/source/net/history_file.hpp
+++ b/source/net/history_file.hpp
@@ -1,7 +1,8 @@
 // The file in which a program writes down what it witnesses, line by line, for history_check.
 // docs/design.md 11.
-#pragma once
-#include "net/loop.hpp"
+#ifndef ANISELINE_NET_HISTORY_FILE_HPP
+#define ANISELINE_NET_HISTORY_FILE_HPP
+#include "net/event_loop.hpp"
 #include "state/api_request.hpp"
 #include "checker/history.hpp"
 #include <fstream>
@@ -48,3 +49,5 @@
                                                      bool atWork = false);
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_NET_HISTORY_FILE_HPP
--- a/source/net/http.hpp
+++ b/source/net/http.hpp
@@ -1,6 +1,7 @@
 // HTTP/1.1 with JSON, outward, by Boost.Beast on fibers. docs/design.md 9.4.
-#pragma once
-#include "net/loop.hpp"
+#ifndef ANISELINE_NET_HTTP_HPP
+#define ANISELINE_NET_HTTP_HPP
+#include "net/event_loop.hpp"
 #include "state/api_request.hpp"
 
 namespace aniseline {
@@ -91,3 +92,5 @@
 std::vector<Address> fetchControllers(EventLoop& loop, const Address& seed);
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_NET_HTTP_HPP
--- a/source/net/relay.cpp
+++ b/source/net/leader_forwarder.cpp
@@ -1,4 +1,4 @@
-#include "net/relay.hpp"
+#include "net/leader_forwarder.hpp"
 #include "gateway/leader_call.hpp"
 
 namespace aniseline {
--- a/source/net/relay.hpp
+++ b/source/net/leader_forwarder.hpp
@@ -1,5 +1,6 @@
 // A gateway's way from a typed request to the leader and back. docs/design.md 9.2.
-#pragma once
+#ifndef ANISELINE_NET_LEADER_FORWARDER_HPP
+#define ANISELINE_NET_LEADER_FORWARDER_HPP
 #include "net/http.hpp"
 #include "gateway/leader_directory.hpp"
 #include "net/wire.hpp"
@@ -46,3 +47,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_NET_LEADER_FORWARDER_HPP
--- a/source/net/link_proxy.hpp
+++ b/source/net/link_proxy.hpp
@@ -1,7 +1,8 @@
 // Relays between processes of a fleet on one machine, through which a zone can be cut off.
 // docs/operations.md 6.
-#pragma once
-#include "net/loop.hpp"
+#ifndef ANISELINE_NET_LINK_PROXY_HPP
+#define ANISELINE_NET_LINK_PROXY_HPP
+#include "net/event_loop.hpp"
 
 namespace aniseline {
 
@@ -26,3 +27,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_NET_LINK_PROXY_HPP
--- a/source/net/log.hpp
+++ b/source/net/log.hpp
@@ -1,5 +1,6 @@
 // Logs: one JSON object a line on standard error. docs/operations.md 5.
-#pragma once
+#ifndef ANISELINE_NET_LOG_HPP
+#define ANISELINE_NET_LOG_HPP
 #include "state/api_request.hpp"
 
 namespace aniseline {
@@ -9,3 +10,5 @@
 void log(LogLevel level, const std::string& what, picojson::object fields = {});
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_NET_LOG_HPP
--- a/source/net/options.cpp
+++ b/source/net/options.cpp
@@ -1,6 +1,6 @@
 #include "net/options.hpp"
 #include "base/json.hpp"
-#include "net/loop.hpp"
+#include "net/event_loop.hpp"
 #include <cmath>
 #include <fstream>
 #include <iostream>
--- a/source/net/options.hpp
+++ b/source/net/options.hpp
@@ -1,6 +1,7 @@
 // Command lines (TCLAP) over an options file (JSON): every fault is named by file and field.
 // docs/operations.md 2.
-#pragma once
+#ifndef ANISELINE_NET_OPTIONS_HPP
+#define ANISELINE_NET_OPTIONS_HPP
 #include "state/api_request.hpp"
 #include <tclap/CmdLine.h>
 
@@ -61,3 +62,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_NET_OPTIONS_HPP
--- a/source/net/peer_outbox.hpp
+++ b/source/net/peer_outbox.hpp
@@ -1,5 +1,6 @@
 // What waits to be sent to one peer, bounded in bytes. docs/design.md 3.4.
-#pragma once
+#ifndef ANISELINE_NET_PEER_OUTBOX_HPP
+#define ANISELINE_NET_PEER_OUTBOX_HPP
 #include "raft/node.hpp"
 
 namespace aniseline {
@@ -36,3 +37,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_NET_PEER_OUTBOX_HPP
--- a/source/net/signals.hpp
+++ b/source/net/signals.hpp
@@ -1,6 +1,7 @@
 // The polite signals, as a flag that fibers can see.
-#pragma once
-#include "net/loop.hpp"
+#ifndef ANISELINE_NET_SIGNALS_HPP
+#define ANISELINE_NET_SIGNALS_HPP
+#include "net/event_loop.hpp"
 #include <boost/asio/signal_set.hpp>
 
 namespace aniseline {
@@ -43,3 +44,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_NET_SIGNALS_HPP
--- a/source/net/wire.hpp
+++ b/source/net/wire.hpp
@@ -1,7 +1,8 @@
 // What our own processes say to each other: framed, checksummed Boost.Serialization over TCP.
 // docs/design.md 9.3.
-#pragma once
-#include "net/loop.hpp"
+#ifndef ANISELINE_NET_WIRE_HPP
+#define ANISELINE_NET_WIRE_HPP
+#include "net/event_loop.hpp"
 #include "controller/controller.hpp"
 
 namespace aniseline {
@@ -130,3 +131,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_NET_WIRE_HPP
--- a/source/net/worker_protocol.hpp
+++ b/source/net/worker_protocol.hpp
@@ -1,6 +1,7 @@
 // The product's own words for workers that are called: an agent's side, and a worker's.
 // docs/api.md 5.
-#pragma once
+#ifndef ANISELINE_NET_WORKER_PROTOCOL_HPP
+#define ANISELINE_NET_WORKER_PROTOCOL_HPP
 #include "daemons/agent_daemon.hpp"
 
 namespace aniseline {
@@ -15,3 +16,5 @@
 HttpRequest encodeShutdownNotice(const WorkerId& life);
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_NET_WORKER_PROTOCOL_HPP
--- a/source/raft/bootstrap.hpp
+++ b/source/raft/cluster_bootstrap.hpp
@@ -1,6 +1,7 @@
 // May this blank controller found the cluster? Judged anew in each round of asking the seeds.
 // docs/design.md 3.7.
-#pragma once
+#ifndef ANISELINE_RAFT_CLUSTER_BOOTSTRAP_HPP
+#define ANISELINE_RAFT_CLUSTER_BOOTSTRAP_HPP
 #include "base/types.hpp"
 
 namespace aniseline {
@@ -44,3 +45,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_RAFT_CLUSTER_BOOTSTRAP_HPP
--- a/source/raft/membership_change.hpp
+++ b/source/raft/membership_change.hpp
@@ -1,5 +1,6 @@
 // The preconditions of a change of members, all in one place. docs/design.md 3.5.
-#pragma once
+#ifndef ANISELINE_RAFT_MEMBERSHIP_CHANGE_HPP
+#define ANISELINE_RAFT_MEMBERSHIP_CHANGE_HPP
 #include "raft/node.hpp"
 
 namespace aniseline {
@@ -30,3 +31,5 @@
 std::optional<MembershipChangeRefusal> checkMembershipChange(const MembershipChange& change);
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_RAFT_MEMBERSHIP_CHANGE_HPP
--- a/source/raft/node.hpp
+++ b/source/raft/node.hpp
@@ -1,6 +1,7 @@
 // The controllers' raft on one log: terms, votes, replication, membership. Sans-IO.
 // docs/design.md 3.
-#pragma once
+#ifndef ANISELINE_RAFT_NODE_HPP
+#define ANISELINE_RAFT_NODE_HPP
 #include "base/types.hpp"
 
 namespace aniseline {
@@ -487,3 +488,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_RAFT_NODE_HPP
--- a/source/scheduling/planner.hpp
+++ b/source/scheduling/planner.hpp
@@ -1,6 +1,7 @@
 // The paper's LXF&W-backfill with immediate service, as a pure function of a view and a time.
 // docs/paper.md.
-#pragma once
+#ifndef ANISELINE_SCHEDULING_PLANNER_HPP
+#define ANISELINE_SCHEDULING_PLANNER_HPP
 #include "state/cluster_state.hpp"
 
 namespace aniseline {
@@ -63,3 +64,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_SCHEDULING_PLANNER_HPP
--- a/source/scheduling/planner_work.hpp
+++ b/source/scheduling/planner_work.hpp
@@ -1,6 +1,7 @@
 // What one plan works with: rooms, the jobs' steps as the plan sees them, and what waits.
 // docs/design.md 7.
-#pragma once
+#ifndef ANISELINE_SCHEDULING_PLANNER_WORK_HPP
+#define ANISELINE_SCHEDULING_PLANNER_WORK_HPP
 #include "scheduling/planner.hpp"
 #include <span>
 #include <unordered_map>
@@ -354,3 +355,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_SCHEDULING_PLANNER_WORK_HPP
--- a/source/simulator/called_worker.hpp
+++ b/source/simulator/called_worker.hpp
@@ -1,7 +1,8 @@
 // A stand-in for a worker that is called rather than calls: it holds what runs there until a
 // deadline on its own clock, and gangs assemble themselves at such workers. Sans-IO.
 // docs/design.md 12.4.
-#pragma once
+#ifndef ANISELINE_SIMULATOR_CALLED_WORKER_HPP
+#define ANISELINE_SIMULATOR_CALLED_WORKER_HPP
 #include "agent/node_agent.hpp"
 #include "checker/history.hpp"
 
@@ -105,3 +106,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_SIMULATOR_CALLED_WORKER_HPP
--- a/source/simulator/campaign.cpp
+++ b/source/simulator/campaign.cpp
@@ -1,5 +1,5 @@
 #include "simulator/campaign.hpp"
-#include "simulator/faults.hpp"
+#include "simulator/fault_injector.hpp"
 
 namespace aniseline {
 
--- a/source/simulator/campaign.hpp
+++ b/source/simulator/campaign.hpp
@@ -1,6 +1,7 @@
 // One seeded run with faults of every kind the brief names. docs/design.md 12.3.
-#pragma once
-#include "simulator/world.hpp"
+#ifndef ANISELINE_SIMULATOR_CAMPAIGN_HPP
+#define ANISELINE_SIMULATOR_CAMPAIGN_HPP
+#include "simulator/simulated_cluster.hpp"
 
 namespace aniseline {
 
@@ -34,3 +35,5 @@
 std::string calledConfig(const std::string& change = "");
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_SIMULATOR_CAMPAIGN_HPP
--- a/source/simulator/faults.cpp
+++ b/source/simulator/fault_injector.cpp
@@ -1,4 +1,4 @@
-#include "simulator/faults.hpp"
+#include "simulator/fault_injector.hpp"
 #include "simulator/fault_kinds.hpp"
 
 namespace aniseline {
--- a/source/simulator/faults.hpp
+++ b/source/simulator/fault_injector.hpp
@@ -1,6 +1,7 @@
 // The kinds of fault that campaigns draw from, each one of the brief's. docs/design.md 12.3.
-#pragma once
-#include "simulator/world.hpp"
+#ifndef ANISELINE_SIMULATOR_FAULT_INJECTOR_HPP
+#define ANISELINE_SIMULATOR_FAULT_INJECTOR_HPP
+#include "simulator/simulated_cluster.hpp"
 
 namespace aniseline {
 
@@ -66,3 +67,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_SIMULATOR_FAULT_INJECTOR_HPP
--- a/source/simulator/fault_kinds.hpp
+++ b/source/simulator/fault_kinds.hpp
@@ -1,7 +1,8 @@
 // What the kinds of fault are made of: their victims, what they share, and a table for each
 // subject. docs/design.md 12.3.
-#pragma once
-#include "simulator/faults.hpp"
+#ifndef ANISELINE_SIMULATOR_FAULT_KINDS_HPP
+#define ANISELINE_SIMULATOR_FAULT_KINDS_HPP
+#include "simulator/fault_injector.hpp"
 
 namespace aniseline {
 
@@ -73,3 +74,5 @@
 void powerOnControllers(SimulatedCluster& world);
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_SIMULATOR_FAULT_KINDS_HPP
--- a/source/simulator/measures.cpp
+++ b/source/simulator/measurements.cpp
@@ -1,4 +1,4 @@
-#include "simulator/measures.hpp"
+#include "simulator/measurements.hpp"
 #include "simulator/campaign.hpp"
 #include <ctime>
 
--- a/source/simulator/measures.hpp
+++ b/source/simulator/measurements.hpp
@@ -1,5 +1,6 @@
 // What simulate measures beside its campaigns. docs/measurements.md.
-#pragma once
+#ifndef ANISELINE_SIMULATOR_MEASUREMENTS_HPP
+#define ANISELINE_SIMULATOR_MEASUREMENTS_HPP
 #include <picojson.h>
 
 namespace aniseline {
@@ -13,3 +14,5 @@
 picojson::object measureSnapshot(std::size_t kept, bool whole);
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_SIMULATOR_MEASUREMENTS_HPP
--- a/source/simulator/world.cpp
+++ b/source/simulator/simulated_cluster.cpp
@@ -1,4 +1,4 @@
-#include "simulator/nodes.hpp"
+#include "simulator/simulated_nodes.hpp"
 
 namespace aniseline {
 
--- a/source/simulator/world.hpp
+++ b/source/simulator/simulated_cluster.hpp
@@ -1,6 +1,7 @@
 // A whole cluster in virtual time, from one seed: the same core as in the daemons, with a network,
 // disks and clocks that fail on purpose. docs/design.md 12.
-#pragma once
+#ifndef ANISELINE_SIMULATOR_SIMULATED_CLUSTER_HPP
+#define ANISELINE_SIMULATOR_SIMULATED_CLUSTER_HPP
 #include "gateway/peer_directory.hpp"
 #include "gateway/leader_call.hpp"
 #include "agent/worker_session.hpp"
@@ -226,3 +227,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_SIMULATOR_SIMULATED_CLUSTER_HPP
--- a/source/simulator/nodes.hpp
+++ b/source/simulator/simulated_nodes.hpp
@@ -1,8 +1,9 @@
 // What the simulated world is made of: processes with their machines, and callers.
 // docs/design.md 12.1.
-#pragma once
+#ifndef ANISELINE_SIMULATOR_SIMULATED_NODES_HPP
+#define ANISELINE_SIMULATOR_SIMULATED_NODES_HPP
 #include "simulator/called_worker.hpp"
-#include "simulator/world.hpp"
+#include "simulator/simulated_cluster.hpp"
 
 namespace aniseline {
 
@@ -123,3 +124,5 @@
 }
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_SIMULATOR_SIMULATED_NODES_HPP
--- a/source/state/api_request.hpp
+++ b/source/state/api_request.hpp
@@ -1,6 +1,7 @@
 // What callers, workers and operators ask, typed, and what they are told. docs/api.md,
 // docs/design.md 8.
-#pragma once
+#ifndef ANISELINE_STATE_API_REQUEST_HPP
+#define ANISELINE_STATE_API_REQUEST_HPP
 #include "state/worker.hpp"
 
 namespace aniseline {
@@ -169,3 +170,5 @@
 }
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_STATE_API_REQUEST_HPP
--- a/source/state/cluster_config.hpp
+++ b/source/state/cluster_config.hpp
@@ -1,6 +1,7 @@
 // The config aggregate: the operators' whole description of queues, policies and planner options.
 // docs/design.md 6.
-#pragma once
+#ifndef ANISELINE_STATE_CLUSTER_CONFIG_HPP
+#define ANISELINE_STATE_CLUSTER_CONFIG_HPP
 #include "base/types.hpp"
 #include <picojson.h>
 
@@ -137,3 +138,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_STATE_CLUSTER_CONFIG_HPP
--- a/source/state/cluster_state.hpp
+++ b/source/state/cluster_state.hpp
@@ -1,5 +1,6 @@
 // The fold of the replicated log: configs, jobs, workers, attempts. docs/design.md 3.2, 4, 5.
-#pragma once
+#ifndef ANISELINE_STATE_CLUSTER_STATE_HPP
+#define ANISELINE_STATE_CLUSTER_STATE_HPP
 #include "state/event.hpp"
 
 namespace aniseline {
@@ -120,3 +121,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_STATE_CLUSTER_STATE_HPP
--- a/source/state/config_history.hpp
+++ b/source/state/config_history.hpp
@@ -1,6 +1,7 @@
 // Which configs were taken, so that an order which is sent again after its answer was lost is
 // answered by what it is and not by what is in force meanwhile. docs/design.md 6.1.
-#pragma once
+#ifndef ANISELINE_STATE_CONFIG_HISTORY_HPP
+#define ANISELINE_STATE_CONFIG_HISTORY_HPP
 #include "base/types.hpp"
 #include <deque>
 
@@ -65,3 +66,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_STATE_CONFIG_HISTORY_HPP
--- a/source/state/event.hpp
+++ b/source/state/event.hpp
@@ -1,5 +1,6 @@
 // What the replicated log holds; views are folds of these. docs/design.md 3.2.
-#pragma once
+#ifndef ANISELINE_STATE_EVENT_HPP
+#define ANISELINE_STATE_EVENT_HPP
 #include "state/config_history.hpp"
 #include "state/worker.hpp"
 
@@ -194,3 +195,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_STATE_EVENT_HPP
--- a/source/state/job.hpp
+++ b/source/state/job.hpp
@@ -1,5 +1,6 @@
 // The job aggregate: steps, tasks, and the plain machine of a job's states. docs/design.md 4.
-#pragma once
+#ifndef ANISELINE_STATE_JOB_HPP
+#define ANISELINE_STATE_JOB_HPP
 #include "state/cluster_config.hpp"
 
 namespace aniseline {
@@ -163,3 +164,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_STATE_JOB_HPP
--- a/source/state/worker.hpp
+++ b/source/state/worker.hpp
@@ -1,6 +1,7 @@
 // The worker aggregate: what is known of a worker, its orders, and the attempts placed on it.
 // docs/design.md 5.
-#pragma once
+#ifndef ANISELINE_STATE_WORKER_HPP
+#define ANISELINE_STATE_WORKER_HPP
 #include "state/job.hpp"
 
 namespace aniseline {
@@ -226,3 +227,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_STATE_WORKER_HPP
--- a/tests/controller/controller_cluster.hpp
+++ b/tests/controller/controller_cluster.hpp
@@ -1,6 +1,7 @@
 // Controllers that pass each other their messages in memory, with their disks: for tests of what is
 // answered over changes of leaders, restarts and cuts.
-#pragma once
+#ifndef ANISELINE_TESTS_CONTROLLER_CONTROLLER_CLUSTER_HPP
+#define ANISELINE_TESTS_CONTROLLER_CONTROLLER_CLUSTER_HPP
 #include "controller/controller.hpp"
 
 namespace aniseline {
@@ -121,3 +122,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_TESTS_CONTROLLER_CONTROLLER_CLUSTER_HPP
--- a/tests/large_configs_tests.cpp
+++ b/tests/controller/large_configs_tests.cpp
@@ -1,6 +1,6 @@
 // Hundreds of large configurations, with members killed and started between: every one that comes
 // back catches up, and what each holds in memory stays bounded. docs/design.md 3.4.
-#include "simulator/world.hpp"
+#include "simulator/simulated_cluster.hpp"
 
 #include <CppUTest/TestHarness.h>
 using namespace aniseline;
--- a/tests/fuzz/disk.cpp
+++ b/tests/fuzz/disk.cpp
@@ -1,5 +1,5 @@
 // What a controller finds in its data folder: any bytes of a file are a record or an error.
-#include "net/disk.hpp"
+#include "net/data_folder.hpp"
 #include "state/cluster_state.hpp"
 #include "fuzz.hpp"
 
--- a/tests/fuzz/fuzz.hpp
+++ b/tests/fuzz/fuzz.hpp
@@ -1,5 +1,6 @@
 // What the fuzzers share. tests/fuzz.sh runs them.
-#pragma once
+#ifndef ANISELINE_TESTS_FUZZ_FUZZ_HPP
+#define ANISELINE_TESTS_FUZZ_FUZZ_HPP
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -25,3 +26,5 @@
   rest = end == std::string::npos ? "" : rest.substr(end + 1);
   return taken;
 }
+
+#endif  // ANISELINE_TESTS_FUZZ_FUZZ_HPP
--- a/tests/fuzz/seeds.cpp
+++ b/tests/fuzz/seeds.cpp
@@ -1,5 +1,5 @@
 // Writes the seeds of the binary formats as this version writes them: seeds FOLDER.
-#include "net/disk.hpp"
+#include "net/data_folder.hpp"
 #include "net/wire.hpp"
 #include <filesystem>
 #include <fstream>
--- a/tests/golden_tests.cpp
+++ b/tests/golden_tests.cpp
@@ -1,6 +1,6 @@
 // Approved transcripts of whole requests in the simulator; docs/design.md 12.2. ANISELINE_APPROVE=1
 // writes them anew.
-#include "script.hpp"
+#include "support/scenario.hpp"
 
 using namespace aniseline;
 
--- a/tests/layout.sh
+++ b/tests/layout.sh
@@ -19,9 +19,8 @@
   done < <(ninja -C build -t deps | awk -v ours="$PWD/platform/" '/^[^ ].*: #deps/ { object = $1; sub(/:$/, "", object) } $1 ~ /^\.\.\/platform\// || index($1, ours) == 1 { print object }' | sort -u)
 fi
 
-# The core's sources, read from CMakeLists.txt, compile where there is nothing but the core.
-core=$(sed -n 's/^set(CORE \(.*\))$/\1/p' CMakeLists.txt)
-[ -n "$core" ] || fail "CMakeLists.txt names no CORE"
+# The core's sources compile where there is nothing but the core: CMakeLists.txt, CORE.
+core=$(ls source/{state,scheduling,raft,controller,agent,checker}/*.cpp source/gateway/{leader_call,peer_directory}.cpp)
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
 mkdir "$folder/source"
@@ -30,8 +29,8 @@
   cp source/"$subject"/*.hpp "$folder/source/$subject/"
 done
 for name in $core; do
-  cp "source/$name.cpp" "$folder/source/$name.cpp"
+  cp "$name" "$folder/$name"
 done
-if ! printf '%s\n' $core | xargs -P 3 -I{} "${CXX:-c++}" -std=c++20 -fsyntax-only -I "$folder/source" "$folder/source/{}.cpp"; then fail "the core does not compile alone"; fi
+if ! printf '%s\n' $core | xargs -P 3 -I{} "${CXX:-c++}" -std=c++20 -fsyntax-only -I "$folder/source" "$folder/{}"; then fail "the core does not compile alone"; fi
 [ "$failed" = 0 ] && echo "layout: platform/ is used by its own program and tests only; the core compiles alone"
 exit "$failed"
--- a/tests/net/byte_fault_proxy.hpp
+++ b/tests/net/byte_fault_proxy.hpp
@@ -1,7 +1,8 @@
 // A stand-in between two processes that does one harm at one byte of what passes. For tests of what
 // a hop makes of it. docs/design.md 9.3.
-#pragma once
-#include "net/loop.hpp"
+#ifndef ANISELINE_TESTS_NET_BYTE_FAULT_PROXY_HPP
+#define ANISELINE_TESTS_NET_BYTE_FAULT_PROXY_HPP
+#include "net/event_loop.hpp"
 #include <boost/asio/write.hpp>
 
 namespace aniseline {
@@ -192,3 +193,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_TESTS_NET_BYTE_FAULT_PROXY_HPP
--- a/tests/net/disk_crash_tests.cpp
+++ b/tests/net/data_folder_crash_tests.cpp
@@ -1,7 +1,7 @@
 // The data folder through every crash: the process killed or the power lost after any step of any
 // operation, with any of the folder's changes that were not yet synced there or not.
 // docs/design.md 3.3.
-#include "net/disk.hpp"
+#include "net/data_folder.hpp"
 
 #include <CppUTest/TestHarness.h>
 using namespace aniseline;
--- a/tests/net/disk_tests.cpp
+++ b/tests/net/data_folder_tests.cpp
@@ -1,4 +1,4 @@
-#include "net/disk.hpp"
+#include "net/data_folder.hpp"
 #include <cerrno>
 #include <fcntl.h>
 #include <filesystem>
--- a/tests/packing_tests.cpp
+++ b/tests/net/serialization_tests.cpp
@@ -1,7 +1,7 @@
 // What is packed comes back as it was, in every kind; what is cut or damaged is an error and no
 // crash. docs/design.md 9.3.
 #include "net/wire.hpp"
-#include "cluster_state_bench.hpp"
+#include "state/cluster_state_fixture.hpp"
 #include <boost/mpl/size.hpp>
 
 using namespace aniseline;
--- a/tests/bootstrap_tests.cpp
+++ b/tests/raft/cluster_bootstrap_tests.cpp
@@ -1,6 +1,6 @@
 // Who founds a cluster: one controller and one only, whichever machines the seeds name.
 // docs/design.md 3.7.
-#include "raft/bootstrap.hpp"
+#include "raft/cluster_bootstrap.hpp"
 #include <CppUTest/TestHarness.h>
 
 using namespace aniseline;
--- a/tests/raft/node_links.hpp
+++ b/tests/raft/node_links.hpp
@@ -1,6 +1,7 @@
 // Consensus nodes with links of a given bandwidth between them, in virtual time: what is sent
 // waits its turn on the link, as in one TCP connection, and a cut loses what is on the way.
-#pragma once
+#ifndef ANISELINE_TESTS_RAFT_NODE_LINKS_HPP
+#define ANISELINE_TESTS_RAFT_NODE_LINKS_HPP
 #include "raft/node.hpp"
 
 #include <functional>
@@ -164,3 +165,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_TESTS_RAFT_NODE_LINKS_HPP
--- a/tests/reference/planner.hpp
+++ b/tests/reference/planner.hpp
@@ -1,7 +1,8 @@
 // The planner as it stood before it was made fast (6d23801); what the present one must equal in
 // every plan. Not to be changed but with a change of what is planned. The paper's LXF&W-backfill
 // with immediate service, as a pure function of a view and a time. docs/paper.md.
-#pragma once
+#ifndef ANISELINE_TESTS_REFERENCE_PLANNER_HPP
+#define ANISELINE_TESTS_REFERENCE_PLANNER_HPP
 #include "state/cluster_state.hpp"
 
 namespace aniseline::reference {
@@ -75,3 +76,5 @@
 };
 
 }  // namespace aniseline::reference
+
+#endif  // ANISELINE_TESTS_REFERENCE_PLANNER_HPP
--- a/tests/replacement_tests.cpp
+++ b/tests/replacement_tests.cpp
@@ -1,5 +1,5 @@
 // Losses that follow a replacement at once, and losses in the midst of one. docs/design.md 3.5.
-#include "script.hpp"
+#include "support/scenario.hpp"
 
 using namespace aniseline;
 
--- a/tests/placement_tests.cpp
+++ b/tests/scheduling/placement_tests.cpp
@@ -1,6 +1,6 @@
 // Where a plan puts tasks: labels, the data's rack, apart, one rack, accelerators, pools.
 // docs/design.md 4.6, docs/paper.md 2.
-#include "cluster_state_bench.hpp"
+#include "state/cluster_state_fixture.hpp"
 
 using namespace aniseline;
 
--- a/tests/cluster_state_bench.hpp
+++ b/tests/state/cluster_state_fixture.hpp
@@ -1,6 +1,7 @@
 // A cluster state made by events alone, as in the daemons, on workers that are called: no pause,
 // own clock, gangs that assemble themselves.
-#pragma once
+#ifndef ANISELINE_TESTS_STATE_CLUSTER_STATE_FIXTURE_HPP
+#define ANISELINE_TESTS_STATE_CLUSTER_STATE_FIXTURE_HPP
 #include "scheduling/planner.hpp"
 #include <CppUTest/TestHarness.h>
 
@@ -151,3 +152,5 @@
 };
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_TESTS_STATE_CLUSTER_STATE_FIXTURE_HPP
--- a/tests/cluster_state_index_tests.cpp
+++ b/tests/state/cluster_state_index_tests.cpp
@@ -1,6 +1,6 @@
 // What the cluster state finds by its indices is what a walk over all attempts finds, whatever was
 // folded. docs/design.md 4.7, 5.1.
-#include "cluster_state_bench.hpp"
+#include "state/cluster_state_fixture.hpp"
 
 using namespace aniseline;
 
--- a/tests/cluster_state_tests.cpp
+++ b/tests/state/cluster_state_tests.cpp
@@ -1,6 +1,6 @@
 // The fold of the log: gangs that assemble themselves, tries, what lasts, timetables, checkpoints,
 // lives. docs/design.md 4, 5.
-#include "cluster_state_bench.hpp"
+#include "state/cluster_state_fixture.hpp"
 
 using namespace aniseline;
 
--- a/tests/script.hpp
+++ b/tests/support/scenario.hpp
@@ -1,6 +1,7 @@
 // A world in which a test asks, waits, breaks and heals, and writes down what is to be approved.
 // docs/design.md 12.2.
-#pragma once
+#ifndef ANISELINE_TESTS_SUPPORT_SCENARIO_HPP
+#define ANISELINE_TESTS_SUPPORT_SCENARIO_HPP
 #include "simulator/campaign.hpp"
 #include <CppUTest/TestHarness.h>
 #include <fstream>
@@ -100,3 +101,5 @@
 }
 
 }  // namespace aniseline
+
+#endif  // ANISELINE_TESTS_SUPPORT_SCENARIO_HPP
--- a/tests/voters_tests.cpp
+++ b/tests/voters_tests.cpp
@@ -1,5 +1,5 @@
 // Five voters of seven controllers: any two may be lost at once. docs/design.md 3.5.
-#include "script.hpp"
+#include "support/scenario.hpp"
 
 using namespace aniseline;
 
