--- a/tests/days/days_test.py
+++ b/tests/days/days_test.py
@@ -26,14 +26,17 @@
 
 # A deployment that also names the kinds which only some deployments know.
 LARGE_SITE = SMALL_SITE.replace("small-site", "large-site").replace(
-    '{ kind = "burst" }', '{ kind = "hot_key" }, { kind = "srv_flap" }, { kind = "srv_lying_health" }')
+    '{ kind = "burst" }', '{ kind = "hot_key" }, { kind = "srv_flap" }, { kind = "srv_lying_health" }'
+)
 
 # Kinds as the bench's pages list them for every deployment.
-COMMON_KINDS = frozenset("""
+COMMON_KINDS = frozenset(
+    """
     ack_lost after_ack_kill after_ack_wipe applied_late bad_config burst clock_step config_change config_race
     core_cut disk_full disk_slow disk_stall herd_kill hup node_cut node_freeze node_kill node_slow poison
     replace_core reset_conns roll_term scale_in seed_turnover srv_crash srv_cut srv_grey srv_slow
-""".split())
+""".split()
+)
 EXTRA_KINDS = frozenset({"hot_key", "srv_flap", "srv_lying_health"})
 DAYS = range(1, 61)
 
@@ -120,6 +123,7 @@
         def crowded(day):
             moments = [entry["at"] for entry in day.faults + day.plan]
             return len(moments) - len(set(moments)) >= 2
+
         self.assertGreater(sum(crowded(day) for day in days_of("mix", self.site)), len(DAYS) / 4)
 
     def test_cut_has_every_variant(self):
@@ -135,8 +139,9 @@
 
     def test_operators_has_every_order(self):
         days = days_of("operators", self.site)
-        self.assertLessEqual({"ack_lost", "config_race", "config_change", "bad_config", "node_kill"},
-                             set().union(*(day.kinds() for day in days)))
+        self.assertLessEqual(
+            {"ack_lost", "config_race", "config_change", "bad_config", "node_kill"}, set().union(*(day.kinds() for day in days))
+        )
         self.assertEqual(set(troubles.BAD_CONFIGS), variants_of(days, "bad_config"))
         self.assertEqual(set(troubles.CONFIG_CHANGES), variants_of(days, "config_change"))
 
@@ -179,8 +184,16 @@
         self.day = families.Day("cut-1", seed=1, length_s=self.site.length_s)
         for kind in ("core_cut", "node_cut", "config_change"):
             self.day.add(5, {"kind": kind})
-        self.report = {"G": 0.7, "served": 0.9, "breaks": {}, "missed": [], "short": [], "fault": None,
-                       "exits_n": 0, "events": [{"kind": "core_cut (all)"}, {"kind": "config_change (idle)"}]}
+        self.report = {
+            "G": 0.7,
+            "served": 0.9,
+            "breaks": {},
+            "missed": [],
+            "short": [],
+            "fault": None,
+            "exits_n": 0,
+            "events": [{"kind": "core_cut (all)"}, {"kind": "config_change (idle)"}],
+        }
 
     def verdict(self, **changes) -> str:
         return Outcome(self.report | changes, 0).verdict
--- a/tests/days/families.py
+++ b/tests/days/families.py
@@ -74,8 +74,24 @@
 # --- cut: a control machine is cut off for about twenty seconds ---
 
 CORE_CUTS = (
-    "all", "near", "oldest", "one_way", "seeds", "both", "lure", "leader", "reader", "turn", "seed",
-    "reset", "refuse", "leader meet", "leader race", "leader race hard", "race hard drain", "meet drain",
+    "all",
+    "near",
+    "oldest",
+    "one_way",
+    "seeds",
+    "both",
+    "lure",
+    "leader",
+    "reader",
+    "turn",
+    "seed",
+    "reset",
+    "refuse",
+    "leader meet",
+    "leader race",
+    "leader race hard",
+    "race hard drain",
+    "meet drain",
 )
 NODE_CUTS = ("", "all", "servers", "one_way", "reset", "refuse")
 
@@ -106,8 +122,13 @@
 
 def _other_cut(day: Day, draw: Draw, begin: float, number: int) -> None:
     """Machines that are not counted are cut off too, for as long or for a part of that time."""
-    cut = {"kind": "node_cut", "on": draw.pick(("front", "side")), "share": draw.number(0.1, 0.25),
-           "for_s": draw.number(4, 20), "how": _turn(NODE_CUTS, number)}
+    cut = {
+        "kind": "node_cut",
+        "on": draw.pick(("front", "side")),
+        "share": draw.number(0.1, 0.25),
+        "for_s": draw.number(4, 20),
+        "how": _turn(NODE_CUTS, number),
+    }
     day.add(begin + draw.number(0, 8), cut)
 
 
@@ -118,6 +139,7 @@
 
 # --- operators: many orders at once, lost acknowledgements, invalid configurations ---
 
+
 def fill_operators(day: Day, draw: Draw, site: Site, number: int) -> None:
     """Up to eight orders at once while their acknowledgements get lost and leaders are killed."""
     begin = draw.number(1, 6)
@@ -197,6 +219,7 @@
 
 # --- many-changes: long days with hundreds of changes, restarts and disk trouble ---
 
+
 def fill_many_changes(day: Day, draw: Draw, site: Site, number: int) -> None:
     """Changes without end while machines restart; some days last up to ten minutes."""
     if number % LONG_DAY_EVERY == 0:
@@ -228,15 +251,19 @@
 
 # --- wrong-caller: orders and answers that go astray between control machines and workers ---
 
+
 def fill_wrong_caller(day: Day, draw: Draw, site: Site, number: int) -> None:
     """Lost answers, late orders, resets, cuts and machines that mute, hang or leave."""
     strikes = (
-        {"kind": "applied_late", "x": draw.number(0.1, 0.5), "for_s": draw.number(6, 15),
-         "how": _turn(troubles.LATE_ORDERS, number)},
-        {"kind": "srv_cut", "share": draw.number(0.1, 0.3), "for_s": draw.number(3, 12),
-         "how": _turn(troubles.SERVER_CUTS, number)},
-        {"kind": "srv_grey", "share": draw.number(0.1, 0.2), "x": draw.number(0.3, 1),
-         "for_s": draw.number(4, 10), "how": _turn(("mute", "hang", "reset"), number)},
+        {"kind": "applied_late", "x": draw.number(0.1, 0.5), "for_s": draw.number(6, 15), "how": _turn(troubles.LATE_ORDERS, number)},
+        {"kind": "srv_cut", "share": draw.number(0.1, 0.3), "for_s": draw.number(3, 12), "how": _turn(troubles.SERVER_CUTS, number)},
+        {
+            "kind": "srv_grey",
+            "share": draw.number(0.1, 0.2),
+            "x": draw.number(0.3, 1),
+            "for_s": draw.number(4, 10),
+            "how": _turn(("mute", "hang", "reset"), number),
+        },
         {"kind": "scale_in", "share": draw.number(0.1, 0.25), "how": _turn(("spot", ""), number)},
     )
     for strike in strikes:
@@ -252,6 +279,7 @@
 
 # --- mix: anything at any moment ---
 
+
 def fill_mix(day: Day, draw: Draw, site: Site, number: int) -> None:
     """Troubles of all kinds that apply, several of them at one moment."""
     kinds = troubles.applicable_kinds(site)
--- a/tests/days/troubles.py
+++ b/tests/days/troubles.py
@@ -8,9 +8,17 @@
 from site_file import Site
 
 # Troubles that are planned work stand under `plan` in a day file, all others under `faults`.
-PLANNED_KINDS = frozenset({
-    "bad_config", "config_change", "config_race", "hup", "roll_term", "scale_in", "seed_turnover",
-})
+PLANNED_KINDS = frozenset(
+    {
+        "bad_config",
+        "config_change",
+        "config_race",
+        "hup",
+        "roll_term",
+        "scale_in",
+        "seed_turnover",
+    }
+)
 
 # Which machines are struck: by their part in the protocol rather than by lot.
 TARGETS = ("", "leader", "reader", "turn", "seed")
@@ -25,8 +33,15 @@
 
 CONFIG_CHANGES = ("route", "weights", "timeout", "tenant", "quota", "idle")
 BAD_CONFIGS = (
-    "cut_short", "unknown_service", "same_place", "no_weight", "no_timeout",
-    "old_version", "same_version", "stale_match", "shared_key",
+    "cut_short",
+    "unknown_service",
+    "same_place",
+    "no_weight",
+    "no_timeout",
+    "old_version",
+    "same_version",
+    "stale_match",
+    "shared_key",
 )
 LATE_ORDERS = ("orders", "cloud", "grants", "all")
 SERVER_CUTS = ("", "fronts", "one_way", "reset")
@@ -37,9 +52,11 @@
 
 def _draws(kind: str):
     """Registers a function as the one that draws troubles of a kind."""
+
     def register(function):
         _drawers[kind] = function
         return function
+
     return register
 
 
@@ -112,8 +129,7 @@
 
 @_draws("srv_lying_health")
 def _srv_lying_health(draw, site):
-    return {"share": draw.number(0.05, 0.15), "for_s": draw.number(3, 7),
-            "how": draw.pick(("errors", "hang", "reset", "bad"))}
+    return {"share": draw.number(0.05, 0.15), "for_s": draw.number(3, 7), "how": draw.pick(("errors", "hang", "reset", "bad"))}
 
 
 @_draws("srv_flap")
@@ -149,8 +165,7 @@
 @_draws("node_cut")
 def _node_cut(draw, site):
     how = _join(draw.pick(NODE_CUT_SCOPES), draw.pick(CUT_STYLES))
-    return {"on": draw.pick(("front", "side")), "share": draw.number(0.1, 0.3),
-            "for_s": draw.number(2, 8), "how": how}
+    return {"on": draw.pick(("front", "side")), "share": draw.number(0.1, 0.3), "for_s": draw.number(2, 8), "how": how}
 
 
 @_draws("core_cut")
@@ -162,10 +177,8 @@
 @_draws("herd_kill")
 def _herd_kill(draw, site):
     if draw.chance(0.6):
-        return {"on": "core", "share": 1, "for_s": draw.number(0.5, 2),
-                "how": draw.pick(("", "power", "taken", "taken all"))}
-    return {"on": draw.pick(("front", "side")), "share": draw.number(0.3, 0.6), "for_s": draw.number(1, 3),
-            "how": draw.pick(("", "power"))}
+        return {"on": "core", "share": 1, "for_s": draw.number(0.5, 2), "how": draw.pick(("", "power", "taken", "taken all"))}
+    return {"on": draw.pick(("front", "side")), "share": draw.number(0.3, 0.6), "for_s": draw.number(1, 3), "how": draw.pick(("", "power"))}
 
 
 @_draws("replace_core")
@@ -185,8 +198,7 @@
 
 @_draws("roll_term")
 def _roll_term(draw, site):
-    fields = {"share": draw.number(0.2, 0.6), "x": 1, "gap_s": draw.number(0.6, 1.5),
-              "how": draw.pick(("", "", "busy", "remove"))}
+    fields = {"share": draw.number(0.2, 0.6), "x": 1, "gap_s": draw.number(0.6, 1.5), "how": draw.pick(("", "", "busy", "remove"))}
     if draw.chance(0.4):
         fields["on"] = "core"
     return fields
@@ -219,8 +231,7 @@
 
 @_draws("clock_step")
 def _clock_step(draw, site):
-    return {"share": draw.number(0.2, 0.5), "x": draw.number(500, 4000), "for_s": draw.number(3, 8),
-            "how": draw.pick(("back", "ahead"))}
+    return {"share": draw.number(0.2, 0.5), "x": draw.number(500, 4000), "for_s": draw.number(3, 8), "how": draw.pick(("back", "ahead"))}
 
 
 @_draws("reset_conns")
--- a/tests/drill.sh
+++ b/tests/drill.sh
@@ -21,6 +21,7 @@
 [ "${format:-99}" != 99 ] || { echo "the format of frames is not to be found"; exit 1; }
 head -c 400 /dev/zero > /dev/tcp/127.1.1.1/23001
 printf '\x30\x41\x4e\x53\x63\x00\x00\x00\x04\x00\x00\x00\x00\x00\x00\x00....' > /dev/tcp/127.1.1.1/23001
+# shellcheck disable=SC2059  # the format's number is written as an escape, which only printf's format reads
 printf "\\x30\\x41\\x4e\\x53\\x$(printf %02x "$format")"'\x00\x00\x00\x04\x00\x00\x00\x00\x00\x00\x00....' > /dev/tcp/127.1.1.1/23001
 for words in "does not speak our protocol" "speaks format 99" "checksum does not match"; do
   for _ in $(seq 50); do grep -q "$words" "$folder/fleet/controller1.log" && break; sleep 0.1; done
--- a/tests/layout.sh
+++ b/tests/layout.sh
@@ -20,7 +20,7 @@
 fi
 
 # The core's sources compile where there is nothing but the core: CMakeLists.txt, CORE.
-core=$(ls source/{state,scheduling,raft,controller,agent,checker}/*.cpp source/gateway/{leader_call,peer_directory}.cpp)
+core=(source/{state,scheduling,raft,controller,agent,checker}/*.cpp source/gateway/{leader_call,peer_directory}.cpp)
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
 mkdir "$folder/source"
@@ -28,9 +28,9 @@
   mkdir "$folder/source/$subject"
   cp source/"$subject"/*.hpp "$folder/source/$subject/"
 done
-for name in $core; do
+for name in "${core[@]}"; do
   cp "$name" "$folder/$name"
 done
-if ! printf '%s\n' $core | xargs -P 3 -I{} "${CXX:-c++}" -std=c++20 -fsyntax-only -I "$folder/source" "$folder/{}"; then fail "the core does not compile alone"; fi
+if ! printf '%s\n' "${core[@]}" | xargs -P 3 -I{} "${CXX:-c++}" -std=c++20 -fsyntax-only -I "$folder/source" "$folder/{}"; then fail "the core does not compile alone"; fi
 [ "$failed" = 0 ] && echo "layout: platform/ is used by its own program and tests only; the core compiles alone"
 exit "$failed"
--- a/tests/lint.sh
+++ b/tests/lint.sh
@@ -7,6 +7,11 @@
 mapfile -t all < <(git ls-files '*.cpp' '*.hpp')
 clang-format --dry-run -Werror "${all[@]}"
 echo "lint: ${#all[@]} files are formatted"
+mapfile -t scripts < <(git ls-files '*.sh' .ci/run)
+shellcheck "${scripts[@]}"
+mapfile -t python < <(git ls-files '*.py')
+black --quiet --line-length 140 --check "${python[@]}"
+echo "lint: ${#scripts[@]} scripts and ${#python[@]} Python files are clean"
 [ "${1:-}" != format ] || exit 0
 
 cmake -S . -B build-lint -G Ninja -DCMAKE_DISABLE_PRECOMPILE_HEADERS=ON \
@@ -30,7 +35,9 @@
 export -f lint_one
 export results
 
-mapfile -t linted < <(git ls-files 'source/*.cpp' 'platform/*.cpp' 'programs/*.cpp' 'library/*.cpp')
+mapfile -t linted < <(git ls-files 'source/*.cpp' 'platform/*.cpp' 'programs/*.cpp' 'benchmarks/*.cpp'
+  'library/*.cpp')
+# shellcheck disable=SC2016  # the inner shell expands its own argument
 printf '%s\n' "${linted[@]}" |
   xargs -P "${LINT_JOBS:-$(nproc)}" -I{} bash -c 'lint_one "$1"' lint_one {}
 
--- a/tests/refusals.sh
+++ b/tests/refusals.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # What an operator gets wrong is named, with status 2 (the words) or 3 (refused), and nothing starts.
 set -u
-cd "$(dirname "$0")/.."
+cd "$(dirname "$0")/.." || exit 1
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
 failed=0
