--- a/tests/lint.sh
+++ b/tests/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Format and lint of the whole tree; docs/style.md 3. Prints findings, each once, and the counts.
+# Format and lint of the whole tree; DEVELOPERS.md 2. Prints findings, each once, and the counts.
 # Lint reads a build tree without precompiled headers. LINT_JOBS: files at the same time. lint.sh format: no lint.
 set -euo pipefail
 cd "$(dirname "$0")/.."
