--- /dev/null
+++ b/source/scheduling/attempt_projection.cpp
@@ -0,0 +1,141 @@
+#include "scheduling/attempt_projection.hpp"
+
+namespace aniseline::scheduling {
+
+namespace {
+
+// An attempt is overdue past this multiple of its requested runtime and this much more, which
+// covers its start and the report of its end.
+constexpr double overdueFactor = 2.2;
+constexpr double overdueMarginMilliseconds = 300;
+
+// A suspended attempt resumes when the trial that displaced it ends.
+ClusterTime expectedEnd(const Attempt& attempt, const SchedulingContext& context) {
+  const ClusterTime now = context.now();
+  if (attempt.state == AttemptState::stopping)
+    return now + expectedStopTime;
+  if (attempt.state != AttemptState::suspended)
+    return now + remainingRuntime(attempt, now);
+  const auto& attempts = context.clusterState().attempts();
+  auto trial = attempts.find(attempt.suspendedForTrial);
+  const bool trialRuns = trial != attempts.end() && trial->second.isTrial();
+  const ClusterTime resumesAt = trialRuns ? now + remainingRuntime(trial->second, now) : now;
+  return resumesAt + remainingRuntime(attempt, now);
+}
+
+// One walk over the attempts. Neighbours are often of one job or on one worker, so the views found
+// last are tried first.
+class AttemptProjector {
+ public:
+  explicit AttemptProjector(SchedulingContext& context) : context(context) {}
+
+  AttemptSurvey run() {
+    for (const auto& [number, attempt] : context.clusterState().attempts())
+      project(attempt);
+    if (anySuspended)
+      markTrialsWithVictims();
+    return std::move(survey);
+  }
+
+ private:
+  void project(const Attempt& attempt) {
+    if (!job || job->job->submission.id != attempt.job)
+      job = context.jobView(attempt.job);
+    if (workerIndex == noIndex || context.workers()[workerIndex].id() != attempt.worker)
+      workerIndex = context.workerIndexOf(attempt.worker);
+    StepView* step =
+        job && attempt.stepIndex < job->steps.size() ? &job->steps[attempt.stepIndex] : nullptr;
+    if (job && !attempt.abandoned)
+      surveyAttempt(attempt, step);
+    if (workerIndex != noIndex)
+      allocate(attempt, step);
+  }
+
+  void surveyAttempt(const Attempt& attempt, StepView* step) {
+    const QueueView& queue = *job->queue;
+    if (const char* reason = exceededTimeLimit(attempt, *queue.options, context.now()))
+      survey.overTimeLimit.push_back({&attempt, reason});
+    if (context.options().strictPriority && queue.options->priority == context.highestPriority()) {
+      queue.pool->urgentDemand.coresInUse += attempt.cores;
+      queue.pool->urgentDemand.reported = true;
+    }
+    if (!step)
+      return;
+    if (attempt.gang)
+      survey.gangParts.push_back({step, &attempt});
+    else if (step->requirements().redundant && attempt.state != AttemptState::stopping)
+      survey.redundant.push_back({step, &attempt});
+    if (step->requirements().sameRack && !step->chosenRack)
+      step->chosenRack = context.rackOfWorker(attempt.worker);
+  }
+
+  void allocate(const Attempt& attempt, StepView* step) {
+    WorkerView& worker = context.workers()[workerIndex];
+    const bool suspended = attempt.state == AttemptState::suspended;
+    anySuspended = anySuspended || suspended;
+    worker.allocate(
+        {&attempt, resourcesOf(attempt), expectedEnd(attempt, context), suspended, false});
+    if (step)
+      step->addTaskOn(workerIndex, context.workers().size());
+    // Where an agent calls the worker, it reports a worker that does not answer, and one late order
+    // delays its report of the others: lateness says nothing there.
+    const bool orderedLongAgo = attempt.state == AttemptState::ordered &&
+                                context.now() - attempt.orderedAt > orderApplyTimeout;
+    if (orderedLongAgo && !worker.capacity().killsOnLeaseExpiry)
+      worker.excludeFromNewWork();
+    // A worker that fails work is tried with one task at a time. docs/design.md 5.6.
+    if (worker.penalty() > 0)
+      worker.excludeFromNewWork();
+    if (!worker.capacity().supportsSuspend &&
+        isOverdue(attempt, step ? &step->requirements() : nullptr, context))
+      worker.addOverdueJob(*job->job);
+  }
+
+  void markTrialsWithVictims() {
+    std::set<AttemptNumber> trials;
+    for (const auto& [number, attempt] : context.clusterState().attempts()) {
+      if (attempt.state == AttemptState::suspended)
+        trials.insert(attempt.suspendedForTrial);
+    }
+    for (auto& worker : context.workers())
+      worker.markTrialsWithVictims(trials);
+  }
+
+  SchedulingContext& context;
+  AttemptSurvey survey;
+  JobView* job = nullptr;
+  std::size_t workerIndex = noIndex;
+  bool anySuspended = false;
+};
+
+}  // namespace
+
+AttemptSurvey projectAttempts(SchedulingContext& context) {
+  return AttemptProjector(context).run();
+}
+
+Duration remainingRuntime(const Attempt& attempt, ClusterTime now) {
+  const Duration used = attempt.runtimeAt(now);
+  const Duration wanted = attempt.isTrial() ? attempt.quantum : attempt.runtime;
+  if (wanted > used)
+    return wanted - used;
+  if (attempt.isTrial())
+    return minimumRemainingRuntime;
+  return std::max(minimumRemainingRuntime, Duration{used.milliseconds / 2});
+}
+
+bool isOverdue(const Attempt& attempt, const StepRequirements* requirements,
+               const SchedulingContext& context) {
+  if (attempt.isTrial() || attempt.state == AttemptState::stopping ||
+      attempt.state == AttemptState::suspended)
+    return false;
+  if (!requirements || requirements->longRunning)
+    return false;
+  const bool mayBeRemote = !requirements->preferredRack.empty() || requirements->sameRack;
+  const double slowdown = mayBeRemote ? context.options().remoteSlowdown : 1.0;
+  const double elapsed = double((context.now() - attempt.orderedAt).milliseconds);
+  return elapsed > overdueFactor * double(attempt.runtime.milliseconds) * slowdown +
+                       overdueMarginMilliseconds;
+}
+
+}  // namespace aniseline::scheduling
--- /dev/null
+++ b/source/scheduling/gangs.cpp
@@ -0,0 +1,101 @@
+#include "scheduling/gangs.hpp"
+
+namespace aniseline::scheduling {
+
+namespace {
+
+using GangKey = std::pair<std::string_view, std::uint32_t>;  // job and step
+using Gang = std::vector<const Attempt*>;
+
+// Was it ordered to run, and has not been reported as running for too long?
+bool startUnconfirmed(const Attempt& part, ClusterTime now) {
+  const bool awaitsReport = part.state == AttemptState::launching ||
+                            (part.selfAssembling && part.state == AttemptState::ordered);
+  return awaitsReport && now - part.runningSince > startConfirmationTimeout;
+}
+
+// Of most gangs all parts run, and there is nothing to do.
+bool needsAttention(const Attempt& part, ClusterTime now) {
+  if (part.selfAssembling)
+    return startUnconfirmed(part, now);
+  return part.state == AttemptState::ordered || part.state == AttemptState::staged ||
+         part.state == AttemptState::launching;
+}
+
+std::map<GangKey, Gang> gangsToAdvance(const std::vector<StepAttempt>& gangParts, ClusterTime now) {
+  std::map<GangKey, Gang> gangs;
+  for (const auto& [step, part] : gangParts) {
+    if (needsAttention(*part, now))
+      gangs[{part->job.value, step->index}];
+  }
+  if (gangs.empty())
+    return gangs;
+  for (const auto& [step, part] : gangParts) {
+    if (auto found = gangs.find({part->job.value, step->index}); found != gangs.end())
+      found->second.push_back(part);
+  }
+  return gangs;
+}
+
+struct GangStatus {
+  bool allStaged =
+      false;  // every part that has not succeeded, on workers that were just heard from
+  bool stagingTimedOut = false;
+  bool startUnconfirmed = false;
+};
+
+std::size_t unfinishedParts(const Job& job, std::uint32_t stepIndex) {
+  return std::size_t(std::count_if(job.tasks.begin(), job.tasks.end(), [&](const Task& task) {
+    return task.stepIndex == stepIndex && task.state != TaskState::succeeded;
+  }));
+}
+
+GangStatus statusOf(const Gang& parts, const Job& job, std::uint32_t stepIndex,
+                    const SchedulingContext& context) {
+  const ClusterTime now = context.now();
+  GangStatus status;
+  status.allStaged = parts.size() == unfinishedParts(job, stepIndex);
+  for (const auto* part : parts) {
+    status.startUnconfirmed = status.startUnconfirmed || startUnconfirmed(*part, now);
+    if (part->selfAssembling)
+      continue;
+    const bool staging =
+        part->state == AttemptState::staged || part->state == AttemptState::ordered;
+    if (staging && now - part->orderedAt > stagingTimeout)
+      status.stagingTimedOut = true;
+    status.allStaged = status.allStaged && part->state == AttemptState::staged &&
+                       context.wasHeardWithin(part->worker, gangLaunchContactAge) &&
+                       context.clusterState().workers().at(part->worker).isSchedulable();
+  }
+  return status;
+}
+
+Action launchAction(const Attempt& part) {
+  Action action;
+  action.kind = ActionKind::launch;
+  action.attempt = part.number;
+  action.worker = part.worker;
+  return action;
+}
+
+}  // namespace
+
+void advanceGangs(SchedulingContext& context, const std::vector<StepAttempt>& gangParts,
+                  PlanDraft& draft) {
+  for (const auto& [key, parts] : gangsToAdvance(gangParts, context.now())) {
+    const Job& job = *context.jobView(parts.front()->job)->job;
+    const GangStatus status = statusOf(parts, job, key.second, context);
+    for (const auto* part : parts) {
+      if (status.allStaged && !part->selfAssembling)
+        draft.add(launchAction(*part));
+      else if (part->state == AttemptState::stopping)
+        continue;
+      else if (status.startUnconfirmed)
+        draft.addStop(*part, "alone");
+      else if (status.stagingTimedOut)
+        draft.addStop(*part, "staging");
+    }
+  }
+}
+
+}  // namespace aniseline::scheduling
--- /dev/null
+++ b/source/scheduling/immediate_starts.cpp
@@ -0,0 +1,152 @@
+#include "scheduling/immediate_starts.hpp"
+#include "scheduling/data_locality.hpp"
+#include "scheduling/worker_eligibility.hpp"
+
+namespace aniseline::scheduling {
+
+namespace {
+
+// Where the paper's fit leaves a choice, what speaks against a rack. docs/paper.md 2.
+enum class RackPreference {
+  neutral,
+  newToGang,      // a gang keeps to few racks: one rack that fails then takes fewer gangs along
+  failedOnBefore  // a retry leaves the rack on which the task failed
+};
+
+// What workers are compared by; the smallest is chosen, of equal ones the first.
+struct FitKey {
+  int penalty = 0;
+  bool remote = false;
+  std::int64_t freeCores = 0;
+  RackPreference rackPreference = RackPreference::neutral;
+  auto operator<=>(const FitKey&) const = default;
+};
+
+// Where a task failed last; noIndex where it did not.
+struct AvoidedPlace {
+  std::size_t workerIndex = noIndex;
+  std::size_t rackIndex = noIndex;
+
+  AvoidedPlace(const SchedulingContext& context, const WorkerId& avoided) {
+    if (avoided.value.empty())
+      return;
+    workerIndex = context.workerIndexOf(avoided);
+    rackIndex = context.rackOfWorker(avoided);
+  }
+};
+
+bool contains(const std::vector<std::size_t>& racks, std::size_t rack) {
+  return std::find(racks.begin(), racks.end(), rack) != racks.end();
+}
+
+}  // namespace
+
+bool ImmediateStarts::tryStart(const PlacementUnit& unit) {
+  if (unit.isGang() && !enoughSlots(unit))
+    return false;
+  std::vector<Assignment> assignments;
+  std::vector<std::size_t> racksUsed;  // of a gang
+  for (auto taskIndex : unit.tasksByDescendingCores()) {
+    const std::size_t workerIndex = bestWorkerFor(unit, taskIndex, racksUsed);
+    if (workerIndex == noIndex) {
+      release(unit, assignments);
+      return false;
+    }
+    assignments.push_back({taskIndex, workerIndex});
+    assign(unit, assignments.back());
+    const std::size_t rack = context.workers()[workerIndex].rackIndex();
+    if (unit.isGang() && !contains(racksUsed, rack))
+      racksUsed.push_back(rack);
+  }
+  addActions(unit, assignments);
+  return true;
+}
+
+// Are there as many slots as a gang has parts, if all were as small as the smallest? If not it need
+// not be tried.
+bool ImmediateStarts::enoughSlots(const PlacementUnit& unit) const {
+  const MinimumRequest minimum(unit);
+  std::int64_t slots = 0;
+  for (auto index : unit.step().eligible->workerIndices) {
+    const WorkerView& worker = context.workers()[index];
+    if (worker.isSchedulable())
+      slots += minimum.slots(worker.guaranteedFree(), unit.step(), index);
+  }
+  return slots >= std::int64_t(unit.tasks.size());
+}
+
+std::size_t ImmediateStarts::bestWorkerFor(const PlacementUnit& unit, std::uint32_t taskIndex,
+                                           const std::vector<std::size_t>& racksUsed) {
+  StepView& step = unit.step();
+  const TaskRequest& taskRequest = unit.request(taskIndex);
+  const Resources request = resourcesOf(taskRequest);
+  const AvoidedPlace avoided(context, unit.task(taskIndex).avoidedWorker);
+  std::size_t best = noIndex;
+  FitKey bestKey;
+  for (auto index : step.eligible->workerIndices) {
+    const WorkerView& worker = context.workers()[index];
+    if (!worker.isSchedulable() || !admits(context, step, index, worker.guaranteedFree(), request))
+      continue;
+    const ClusterTime end = context.now() + expectedRuntime(context, step, worker, taskRequest);
+    if (backfill.delaysReservedStart(worker, request, end))
+      continue;
+    const std::size_t rack = worker.rackIndex();
+    FitKey key;
+    key.penalty = worker.penalty() + (index == avoided.workerIndex ? 1 : 0);
+    key.remote = isRemote(context, step, worker);
+    key.freeCores = worker.freeCores();
+    if (rack == avoided.rackIndex && !context.rackNames()[rack].empty())
+      key.rackPreference = RackPreference::failedOnBefore;
+    else if (!racksUsed.empty() && !contains(racksUsed, rack))
+      key.rackPreference = RackPreference::newToGang;
+    if (best == noIndex || key < bestKey) {
+      best = index;
+      bestKey = key;
+    }
+  }
+  return best;
+}
+
+void ImmediateStarts::assign(const PlacementUnit& unit, const Assignment& assignment) {
+  StepView& step = unit.step();
+  WorkerView& worker = context.workers()[assignment.workerIndex];
+  const TaskRequest& request = unit.request(assignment.taskIndex);
+  const ClusterTime end = context.now() + expectedRuntime(context, step, worker, request);
+  worker.allocate({nullptr, resourcesOf(request), end, false, false});
+  step.addTaskOn(assignment.workerIndex, context.workers().size());
+}
+
+void ImmediateStarts::release(const PlacementUnit& unit,
+                              const std::vector<Assignment>& assignments) {
+  for (const auto& assignment : assignments) {
+    context.workers()[assignment.workerIndex].releaseLast();
+    unit.step().removeTaskFrom(assignment.workerIndex);
+  }
+}
+
+void ImmediateStarts::addActions(const PlacementUnit& unit,
+                                 const std::vector<Assignment>& assignments) {
+  // Parts that find each other at the workers are started, under one run number; others are staged.
+  // docs/design.md 7.3.
+  const bool selfAssembling =
+      std::all_of(assignments.begin(), assignments.end(), [&](const Assignment& assignment) {
+        return context.workers()[assignment.workerIndex].capacity().selfAssemblingGangs;
+      });
+  const ActionKind kind = unit.isGang() && !selfAssembling ? ActionKind::stage : ActionKind::start;
+  std::uint32_t runNumber = 0;
+  if (unit.isGang()) {
+    for (auto part : unit.tasks)
+      runNumber = std::max(runNumber, unit.task(part).runNumber + 1);
+  }
+  for (const auto& [taskIndex, workerIndex] : assignments) {
+    WorkerView& worker = context.workers()[workerIndex];
+    Action action = startAction(kind, draft.takeAttemptNumber(), unit.step().jobId(), taskIndex,
+                                worker.id(), unit.request(taskIndex).memory);
+    action.runNumber = runNumber;
+    if (worker.penalty() > 0)
+      worker.excludeFromNewWork();
+    draft.add(std::move(action));
+  }
+}
+
+}  // namespace aniseline::scheduling
--- /dev/null
+++ b/source/scheduling/next_plan_time.cpp
@@ -0,0 +1,97 @@
+// When the planner has to run although no event asks for a plan. docs/design.md 7.
+#include "scheduling/planner.hpp"
+#include "scheduling/scheduling_limits.hpp"
+#include "scheduling/worker_view.hpp"
+
+namespace aniseline {
+
+using namespace scheduling;
+
+namespace {
+
+// Gangs that are staged are looked at this often: they may be launched as soon as all workers have
+// been heard from.
+constexpr Duration stagedGangInterval{200};
+// Pending work is planned for this often: expected ends pass without any event.
+constexpr Duration pendingTaskInterval{500};
+// Time-outs are exceeded, and not just reached, one millisecond later.
+constexpr Duration oneMillisecond{1};
+
+// The earliest of the times given to it, each no earlier than a millisecond from now.
+class EarliestTime {
+ public:
+  explicit EarliestTime(ClusterTime now) : now(now) {}
+  void consider(ClusterTime time) {
+    if (time <= now)
+      time = now + oneMillisecond;
+    if (!earliest || time < *earliest)
+      earliest = time;
+  }
+  const std::optional<ClusterTime>& get() const { return earliest; }
+
+ private:
+  ClusterTime now;
+  std::optional<ClusterTime> earliest;
+};
+
+void considerAttempt(const Attempt& attempt, ClusterTime now, EarliestTime& due) {
+  if (attempt.isTrial() && attempt.state == AttemptState::running)
+    due.consider(now + (attempt.quantum + trialStopGrace - attempt.runtimeAt(now)) +
+                 oneMillisecond);
+  if (!attempt.gang)
+    return;
+  const bool ordered = attempt.state == AttemptState::ordered;
+  if (!attempt.selfAssembling && (ordered || attempt.state == AttemptState::staged))
+    due.consider(now + stagedGangInterval);
+  if (attempt.state == AttemptState::launching || (attempt.selfAssembling && ordered))
+    due.consider(attempt.runningSince + startConfirmationTimeout + oneMillisecond);
+}
+
+void considerHardLimit(const Attempt& attempt, const ClusterState& clusterState, ClusterTime now,
+                       EarliestTime& due) {
+  if (attempt.isTrial() || attempt.state != AttemptState::running)
+    return;
+  const auto job = clusterState.jobs().find(attempt.job);
+  if (job == clusterState.jobs().end())
+    return;
+  const auto* queue = clusterState.config().findQueue(job->second.submission.queue);
+  if (queue && queue->hardRuntimeLimit.milliseconds > 0)
+    due.consider(now + (queue->hardRuntimeLimit - attempt.runtimeAt(now)) + oneMillisecond);
+}
+
+void considerPendingTasks(const ClusterState& clusterState, ClusterTime now, EarliestTime& due) {
+  const ClusterTime soonest = now + pendingTaskInterval;
+  for (const auto& id : clusterState.openJobs()) {
+    if (due.get() && *due.get() <= soonest)
+      return;
+    const Job& job = clusterState.jobs().at(id);
+    if (job.state != JobState::active)
+      continue;
+    auto pending = std::find_if(job.tasks.begin(), job.tasks.end(),
+                                [](const Task& task) { return task.state == TaskState::pending; });
+    if (pending != job.tasks.end())
+      due.consider(std::max(pending->notBefore, soonest));
+  }
+}
+
+}  // namespace
+
+std::optional<ClusterTime> Planner::nextPlanTime(const ClusterState& clusterState,
+                                                 ClusterTime now) {
+  const auto& queues = clusterState.config().queues;
+  const bool anyHardLimit = std::any_of(queues.begin(), queues.end(), [](const auto& queue) {
+    return queue.second.hardRuntimeLimit.milliseconds > 0;
+  });
+  EarliestTime due(now);
+  for (const auto& [number, attempt] : clusterState.attempts()) {
+    if (attempt.abandoned)
+      continue;
+    considerAttempt(attempt, now, due);
+    if (anyHardLimit)
+      considerHardLimit(attempt, clusterState, now, due);
+  }
+  considerPendingTasks(clusterState, now, due);
+  return due.get();
+}
+
+}  // namespace aniseline
--- /dev/null
+++ b/source/scheduling/placement_unit.hpp
@@ -0,0 +1,96 @@
+// What waits for a start: a pending task, or a whole gang. docs/design.md 7.1.
+#ifndef ANISELINE_SCHEDULING_PLACEMENT_UNIT_HPP
+#define ANISELINE_SCHEDULING_PLACEMENT_UNIT_HPP
+#include "scheduling/job_view.hpp"
+#include "scheduling/latency_target.hpp"
+#include "scheduling/resources.hpp"
+#include <limits>
+#include <span>
+
+namespace aniseline::scheduling {
+
+/// Pending tasks of one step that are alike in all but the worker to avoid, or a whole gang. What
+/// is found for one unit of a batch holds for the others of it too.
+struct TaskBatch {
+  StepView* step = nullptr;
+  bool gang = false;
+  std::vector<std::uint32_t> tasks;
+  Duration runtime;  // requested; of a gang the longest of its parts
+  ClusterTime readyAt;
+  double rank = 0;  // by the queue's policy, by default the paper's priority
+  LatencyTargetAssessment latencyTarget;
+  std::int64_t queuePriority = 0;  // 0 unless the config has strict priority
+  std::int64_t coresPerUnit = 0;   // thousandths of a core; of a gang all its parts
+  // Results of this plan for one unit of the batch, which its other units need not repeat: free
+  // resources only shrink while a plan is made.
+  bool startFailed = false;
+  bool reservationFailed = false;
+  bool backfillFailed = false;
+};
+
+struct PlacementUnit {
+  TaskBatch* batch = nullptr;
+  std::span<const std::uint32_t> tasks;  // indices in the job; one, or all parts of the gang
+
+  bool isGang() const { return batch->gang; }
+  StepView& step() const { return *batch->step; }
+  const StepRequirements& requirements() const { return batch->step->requirements(); }
+  const QueueView& queue() const { return *batch->step->parent->queue; }
+  const Task& task(std::uint32_t taskIndex) const { return batch->step->job().tasks[taskIndex]; }
+  const TaskRequest& request(std::uint32_t taskIndex) const {
+    return batch->step->taskRequest(taskIndex);
+  }
+  /// The shape under which a failure to place it is remembered. `memoryLimit` in MB.
+  RequestShape requestShape(std::int64_t memoryLimit, Duration runtime) const {
+    if (isGang())
+      return {0, 0, runtime};
+    const TaskRequest& only = request(tasks[0]);
+    return {only.cores, std::min(std::int64_t(only.memory), memoryLimit), runtime};
+  }
+  /// Its tasks, those with the most cores first, so that a gang is not blocked by its own small
+  /// parts.
+  std::vector<std::uint32_t> tasksByDescendingCores() const {
+    std::vector<std::uint32_t> sorted(tasks.begin(), tasks.end());
+    std::stable_sort(sorted.begin(), sorted.end(), [&](auto left, auto right) {
+      return request(left).cores > request(right).cores;
+    });
+    return sorted;
+  }
+};
+
+/// The least that any part of a gang requests of each resource. How many such parts would fit is an
+/// upper bound of how many parts do.
+class MinimumRequest {
+ public:
+  explicit MinimumRequest(const PlacementUnit& unit) : partCount(std::int64_t(unit.tasks.size())) {
+    minimum.cores = minimum.memory = minimum.accelerators =
+        std::numeric_limits<std::int64_t>::max();
+    for (auto part : unit.tasks) {
+      const Resources request = resourcesOf(unit.request(part));
+      minimum.cores = std::min(minimum.cores, request.cores);
+      minimum.memory = std::min(minimum.memory, request.memory);
+      minimum.accelerators = std::min(minimum.accelerators, request.accelerators);
+    }
+  }
+  /// At most how many parts fit into the free resources of that worker.
+  std::int64_t slots(const Resources& free, const StepView& step, std::size_t workerIndex) const {
+    std::int64_t slots = partCount;
+    if (minimum.cores > 0)
+      slots = std::min(slots, free.cores / minimum.cores);
+    if (minimum.memory > 0)
+      slots = std::min(slots, free.memory / minimum.memory);
+    if (minimum.accelerators > 0)
+      slots = std::min(slots, free.accelerators / minimum.accelerators);
+    if (const std::int64_t limit = step.requirements().maxPerWorker)
+      slots = std::min(slots, limit - std::int64_t(step.tasksOn(workerIndex)));
+    return std::max<std::int64_t>(0, slots);
+  }
+
+ private:
+  Resources minimum;
+  std::int64_t partCount;
+};
+
+}  // namespace aniseline::scheduling
+
+#endif  // ANISELINE_SCHEDULING_PLACEMENT_UNIT_HPP
--- a/source/scheduling/planner.hpp
+++ b/source/scheduling/planner.hpp
@@ -1,11 +1,18 @@
-// The paper's LXF&W-backfill with immediate service, as a pure function of a view and a time.
-// docs/paper.md.
+// The planner: the paper's LXF&W-backfill with immediate service, as a pure function of the cluster
+// state, a time and the leader's hints. docs/paper.md tells what was kept of the paper and which
+// file carries each part of it; docs/design.md 7.
+//
+// The leader's controller calls it on its own thread and logs the plan; workers get orders only
+// from the committed cluster state. It owns nothing but the compiled policies and memory that is
+// used again, so that any two planners make the same plan of the same input.
 #ifndef ANISELINE_SCHEDULING_PLANNER_HPP
 #define ANISELINE_SCHEDULING_PLANNER_HPP
+#include "scheduling/compiled_policies.hpp"
 #include "state/cluster_state.hpp"
 
 namespace aniseline {
 
+/// Why a unit starts in a plan or does not. For people.
 struct DecisionExplanation {
   JobId job;
   std::uint32_t step = 0;
@@ -14,30 +21,39 @@
 };
 
 struct Plan {
-  PlanMade record;
+  PlanMade record;                                // what is logged
   std::vector<DecisionExplanation> explanations;  // only when asked for
   std::size_t pendingUnits = 0;
-  // For the log: workers that take work now, those passed over, and cores in thousandths.
-  std::map<std::string, std::int64_t> urgentDemand;  // as of now, where urgency goes first
-  std::size_t schedulableWorkers = 0, excludedWorkers = 0, redundantCopies = 0;
-  std::int64_t schedulableCores = 0, allocatedCores = 0;
-  std::array<std::size_t, 3> unitsByTargetStatus{};
+  /// By pool, in thousandths of a core: what the queues of the highest priority use and want now.
+  /// Only with strict priority.
+  std::map<std::string, std::int64_t> urgentDemand;
+  // Statistics for the log.
+  std::size_t schedulableWorkers = 0;
+  std::size_t excludedWorkers = 0;  // present, but without new work in this plan
+  std::size_t redundantCopies = 0;
+  std::int64_t schedulableCores = 0;  // thousandths of a core, of schedulable workers
+  std::int64_t allocatedCores = 0;    // of these, before this plan's own starts
+  std::array<std::size_t, 3> unitsByTargetStatus{};  // on time, late, expired
+
+  /// Would logging it change nothing? A reserved start that moves by less than a second is the
+  /// same.
   bool changesNothing(const Reservation& before) const;
 };
 
-// What the leader knows of workers and does not log: how long each has been unheard.
+/// How long ago the leader last heard from each worker. Not logged.
 using LastContactAges = std::map<WorkerId, Duration>;
-// How long the work of a worker takes against what was requested, lately. The leader's own, as a
-// hint; not logged.
+/// How long each worker's work has taken lately, as a multiple of what was requested. Not logged.
 using RuntimeRatios = std::map<WorkerId, double>;
-// What the leader has seen lately; hints, none of it logged.
+
+/// What the leader has observed lately. Guesses that a plan may be better for; none of it is
+/// logged.
 struct PlannerHints {
   RuntimeRatios runtimeRatios;
-  std::map<std::string, std::int64_t>
-      urgentDemand;  // by pool: the cores that its most urgent queues have wanted at once
+  /// By pool, in thousandths of a core: the most that its urgent queues have wanted at once.
+  std::map<std::string, std::int64_t> urgentDemand;
 };
 
-namespace planning {
+namespace scheduling {
 struct Allocation;
 }
 
@@ -45,22 +61,21 @@
  public:
   Planner();
   ~Planner();
-  Plan makePlan(const ClusterState& clusterState, ClusterTime now, const LastContactAges& silence,
-                bool explain = false, const PlannerHints& hints = {});
-  // When a plan is due though nothing was told: a trial's end, a hard limit, a retry's pause.
+
+  /// The plan for that time. The cluster state is read only; the plan takes effect when its record
+  /// is applied. `explain` asks for a reason for each unit.
+  Plan makePlan(const ClusterState& clusterState, ClusterTime now,
+                const LastContactAges& contactAges, bool explain = false,
+                const PlannerHints& hints = {});
+
+  /// When a plan is due although no event asks for one: at a trial's end, a time-out of a gang, a
+  /// hard limit, or the end of a retry's backoff. Always later than now; nothing if none of these
+  /// is ahead.
   static std::optional<ClusterTime> nextPlanTime(const ClusterState& clusterState, ClusterTime now);
 
  private:
-  struct PlanBuilder;
-  struct CompiledPolicy {
-    PolicyProgram rank;
-    PolicyProgram maySuspend;
-  };
-  std::map<std::string, CompiledPolicy> compiledPolicies;
-  ConfigVersion compiledVersion;
-  bool hasCompiledPolicies = false;
-  std::vector<std::vector<planning::Allocation>>
-      recycledAllocations;  // memory of the last plan's rooms, for the next one
+  std::optional<scheduling::CompiledPolicies> policies;  // of the config planned with last
+  std::vector<std::vector<scheduling::Allocation>> recycledAllocations;
 };
 
 }  // namespace aniseline
--- /dev/null
+++ b/source/scheduling/redundant_copies.cpp
@@ -0,0 +1,73 @@
+#include "scheduling/redundant_copies.hpp"
+#include "scheduling/data_locality.hpp"
+#include "scheduling/worker_eligibility.hpp"
+
+namespace aniseline::scheduling {
+
+namespace {
+
+// So that a lost rack does not turn a whole plan into copies.
+constexpr std::size_t maxCopiesPerPlan = 8;
+
+bool wantsCopy(const StepAttempt& run, const SchedulingContext& context) {
+  const auto& [step, attempt] = run;
+  const Job& job = step->job();
+  if (job.terminating || job.isTerminal() || job.tasks.empty())
+    return false;
+  const Task& task = job.tasks[attempt->taskIndex];
+  if (task.currentAttempt != attempt->number || task.redundantAttempt.value)
+    return false;
+  const std::uint32_t maxFailures = step->parent->queue->options->maxFailures;
+  const bool lastTry = maxFailures && task.failureCount + 1 >= maxFailures;
+  if (lastTry)
+    return false;
+  return context.isOutOfContact(attempt->worker) ||
+         isOverdue(*attempt, &step->requirements(), context);
+}
+
+// The one with the fewest unallocated cores, as for any other start.
+std::size_t workerForCopy(SchedulingContext& context, const StepAttempt& run,
+                          const TaskRequest& taskRequest, const BackfillAdmission& backfill) {
+  StepView& step = *run.step;
+  const Resources request = resourcesOf(taskRequest);
+  std::size_t best = noIndex;
+  for (auto index : eligibleWorkers(context, step).workerIndices) {
+    const WorkerView& worker = context.workers()[index];
+    if (!worker.isSchedulable() || worker.penalty() > 0 || worker.id() == run.attempt->worker ||
+        !admits(context, step, index, worker.guaranteedFree(), request))
+      continue;
+    const ClusterTime end = context.now() + expectedRuntime(context, step, worker, taskRequest);
+    if (backfill.delaysReservedStart(worker, request, end))
+      continue;
+    if (best == noIndex || worker.freeCores() < context.workers()[best].freeCores())
+      best = index;
+  }
+  return best;
+}
+
+}  // namespace
+
+void startRedundantCopies(SchedulingContext& context, const std::vector<StepAttempt>& redundant,
+                          const BackfillAdmission& backfill, PlanDraft& draft) {
+  for (const auto& run : redundant) {
+    if (draft.plan().redundantCopies >= maxCopiesPerPlan)
+      return;
+    if (!wantsCopy(run, context))
+      continue;
+    const Attempt& attempt = *run.attempt;
+    const Job& job = run.step->job();
+    const TaskRequest& request = job.requestOf(job.tasks[attempt.taskIndex]);
+    const std::size_t index = workerForCopy(context, run, request, backfill);
+    if (index == noIndex)
+      continue;
+    WorkerView& worker = context.workers()[index];
+    worker.allocate({nullptr, resourcesOf(request), context.now() + request.runtime, false, false});
+    Action action = startAction(ActionKind::start, draft.takeAttemptNumber(), attempt.job,
+                                attempt.taskIndex, worker.id(), request.memory);
+    action.redundantCopy = true;
+    draft.add(std::move(action));
+    ++draft.plan().redundantCopies;
+  }
+}
+
+}  // namespace aniseline::scheduling
--- /dev/null
+++ b/source/scheduling/resources.hpp
@@ -0,0 +1,38 @@
+// Amounts of what a worker offers and a task requests, with their arithmetic.
+#ifndef ANISELINE_SCHEDULING_RESOURCES_HPP
+#define ANISELINE_SCHEDULING_RESOURCES_HPP
+#include <cstdint>
+
+namespace aniseline::scheduling {
+
+struct Resources {
+  std::int64_t cores = 0;         // thousandths of a core
+  std::int64_t memory = 0;        // MB
+  std::int64_t accelerators = 0;  // whole devices
+
+  Resources& operator+=(const Resources& other) {
+    cores += other.cores;
+    memory += other.memory;
+    accelerators += other.accelerators;
+    return *this;
+  }
+  Resources& operator-=(const Resources& other) {
+    cores -= other.cores;
+    memory -= other.memory;
+    accelerators -= other.accelerators;
+    return *this;
+  }
+  friend Resources operator-(Resources left, const Resources& right) { return left -= right; }
+};
+
+/// The resources of anything that names them as the cluster state does: a worker's capacity, a
+/// task's request, an attempt.
+template <class Holder>
+Resources resourcesOf(const Holder& holder) {
+  return {std::int64_t(holder.cores), std::int64_t(holder.memory),
+          std::int64_t(holder.accelerators)};
+}
+
+}  // namespace aniseline::scheduling
+
+#endif  // ANISELINE_SCHEDULING_RESOURCES_HPP
--- /dev/null
+++ b/source/scheduling/slow_workers.cpp
@@ -0,0 +1,91 @@
+#include "scheduling/slow_workers.hpp"
+#include "scheduling/sorted_map_cursor.hpp"
+
+namespace aniseline::scheduling {
+
+namespace {
+
+// Fewer known workers in a pool give no median worth comparing with.
+constexpr std::size_t minimumPeers = 3;
+// A median below this share of the requested runtime is taken as this, so that workers are not
+// called slow for taking a fifth of what was requested.
+constexpr double minimumMedian = 0.1;
+// So many jobs that are overdue on one worker point to the worker, and not to their estimates. Each
+// counts as one multiple of the median, from this base on.
+constexpr std::size_t minimumOverdueJobs = 3;
+constexpr double overdueBaseSlowness = 2.5;
+// Multiples of the median past which a worker is penalised, and past which it gets no new work.
+constexpr double penalisedSlowness = 1.9;
+constexpr double excludedSlowness = 2.4;
+// One worker in so many of a pool may be passed over.
+constexpr std::size_t passedOverShare = 3;
+
+struct SlowWorker {
+  double slowness = 0;  // multiples of the pool's median runtime ratio
+  std::size_t workerIndex = 0;
+  auto operator<=>(const SlowWorker&) const = default;
+};
+
+using Medians = std::map<const PoolView*, double>;
+
+Medians mediansOf(const std::vector<WorkerView>& workers,
+                  const std::vector<const double*>& ratios) {
+  std::map<const PoolView*, std::vector<double>> ratiosByPool;
+  for (std::size_t index = 0; index < workers.size(); ++index) {
+    if (ratios[index])
+      ratiosByPool[&workers[index].pool()].push_back(*ratios[index]);
+  }
+  Medians medians;
+  for (auto& [pool, peers] : ratiosByPool) {
+    if (peers.size() < minimumPeers)
+      continue;
+    auto middle = peers.begin() + std::ptrdiff_t(peers.size() / 2);
+    std::nth_element(peers.begin(), middle, peers.end());
+    medians[pool] = *middle;
+  }
+  return medians;
+}
+
+double slownessOf(const WorkerView& worker, const double* ratio, const Medians& medians) {
+  double slowness = 0;
+  if (auto median = medians.find(&worker.pool()); ratio && median != medians.end())
+    slowness = *ratio / std::max(minimumMedian, median->second);
+  if (worker.overdueJobCount() >= minimumOverdueJobs)
+    slowness = std::max(slowness, overdueBaseSlowness + double(worker.overdueJobCount()));
+  return slowness;
+}
+
+}  // namespace
+
+void excludeSlowWorkers(SchedulingContext& context, const RuntimeRatios& runtimeRatios) {
+  auto& workers = context.workers();
+  SortedMapCursor cursor(runtimeRatios);
+  std::vector<const double*> ratios;
+  ratios.reserve(workers.size());
+  for (const auto& worker : workers)
+    ratios.push_back(cursor.find(worker.id()));
+  const Medians medians = mediansOf(workers, ratios);
+  std::vector<SlowWorker> slow;
+  for (std::size_t index = 0; index < workers.size(); ++index) {
+    if (workers[index].capacity().supportsSuspend)
+      continue;
+    const double slowness = slownessOf(workers[index], ratios[index], medians);
+    if (slowness > penalisedSlowness)
+      slow.push_back({slowness, index});
+  }
+  std::sort(slow.begin(), slow.end(), std::greater<>());
+  std::map<const PoolView*, std::size_t> passedOver;
+  for (const auto& [slowness, workerIndex] : slow) {
+    WorkerView& worker = workers[workerIndex];
+    std::size_t& count = passedOver[&worker.pool()];
+    if (passedOverShare * (count + 1) > worker.pool().workerCount)
+      continue;
+    ++count;
+    if (slowness > excludedSlowness)
+      worker.excludeFromNewWork();
+    else
+      worker.raisePenalty(slowWorkerPenalty);
+  }
+}
+
+}  // namespace aniseline::scheduling
--- a/tests/scheduling/planner_tests.cpp
+++ b/tests/scheduling/planner_tests.cpp
@@ -1,5 +1,4 @@
 #include "scheduling/planner.hpp"
-#include "scheduling/planner_work.hpp"
 
 #include <CppUTest/TestHarness.h>
 using namespace aniseline;
