--- a/tests/scheduling/planner_reference_tests.cpp
+++ b/tests/scheduling/planner_reference_tests.cpp
@@ -1,8 +1,8 @@
-// The planner plans what the plain one under tests/reference plans, whatever the cluster state:
-// cluster states made by random events, every field of every plan compared.
+// The planner plans what the reference planner plans, whatever the cluster state:
+// cluster states are made by random events, every field of every plan compared.
 // ANISELINE_PLANNER_STATES asks for more of them than a common run takes.
 #include "scheduling/planner.hpp"
-#include "reference/planner.hpp"
+#include "reference_planner.hpp"
 #include <CppUTest/TestHarness.h>
 
 using namespace aniseline;
@@ -38,10 +38,11 @@
   return text.str();
 }
 
-// What the plans of a run did in all, so that the comparison can't come to be of nothing.
-struct Seen {
+// Counts what the plans of a run did, so that the test fails when it no longer covers a part of the
+// planner.
+struct PlanCoverage {
   std::map<std::string, std::size_t> counts;
-  void note(const Plan& plan, const Reservation& before) {
+  void record(const Plan& plan, const Reservation& before) {
     static const char* const names[] = {"start", "stage", "go", "hold", "stop"};
     std::set<std::tuple<std::string, std::uint32_t>> parts;
     for (const auto& action : plan.record.actions) {
@@ -63,54 +64,55 @@
       ++counts["moved"];
     if (plan.excludedWorkers)
       ++counts["passed over"];
-    for (std::size_t standing = 1; standing < 3; ++standing)
-      if (plan.unitsByTargetStatus[standing])
-        ++counts["standing " + std::to_string(standing)];
+    for (std::size_t status = 1; status < 3; ++status)
+      if (plan.unitsByTargetStatus[status])
+        ++counts["standing " + std::to_string(status)];
     for (const auto& reason : plan.explanations)
       ++counts[reason.text.starts_with("holds") ? "holds" : reason.text];
   }
 };
 
-class RandomWorld {
+class RandomCluster {
  public:
-  RandomWorld(std::uint64_t seed, Seen& seen) : random(seed), seed(seed), seen(seen) {
-    small = random.chance(0.3);  // few workers and much work: all is full
-    takeConfig();
-    for (auto count = small ? random.between(1, 4) : random.between(3, 14); count > 0; --count)
-      newWorker();
+  RandomCluster(std::uint64_t seed, PlanCoverage& coverage)
+      : random(seed), seed(seed), coverage(coverage) {
+    overloaded = random.chance(0.3);  // few workers and much work: all is full
+    applyRandomConfig();
+    for (auto count = overloaded ? random.between(1, 4) : random.between(3, 14); count > 0; --count)
+      registerRandomWorker();
   }
   void round() {
     now += std::int64_t(random.chance(0.3) ? random.between(1000, 8000) : random.between(1, 900));
     for (auto count = random.chance(0.1) ? random.between(5, 20) : random.between(0, 3); count > 0;
          --count)
-      submit();
+      submitRandomJob();
     if (random.chance(0.03))
-      takeConfig();
+      applyRandomConfig();
     if (random.chance(0.25))
       disturbWorker();
     if (random.chance(0.1))
       disturbJob();
-    drawHints();
+    randomizeHints();
     for (int plans = random.chance(0.2) ? 2 : 1; plans > 0; --plans) {
-      compare();
+      comparePlans();
       now += random.between(0, 50);
     }
     for (const auto& [id, worker] : std::map<WorkerId, Worker>(clusterState.workers()))
       if (worker.state != WorkerState::removed && !random.chance(0.15))
-        sync(worker);
+        syncWorker(worker);
   }
 
  private:
   Random random;
   std::uint64_t seed;
-  Seen& seen;
-  bool small = false;
+  PlanCoverage& coverage;
+  bool overloaded = false;
   ClusterState clusterState;
   Planner planner;
-  reference::Planner plain;
-  LastContactAges silence;
+  reference::Planner referencePlanner;
+  LastContactAges contactAges;
   PlannerHints hints;
-  std::int64_t now = 1000, lastWorker = 0, lastJob = 0, rounds = 0;
+  std::int64_t now = 1000, lastWorker = 0, lastJob = 0, planCount = 0;
   std::uint64_t version = 0;
 
   void apply(Event event) { clusterState.apply(LogRecord{ClusterTime{now}, std::move(event)}); }
@@ -121,7 +123,7 @@
   std::string pool() { return oneOf<std::string>({"", "", "press", "store"}); }
   std::string rack() { return oneOf<std::string>({"", "A", "B", "C"}); }
 
-  void takeConfig() {
+  void applyRandomConfig() {
     const char* const flags[] = {"false", "true"};
     std::ostringstream text;
     text
@@ -148,7 +150,7 @@
     config.value().version = ConfigVersion{++version};
     apply(ConfigCommitted{config.value()});
   }
-  Capacity drawCapacity() {
+  Capacity randomCapacity() {
     Capacity capacity;
     capacity.cores = std::uint32_t(random.between(1, 12) * 1000);
     capacity.memory = std::uint64_t(random.between(4, 60) * 100);
@@ -166,21 +168,21 @@
     capacity.selfAssemblingGangs = random.chance(0.6);
     return capacity;
   }
-  void newWorker() {
+  void registerRandomWorker() {
     const WorkerId id{"m" + std::to_string((lastWorker++ * 7) % 23)};
-    apply(WorkerRegistered{id, Incarnation{std::uint64_t(lastWorker)}, drawCapacity()});
-    silence[id] = Duration{0};
+    apply(WorkerRegistered{id, Incarnation{std::uint64_t(lastWorker)}, randomCapacity()});
+    contactAges[id] = Duration{0};
   }
-  const Worker* someWorker() {
+  const Worker* randomWorker() {
     auto found = clusterState.workers().begin();
     std::advance(found, random.between(0, std::int64_t(clusterState.workers().size()) - 1));
     return &found->second;
   }
   void disturbWorker() {
-    const Worker worker = *someWorker();
+    const Worker worker = *randomWorker();
     const auto what = random.between(0, 8);
     if (what <= 1)
-      newWorker();
+      registerRandomWorker();
     else if (what == 2)
       apply(WorkerDrainStarted{worker.id, Duration{random.between(0, 3000)}, random.chance(0.5)});
     else if (what == 3)
@@ -194,19 +196,19 @@
           silent.abandoned.push_back(number);
       apply(silent);
     } else if (what == 6)
-      silence[worker.id] = Duration{random.between(0, 4000)};
+      contactAges[worker.id] = Duration{random.between(0, 4000)};
     else if (what == 7 && random.chance(0.5))
-      silence.erase(worker.id);
+      contactAges.erase(worker.id);
     else if (worker.state != WorkerState::removed) {
-      apply(WorkerRegistered{worker.id, worker.incarnation, drawCapacity()});
+      apply(WorkerRegistered{worker.id, worker.incarnation, randomCapacity()});
       apply(WorkerReconnected{worker.id});
-      silence[worker.id] = Duration{0};
+      contactAges[worker.id] = Duration{0};
     }
     if (random.chance(0.7))
       for (const auto& [id, other] : clusterState.workers())
         if (other.state != WorkerState::removed && random.chance(0.6)) {
           apply(WorkerReconnected{id});
-          silence[id] = Duration{0};
+          contactAges[id] = Duration{0};
         }
   }
   void disturbJob() {
@@ -225,7 +227,7 @@
     else if (random.chance(0.5))
       apply(JobCancelled{id});
   }
-  void drawHints() {
+  void randomizeHints() {
     if (random.chance(0.3)) {
       hints = PlannerHints{};
       for (const auto& [id, worker] : clusterState.workers())
@@ -237,7 +239,7 @@
           hints.urgentDemand[named] = random.between(0, 20'000);
     }
   }
-  TaskRequest drawTask() {
+  TaskRequest randomTask() {
     TaskRequest task;
     task.cores = std::uint32_t(random.chance(0.3) ? random.between(1, 14) * 1000
                                                   : random.between(1, 6) * 500);
@@ -248,57 +250,58 @@
     task.accelerators = random.chance(0.08) ? 1 : 0;
     return task;
   }
-  void submit() {
+  void submitRandomJob() {
     JobSubmission job;
     job.id = JobId{"job" + std::to_string((++lastJob * 37) % 1000)};
     job.queue = QueueName{"q" + std::to_string(random.between(0, 3))};
     if (random.chance(0.02))
       job.timetable.firstStart = ClusterTime{now};
     const auto steps = random.between(1, 3);
-    for (std::int64_t place = 0; place < steps; ++place) {
+    for (std::int64_t stepIndex = 0; stepIndex < steps; ++stepIndex) {
       StepRequest step;
-      step.name = std::to_string(place);
-      if (place > 0 && random.chance(0.6))
-        step.dependencies = {std::to_string(random.between(0, place - 1))};
+      step.name = std::to_string(stepIndex);
+      if (stepIndex > 0 && random.chance(0.6))
+        step.dependencies = {std::to_string(random.between(0, stepIndex - 1))};
       step.gang = random.chance(0.25);
       const auto tasks = random.chance(0.5) ? 1 : random.between(1, step.gang ? 5 : 12);
       const bool alike = random.chance(0.7);
       for (std::int64_t task = 0; task < tasks; ++task)
-        step.tasks.push_back(alike && task ? step.tasks.back() : drawTask());
-      auto& needs = step.requirements;
+        step.tasks.push_back(alike && task ? step.tasks.back() : randomTask());
+      auto& requirements = step.requirements;
       if (random.chance(0.2))
-        needs.requiredLabel = oneOf<std::string>({"colour", "foil"});
+        requirements.requiredLabel = oneOf<std::string>({"colour", "foil"});
       if (random.chance(0.15))
-        needs.preferredRack = rack();
+        requirements.preferredRack = rack();
       if (random.chance(0.15))
-        needs.maxPerWorker = std::uint32_t(random.between(1, 2));
-      needs.sameRack = random.chance(0.15);
-      needs.redundant = !step.gang && random.chance(0.3);
-      needs.longRunning = random.chance(0.03);
-      needs.checkpointed = random.chance(0.2);
+        requirements.maxPerWorker = std::uint32_t(random.between(1, 2));
+      requirements.sameRack = random.chance(0.15);
+      requirements.redundant = !step.gang && random.chance(0.3);
+      requirements.longRunning = random.chance(0.03);
+      requirements.checkpointed = random.chance(0.2);
       job.steps.push_back(std::move(step));
     }
     if (!clusterState.jobs().count(job.id))
       apply(JobAccepted{std::move(job)});
   }
-  void compare() {
-    reference::PlannerHints plainHints{hints.runtimeRatios, hints.urgentDemand};
+  void comparePlans() {
+    reference::PlannerHints referenceHints{hints.runtimeRatios, hints.urgentDemand};
     const bool explain = random.chance(0.5);
-    auto made = planner.makePlan(clusterState, ClusterTime{now}, silence, explain, hints);
-    const auto expected =
-        plain.makePlan(clusterState, ClusterTime{now}, silence, explain, plainHints);
-    const std::string where = "seed " + std::to_string(seed) + " plan " + std::to_string(++rounds);
-    STRCMP_EQUAL_TEXT(textOf(expected).c_str(), textOf(made).c_str(), where.c_str());
+    auto plan = planner.makePlan(clusterState, ClusterTime{now}, contactAges, explain, hints);
+    const auto expected = referencePlanner.makePlan(clusterState, ClusterTime{now}, contactAges,
+                                                    explain, referenceHints);
+    const std::string context =
+        "seed " + std::to_string(seed) + " plan " + std::to_string(++planCount);
+    STRCMP_EQUAL_TEXT(textOf(expected).c_str(), textOf(plan).c_str(), context.c_str());
     CHECK_EQUAL_TEXT(expected.changesNothing(clusterState.reservation()),
-                     made.changesNothing(clusterState.reservation()), where.c_str());
+                     plan.changesNothing(clusterState.reservation()), context.c_str());
     CHECK_TEXT(reference::Planner::nextPlanTime(clusterState, ClusterTime{now}) ==
                    Planner::nextPlanTime(clusterState, ClusterTime{now}),
-               where.c_str());
-    seen.note(made, clusterState.reservation());
+               context.c_str());
+    coverage.record(plan, clusterState.reservation());
     if (!random.chance(0.05))
-      apply(std::move(made.record));
+      apply(std::move(plan.record));
   }
-  void sync(const Worker& worker) {
+  void syncWorker(const Worker& worker) {
     WorkerSynced synced{
         worker.id, random.chance(0.8) ? worker.lastIssuedOrder : worker.lastAppliedOrder, {}};
     const bool slow = random.chance(0.1), bad = random.chance(0.1);
@@ -334,16 +337,16 @@
 
 TEST_GROUP(PlannerReference){};
 
-TEST(PlannerReference, plansWhatThePlainPlannerPlans) {
-  Seen seen;
+TEST(PlannerReference, plansEqualThoseOfTheReferencePlanner) {
+  PlanCoverage coverage;
   const std::size_t rounds = 40;
   for (std::uint64_t seed = 1; seed * rounds <= statesWanted() + rounds - 1; ++seed) {
-    RandomWorld world(seed, seen);
+    RandomCluster cluster(seed, coverage);
     for (std::size_t round = 0; round < rounds; ++round)
-      world.round();
+      cluster.round();
   }
   if (std::getenv("ANISELINE_PLANNER_STATES"))
-    for (const auto& [what, count] : seen.counts)
+    for (const auto& [what, count] : coverage.counts)
       std::printf("%s: %zu\n", what.c_str(), count);
   for (const char* what : {"start",
                            "stage",
@@ -369,5 +372,5 @@
                            "leaves room that urgent work has wanted lately",
                            "would delay the reserved start, or no worker has room",
                            "no worker that is here now could ever hold it"})
-    CHECK_TEXT(seen.counts[what] > 0, what);
+    CHECK_TEXT(coverage.counts[what] > 0, what);
 }
