--- a/source/checker/model/fingerprint.cpp
+++ b/source/checker/model/fingerprint.cpp
@@ -15,8 +15,9 @@
   OutputArchive archive;
   archive << node.selfMember << node.currentRole << node.currentTerm << node.votedFor
           << node.knownLeader;
-  archive << node.currentMembership << node.membershipIndex << node.base << node.latestSnapshot
-          << node.log;
+  archive << node.currentMembership << node.membershipIndex << node.latestSnapshot;
+  archive << node.log.base.index << node.log.base.term << node.log.base.membership
+          << node.log.entries;
   archive << node.committedIndex << node.votesGranted << node.preVoteElection;
   archive << age(node.leaderHeardAt, now, node.options.electionTimeoutMin);
   archive << node.joinAddress << std::uint64_t(node.maxLearners);
@@ -24,7 +25,7 @@
   archive << node.lastAppendRound << node.lastAppender << node.lastAppendTerm << node.verifiedIndex;
   archive << node.replicatedWithoutSelf;
   addIncoming(archive, node);
-  addDisk(archive, node);
+  addDisk(archive, node.writes);
   if (node.isLeader())
     addLeadership(archive, node, now);
   return std::move(archive.bytes);
@@ -33,75 +34,77 @@
 void RaftNodeFingerprint::addLeadership(OutputArchive& archive, const RaftNode& node,
                                         MonotonicTime now) {
   const Duration contactCap{node.options.electionTimeoutMax.milliseconds + 1};
-  const Duration pauseCap{2 * node.options.heartbeatInterval.milliseconds + 1};
-  constexpr Duration catchUpCap{250};  // after which what counts as caught up moves on
+  const Duration pauseCap{
+      RaftLimits::pauseHeartbeats * node.options.heartbeatInterval.milliseconds + 1};
   archive << node.caughtUpIndex << node.nextCaughtUpIndex;
-  archive << age(node.caughtUpIndexUpdatedAt, now, catchUpCap);
-  archive << node.firstIndexOfTerm << node.currentRound << node.transferringLeadership;
+  archive << age(node.caughtUpIndexUpdatedAt, now, RaftLimits::caughtUpInterval);
+  archive << node.firstIndexOfTerm << node.rounds.current() << node.transferringLeadership;
   archive << age(node.nextHeartbeatAt, now, Duration{0});
-  archive << age(node.lastBroadcastAt, now, node.options.heartbeatInterval);
+  archive << age(node.rounds.lastStart(), now, node.options.heartbeatInterval);
   archive << age(node.lastTickAt, now, pauseCap);
   archive << age(node.pauseGraceUntil, now, Duration{0});
   if (node.transferringLeadership)
     archive << age(node.transferDeadline, now, Duration{1});
-  RoundNumber lowestAcked = node.currentRound;
+  RoundNumber lowestAcked = node.rounds.current();
   for (const auto& [id, peer] : node.peers) {
-    archive << id << peer.nextIndex << peer.matchIndex << peer.resetRound << peer.matchRound
-            << peer.ackedRound;
-    archive << age(peer.lastHeard, now, node.options.electionTimeoutMin)
-            << age(peer.ackedRoundSentAt, now, contactCap);
-    archive << peer.hasLostState;
+    archive << id << peer.nextEntryIndex << peer.matchedIndex << peer.resetRound << peer.matchRound
+            << peer.acknowledgedRound;
+    archive << age(peer.lastReplyAt, now, node.options.electionTimeoutMin)
+            << age(peer.acknowledgedRoundSentAt, now, contactCap);
+    archive << peer.stateLost;
     addTransfers(archive, peer);
-    lowestAcked = std::min(lowestAcked, peer.ackedRound);
+    lowestAcked = std::min(lowestAcked, peer.acknowledgedRound);
+  }
+  for (const auto& start : node.rounds.starts) {
+    if (start.round > lowestAcked)
+      archive << start.round << age(start.at, now, contactCap);
   }
-  for (const auto& [number, sent] : node.roundStartTimes)
-    if (number > lowestAcked)
-      archive << number << age(sent, now, contactCap);
 }
 
-void RaftNodeFingerprint::addTransfers(OutputArchive& archive, const RaftNode::PeerProgress& peer) {
-  const auto add = [&](const RaftNode::ChunkProgress& chunks) {
+void RaftNodeFingerprint::addTransfers(OutputArchive& archive, const PeerProgress& peer) {
+  const auto add = [&](const ChunkProgress& chunks) {
     archive << chunks.acknowledgedOffset << chunks.sentOffset << chunks.lastChunkRound;
   };
-  archive << peer.snapshotTransfer.has_value();
-  if (peer.snapshotTransfer) {
-    archive << peer.snapshotTransfer->identity;
-    add(peer.snapshotTransfer->chunks);
+  archive << peer.activeSnapshot.has_value();
+  if (peer.activeSnapshot) {
+    archive << peer.activeSnapshot->identity;
+    add(peer.activeSnapshot->chunks);
   }
-  archive << peer.entryTransfer.has_value();
-  if (peer.entryTransfer) {
-    archive << peer.entryTransfer->index;
-    add(peer.entryTransfer->chunks);
+  archive << peer.activeEntry.has_value();
+  if (peer.activeEntry) {
+    archive << peer.activeEntry->index;
+    add(peer.activeEntry->chunks);
   }
   for (const auto& batch : peer.unacknowledgedBatches)
     archive << batch.lastIndex << std::uint64_t(batch.bytes);
   archive << std::uint64_t(peer.unacknowledgedBytes);
-  archive << std::uint64_t(peer.sendWindow.bytes) << peer.sendWindow.exhausted;
-  archive << (peer.sendWindow.fastestRoundTrip ? peer.sendWindow.fastestRoundTrip->milliseconds
-                                               : -1);
+  const SendWindow& window = peer.window;
+  archive << std::uint64_t(window.capacity) << window.exhausted;
+  archive << (window.fastestRoundTrip ? window.fastestRoundTrip->milliseconds : -1);
 }
 
 void RaftNodeFingerprint::addIncoming(OutputArchive& archive, const RaftNode& node) {
   archive << node.incomingSnapshot.has_value() << node.incomingEntry.has_value();
   if (node.incomingSnapshot)
-    archive << node.incomingSnapshot->identity << node.incomingSnapshot->bytes;
+    archive << node.incomingSnapshot->identity << node.incomingSnapshot->received.bytes;
   if (node.incomingEntry)
-    archive << node.incomingEntry->index << node.incomingEntry->term << node.incomingEntry->bytes;
+    archive << node.incomingEntry->index << node.incomingEntry->term
+            << node.incomingEntry->received.bytes;
   archive << node.outgoingSnapshot.has_value();
   if (node.outgoingSnapshot)
     archive << node.outgoingSnapshot->identity;
 }
 
-void RaftNodeFingerprint::addDisk(OutputArchive& archive, const RaftNode& node) {
-  archive << node.dirty << node.snapshotWritePending << node.syncedIndex << node.durableIndex
-          << node.ownVotePending;
-  if (node.dirty)
-    archive << node.dirtyFromIndex;
-  archive << node.writeInFlight.has_value();
-  if (node.writeInFlight)
-    archive << node.writeInFlight->lastIndex << node.writeInFlight->includesOwnVote;
-  for (const auto& [needs, message] : node.messagesAwaitingSync)
-    archive << std::int64_t(needs.value - node.nextVersion.value) << message;
+void RaftNodeFingerprint::addDisk(OutputArchive& archive, const WriteAheadQueue& writes) {
+  archive << writes.dirty << writes.snapshotPending << writes.synced << writes.durable
+          << writes.ownVotePending;
+  if (writes.dirty)
+    archive << writes.dirtyFromIndex;
+  archive << writes.underWay.has_value();
+  if (writes.underWay)
+    archive << writes.underWay->lastIndex << writes.underWay->includesOwnVote;
+  for (const auto& held : writes.heldMessages)
+    archive << std::int64_t(held.neededVersion.value - writes.nextVersion.value) << held.message;
 }
 
 namespace model {
--- a/source/checker/model/fingerprint.hpp
+++ b/source/checker/model/fingerprint.hpp
@@ -6,8 +6,9 @@
 
 namespace aniseline {
 
-// The one reader of a RaftNode's private state. A field that is added to RaftNode and changes what
-// it does must be added here: left out, the search takes two different states for one.
+// The one reader of the private state of a RaftNode and of its parts. A field that is added to one
+// of them and changes what it does must be added here: left out, the search takes two different
+// states for one.
 struct RaftNodeFingerprint {
   // Times are ages on the node's own clock, cut off where the node tells them apart no more; draws
   // of the election timer, calendar clocks and version numbers are left out.
@@ -15,9 +16,9 @@
 
  private:
   static void addLeadership(OutputArchive& archive, const RaftNode& node, MonotonicTime now);
-  static void addTransfers(OutputArchive& archive, const RaftNode::PeerProgress& peer);
+  static void addTransfers(OutputArchive& archive, const PeerProgress& peer);
   static void addIncoming(OutputArchive& archive, const RaftNode& node);
-  static void addDisk(OutputArchive& archive, const RaftNode& node);
+  static void addDisk(OutputArchive& archive, const WriteAheadQueue& writes);
 };
 
 namespace model {
--- a/source/raft/election.cpp
+++ b/source/raft/election.cpp
@@ -8,151 +8,168 @@
                                                    options.electionTimeoutMax.milliseconds)};
 }
 
+// Enters a later term, in which this node has neither voted nor heard a leader yet.
 void RaftNode::observeTerm(Term term, MonotonicTime now) {
   if (term <= currentTerm)
     return;
   currentTerm = term;
   votedFor = ControllerId{};
   knownLeader = ControllerId{};
-  persistFrom(lastIndex().next());
+  writes.persistFrom(lastIndex().next());
   if (currentRole != Role::learner)
-    changeRole(Role::follower, now);
+    becomeFollower(now);
 }
 
-void RaftNode::changeRole(Role role, MonotonicTime now) {
+// Or a learner, where this node does not vote.
+void RaftNode::becomeFollower(MonotonicTime now) {
   if (isLeader())
     replicatedWithoutSelf = std::min(replicatedIndexWithout(selfMember.id), committedIndex);
-  currentRole = role;
+  currentRole = isVoter() ? Role::follower : Role::learner;
   votesGranted.clear();
   preVoteElection = false;
-  if (role == Role::follower) {
-    if (!isVoter())
-      currentRole = Role::learner;
-    resetElectionTimer(now);
-    transferringLeadership = false;
+  transferringLeadership = false;
+  resetElectionTimer(now);
+}
+
+// A learner that the log has made a voter becomes a follower.
+void RaftNode::promoteIfVoter() {
+  if (currentRole == Role::learner && isVoter())
+    currentRole = Role::follower;
+}
+
+void RaftNode::becomeLeader(MonotonicTime now) {
+  currentRole = Role::leader;
+  votesGranted.clear();
+  preVoteElection = false;
+  knownLeader = selfMember.id;
+  transferringLeadership = false;
+  rounds.restart();
+  peers.clear();
+  const LogIndex next = lastIndex().next();
+  for (const auto& member : currentMembership) {
+    if (member.id != selfMember.id)
+      peers.emplace(member.id, PeerProgress{next, now, options});
   }
+  firstIndexOfTerm = next;  // the owner proposes its opening entry at once
+  caughtUpIndex = nextCaughtUpIndex = next;
+  caughtUpIndexUpdatedAt = now;
+  nextHeartbeatAt = now;
 }
 
-void RaftNode::campaign(MonotonicTime now, bool trial, bool leaderTransfer) {
+void RaftNode::campaign(ElectionKind kind, MonotonicTime now) {
   if (!isVoter())
     return;
   currentRole = Role::candidate;
   knownLeader = ControllerId{};
-  preVoteElection = trial;
+  preVoteElection = kind == ElectionKind::preVote;
   votesGranted.clear();
   resetElectionTimer(now);
-  if (!trial) {
+  if (preVoteElection) {
+    votesGranted.insert(selfMember.id);
+  } else {
     currentTerm = currentTerm.next();
     votedFor = selfMember.id;
-    ownVotePending = true;
-    if (writeInFlight)
-      writeInFlight->includesOwnVote = false;  // that write holds an earlier term's
-    persistFrom(lastIndex().next());
-  } else
-    votesGranted.insert(selfMember.id);
-  RequestVote ask;
-  ask.term = trial ? currentTerm.next() : currentTerm;
-  ask.preVote = trial;
-  ask.leaderTransfer = leaderTransfer;
-  ask.lastLogIndex = lastIndex();
-  ask.lastLogTerm = termAt(lastIndex());
-  for (const auto& entry : currentMembership)
-    if (entry.voter && entry.id != selfMember.id)
-      send(entry.id, ask);
-  if (trial)
+    writes.persistOwnVote(lastIndex().next());
+  }
+  requestVotes(kind);
+  if (preVoteElection)
     countVotes(now);
 }
 
+void RaftNode::requestVotes(ElectionKind kind) {
+  RequestVote request;
+  request.preVote = kind == ElectionKind::preVote;
+  request.leaderTransfer = kind == ElectionKind::leaderTransfer;
+  request.term = request.preVote ? currentTerm.next() : currentTerm;
+  request.lastLogIndex = lastIndex();
+  request.lastLogTerm = log.termAt(lastIndex());
+  for (const auto& member : currentMembership) {
+    if (member.voter && member.id != selfMember.id)
+      send(member.id, request);
+  }
+}
+
 void RaftNode::countVotes(MonotonicTime now) {
-  std::size_t given = 0;
-  for (const auto& entry : currentMembership)
-    given += entry.voter && votesGranted.count(entry.id);
-  // Its own vote is in once its term is synced: a leader that came back without it could lead the
+  const auto granted = std::count_if(
+      currentMembership.begin(), currentMembership.end(),
+      [&](const Member& member) { return member.voter && votesGranted.count(member.id); });
+  // Its own vote counts once its term is synced: a leader that restarted without it could lead the
   // same term again, with other entries. docs/design.md 3.3.
-  if (given < majoritySize() || !votesGranted.count(selfMember.id))
+  if (std::size_t(granted) < majoritySize() || !votesGranted.count(selfMember.id))
     return;
   if (preVoteElection)
-    campaign(now, false, false);
+    campaign(ElectionKind::election, now);
   else
     becomeLeader(now);
 }
 
-void RaftNode::becomeLeader(MonotonicTime now) {
-  changeRole(Role::leader, now);
-  knownLeader = selfMember.id;
-  transferringLeadership = false;
-  peers.clear();
-  roundStartTimes.clear();
-  currentRound = RoundNumber{};
-  for (const auto& entry : currentMembership)
-    if (entry.id != selfMember.id) {
-      PeerProgress& peer = peers[entry.id];
-      peer.nextIndex = lastIndex().next();
-      peer.lastHeard = peer.ackedRoundSentAt = now;
-    }
-  firstIndexOfTerm = lastIndex().next();  // the owner proposes its opening entry at once
-  caughtUpIndex = nextCaughtUpIndex = firstIndexOfTerm;
-  caughtUpIndexUpdatedAt = now;
-  nextHeartbeatAt = now;
-}
-
 void RaftNode::transferLeadership(MonotonicTime now) {
   if (!isLeader())
     return;
-  const Member* best = nullptr;
-  for (const auto& entry : currentMembership)
-    if (entry.voter && entry.id != selfMember.id &&
-        now - peers[entry.id].lastHeard < options.electionTimeoutMin &&
-        (!best || peers[entry.id].matchIndex > peers[best->id].matchIndex))
-      best = &entry;
-  if (!best)
+  const Member* successor = nullptr;
+  for (const auto& member : currentMembership) {
+    if (!member.voter || member.id == selfMember.id)
+      continue;
+    const bool heardLately = now - peers.at(member.id).lastHeard() < options.electionTimeoutMin;
+    const bool furtherAhead =
+        !successor || peers.at(member.id).matchIndex() > peers.at(successor->id).matchIndex();
+    if (heardLately && furtherAhead)
+      successor = &member;
+  }
+  if (!successor)
     return;
   transferringLeadership = true;
   transferDeadline = now + options.electionTimeoutMax;
-  broadcast(now, true);
-  send(best->id, TimeoutNow{currentTerm});
+  broadcast(now);
+  send(successor->id, TimeoutNow{currentTerm});
 }
 
 void RaftNode::handle(const PeerMessage& message, const RequestVote& body, MonotonicTime now) {
-  const auto* candidate = findMember(message.from);
-  if (!candidate && canServe() && membershipCommitted())
+  if (!findMember(message.from) && canServe() && membershipCommitted())
     return notifyRemoved(message.from);
-  // One that hears a leader does not help to unseat it. docs/design.md 3.2.
-  const bool content = isLeader() || (now - leaderHeardAt < options.electionTimeoutMin);
-  if (content && !body.leaderTransfer) {
-    send(message.from, RequestVoteReply{currentTerm, body.preVote, false});
-    return;
+  // A node that hears its leader does not help to replace it. docs/design.md 3.2.
+  const bool hearsLeader = isLeader() || now - leaderHeardAt < options.electionTimeoutMin;
+  if (hearsLeader && !body.leaderTransfer)
+    return send(message.from, RequestVoteReply{currentTerm, body.preVote, false});
+  if (body.preVote)
+    answerPreVote(message.from, body);
+  else
+    answerVote(message.from, body, now);
+}
+
+// A candidate needs a log that is at least as recent as this one. A learner votes too when it is
+// asked by its identity: the candidate's log may hold the change that made it a voter, which its
+// own does not hold yet, and that change may need its vote to be committed. docs/design.md 3.5.
+bool RaftNode::isEligible(const RequestVote& request) const {
+  const EntryPosition candidateLast{request.lastLogTerm, request.lastLogIndex};
+  const EntryPosition ownLast{log.termAt(lastIndex()), lastIndex()};
+  return candidateLast >= ownLast && request.term >= currentTerm && !removed;
+}
+
+void RaftNode::answerPreVote(const ControllerId& candidate, const RequestVote& request) {
+  const bool granted = isEligible(request);
+  // A refusal tells this node's term, so that a candidate that is behind catches up.
+  send(candidate, RequestVoteReply{granted ? request.term : currentTerm, true, granted});
+}
+
+void RaftNode::answerVote(const ControllerId& candidate, const RequestVote& request,
+                          MonotonicTime now) {
+  observeTerm(request.term, now);
+  const bool votedForOther = !votedFor.value.empty() && votedFor != candidate;
+  const bool granted = isEligible(request) && request.term == currentTerm && !votedForOther;
+  if (granted) {
+    votedFor = candidate;
+    writes.persistFrom(lastIndex().next());
+    resetElectionTimer(now);
   }
-  if (!body.preVote)
-    observeTerm(body.term, now);
-  const bool newer = std::tie(body.lastLogTerm, body.lastLogIndex) >=
-                     std::make_tuple(termAt(lastIndex()), lastIndex());
-  // A learner votes too when asked by its identity: the asker's log may hold the change that made
-  // it a voter, which its own does not hold yet, and that change may need its vote to be committed.
-  // docs/design.md 3.5.
-  bool given = newer && body.term >= currentTerm && !removed;
-  if (!body.preVote) {
-    given =
-        given && body.term == currentTerm && (votedFor.value.empty() || votedFor == message.from);
-    if (given) {
-      votedFor = message.from;
-      persistFrom(lastIndex().next());
-      resetElectionTimer(now);
-    }
-    sendAfterSync(message.from, RequestVoteReply{currentTerm, false, given});
-    if (!dirty && !writeInFlight)
-      persistFrom(lastIndex().next());
-  } else
-    send(message.from, RequestVoteReply{given ? body.term : currentTerm, true,
-                                        given});  // one behind must learn by how far
+  sendAfterSync(candidate, RequestVoteReply{currentTerm, false, granted});
+  if (writes.isIdle())
+    writes.persistFrom(lastIndex().next());  // so that there is a sync for the reply to wait for
 }
 
 void RaftNode::handle(const PeerMessage& message, const RequestVoteReply& body, MonotonicTime now) {
-  if (!body.voteGranted) {
-    if (body.term > currentTerm)
-      observeTerm(body.term, now);
-    return;
-  }
+  if (!body.voteGranted)
+    return observeTerm(body.term, now);
   if (currentRole != Role::candidate || preVoteElection != body.preVote)
     return;
   if (body.term != (body.preVote ? currentTerm.next() : currentTerm))
@@ -163,7 +180,7 @@
 
 void RaftNode::handle(const PeerMessage& message, const TimeoutNow& body, MonotonicTime now) {
   if (body.term == currentTerm && message.from == knownLeader)
-    campaign(now, false, true);
+    campaign(ElectionKind::leaderTransfer, now);
 }
 
 }  // namespace aniseline
--- /dev/null
+++ b/source/raft/leader_replication.cpp
@@ -0,0 +1,118 @@
+// The leader's side of log replication: rounds of AppendEntries, paced by each follower's send
+// window, and their replies. docs/design.md 3.2, 3.4.
+#include "raft/node.hpp"
+
+namespace aniseline {
+
+LogIndex RaftNode::propose(std::string payload, MonotonicTime now) {
+  log.append(LogEntry{currentTerm, false, std::move(payload)});
+  writes.persistFrom(lastIndex());
+  nextHeartbeatAt = std::min(nextHeartbeatAt, now);
+  return lastIndex();
+}
+
+RoundNumber RaftNode::startRound(MonotonicTime now) {
+  nextHeartbeatAt = std::min(nextHeartbeatAt, now);
+  return rounds.current().next();
+}
+
+void RaftNode::broadcast(MonotonicTime now) {
+  rounds.begin(now);
+  for (const auto& member : currentMembership) {
+    if (member.id != selfMember.id)
+      replicate(member.id, peers.at(member.id), SendMode::heartbeat);
+  }
+  nextHeartbeatAt = now + options.heartbeatInterval;
+  advanceCommitIndex();
+}
+
+// Sends what the follower needs next, in the form that suits it.
+void RaftNode::replicate(const ControllerId& to, PeerProgress& peer, SendMode mode) {
+  if (peer.nextIndex() <= log.baseIndex())
+    sendSnapshotChunks(to, peer, mode);
+  else if (isNextEntryTooLarge(peer))
+    sendEntryChunks(to, peer, mode);
+  else
+    sendEntries(to, peer, mode);
+}
+
+// An entry that was begun in chunks is also ended so, whatever the window is by then.
+bool RaftNode::isNextEntryTooLarge(PeerProgress& peer) const {
+  if (peer.isSendingEntryInChunks())
+    return true;
+  return peer.nothingUnacknowledged() && peer.nextIndex() <= lastIndex() &&
+         bytesOf(entry(peer.nextIndex())) > peer.sendWindow().bytes();
+}
+
+void RaftNode::sendEntries(const ControllerId& to, PeerProgress& peer, SendMode mode) {
+  AppendEntries body;
+  body.term = currentTerm;
+  body.previousLogIndex = indexBefore(peer.nextIndex());
+  body.previousLogTerm = log.termAt(body.previousLogIndex);
+  body.leaderCommit = committedIndex;
+  body.round = rounds.current();
+  body.replicatedWithoutReceiver = std::min(replicatedIndexWithout(to), committedIndex);
+  const std::size_t bytes = fillBatch(peer, body.entries);
+  if (body.entries.empty() && mode == SendMode::dataOnly)
+    return;
+  if (!body.entries.empty())
+    peer.recordSent(body.entries.size(), bytes);
+  send(to, std::move(body));
+}
+
+// Copies the next entries that fit the follower's window and one message. Returns their bytes.
+std::size_t RaftNode::fillBatch(PeerProgress& peer, std::vector<LogEntry>& entries) const {
+  std::size_t bytes = 0;
+  for (LogIndex index = peer.nextIndex(); index <= lastIndex(); index = index.next()) {
+    const std::size_t grown = bytes + bytesOf(entry(index));
+    if (!peer.fitsWindow(grown)) {
+      peer.sendWindow().noteExhausted();
+      break;
+    }
+    if (!entries.empty() && grown > options.maxBatchBytes)
+      break;
+    entries.push_back(entry(index));
+    bytes = grown;
+  }
+  return bytes;
+}
+
+// Notes what any reply of a follower tells: a later term, or contact in the answered round. Returns
+// the follower's progress, or null where the reply is to another leadership.
+PeerProgress* RaftNode::acceptReply(const ControllerId& from, Term term, RoundNumber answered,
+                                    WallTime wallTime, MonotonicTime now) {
+  if (term > currentTerm) {
+    observeTerm(term, now);
+    return nullptr;
+  }
+  const auto found = peers.find(from);
+  if (!isLeader() || term != currentTerm || found == peers.end())
+    return nullptr;
+  PeerProgress& peer = found->second;
+  peer.recordReply(wallTime, now);
+  if (peer.acknowledgeRound(answered)) {
+    if (const auto sentAt = rounds.startOf(answered))
+      peer.recordRoundTrip(*sentAt, now, options);
+  }
+  return &peer;
+}
+
+void RaftNode::handle(const PeerMessage& message, const AppendEntriesReply& body,
+                      MonotonicTime now) {
+  PeerProgress* peer = acceptReply(message.from, body.term, body.round, body.wallTime, now);
+  if (!peer || !peer->checkLastIndex(body.lastLogIndex, body.round))
+    return;
+  if (!body.success) {
+    if (peer->onMismatch(body.matchIndex, body.round, rounds.current(), log.baseIndex()))
+      replicate(message.from, *peer, SendMode::heartbeat);
+    return;
+  }
+  peer->onMatch(body.matchIndex, body.round);
+  if (body.matchIndex >= log.baseIndex())
+    peer->closeSnapshotTransfer();
+  advanceCommitIndex();
+  if (peer->nextIndex() <= lastIndex())
+    replicate(message.from, *peer, SendMode::dataOnly);
+}
+
+}  // namespace aniseline
--- a/source/raft/membership.cpp
+++ b/source/raft/membership.cpp
@@ -3,66 +3,63 @@
 
 namespace aniseline {
 
+// Takes the membership in force from the log, after the log has changed.
 void RaftNode::reloadMembership() {
-  currentMembership = base.membership;
-  membershipIndex = base.lastIncludedIndex;
-  for (std::uint64_t place = log.size(); place > 0; --place)
-    if (log[place - 1].isMembership) {
-      auto found = unpack<Membership>(log[place - 1].payload);
-      if (found)
-        currentMembership = found.value();
-      membershipIndex = LogIndex{base.lastIncludedIndex.value + place};
-      break;
-    }
+  auto effective = log.membershipAt(lastIndex());
+  currentMembership = std::move(effective.membership);
+  membershipIndex = effective.index;
 }
 
-// A blank one asks where its seeds point; a learner that hears no leader may have been put out
-// while it was away, and asks whoever it knew. docs/design.md 3.5.
+// A blank node asks where it was directed to. A learner that hears no leader may have been removed
+// while it was away, and asks every member that it knows. docs/design.md 3.5.
 void RaftNode::requestJoin(MonotonicTime now) {
-  auto ask = [&](const Address& address) {
-    outgoingMessages.push_back(
-        {selfMember.id, ControllerId{}, address, JoinRequest{selfMember}, selfMember.address});
-  };
-  if (isBlank() && !joinAddress.value.empty())
-    ask(joinAddress);
-  else if (!isBlank() && currentRole == Role::learner && now - leaderHeardAt > Duration{2000}) {
-    for (const auto& entry : currentMembership)
-      if (entry.id != selfMember.id)
-        ask(entry.address);
-    if (!joinAddress.value.empty())
-      ask(joinAddress);
-  } else
+  std::vector<Address> targets;
+  if (!isBlank()) {
+    const bool isCutOff = now - leaderHeardAt > RaftLimits::learnerSilence;
+    if (currentRole != Role::learner || !isCutOff)
+      return;
+    for (const auto& member : currentMembership) {
+      if (member.id != selfMember.id)
+        targets.push_back(member.address);
+    }
+  } else if (joinAddress.value.empty()) {
     return;
-  nextHeartbeatAt = now + Duration{500};
+  }
+  if (!joinAddress.value.empty())
+    targets.push_back(joinAddress);
+  for (const auto& target : targets)
+    outgoingMessages.push_back(
+        {selfMember.id, ControllerId{}, target, JoinRequest{selfMember}, selfMember.address});
+  nextHeartbeatAt = now + RaftLimits::joinRetryInterval;
 }
 
-std::optional<MembershipChangeRefusal> RaftNode::membershipChangeRefusal(const Membership& members,
+std::optional<MembershipChangeRefusal> RaftNode::membershipChangeRefusal(const Membership& proposed,
                                                                          MonotonicTime now) const {
-  const auto holdsLog = [&](const ControllerId& id) {
-    return isCaughtUp(id) && !hasLostState(id) &&
-           now - lastHeardFrom(id) <= options.electionTimeoutMax;
+  MembershipChange change{currentMembership, proposed, selfMember.id};
+  change.canServe = canServe();
+  change.currentCommitted = membershipCommitted();
+  change.isCaughtUp = [&](const ControllerId& id) {
+    const bool heardLately = now - lastHeardFrom(id) <= options.electionTimeoutMax;
+    return isCaughtUp(id) && !hasLostState(id) && heardLately;
   };
-  const auto lost = [&](const ControllerId& id) {
+  change.hasLostState = [&](const ControllerId& id) {
     return hasLostState(id);
   };
-  return checkMembershipChange({currentMembership, members, selfMember.id, canServe(),
-                                membershipCommitted(), holdsLog, lost});
+  return checkMembershipChange(change);
 }
 
-bool RaftNode::proposeMembership(const Membership& members, MonotonicTime now) {
-  if (membershipChangeRefusal(members, now))
+bool RaftNode::proposeMembership(const Membership& proposed, MonotonicTime now) {
+  if (membershipChangeRefusal(proposed, now))
     return false;
-  log.push_back(LogEntry{currentTerm, true, pack(members)});
-  persistFrom(lastIndex());
-  currentMembership = members;
+  log.append(LogEntry{currentTerm, true, pack(proposed)});
+  writes.persistFrom(lastIndex());
+  currentMembership = proposed;
   membershipIndex = lastIndex();
-  for (const auto& entry : currentMembership)
-    if (entry.id != selfMember.id && !peers.count(entry.id)) {
-      PeerProgress& peer = peers[entry.id];
-      peer.nextIndex = lastIndex().next();
-      peer.lastHeard = peer.ackedRoundSentAt = now;
-    }
-  std::erase_if(peers, [&](const auto& entry) { return !findMember(entry.first); });
+  for (const auto& member : currentMembership) {
+    if (member.id != selfMember.id)
+      peers.try_emplace(member.id, lastIndex().next(), now, options);
+  }
+  std::erase_if(peers, [&](const auto& peer) { return !findMember(peer.first); });
   nextHeartbeatAt = std::min(nextHeartbeatAt, now);
   return true;
 }
@@ -72,10 +69,10 @@
     return;
   currentTerm = currentTerm.next();
   votedFor = selfMember.id;
-  Member first = selfMember;
-  first.voter = true;
-  log.push_back(LogEntry{currentTerm, true, pack(Membership{first})});
-  persistFrom(lastIndex());
+  Member founder = selfMember;
+  founder.voter = true;
+  log.append(LogEntry{currentTerm, true, pack(Membership{founder})});
+  writes.persistFrom(lastIndex());
   reloadMembership();
   currentRole = Role::follower;
   resetElectionTimer(now);
@@ -85,64 +82,63 @@
   joinAddress = address;
 }
 
-// A member that speaks from a new address has moved with its disk: that is logged, so that everyone
-// finds it. docs/design.md 3.5.
+// A member that sends from a new address has moved with its disk. The log gets the new address, so
+// that every controller finds it. docs/design.md 3.5.
 void RaftNode::proposeMovedAddresses(MonotonicTime now) {
   Membership moved = currentMembership;
-  for (auto& entry : moved) {
-    auto heard = lastKnownAddresses.find(entry.id);
-    if (entry.id != selfMember.id && heard != lastKnownAddresses.end() &&
-        !heard->second.value.empty())
-      entry.address = heard->second;
-    if (entry.id == selfMember.id)
-      entry.address = selfMember.address;
+  for (auto& member : moved) {
+    if (member.id == selfMember.id) {
+      member.address = selfMember.address;
+      continue;
+    }
+    const auto known = lastKnownAddresses.find(member.id);
+    if (known != lastKnownAddresses.end() && !known->second.value.empty())
+      member.address = known->second;
   }
   if (moved != currentMembership)
     proposeMembership(moved, now);
 }
 
-// Only of members that are committed: what is not may never come to be, and then the asker is
-// needed. docs/design.md 3.5.
+// Only while the membership is committed: a change that is not may never be, and then the removed
+// member is still needed. docs/design.md 3.5.
 void RaftNode::notifyRemoved(const ControllerId& id) {
-  const auto [term, index] = latestMembershipEntry();
-  send(id, RemovedFromCluster{term, index, currentMembership});
+  const EntryPosition position = membershipPosition();
+  send(id, RemovedFromCluster{position.term, position.index, currentMembership});
 }
 
-std::pair<Term, LogIndex> RaftNode::latestMembershipEntry() const {
-  const LogIndex index = std::max(membershipIndex, base.lastIncludedIndex);
-  return {termAt(index), index};
+// Of the entry that the membership rests on: the change itself or, once that is compacted, the last
+// entry of the snapshot.
+EntryPosition RaftNode::membershipPosition() const {
+  const LogIndex index = std::max(membershipIndex, log.baseIndex());
+  return {log.termAt(index), index};
 }
 
-// The word of one leader is enough, since a committed entry is itself the word of a majority of the
-// members it names, and stays true whatever the term. What must be ruled out is an old word that
-// comes late: whoever was taken in again holds the entry that did it, which is a later one.
+// One leader's message is enough, since a committed entry was agreed on by a majority of the
+// members that it names, and stays true in every term. What has to be ruled out is an old message
+// that comes late: an identity that was admitted again holds the entry that admitted it, which is a
+// later one.
 void RaftNode::handle(const PeerMessage& message, const RemovedFromCluster& body, MonotonicTime) {
-  const auto named = [&](const ControllerId& id, bool voting) {
-    return std::any_of(body.membership.begin(), body.membership.end(), [&](const Member& entry) {
-      return entry.id == id && (entry.voter || !voting);
-    });
-  };
-  const bool later = std::make_pair(body.entryTerm, body.entryIndex) > latestMembershipEntry();
-  if (later && named(message.from, true) && !named(selfMember.id, false))
+  const bool isLater = EntryPosition{body.entryTerm, body.entryIndex} > membershipPosition();
+  const Member* sender = aniseline::findMember(body.membership, message.from);
+  const bool fromVoter = sender && sender->voter;
+  if (isLater && fromVoter && !aniseline::findMember(body.membership, selfMember.id))
     removed = true;
 }
 
 void RaftNode::handle(const PeerMessage&, const JoinRequest& body, MonotonicTime now) {
   if (!canServe() || findMember(body.member.id) || !membershipCommitted())
     return;
-  Membership members = currentMembership;
-  // The same address under a new identity: the old learner there is no more.
-  std::erase_if(members, [&](const Member& entry) {
-    return !entry.voter && entry.address == body.member.address;
+  Membership proposed = currentMembership;
+  // A learner with the same address was replaced by this identity.
+  std::erase_if(proposed, [&](const Member& member) {
+    return !member.voter && member.address == body.member.address;
   });
-  const auto learners = std::count_if(members.begin(), members.end(),
-                                      [](const Member& entry) { return !entry.voter; });
-  if (std::size_t(learners) >= maxLearners)
+  if (proposed.size() - countVoters(proposed) >= maxLearners)
     return;
   Member learner = body.member;
   learner.voter = false;
-  members.push_back(learner);
-  proposeMembership(members, now);
+  proposed.push_back(learner);
+  proposeMembership(proposed, now);
 }
 
 }  // namespace aniseline
--- a/source/raft/membership_change.cpp
+++ b/source/raft/membership_change.cpp
@@ -4,52 +4,52 @@
 
 namespace {
 
-using Voters = std::set<ControllerId>;
+using VoterIds = std::set<ControllerId>;
 
-Voters votersOf(const Membership& members) {
-  Voters voters;
-  for (const auto& member : members)
+VoterIds votersOf(const Membership& membership) {
+  VoterIds voters;
+  for (const auto& member : membership) {
     if (member.voter)
       voters.insert(member.id);
+  }
   return voters;
 }
 
-Voters onlyIn(const Voters& left, const Voters& right) {
-  Voters only;
+VoterIds difference(const VoterIds& left, const VoterIds& right) {
+  VoterIds only;
   std::set_difference(left.begin(), left.end(), right.begin(), right.end(),
                       std::inserter(only, only.end()));
   return only;
 }
 
-std::size_t majorityOf(std::size_t voters) {
-  return voters / 2 + 1;
-}
-
-bool listsTwice(const Membership& members) {
+bool hasDuplicates(const Membership& membership) {
   std::set<ControllerId> ids;
-  for (const auto& member : members)
+  for (const auto& member : membership) {
     if (!ids.insert(member.id).second)
       return true;
+  }
   return false;
 }
 
-// Who votes changes: the members that stay must by themselves be a majority of the old voters, so
-// that the copy of a removed one is missed by nobody, and the new voters must have a majority
-// without waiting for anyone to catch up.
-std::optional<MembershipChangeRefusal> refusalOfVoters(const MembershipChange& change,
-                                                       const Voters& from, const Voters& to) {
-  for (const auto& id : onlyIn(to, from))
+// A change of voters: the members that stay have to be a majority of the present voters by
+// themselves, so that the copy of a removed one is not missed, and the proposed voters have to have
+// a majority without waiting for anyone to catch up.
+std::optional<MembershipChangeRefusal> checkVoterChange(const MembershipChange& change,
+                                                        const VoterIds& current,
+                                                        const VoterIds& proposed) {
+  for (const auto& id : difference(proposed, current)) {
     if (!change.isCaughtUp(id))
       return MembershipChangeRefusal::newVoterBehind;
-  const auto holders = [&](const Voters& voters) {
+  }
+  const auto caughtUp = [&](const VoterIds& voters) {
     return std::size_t(std::count_if(voters.begin(), voters.end(), change.isCaughtUp));
   };
-  // Of one that lost its state nothing is counted on: neither its copy nor its place.
-  const auto gone = std::count_if(from.begin(), from.end(), change.hasLostState);
-  const Voters staying = onlyIn(from, onlyIn(from, to));
-  if (holders(staying) < majorityOf(from.size() - std::size_t(gone)))
+  // A voter that lost its state counts neither as a copy nor in the size of the majority.
+  const auto lost = std::count_if(current.begin(), current.end(), change.hasLostState);
+  const VoterIds staying = difference(current, difference(current, proposed));
+  if (caughtUp(staying) < majorityOf(current.size() - std::size_t(lost)))
     return MembershipChangeRefusal::oldMajorityMissing;
-  if (holders(to) < majorityOf(to.size()))
+  if (caughtUp(proposed) < majorityOf(proposed.size()))
     return MembershipChangeRefusal::newMajorityMissing;
   return std::nullopt;
 }
@@ -73,19 +73,20 @@
     return MembershipChangeRefusal::notServing;
   if (!change.currentCommitted)
     return MembershipChangeRefusal::changeInProgress;
-  if (listsTwice(change.proposed))
+  if (hasDuplicates(change.proposed))
     return MembershipChangeRefusal::duplicateMember;
-  const Voters from = votersOf(change.current);
-  const Voters to = votersOf(change.proposed);
-  if (!to.count(change.leader))
+  const VoterIds current = votersOf(change.current);
+  const VoterIds proposed = votersOf(change.proposed);
+  if (!proposed.count(change.leader))
     return MembershipChangeRefusal::leaderRemoved;
-  const std::size_t changed = onlyIn(from, to).size() + onlyIn(to, from).size();
+  const std::size_t changed =
+      difference(current, proposed).size() + difference(proposed, current).size();
   if (changed > 1)
     return MembershipChangeRefusal::multipleVotersChanged;
-  // Learners and addresses are in no majority.
+  // Learners and addresses belong to no majority.
   if (changed == 0)
     return std::nullopt;
-  return refusalOfVoters(change, from, to);
+  return checkVoterChange(change, current, proposed);
 }
 
 }  // namespace aniseline
--- a/source/raft/membership_change.hpp
+++ b/source/raft/membership_change.hpp
@@ -1,33 +1,47 @@
-// The preconditions of a change of members, all in one place. docs/design.md 3.5.
+// The preconditions of a membership change, all in one place. A leader checks them before it
+// proposes one; they hold no state. docs/design.md 3.5.
 #ifndef ANISELINE_RAFT_MEMBERSHIP_CHANGE_HPP
 #define ANISELINE_RAFT_MEMBERSHIP_CHANGE_HPP
 #include "raft/node.hpp"
 
 namespace aniseline {
 
-// Why a leader does not propose a change of members.
+// Why a leader does not propose a membership change.
 enum class MembershipChangeRefusal : std::uint8_t {
-  notServing,        // it has no committed entry of its own term, or is handing leadership over
-  changeInProgress,  // the members in force are not committed yet: one change at a time
-  duplicateMember,   // one identity stands twice in the new list
-  leaderRemoved,     // the leader would not vote any more
-  multipleVotersChanged,  // majorities of the old and the new voters need not overlap
-  newVoterBehind,         // who is to vote does not hold the log yet, or is not heard
-  oldMajorityMissing,     // those who stay hold the log in less than a majority of the old voters
-  newMajorityMissing,     // and in less than a majority of the new ones
+  // The leader has no committed entry of its own term, or is handing leadership over.
+  notServing,
+  // The membership in force is not committed yet: one change is made at a time.
+  changeInProgress,
+  // One identity stands twice in the proposed membership.
+  duplicateMember,
+  // The leader itself would not vote any more.
+  leaderRemoved,
+  // More than one voter differs, so that majorities before and after need not overlap.
+  multipleVotersChanged,
+  // The new voter does not hold the log yet, or is not heard from.
+  newVoterBehind,
+  // Those who stay and hold the log are no majority of the present voters.
+  oldMajorityMissing,
+  // Those who hold the log are no majority of the proposed voters.
+  newMajorityMissing,
 };
+// The reason in words, for people: part of log events.
 const char* name(MembershipChangeRefusal refusal);
 
 // What a change is judged by.
 struct MembershipChange {
-  const Membership& current;  // in force
+  const Membership& current;
   const Membership& proposed;
   const ControllerId& leader;
   bool canServe = false;          // the leader has a committed entry of its own term
-  bool currentCommitted = false;  // `from` is committed
-  std::function<bool(const ControllerId&)> isCaughtUp;    // heard lately, and caught up
-  std::function<bool(const ControllerId&)> hasLostState;  // what it once acknowledged is gone
+  bool currentCommitted = false;  // the membership in force is committed
+  // The member was heard from lately and holds the log.
+  std::function<bool(const ControllerId&)> isCaughtUp{};
+  // The member's disk does not hold what it once acknowledged.
+  std::function<bool(const ControllerId&)> hasLostState{};
 };
+
+// Why a leader may not make this change; nothing where it may.
 std::optional<MembershipChangeRefusal> checkMembershipChange(const MembershipChange& change);
 
 }  // namespace aniseline
--- a/source/raft/node.cpp
+++ b/source/raft/node.cpp
@@ -1,5 +1,4 @@
-// The consensus node: its construction, its clock, and how messages reach their handlers.
-// docs/design.md 3.
+// The construction of a node, its clock, and the dispatch of messages. docs/design.md 3.
 #include "raft/node.hpp"
 
 namespace aniseline {
@@ -15,25 +14,13 @@
   for (const auto& record : restored) {
     currentTerm = record.term;
     votedFor = record.votedFor;
-    if (record.holdsSnapshot) {
+    if (record.holdsSnapshot)
       latestSnapshot = record.snapshot;
-      base = Snapshot{record.snapshot.lastIncludedIndex,
-                      record.snapshot.lastIncludedTerm,
-                      record.snapshot.membership,
-                      {}};
-      log = record.entries;
-      logRecordCount = 0;
-    } else {
-      if (!record.entries.empty()) {
-        log.resize(record.firstIndex.value - base.lastIncludedIndex.value - 1);
-        log.insert(log.end(), record.entries.begin(), record.entries.end());
-      }
-      ++logRecordCount;
-    }
-    nextVersion = record.version.next();
+    log.restore(record);
+    writes.noteRestored(record);
   }
-  committedIndex = base.lastIncludedIndex;
-  syncedIndex = durableIndex = lastIndex();
+  committedIndex = log.baseIndex();
+  writes.finishRestore(lastIndex());
   reloadMembership();
   currentRole = isVoter() ? Role::follower : Role::learner;
   resetElectionTimer(now);
@@ -45,94 +32,100 @@
 }
 
 const Member* RaftNode::findMember(const ControllerId& id) const {
-  for (const auto& entry : currentMembership)
-    if (entry.id == id)
-      return &entry;
-  return nullptr;
+  return aniseline::findMember(currentMembership, id);
 }
 
-std::size_t RaftNode::majoritySize() const {
-  return std::size_t(std::count_if(currentMembership.begin(), currentMembership.end(),
-                                   [](auto& entry) { return entry.voter; })) /
-             2 +
-         1;
+WallTime RaftNode::wallTimeAt(MonotonicTime now) const {
+  return wallTimeAtTick + (now - lastTickAt);
 }
 
-Term RaftNode::termAt(LogIndex index) const {
-  if (index == base.lastIncludedIndex)
-    return base.lastIncludedTerm;
-  if (index < base.lastIncludedIndex || index > lastIndex())
-    return Term{};
-  return entry(index).term;
+// Prefers the address that a member last sent from: it may have come back at another one, which the
+// log does not hold yet.
+Address RaftNode::addressOf(const ControllerId& id) const {
+  if (auto known = lastKnownAddresses.find(id); known != lastKnownAddresses.end())
+    return known->second;
+  const auto* member = findMember(id);
+  return member ? member->address : Address{};
 }
 
-Address RaftNode::addressOf(const ControllerId& id) const {
-  // Where it last spoke from: a member may have come back at another address, which its log does
-  // not say yet.
-  if (auto heard = lastKnownAddresses.find(id); heard != lastKnownAddresses.end())
-    return heard->second;
-  const auto* found = findMember(id);
-  return found ? found->address : Address{};
+PeerMessage RaftNode::addressed(const ControllerId& to, PeerBody body) const {
+  return PeerMessage{selfMember.id, to, addressOf(to), std::move(body), selfMember.address};
 }
 
 void RaftNode::send(const ControllerId& to, PeerBody body) {
-  outgoingMessages.push_back(
-      PeerMessage{selfMember.id, to, addressOf(to), std::move(body), selfMember.address});
+  outgoingMessages.push_back(addressed(to, std::move(body)));
 }
 
-// docs/design.md 3.3: what rests on durable state leaves only when that state is synced.
+// For what rests on durable state: it leaves only when that state is synced. docs/design.md 3.3.
 void RaftNode::sendAfterSync(const ControllerId& to, PeerBody body) {
-  messagesAwaitingSync.emplace_back(nextVersion, PeerMessage{selfMember.id, to, addressOf(to),
-                                                             std::move(body), selfMember.address});
+  writes.sendAfterSync(addressed(to, std::move(body)));
 }
 
 void RaftNode::tick(MonotonicTime now, WallTime wall) {
   currentTime = now;
+  notePause(now);
   wallTimeAtTick = wall;
-  wallAt = now;
-  // After a pause of our own the answers of others may lie unread: our lateness says nothing of
-  // them. docs/design.md 3.2.
-  if (now - lastTickAt > Duration{2 * options.heartbeatInterval.milliseconds})
+  discardIdleTransfers();
+  if (isLeader())
+    tickAsLeader(now);
+  else
+    tickAsFollower(now);
+}
+
+// After a pause of this process the others' answers may lie unread, so that its own lateness says
+// nothing of them. docs/design.md 3.2.
+void RaftNode::notePause(MonotonicTime now) {
+  const Duration pause{RaftLimits::pauseHeartbeats * options.heartbeatInterval.milliseconds};
+  if (now - lastTickAt > pause)
     pauseGraceUntil = now + options.electionTimeoutMin;
   lastTickAt = now;
-  discardIdleTransfers();
-  if (isLeader()) {
-    // A leader that has not heard from a majority for the longest election time may have been
-    // replaced. docs/design.md 3.2.
-    const Duration unheard = currentMembership.size() > 1 ? now - lastQuorumContact() : Duration{0};
-    if (unheard > options.electionTimeoutMax &&
-        (now >= pauseGraceUntil ||
-         unheard > Duration{5 * options.electionTimeoutMax.milliseconds})) {
-      knownLeader = ControllerId{};
-      changeRole(Role::follower, now);
-      return;
-    }
-    updateCaughtUpIndex(now);
-    if (transferringLeadership && now > transferDeadline)
-      transferringLeadership = false;
-    // A few rounds at a time: where the others are slow what is wanted meanwhile goes together into
-    // the next. docs/design.md 3.2.
-    const bool mayBegin =
-        currentRound.value - confirmedRound().value < options.maxUnconfirmedRounds ||
-        now - lastBroadcastAt >= options.heartbeatInterval;
-    if (now >= nextHeartbeatAt && mayBegin)
-      broadcast(now, true);
+}
+
+// A leader without contact to a majority for the maximal election timeout may have been replaced.
+// docs/design.md 3.2.
+bool RaftNode::hasLostQuorum(MonotonicTime now) const {
+  if (currentMembership.size() <= 1)
+    return false;
+  const Duration silence = now - lastQuorumContact();
+  if (silence <= options.electionTimeoutMax)
+    return false;
+  const Duration longest{RaftLimits::pausedElectionTimeouts *
+                         options.electionTimeoutMax.milliseconds};
+  return now >= pauseGraceUntil || silence > longest;
+}
+
+void RaftNode::tickAsLeader(MonotonicTime now) {
+  if (hasLostQuorum(now)) {
+    knownLeader = ControllerId{};
+    becomeFollower(now);
     return;
   }
+  updateCaughtUpIndex(now);
+  if (transferringLeadership && now > transferDeadline)
+    transferringLeadership = false;
+  // Only a few rounds are unconfirmed at a time: where the others are slow, what is wanted
+  // meanwhile shares the next round. docs/design.md 3.2.
+  const std::uint64_t unconfirmed = rounds.current().value - confirmedRound().value;
+  const bool mayBegin = unconfirmed < options.maxUnconfirmedRounds ||
+                        now - rounds.lastStart() >= options.heartbeatInterval;
+  if (now >= nextHeartbeatAt && mayBegin)
+    broadcast(now);
+}
+
+void RaftNode::tickAsFollower(MonotonicTime now) {
   if (now >= nextHeartbeatAt)
     requestJoin(now);
-  if (isVoter() && currentRole == Role::learner)
-    currentRole = Role::follower;
+  promoteIfVoter();
   if (currentRole != Role::learner && now >= electionDeadline && !removed)
-    campaign(now, true, false);
+    campaign(ElectionKind::preVote, now);
 }
 
 void RaftNode::receive(const PeerMessage& message, MonotonicTime now) {
   currentTime = std::max(currentTime, now);
-  const bool isJoin = message.body.type() == typeid(JoinRequest);
-  if (!isJoin && message.to != selfMember.id)
-    return;  // meant for another identity at this address
-  if (lastKnownAddresses.size() > 64)
+  const bool isJoinRequest = message.body.type() == typeid(JoinRequest);
+  if (!isJoinRequest && message.to != selfMember.id)
+    return;
+  if (lastKnownAddresses.size() > RaftLimits::rememberedAddresses)
     lastKnownAddresses.clear();
   lastKnownAddresses[message.from] = message.fromAddress;
   boost::apply_visitor([&](const auto& body) { handle(message, body, now); }, message.body);
--- a/source/raft/node.hpp
+++ b/source/raft/node.hpp
@@ -1,490 +1,315 @@
-// The controllers' raft on one log: terms, votes, replication, membership. Sans-IO.
+// One controller's part in the Raft consensus on the replicated log: elections, replication,
+// snapshots, membership and durability. It does no input or output of its own: its owner, the
+// Controller, passes in the time, received messages and completed disk writes, and takes the
+// messages and records that result. All calls come from the owner's one thread.
 // docs/design.md 3.
+//
+// The implementation is split by concern: node.cpp (construction, clock, dispatch), election.cpp,
+// leader_replication.cpp, follower_replication.cpp, quorum.cpp, chunk_transfer.cpp,
+// snapshot_transfer.cpp, membership.cpp and persistence.cpp.
 #ifndef ANISELINE_RAFT_NODE_HPP
 #define ANISELINE_RAFT_NODE_HPP
-#include "base/types.hpp"
+#include "raft/heartbeat_rounds.hpp"
+#include "raft/messages.hpp"
+#include "raft/options.hpp"
+#include "raft/peer_progress.hpp"
+#include "raft/raft_log.hpp"
+#include "raft/write_ahead_queue.hpp"
 
 namespace aniseline {
 
-struct Member {
-  ControllerId id;
-  Address address;  // where other processes of the system reach it
-  ZoneName zone;
-  bool voter = false;
-  bool operator==(const Member&) const = default;
-  template <class Archive>
-  void serialize(Archive& archive, unsigned) {
-    archive& id& address& zone& voter;
-  }
-};
-using Membership = std::vector<Member>;
-
-struct LogEntry {
-  Term term;
-  bool isMembership =
-      false;  // the payload is a packed Members list, in force from the moment it is in the log
-  std::string payload;
-  template <class Archive>
-  void serialize(Archive& archive, unsigned) {
-    archive& term& isMembership& payload;
-  }
-};
-
-// What an entry takes of memory and of a link: its payload and about as much as its head.
-inline std::size_t bytesOf(const LogEntry& entry) {
-  return entry.payload.size() + sizeof(LogEntry);
-}
-
-// Everything up to an index, folded. docs/design.md 3.4.
-struct Snapshot {
-  LogIndex lastIncludedIndex;
-  Term lastIncludedTerm;
-  Membership membership;
-  std::string state;
-  template <class Archive>
-  void serialize(Archive& archive, unsigned) {
-    archive& lastIncludedIndex& lastIncludedTerm& membership& state;
-  }
-};
-
-// One version of a controller's durable state, one file on disk. docs/design.md 3.3.
-struct WriteAheadRecord {
-  DiskVersion version;
-  bool holdsSnapshot =
-      false;  // holds a view and the whole log after it; else only what follows `first`
-  Term term;
-  ControllerId votedFor;
-  Snapshot snapshot;
-  LogIndex firstIndex;
-  std::vector<LogEntry> entries;
-  template <class Archive>
-  void serialize(Archive& archive, unsigned) {
-    archive& version& holdsSnapshot& term& votedFor& snapshot& firstIndex& entries;
-  }
-};
-
-struct RequestVote {
-  Term term;
-  bool preVote = false;         // a pre-vote: would you?
-  bool leaderTransfer = false;  // the leader itself asked for this election
-  LogIndex lastLogIndex;
-  Term lastLogTerm;
-  template <class Archive>
-  void serialize(Archive& archive, unsigned) {
-    archive& term& preVote& leaderTransfer& lastLogIndex& lastLogTerm;
-  }
-};
-struct RequestVoteReply {
-  Term term;
-  bool preVote = false;
-  bool voteGranted = false;
-  template <class Archive>
-  void serialize(Archive& archive, unsigned) {
-    archive& term& preVote& voteGranted;
-  }
-};
-struct AppendEntries {
-  Term term;
-  LogIndex previousLogIndex;
-  Term previousLogTerm;
-  std::vector<LogEntry> entries;
-  LogIndex leaderCommit;
-  RoundNumber round;
-  LogIndex replicatedWithoutReceiver{};  // up to here a majority of the voters, heard lately and
-                                         // without the one that is told, holds the log
-  template <class Archive>
-  void serialize(Archive& archive, unsigned) {
-    archive& term& previousLogIndex& previousLogTerm& entries& leaderCommit& round&
-        replicatedWithoutReceiver;
-  }
-};
-struct AppendEntriesReply {
-  Term term;
-  bool success = false;
-  LogIndex matchIndex;  // synced up to here; of a mismatch: try from here
-  LogIndex lastLogIndex;
-  RoundNumber round;
-  WallTime wallTime;
-  template <class Archive>
-  void serialize(Archive& archive, unsigned) {
-    archive& term& success& matchIndex& lastLogIndex& round& wallTime;
-  }
-};
-// Which snapshot a chunk is of. What was received of it may be continued by whoever sends the same.
-struct SnapshotIdentity {
-  LogIndex lastIncludedIndex;
-  Term lastIncludedTerm;
-  std::uint64_t totalBytes = 0;  // of the packed Snapshot, in bytes
-  std::uint32_t checksum = 0;    // its checksum
-  bool operator==(const SnapshotIdentity&) const = default;
-  template <class Archive>
-  void serialize(Archive& archive, unsigned) {
-    archive& lastIncludedIndex& lastIncludedTerm& totalBytes& checksum;
-  }
-};
-struct InstallSnapshot {  // one chunk; without data it asks how far the transfer is
-  Term term;
-  SnapshotIdentity snapshot;
-  std::uint64_t offset = 0;
-  std::string data;
-  RoundNumber round;
-  template <class Archive>
-  void serialize(Archive& archive, unsigned) {
-    archive& term& snapshot& offset& data& round;
-  }
-};
-struct InstallSnapshotReply {
-  Term term;
-  SnapshotIdentity snapshot;
-  std::uint64_t nextOffset = 0;  // the offset from which on nothing is there yet
-  RoundNumber round;
-  WallTime wallTime;
-  template <class Archive>
-  void serialize(Archive& archive, unsigned) {
-    archive& term& snapshot& nextOffset& round& wallTime;
-  }
-};
-struct AppendEntryChunk {  // of one entry that is larger than what may be under way at once
-  Term term;
-  LogIndex previousLogIndex;
-  Term previousLogTerm;
-  LogIndex leaderCommit;
-  Term entryTerm;
-  bool isMembership = false;
-  std::uint64_t totalBytes = 0;  // of the entry's payload
-  std::uint64_t offset = 0;
-  std::string data;
-  RoundNumber round;
-  template <class Archive>
-  void serialize(Archive& archive, unsigned) {
-    archive& term& previousLogIndex& previousLogTerm& leaderCommit& entryTerm& isMembership&
-        totalBytes& offset& data& round;
-  }
-};
-struct AppendEntryChunkReply {
-  Term term;
-  LogIndex index;
-  Term entryTerm;
-  std::uint64_t nextOffset = 0;  // the offset from which on nothing is there yet
-  RoundNumber round;
-  WallTime wallTime;
-  template <class Archive>
-  void serialize(Archive& archive, unsigned) {
-    archive& term& index& entryTerm& nextOffset& round& wallTime;
-  }
-};
-struct TimeoutNow {
-  Term term;
-  template <class Archive>
-  void serialize(Archive& archive, unsigned) {
-    archive& term;
-  }
-};
-struct JoinRequest {  // a new identity asks to learn
-  Member member;
-  template <class Archive>
-  void serialize(Archive& archive, unsigned) {
-    archive& member;
-  }
-};
-// A leader tells an identity that it is no member any more. It says which committed change shows
-// it, so that whoever is told can check it against its own log. docs/design.md 3.5.
-struct RemovedFromCluster {
-  Term entryTerm;  // of the committed membership entry
-  LogIndex entryIndex{};
-  Membership membership{};  // in force since that entry
-  template <class Archive>
-  void serialize(Archive& archive, unsigned) {
-    archive& entryTerm& entryIndex& membership;
-  }
-};
-using PeerBody = boost::variant<RequestVote, RequestVoteReply, AppendEntries, AppendEntriesReply,
-                                InstallSnapshot, InstallSnapshotReply, AppendEntryChunk,
-                                AppendEntryChunkReply, TimeoutNow, JoinRequest, RemovedFromCluster>;
-struct PeerMessage {
-  ControllerId from;
-  ControllerId to;  // an identity, never just an address; empty only for Join
-  Address toAddress;
-  PeerBody body;
-  Address fromAddress;
-  template <class Archive>
-  void serialize(Archive& archive, unsigned) {
-    archive& from& to& toAddress& body& fromAddress;
-  }
-};
-// What a message takes of memory and of a link, but for its head.
-std::size_t payloadBytes(const PeerMessage& message);
-
-struct RaftOptions {
-  Duration heartbeatInterval{100};
-  Duration electionTimeoutMin{500};
-  Duration electionTimeoutMax{1000};
-  std::size_t maxBatchBytes = 512 * 1024;
-  std::uint64_t maxUnconfirmedRounds = 3;  // not yet confirmed by a majority
-  // Kept behind a snapshot for followers that are late: so many entries, and more for a member that
-  // is being caught up, but never more than so many bytes. docs/design.md 3.4.
-  std::size_t retainedEntries = 2000;
-  std::size_t maxRetainedBytes = 16 * 1024 * 1024;
-  // Sent to a follower and not acknowledged, at most; a larger entry goes in chunks.
-  std::size_t maxUnacknowledgedBytes = 1024 * 1024;
-  // Of a snapshot or a large entry at a time, so that a heartbeat waits 65 ms behind one at 2
-  // Mbit/s; also the smallest window of a slow link.
-  std::size_t chunkBytes = 16 * 1024;
-};
-
 enum class MembershipChangeRefusal : std::uint8_t;  // raft/membership_change.hpp
 
+// A learner receives the log but does not vote; a blank node is a learner too.
 enum class Role : std::uint8_t { learner, follower, candidate, leader };
 const char* name(Role role);
 
 class RaftNode {
  public:
+  // Begins as a follower or learner with the state that the disk held.
+  // \param self      this controller; whether it votes is decided by the log, not by `self.voter`
+  // \param seed      of the random election timeouts
+  // \param restored  all records of the disk, in the order of their versions; empty for a new
+  //                  identity
   RaftNode(Member self, RaftOptions options, std::uint64_t seed,
            const std::vector<WriteAheadRecord>& restored, MonotonicTime now);
 
+  // --- Input
+
+  // To be called every few milliseconds, much more often than a heartbeat is due: begins elections
+  // and rounds of heartbeats, and steps down where no majority is in contact.
+  // \param wall  the machine's calendar clock
   void tick(MonotonicTime now, WallTime wall);
+  // A message arrived. It is ignored where it is meant for another identity.
   void receive(const PeerMessage& message, MonotonicTime now);
+  // The record of this version, from takeWrite, is durable.
   void onWriteSynced(DiskVersion version, MonotonicTime now);
+
+  // --- Commands
+
+  // Appends an entry, as the leader; it is committed once commitIndex reaches it, unless another
+  // leader replaces it. A new leader has to propose an entry at once, since it serves only when one
+  // of its own term is committed.
+  // \return the entry's index
   LogIndex propose(std::string payload, MonotonicTime now);
-  bool proposeMembership(const Membership& members, MonotonicTime now);
+  // Proposes a new membership, which is in force at once and counts once it is committed.
+  // \return false where membershipChangeRefusal gives a reason against it
+  bool proposeMembership(const Membership& proposed, MonotonicTime now);
   // Why that change would not be proposed now; nothing where it would be. docs/design.md 3.5.
-  std::optional<MembershipChangeRefusal> membershipChangeRefusal(const Membership& members,
+  std::optional<MembershipChangeRefusal> membershipChangeRefusal(const Membership& proposed,
                                                                  MonotonicTime now) const;
-  // Makes the founding entry: a cluster of this one voter. Only for a blank identity.
+  // Founds a cluster of which this node is the one voter. Does nothing unless the node is blank.
   void bootstrap(MonotonicTime now);
+  // Asks the voter that is furthest ahead to take over, if any is heard. Until it has, or the
+  // maximal election timeout has passed, this leader does not serve.
   void transferLeadership(MonotonicTime now);
+  // Replaces the log up to `index` by a snapshot, but for the entries that followers may still
+  // need. Does nothing unless `index` is committed and after the latest snapshot.
+  // \param state  the owner's state with all entries up to `index` applied
   void compact(LogIndex index, std::string state);
+  // Where to ask for admission to a cluster: the address of a leader, or of any member.
   void setJoinAddress(const Address& address);
-  // How many learners may be members at a time: each costs a copy of the log. docs/design.md 3.5.
+  // How many learners may be members at a time. Each costs a copy of the log. docs/design.md 3.5.
   void setMaxLearners(std::size_t count) { maxLearners = count; }
+  // Asks for a round of heartbeats as soon as possible. When confirmedRound reaches the returned
+  // number this node was still the leader after the call, and may answer a read (ReadIndex in the
+  // Raft thesis).
   RoundNumber startRound(MonotonicTime now);
 
-  // Effects, taken by whoever drives this.
+  // --- Effects, to be taken after each input or command
+
   std::vector<PeerMessage> takeMessages() { return std::exchange(outgoingMessages, {}); }
+  // The next record to write and sync, if one is due and none is being written.
   std::optional<WriteAheadRecord> takeWrite();
+  // Whether a snapshot was installed since the last call: the owner then replaces its state by
+  // snapshot().
   bool takeSnapshotInstalled() { return std::exchange(snapshotInstalled, false); }
 
+  // --- This node
+
+  const Member& self() const { return selfMember; }
   Role role() const { return currentRole; }
   bool isLeader() const { return currentRole == Role::leader; }
-  // Leader with an entry of its own term committed: it knows all that was ever committed.
+  // A leader that has committed an entry of its own term and therefore knows everything that was
+  // ever committed, and is not handing over.
   bool canServe() const {
     return isLeader() && committedIndex >= firstIndexOfTerm && !transferringLeadership;
   }
   Term term() const { return currentTerm; }
+  // The leader that this node follows, itself included; empty where none is known.
   const ControllerId& leaderId() const { return knownLeader; }
-  const Membership& membership() const { return currentMembership; }
-  const Member& self() const { return selfMember; }
-  bool removedFromCluster() const { return removed; }
+  // Without any state: it belongs to no cluster yet.
   bool isBlank() const { return currentMembership.empty() && lastIndex() == LogIndex{}; }
+  // A committed change has removed this identity; its owner goes on as a new one.
+  bool removedFromCluster() const { return removed; }
+  // Whether this node may stop without its copy being missed: a majority of the voters, heard from
+  // lately and without it, holds everything that it knows to be committed. docs/design.md 3.5.
+  bool isSafeToStop() const;
+
+  // --- The log
+
   LogIndex commitIndex() const { return committedIndex; }
-  LogIndex lastIndex() const { return LogIndex{base.lastIncludedIndex.value + log.size()}; }
-  LogIndex logBaseIndex() const { return base.lastIncludedIndex; }
+  LogIndex lastIndex() const { return log.lastIndex(); }
+  // The log in memory holds the entries after this index.
+  LogIndex logBaseIndex() const { return log.baseIndex(); }
+  // The entry of an index in (logBaseIndex, lastIndex].
+  const LogEntry& entry(LogIndex index) const { return log.entry(index); }
+  // The latest snapshot, taken here or installed; empty with index 0 where there was none.
   const Snapshot& snapshot() const { return latestSnapshot; }
-  const LogEntry& entry(LogIndex index) const {
-    return log[index.value - base.lastIncludedIndex.value - 1];
-  }
+  // What was written since the last record with a snapshot, to decide when a snapshot is due.
+  std::uint64_t logRecordsSinceSnapshot() const { return writes.recordsSinceSnapshot(); }
+  std::uint64_t logBytesSinceSnapshot() const { return writes.bytesSinceSnapshot(); }
+
+  // --- The members
+
+  // In force, though it may not be committed yet.
+  const Membership& membership() const { return currentMembership; }
+  bool membershipCommitted() const { return membershipIndex <= committedIndex; }
+
+  // --- The other members, as a leader knows them
+
+  // The latest round of heartbeats that a majority has answered.
   RoundNumber confirmedRound() const;
+  // When a majority of the voters last followed this leader for certain.
   MonotonicTime lastQuorumContact() const;
+  // When a member last answered; now where nothing is known of it.
   MonotonicTime lastHeardFrom(const ControllerId& id) const;
+  // Up to here a member's log is the leader's and durable; 0 where nothing is known of it.
   LogIndex matchIndexOf(const ControllerId& id) const;
-  bool membershipCommitted() const { return membershipIndex <= committedIndex; }
+  // The member's disk does not hold what it once acknowledged to this leader. docs/design.md 3.5.
   bool hasLostState(const ControllerId& id) const;
-  // Holds what was committed a moment ago: under load nobody is ever level.
+  // The member holds what was committed RaftLimits::caughtUpInterval ago.
   bool isCaughtUp(const ControllerId& id) const;
-  // Whether this one may stop without its copy being missed: a majority of the voters, heard lately
-  // and without it, holds all that it knows to be committed. docs/design.md 3.5.
-  bool isSafeToStop() const;
-  std::uint64_t logRecordsSinceSnapshot() const { return logRecordCount; }
-  std::uint64_t logBytesSinceSnapshot() const { return logRecordBytes; }
-  std::optional<WallTime> agreedWallTime(MonotonicTime now) const;  // docs/design.md 3.6
+  // The lower median of the voters' calendar clocks, where a majority of them is known; one clock
+  // alone can't move it ahead. docs/design.md 3.6.
+  std::optional<WallTime> agreedWallTime(MonotonicTime now) const;
 
  private:
-  friend struct RaftNodeFingerprint;  // the model checker's, checker/model/fingerprint.hpp
-  // How much may be under way to a peer: halved when rounds return later than the link explains,
-  // doubled when they are quick and it was used up. docs/design.md 3.4.
-  struct SendWindow {
-    std::size_t bytes = 0;
-    bool exhausted = false;
-    std::optional<Duration> fastestRoundTrip;
-  };
-  struct ChunkProgress {
-    std::uint64_t acknowledgedOffset = 0;
-    std::uint64_t sentOffset = 0;
-    RoundNumber lastChunkRound;  // of the latest chunk
-    void onReply(std::uint64_t next, RoundNumber round);
-  };
-  struct SnapshotTransfer {
-    SnapshotIdentity identity;
-    ChunkProgress chunks;
-  };
-  struct EntryTransfer {
-    LogIndex index;
-    ChunkProgress chunks;
-  };
-  struct UnacknowledgedBatch {
-    LogIndex lastIndex;
-    std::size_t bytes = 0;
-  };
-  struct PeerProgress {
-    LogIndex nextIndex{1};
-    LogIndex matchIndex;
-    RoundNumber resetRound;  // when its place was last set back; answers to what was sent before
-                             // say nothing new
-    RoundNumber matchRound;  // of the reply that raised the match
-    RoundNumber ackedRound;
-    MonotonicTime lastHeard;
-    MonotonicTime ackedRoundSentAt;  // when the acked round was sent
-    std::optional<std::int64_t> wallClockOffset;
-    bool hasLostState = false;
-    std::optional<SnapshotTransfer> snapshotTransfer;
-    std::optional<EntryTransfer> entryTransfer;
-    std::deque<UnacknowledgedBatch> unacknowledgedBatches;
-    std::size_t unacknowledgedBytes = 0;
-    SendWindow sendWindow;
-  };
-  // The one snapshot that a leader sends, for as long as the entries after it are kept.
-  struct OutgoingSnapshot {
-    SnapshotIdentity identity;
-    std::string bytes;
-  };
-  struct IncomingSnapshot {
-    SnapshotIdentity identity;
-    std::string bytes;
-  };
-  struct IncomingEntry {
-    LogIndex index;
-    Term term;
-    std::string bytes;
-  };
+  friend struct RaftNodeFingerprint;  // of the model checker, checker/model/fingerprint.hpp
+
+  enum class ElectionKind : std::uint8_t { preVote, election, leaderTransfer };
+  // Whether a message is sent where there is no data to send, so that the follower hears its
+  // leader.
+  enum class SendMode : std::uint8_t { dataOnly, heartbeat };
+
+  // node.cpp
+  void notePause(MonotonicTime now);
+  void tickAsLeader(MonotonicTime now);
+  void tickAsFollower(MonotonicTime now);
+  bool hasLostQuorum(MonotonicTime now) const;
   bool isVoter() const;
-  std::size_t majoritySize() const;
-  Term termAt(LogIndex index) const;
   const Member* findMember(const ControllerId& id) const;
-  void changeRole(Role role, MonotonicTime now);
-  void observeTerm(Term term, MonotonicTime now);
+  WallTime wallTimeAt(MonotonicTime now) const;
+  Address addressOf(const ControllerId& id) const;
+  PeerMessage addressed(const ControllerId& to, PeerBody body) const;
+  void send(const ControllerId& to, PeerBody body);
+  void sendAfterSync(const ControllerId& to, PeerBody body);
+
+  // election.cpp
   void resetElectionTimer(MonotonicTime now);
-  void requestJoin(MonotonicTime now);
-  void campaign(MonotonicTime now, bool trial, bool leaderTransfer);
-  void countVotes(MonotonicTime now);
+  void observeTerm(Term term, MonotonicTime now);
+  void becomeFollower(MonotonicTime now);
   void becomeLeader(MonotonicTime now);
-  void broadcast(MonotonicTime now, bool force);
-  void sendAppend(const Member& to, PeerProgress& peer, bool force);
-  std::size_t windowOf(PeerProgress& peer) const;
-  void recordContact(PeerProgress& peer, RoundNumber answered, WallTime wall, MonotonicTime now);
-  void adaptWindow(PeerProgress& peer, Duration roundTrip) const;
-  static void discardAcknowledged(PeerProgress& peer);
-  static void clearUnacknowledged(PeerProgress& peer);
-  LogIndex compactionIndex(LogIndex folded) const;
-  Membership membershipAt(LogIndex index) const;
-  void prepareOutgoingSnapshot();
-  void discardIdleTransfers();
-  void sendSnapshotChunks(const Member& to, PeerProgress& peer, bool force);
-  void sendEntryChunks(const Member& to, PeerProgress& peer, bool force);
-  template <class Chunk>
-  void sendChunks(const Member& to, PeerProgress& peer, ChunkProgress& progress,
-                  const std::string& bytes, Chunk chunk, bool force);
-  PeerProgress* acceptChunkReply(const PeerMessage& message, Term term, RoundNumber round,
-                                 WallTime wall, MonotonicTime now);
-  bool acceptChunk(const PeerMessage& message, Term term, RoundNumber round, MonotonicTime now);
-  std::optional<Snapshot> appendSnapshotChunk(const InstallSnapshot& body);
-  void installSnapshot(Snapshot snapshot);
+  void promoteIfVoter();
+  void campaign(ElectionKind kind, MonotonicTime now);
+  void requestVotes(ElectionKind kind);
+  void countVotes(MonotonicTime now);
+  bool isEligible(const RequestVote& request) const;
+  void answerPreVote(const ControllerId& candidate, const RequestVote& request);
+  void answerVote(const ControllerId& candidate, const RequestVote& request, MonotonicTime now);
+  void handle(const PeerMessage& message, const RequestVote& body, MonotonicTime now);
+  void handle(const PeerMessage& message, const RequestVoteReply& body, MonotonicTime now);
+  void handle(const PeerMessage& message, const TimeoutNow& body, MonotonicTime now);
+
+  // quorum.cpp
+  std::size_t majoritySize() const;
   template <class Value, class OfPeer>
   Value quorumValue(Value ofSelf, OfPeer ofPeer) const;
+  LogIndex syncedLogIndex() const;
   LogIndex replicatedIndexWithout(const ControllerId& id) const;
   void advanceCommitIndex();
   void updateCaughtUpIndex(MonotonicTime now);
-  void notifyRemoved(const ControllerId& id);
-  // The entry that the members rest on: the change itself, or, once that is compacted, the
-  // snapshot.
-  std::pair<Term, LogIndex> latestMembershipEntry() const;
-  void proposeMovedAddresses(MonotonicTime now);
+
+  // leader_replication.cpp
+  void broadcast(MonotonicTime now);
+  void replicate(const ControllerId& to, PeerProgress& peer, SendMode mode);
+  bool isNextEntryTooLarge(PeerProgress& peer) const;
+  void sendEntries(const ControllerId& to, PeerProgress& peer, SendMode mode);
+  std::size_t fillBatch(PeerProgress& peer, std::vector<LogEntry>& entries) const;
+  PeerProgress* acceptReply(const ControllerId& from, Term term, RoundNumber answered,
+                            WallTime wallTime, MonotonicTime now);
+  void handle(const PeerMessage& message, const AppendEntriesReply& body, MonotonicTime now);
+
+  // follower_replication.cpp
+  bool acceptLeader(const ControllerId& leader, Term term, RoundNumber round, MonotonicTime now);
+  void recordLeaderContact(const ControllerId& leader, Term term, RoundNumber round,
+                           MonotonicTime now);
+  LogIndex storeEntries(const AppendEntries& body);
   void truncateLog(LogIndex from);
-  void reloadMembership();
-  void persistFrom(LogIndex from);
-  Address addressOf(const ControllerId& id) const;
-  void send(const ControllerId& to, PeerBody body);
-  void sendAfterSync(const ControllerId& to, PeerBody body);
-  void handle(const PeerMessage& message, const RequestVote& body, MonotonicTime now);
-  void handle(const PeerMessage& message, const RequestVoteReply& body, MonotonicTime now);
+  void sendAppendReply(const ControllerId& to, bool success, LogIndex matchIndex,
+                       RoundNumber answered);
   void handle(const PeerMessage& message, const AppendEntries& body, MonotonicTime now);
-  void handle(const PeerMessage& message, const AppendEntriesReply& body, MonotonicTime now);
-  void handle(const PeerMessage& message, const InstallSnapshot& body, MonotonicTime now);
-  void handle(const PeerMessage& message, const InstallSnapshotReply& body, MonotonicTime now);
+
+  // chunk_transfer.cpp
+  std::vector<Chunk> nextChunks(PeerProgress& peer, ChunkProgress& progress,
+                                const std::string& bytes, SendMode mode) const;
+  void sendEntryChunks(const ControllerId& to, PeerProgress& peer, SendMode mode);
   void handle(const PeerMessage& message, const AppendEntryChunk& body, MonotonicTime now);
   void handle(const PeerMessage& message, const AppendEntryChunkReply& body, MonotonicTime now);
-  void handle(const PeerMessage& message, const TimeoutNow& body, MonotonicTime now);
+
+  // snapshot_transfer.cpp
+  LogIndex compactionIndex(LogIndex snapshotIndex) const;
+  void prepareOutgoingSnapshot();
+  void discardIdleTransfers();
+  void sendSnapshotChunks(const ControllerId& to, PeerProgress& peer, SendMode mode);
+  std::optional<Snapshot> receiveSnapshotChunk(const InstallSnapshot& body);
+  void installSnapshot(Snapshot snapshot);
+  void handle(const PeerMessage& message, const InstallSnapshot& body, MonotonicTime now);
+  void handle(const PeerMessage& message, const InstallSnapshotReply& body, MonotonicTime now);
+
+  // membership.cpp
+  void reloadMembership();
+  void requestJoin(MonotonicTime now);
+  void notifyRemoved(const ControllerId& id);
+  EntryPosition membershipPosition() const;
+  void proposeMovedAddresses(MonotonicTime now);
   void handle(const PeerMessage& message, const JoinRequest& body, MonotonicTime now);
   void handle(const PeerMessage& message, const RemovedFromCluster& body, MonotonicTime now);
-  void recordLeaderContact(const ControllerId& leader, Term term, RoundNumber heardRound,
-                           MonotonicTime now);
-  void sendAppendReply(const ControllerId& to, bool matched, LogIndex match, RoundNumber round);
 
+  // The one snapshot that a leader sends, to whomever needs one. It is kept for as long as the
+  // entries after it are.
+  struct OutgoingSnapshot {
+    SnapshotIdentity identity;
+    std::string bytes;
+  };
+  struct IncomingSnapshot {
+    SnapshotIdentity identity;
+    ChunkBuffer received;
+  };
+  struct IncomingEntry {
+    LogIndex index;
+    Term term;
+    ChunkBuffer received;
+  };
+
+  // --- Identity, clock and effects
   Member selfMember;
   RaftOptions options;
-  Random random;
-  Role currentRole = Role::learner;
+  Random random;              // draws election timeouts
+  MonotonicTime currentTime;  // the latest time that was passed in
+  MonotonicTime lastTickAt;
+  WallTime wallTimeAtTick;  // at lastTickAt
+  // After a pause of this process, until then the others' unread messages are read first.
+  MonotonicTime pauseGraceUntil;
+  std::vector<PeerMessage> outgoingMessages;
+  bool snapshotInstalled = false;
+  std::map<ControllerId, Address> lastKnownAddresses;  // of all senders, members or not
+
+  // --- Durable state
   Term currentTerm;
-  ControllerId votedFor;
+  ControllerId votedFor;  // in currentTerm
+  RaftLog log;
+  Snapshot latestSnapshot;
+  WriteAheadQueue writes;
+
+  // --- Any role
+  Role currentRole = Role::learner;
   ControllerId knownLeader;
-  Membership currentMembership;
-  LogIndex membershipIndex;
-  Snapshot base;            // index and term before the first entry in memory
-  Snapshot latestSnapshot;  // the latest whole view
-  std::optional<OutgoingSnapshot> outgoingSnapshot;
-  std::optional<IncomingSnapshot> incomingSnapshot;
-  std::optional<IncomingEntry> incomingEntry;
-  std::vector<LogEntry> log;
   LogIndex committedIndex;
-  LogIndex firstIndexOfTerm;
-  LogIndex replicatedWithoutSelf;  // a majority of the voters holds that much, this one not counted
-  LogIndex caughtUpIndex;          // who holds that much has caught up
-  LogIndex nextCaughtUpIndex;      // what it becomes next
-  MonotonicTime caughtUpIndexUpdatedAt;
-  std::map<ControllerId, PeerProgress> peers;
+  Membership currentMembership;  // by the latest entry that holds one, committed or not
+  LogIndex membershipIndex;      // of that entry
+  bool removed = false;
+  Address joinAddress;
+  std::size_t maxLearners = 1;
+
+  // --- Elections
   std::set<ControllerId> votesGranted;
   bool preVoteElection = false;
   MonotonicTime electionDeadline;
-  MonotonicTime leaderHeardAt{-1'000'000};
-  MonotonicTime nextHeartbeatAt, lastBroadcastAt;
-  MonotonicTime lastTickAt,
-      pauseGraceUntil;  // until then what lay unread through a pause of our own is still being read
-  WallTime wallTimeAtTick;
-  MonotonicTime wallAt;
-  RoundNumber currentRound;
-  std::deque<std::pair<RoundNumber, MonotonicTime>> roundStartTimes;
-  Address joinAddress;
-  std::size_t maxLearners = 1;
-  bool transferringLeadership = false;
-  MonotonicTime transferDeadline;
-  bool removed = false;
-  bool snapshotInstalled = false;
+  MonotonicTime leaderHeardAt{-1'000'000};  // before any election timeout at the start
 
-  // Disk: at most one write is under way; what comes meanwhile goes together into the next one.
-  DiskVersion nextVersion{1};
-  std::optional<WriteAheadRecord> ready;
-  struct WriteInFlight {
-    DiskVersion version;
-    LogIndex lastIndex;
-    bool includesOwnVote;
-  };
-  std::optional<WriteInFlight> writeInFlight;
-  MonotonicTime currentTime;
-  bool dirty = false;
-  bool snapshotWritePending = false;
-  LogIndex dirtyFromIndex;
-  LogIndex syncedIndex;
-  // What the disk holds, whoever's log it is: lower than what was acknowledged only where the disk
-  // is another one. docs/design.md 3.5.
-  LogIndex durableIndex;
-  bool ownVotePending = false;
-  std::uint64_t logRecordCount = 0, logRecordBytes = 0;
-  std::vector<std::pair<DiskVersion, PeerMessage>> messagesAwaitingSync;
-  std::vector<PeerMessage> outgoingMessages;
-  std::map<ControllerId, Address> lastKnownAddresses;  // of those heard from, members or not
+  // --- As a follower
+  ControllerId lastAppender;  // the leader that last contacted this node
+  Term lastAppendTerm;        // the term in which it did
   RoundNumber lastAppendRound;
-  ControllerId lastAppender;
-  Term lastAppendTerm;
   LogIndex verifiedIndex;  // up to here the log is known to be that leader's
+  // Up to here a majority of the voters holds the log, this node not counted.
+  LogIndex replicatedWithoutSelf;
+  std::optional<IncomingSnapshot> incomingSnapshot;
+  std::optional<IncomingEntry> incomingEntry;
+
+  // --- As a leader
+  std::map<ControllerId, PeerProgress> peers;  // one for each other member
+  HeartbeatRounds rounds;
+  // Of the next round of heartbeats; a learner without a leader asks to join at this time.
+  MonotonicTime nextHeartbeatAt;
+  LogIndex firstIndexOfTerm;
+  LogIndex caughtUpIndex;      // a member that holds this much counts as caught up
+  LogIndex nextCaughtUpIndex;  // what caughtUpIndex becomes next
+  MonotonicTime caughtUpIndexUpdatedAt;
+  std::optional<OutgoingSnapshot> outgoingSnapshot;
+  bool transferringLeadership = false;
+  MonotonicTime transferDeadline;
 };
 
 }  // namespace aniseline
--- a/source/raft/persistence.cpp
+++ b/source/raft/persistence.cpp
@@ -1,68 +1,30 @@
-// What must be on disk before a message that rests on it may leave. docs/design.md 3.3.
+// How the disk's progress changes what a node may send and count. docs/design.md 3.3.
 #include "raft/node.hpp"
 
 namespace aniseline {
 
-void RaftNode::persistFrom(LogIndex from) {
-  if (!dirty || from < dirtyFromIndex)
-    dirtyFromIndex = from;
-  dirty = true;
-}
-
 std::optional<WriteAheadRecord> RaftNode::takeWrite() {
-  if (writeInFlight || (!dirty && !snapshotWritePending))
-    return std::nullopt;
-  WriteAheadRecord record;
-  record.version = nextVersion;
-  nextVersion = nextVersion.next();
-  record.term = currentTerm;
-  record.votedFor = votedFor;
-  record.holdsSnapshot = snapshotWritePending;
-  if (snapshotWritePending) {
-    record.snapshot = latestSnapshot;
-    record.firstIndex = latestSnapshot.lastIncludedIndex.next();
-    for (LogIndex index = record.firstIndex; index <= lastIndex(); index = index.next())
-      record.entries.push_back(entry(index));
-    logRecordCount = 0;
-    logRecordBytes = 0;
-  } else {
-    record.firstIndex = dirtyFromIndex;
-    for (LogIndex index = dirtyFromIndex; index <= lastIndex(); index = index.next()) {
-      record.entries.push_back(entry(index));
-      logRecordBytes += bytesOf(entry(index));
-    }
-    ++logRecordCount;
-  }
-  writeInFlight = WriteInFlight{record.version, lastIndex(), ownVotePending};
-  ownVotePending = false;
-  dirty = snapshotWritePending = false;
-  return record;
+  return writes.take({currentTerm, votedFor, latestSnapshot, log});
 }
 
 void RaftNode::onWriteSynced(DiskVersion version, MonotonicTime now) {
-  if (!writeInFlight || writeInFlight->version != version)
+  auto result = writes.onSynced(version, lastIndex());
+  if (!result)
     return;
   currentTime = now;
-  syncedIndex = std::max(syncedIndex, writeInFlight->lastIndex);
-  durableIndex = std::max(std::min(durableIndex, lastIndex()), syncedIndex);
-  const bool ownVote = writeInFlight->includesOwnVote;
-  writeInFlight.reset();
-  std::vector<std::pair<DiskVersion, PeerMessage>> later;
-  for (auto& [needs, message] : messagesAwaitingSync) {
-    if (needs <= version) {
-      outgoingMessages.push_back(std::move(message));
-    } else
-      later.emplace_back(needs, std::move(message));
-  }
-  messagesAwaitingSync = std::move(later);
-  if (ownVote && currentRole == Role::candidate && !preVoteElection && votedFor == selfMember.id) {
+  for (auto& message : result->released)
+    outgoingMessages.push_back(std::move(message));
+  const bool isElection = currentRole == Role::candidate && !preVoteElection;
+  if (result->ownVoteSynced && isElection && votedFor == selfMember.id) {
     votesGranted.insert(selfMember.id);
     countVotes(now);
   }
-  if (isLeader())
+  if (isLeader()) {
     advanceCommitIndex();
-  else if (!lastAppender.value.empty() && lastAppender == knownLeader)
-    sendAppendReply(lastAppender, true, std::min(syncedIndex, verifiedIndex), lastAppendRound);
+  } else if (!lastAppender.value.empty() && lastAppender == knownLeader) {
+    const LogIndex match = std::min(writes.syncedIndex(), verifiedIndex);
+    sendAppendReply(lastAppender, true, match, lastAppendRound);
+  }
 }
 
 }  // namespace aniseline
--- /dev/null
+++ b/source/raft/quorum.cpp
@@ -0,0 +1,123 @@
+// What a majority of the voters has reached: commitment, contact, and which copies would be missed.
+// docs/design.md 3.2, 3.5, 3.6.
+#include "raft/node.hpp"
+
+namespace aniseline {
+
+std::size_t RaftNode::majoritySize() const {
+  return majorityOf(countVoters(currentMembership));
+}
+
+// The highest value that a majority of the voters has reached.
+template <class Value, class OfPeer>
+Value RaftNode::quorumValue(Value ofSelf, OfPeer ofPeer) const {
+  std::vector<Value> reached;
+  for (const auto& member : currentMembership) {
+    if (!member.voter)
+      continue;
+    const auto peer = peers.find(member.id);
+    if (member.id == selfMember.id)
+      reached.push_back(ofSelf);
+    else
+      reached.push_back(peer == peers.end() ? Value{} : ofPeer(peer->second));
+  }
+  if (reached.size() < majoritySize())
+    return Value{};
+  std::sort(reached.begin(), reached.end(), std::greater<>());
+  return reached[majoritySize() - 1];
+}
+
+RoundNumber RaftNode::confirmedRound() const {
+  return quorumValue(rounds.current(), [](const PeerProgress& peer) { return peer.ackedRound(); });
+}
+
+MonotonicTime RaftNode::lastQuorumContact() const {
+  return quorumValue(currentTime, [](const PeerProgress& peer) { return peer.ackedRoundSentAt(); });
+}
+
+MonotonicTime RaftNode::lastHeardFrom(const ControllerId& id) const {
+  const auto peer = peers.find(id);
+  return peer == peers.end() ? currentTime : peer->second.lastHeard();
+}
+
+LogIndex RaftNode::matchIndexOf(const ControllerId& id) const {
+  const auto peer = peers.find(id);
+  return peer == peers.end() ? LogIndex{} : peer->second.matchIndex();
+}
+
+bool RaftNode::hasLostState(const ControllerId& id) const {
+  const auto peer = peers.find(id);
+  return peer != peers.end() && peer->second.hasLostState();
+}
+
+bool RaftNode::isCaughtUp(const ControllerId& id) const {
+  const LogIndex replicated = id == selfMember.id ? writes.syncedIndex() : matchIndexOf(id);
+  return replicated >= caughtUpIndex;
+}
+
+void RaftNode::updateCaughtUpIndex(MonotonicTime now) {
+  if (now - caughtUpIndexUpdatedAt < RaftLimits::caughtUpInterval)
+    return;
+  caughtUpIndex = std::max(caughtUpIndex, nextCaughtUpIndex);
+  nextCaughtUpIndex = committedIndex;
+  caughtUpIndexUpdatedAt = now;
+}
+
+LogIndex RaftNode::syncedLogIndex() const {
+  return std::min(writes.syncedIndex(), lastIndex());
+}
+
+// Up to where a majority of the voters holds the log without this member's copy. A member that is
+// not heard from may have lost its disk, so its copy is not counted either.
+LogIndex RaftNode::replicatedIndexWithout(const ControllerId& id) const {
+  const auto excluded = peers.find(id);
+  const LogIndex ofSelf = id == selfMember.id ? LogIndex{} : syncedLogIndex();
+  return quorumValue(ofSelf, [&](const PeerProgress& peer) {
+    const bool isExcluded = excluded != peers.end() && &excluded->second == &peer;
+    const bool heardLately = currentTime - peer.lastHeard() <= options.electionTimeoutMax;
+    const bool counts = heardLately && !isExcluded && !peer.hasLostState();
+    return counts ? peer.matchIndex() : LogIndex{};
+  });
+}
+
+bool RaftNode::isSafeToStop() const {
+  if (!isVoter() || currentMembership.size() == 1)
+    return true;
+  const LogIndex replicated =
+      isLeader() ? replicatedIndexWithout(selfMember.id) : replicatedWithoutSelf;
+  return replicated >= committedIndex;
+}
+
+// Only an entry of the leader's own term is committed by counting copies; the entries before it are
+// committed with it.
+void RaftNode::advanceCommitIndex() {
+  const LogIndex replicated =
+      quorumValue(syncedLogIndex(), [](const PeerProgress& peer) { return peer.matchIndex(); });
+  if (replicated <= committedIndex || log.termAt(replicated) != currentTerm)
+    return;
+  committedIndex = replicated;
+  nextHeartbeatAt = std::min(nextHeartbeatAt, currentTime + RaftLimits::commitNotificationDelay);
+  if (!isVoter())
+    becomeFollower(currentTime);
+}
+
+std::optional<WallTime> RaftNode::agreedWallTime(MonotonicTime now) const {
+  std::vector<std::int64_t> clocks;
+  for (const auto& member : currentMembership) {
+    if (!member.voter)
+      continue;
+    if (member.id == selfMember.id) {
+      clocks.push_back(wallTimeAt(now).milliseconds);
+      continue;
+    }
+    const auto peer = peers.find(member.id);
+    if (peer != peers.end() && peer->second.wallClockOffset())
+      clocks.push_back(now.milliseconds + *peer->second.wallClockOffset());
+  }
+  if (clocks.size() < majoritySize())
+    return std::nullopt;
+  std::sort(clocks.begin(), clocks.end());
+  return WallTime{clocks[(clocks.size() - 1) / 2]};
+}
+
+}  // namespace aniseline
--- a/source/raft/snapshot_transfer.cpp
+++ b/source/raft/snapshot_transfer.cpp
@@ -4,61 +4,58 @@
 
 namespace aniseline {
 
-Membership RaftNode::membershipAt(LogIndex index) const {
-  Membership members = base.membership;
-  for (LogIndex at = base.lastIncludedIndex.next(); at <= index; at = at.next()) {
-    if (!entry(at).isMembership)
-      continue;
-    if (auto found = unpack<Membership>(entry(at).payload))
-      members = found.value();
-  }
-  return members;
+namespace {
+
+// The snapshot that was received; nothing where it was damaged on the way.
+std::optional<Snapshot> decodeSnapshot(const std::string& bytes, const SnapshotIdentity& identity) {
+  if (bytes.size() != identity.totalBytes || checksum(bytes) != identity.checksum)
+    return std::nullopt;
+  auto snapshot = unpack<Snapshot>(bytes);
+  if (!snapshot || snapshot.value().lastIncludedIndex != identity.lastIncludedIndex ||
+      snapshot.value().lastIncludedTerm != identity.lastIncludedTerm)
+    return std::nullopt;
+  return std::move(snapshot.value());
 }
 
-// The last entry that is dropped when all up to `folded` is in a snapshot. What members who are
-// late still need stays, as long as the whole tail keeps within its bytes.
-LogIndex RaftNode::compactionIndex(LogIndex folded) const {
+}  // namespace
+
+// The last entry to discard once everything up to `snapshotIndex` is in a snapshot. What members
+// that are late still need stays, as long as the remaining log keeps within its bytes.
+LogIndex RaftNode::compactionIndex(LogIndex snapshotIndex) const {
   const std::uint64_t newest = lastIndex().value;
-  LogIndex cut{newest - std::min<std::uint64_t>(newest, options.retainedEntries)};
-  if (isLeader())
-    for (const auto& [id, peer] : peers)
-      cut = std::min(cut, peer.snapshotTransfer ? peer.snapshotTransfer->identity.lastIncludedIndex
-                                                : peer.matchIndex);
-  std::size_t bytes = 0;
-  LogIndex within = lastIndex();
-  while (within > base.lastIncludedIndex) {
-    bytes += bytesOf(entry(within));
-    if (bytes > options.maxRetainedBytes)
-      break;
-    within = LogIndex{within.value - 1};
+  LogIndex needed{newest - std::min<std::uint64_t>(newest, options.retainedEntries)};
+  if (isLeader()) {
+    for (const auto& [id, peer] : peers) {
+      const auto& transfer = peer.snapshotTransfer();
+      const LogIndex held = transfer ? transfer->identity.lastIncludedIndex : peer.matchIndex();
+      needed = std::min(needed, held);
+    }
   }
-  return std::min(folded, std::max(cut, within));
+  return std::min(snapshotIndex, std::max(needed, log.tailWithin(options.maxRetainedBytes)));
 }
 
 void RaftNode::compact(LogIndex index, std::string state) {
   if (index > committedIndex || index <= latestSnapshot.lastIncludedIndex)
     return;
-  latestSnapshot = Snapshot{index, termAt(index), membershipAt(index), std::move(state)};
-  snapshotWritePending = true;
-  const LogIndex cut = compactionIndex(index);
-  if (cut <= base.lastIncludedIndex)
-    return;
-  Snapshot begin{cut, termAt(cut), membershipAt(cut), {}};
-  log.erase(log.begin(), log.begin() + std::ptrdiff_t(cut.value - base.lastIncludedIndex.value));
-  base = std::move(begin);
+  latestSnapshot =
+      Snapshot{index, log.termAt(index), log.membershipAt(index).membership, std::move(state)};
+  writes.persistSnapshot();
+  const LogIndex discarded = compactionIndex(index);
+  if (discarded > log.baseIndex())
+    log.discardThrough(discarded);
 }
 
-// The same snapshot goes on, also to another follower, until the log no longer holds what follows
-// it; then, or while nobody has any of it, the newest takes its place.
+// The same snapshot continues, also to another follower, until the log no longer holds what follows
+// it. Then, or while nobody has any of it, the newest takes its place.
 void RaftNode::prepareOutgoingSnapshot() {
   if (outgoingSnapshot) {
     const SnapshotIdentity& current = outgoingSnapshot->identity;
-    const bool begun = std::any_of(peers.begin(), peers.end(), [&](const auto& entry) {
-      const auto& progress = entry.second.snapshotTransfer;
-      return progress && progress->identity == current && progress->chunks.acknowledgedOffset > 0;
+    const bool partlyReceived = std::any_of(peers.begin(), peers.end(), [&](const auto& entry) {
+      const auto& transfer = entry.second.snapshotTransfer();
+      return transfer && transfer->identity == current && transfer->chunks.acknowledged() > 0;
     });
-    if (current.lastIncludedIndex == latestSnapshot.lastIncludedIndex ||
-        (begun && current.lastIncludedIndex >= base.lastIncludedIndex))
+    const bool stillUseful = partlyReceived && current.lastIncludedIndex >= log.baseIndex();
+    if (stillUseful || current.lastIncludedIndex == latestSnapshot.lastIncludedIndex)
       return;
   }
   std::string bytes = pack(latestSnapshot);
@@ -67,12 +64,12 @@
   outgoingSnapshot = OutgoingSnapshot{identity, std::move(bytes)};
 }
 
-// What no one is sent any more is not held any longer.
+// Frees what is neither sent nor received any more.
 void RaftNode::discardIdleTransfers() {
-  const bool wanted = std::any_of(peers.begin(), peers.end(), [](const auto& entry) {
-    return entry.second.snapshotTransfer.has_value();
+  const bool isSending = std::any_of(peers.begin(), peers.end(), [](const auto& entry) {
+    return entry.second.snapshotTransfer().has_value();
   });
-  if (!isLeader() || !wanted)
+  if (!isLeader() || !isSending)
     outgoingSnapshot.reset();
   if (!isLeader())
     return;
@@ -80,88 +77,74 @@
   incomingEntry.reset();
 }
 
-void RaftNode::sendSnapshotChunks(const Member& to, PeerProgress& peer, bool force) {
+void RaftNode::sendSnapshotChunks(const ControllerId& to, PeerProgress& peer, SendMode mode) {
   prepareOutgoingSnapshot();
   const SnapshotIdentity& identity = outgoingSnapshot->identity;
-  if (!peer.snapshotTransfer || peer.snapshotTransfer->identity != identity) {
-    peer.snapshotTransfer = SnapshotTransfer{identity, {}};
-    peer.entryTransfer.reset();
-    clearUnacknowledged(peer);
-  }
-  const InstallSnapshot chunk{currentTerm, identity, 0, {}, currentRound};
-  sendChunks(to, peer, peer.snapshotTransfer->chunks, outgoingSnapshot->bytes, chunk, force);
+  ChunkProgress& progress = peer.openSnapshotTransfer(identity);
+  for (auto& chunk : nextChunks(peer, progress, outgoingSnapshot->bytes, mode))
+    send(to, InstallSnapshot{currentTerm, identity, chunk.offset, std::move(chunk.data),
+                             rounds.current()});
 }
 
-// Adds what continues the snapshot that is being received; gives it once it is whole.
-std::optional<Snapshot> RaftNode::appendSnapshotChunk(const InstallSnapshot& body) {
+// Adds a chunk to the snapshot that is being received, and returns that once it is complete. A
+// damaged one is received anew.
+std::optional<Snapshot> RaftNode::receiveSnapshotChunk(const InstallSnapshot& body) {
   if (!incomingSnapshot || incomingSnapshot->identity != body.snapshot)
     incomingSnapshot = IncomingSnapshot{body.snapshot, {}};
-  std::string& received = incomingSnapshot->bytes;
-  if (body.offset == received.size())
-    received += body.data;
-  if (received.size() < body.snapshot.totalBytes)
-    return std::nullopt;
-  const std::string whole = std::exchange(received, {});
-  if (whole.size() != body.snapshot.totalBytes || checksum(whole) != body.snapshot.checksum)
-    return std::nullopt;  // spoiled on the way: it begins anew
-  auto snapshot = unpack<Snapshot>(whole);
-  if (!snapshot || snapshot.value().lastIncludedIndex != body.snapshot.lastIncludedIndex ||
-      snapshot.value().lastIncludedTerm != body.snapshot.lastIncludedTerm)
+  ChunkBuffer& received = incomingSnapshot->received;
+  received.append(body.offset, body.data);
+  if (received.nextOffset() < body.snapshot.totalBytes)
     return std::nullopt;
-  incomingSnapshot.reset();
-  return std::move(snapshot.value());
+  auto snapshot = decodeSnapshot(received.take(), body.snapshot);
+  if (snapshot)
+    incomingSnapshot.reset();
+  return snapshot;
 }
 
 void RaftNode::installSnapshot(Snapshot snapshot) {
-  if (termAt(snapshot.lastIncludedIndex) == snapshot.lastIncludedTerm) {
-    // Entries after it that lie here may have been claimed, and counted: they stay.
-    const auto folded = snapshot.lastIncludedIndex.value - base.lastIncludedIndex.value;
-    log.erase(log.begin(), log.begin() + std::ptrdiff_t(folded));
-    verifiedIndex = std::max(verifiedIndex, snapshot.lastIncludedIndex);
+  const LogIndex index = snapshot.lastIncludedIndex;
+  if (log.contains({snapshot.lastIncludedTerm, index})) {
+    // The entries after it may have been claimed to the leader and counted, so they stay.
+    verifiedIndex = std::max(verifiedIndex, index);
   } else {
-    // What the disk holds beyond what this leader has shown may be another log; it stands for
+    // What the disk holds beyond what this leader has verified may be another log, and stands for
     // nothing of the snapshot.
-    syncedIndex = std::min(syncedIndex, verifiedIndex);
-    if (writeInFlight)
-      writeInFlight->lastIndex = std::min(writeInFlight->lastIndex, verifiedIndex);
-    log.clear();
-    verifiedIndex = snapshot.lastIncludedIndex;
+    writes.limitSynced(verifiedIndex);
+    verifiedIndex = index;
   }
+  log.resetTo(snapshot);
   latestSnapshot = std::move(snapshot);
-  base = Snapshot{latestSnapshot.lastIncludedIndex,
-                  latestSnapshot.lastIncludedTerm,
-                  latestSnapshot.membership,
-                  {}};
-  committedIndex = latestSnapshot.lastIncludedIndex;
-  snapshotWritePending = true;
+  committedIndex = index;
+  writes.persistSnapshot();
   snapshotInstalled = true;
   reloadMembership();
-  if (isVoter() && currentRole == Role::learner)
-    currentRole = Role::follower;
+  promoteIfVoter();
 }
 
 void RaftNode::handle(const PeerMessage& message, const InstallSnapshot& body, MonotonicTime now) {
-  if (!acceptChunk(message, body.term, body.round, now))
+  if (!acceptLeader(message.from, body.term, body.round, now))
     return;
   if (body.snapshot.lastIncludedIndex > committedIndex) {
-    auto whole = appendSnapshotChunk(body);
-    if (!whole)
-      return send(message.from,
-                  InstallSnapshotReply{currentTerm, body.snapshot, incomingSnapshot->bytes.size(),
-                                       body.round, wallTimeAtTick + (currentTime - wallAt)});
-    installSnapshot(std::move(*whole));
+    auto snapshot = receiveSnapshotChunk(body);
+    if (!snapshot) {
+      const std::uint64_t nextOffset = incomingSnapshot->received.nextOffset();
+      return send(message.from, InstallSnapshotReply{currentTerm, body.snapshot, nextOffset,
+                                                     body.round, wallTimeAt(currentTime)});
+    }
+    installSnapshot(std::move(*snapshot));
   }
-  sendAppendReply(message.from, true, std::min(syncedIndex, verifiedIndex), body.round);
+  const LogIndex match = std::min(writes.syncedIndex(), verifiedIndex);
+  sendAppendReply(message.from, true, match, body.round);
 }
 
 void RaftNode::handle(const PeerMessage& message, const InstallSnapshotReply& body,
                       MonotonicTime now) {
-  PeerProgress* peer = acceptChunkReply(message, body.term, body.round, body.wallTime, now);
-  if (!peer || !peer->snapshotTransfer || peer->snapshotTransfer->identity != body.snapshot)
+  PeerProgress* peer = acceptReply(message.from, body.term, body.round, body.wallTime, now);
+  ChunkProgress* progress = peer ? peer->findSnapshotTransfer(body.snapshot) : nullptr;
+  if (!progress)
     return;
-  peer->snapshotTransfer->chunks.onReply(body.nextOffset, body.round);
-  if (const auto* to = findMember(message.from))
-    sendAppend(*to, *peer, false);
+  progress->onReply(body.nextOffset, body.round);
+  replicate(message.from, *peer, SendMode::dataOnly);
 }
 
 }  // namespace aniseline
--- /dev/null
+++ b/source/raft/write_ahead_queue.cpp
@@ -0,0 +1,86 @@
+#include "raft/write_ahead_queue.hpp"
+
+namespace aniseline {
+
+void WriteAheadQueue::noteRestored(const WriteAheadRecord& record) {
+  recordCount = record.holdsSnapshot ? 0 : recordCount + 1;
+  nextVersion = record.version.next();
+}
+
+void WriteAheadQueue::persistFrom(LogIndex index) {
+  if (!dirty || index < dirtyFromIndex)
+    dirtyFromIndex = index;
+  dirty = true;
+}
+
+void WriteAheadQueue::persistOwnVote(LogIndex index) {
+  ownVotePending = true;
+  if (underWay)
+    underWay->includesOwnVote = false;
+  persistFrom(index);
+}
+
+std::optional<WriteAheadRecord> WriteAheadQueue::take(const PersistentState& state) {
+  if (underWay || (!dirty && !snapshotPending))
+    return std::nullopt;
+  WriteAheadRecord record;
+  record.version = nextVersion;
+  record.term = state.term;
+  record.votedFor = state.votedFor;
+  record.holdsSnapshot = snapshotPending;
+  record.firstIndex = dirtyFromIndex;
+  if (snapshotPending) {
+    record.snapshot = state.snapshot;
+    record.firstIndex = state.snapshot.lastIncludedIndex.next();
+  }
+  const LogIndex last = state.log.lastIndex();
+  std::uint64_t bytes = 0;
+  for (LogIndex index = record.firstIndex; index <= last; index = index.next()) {
+    record.entries.push_back(state.log.entry(index));
+    bytes += bytesOf(state.log.entry(index));
+  }
+  recordCount = snapshotPending ? 0 : recordCount + 1;
+  recordBytes = snapshotPending ? 0 : recordBytes + bytes;
+  underWay = WriteUnderWay{nextVersion, last, ownVotePending};
+  nextVersion = nextVersion.next();
+  dirty = snapshotPending = ownVotePending = false;
+  return record;
+}
+
+std::optional<WriteAheadQueue::SyncResult> WriteAheadQueue::onSynced(DiskVersion version,
+                                                                     LogIndex lastIndex) {
+  if (!underWay || underWay->version != version)
+    return std::nullopt;
+  synced = std::max(synced, underWay->lastIndex);
+  durable = std::max(std::min(durable, lastIndex), synced);
+  SyncResult result;
+  result.ownVoteSynced = underWay->includesOwnVote;
+  underWay.reset();
+  std::vector<HeldMessage> stillHeld;
+  for (auto& held : heldMessages) {
+    if (held.neededVersion <= version)
+      result.released.push_back(std::move(held.message));
+    else
+      stillHeld.push_back(std::move(held));
+  }
+  heldMessages = std::move(stillHeld);
+  return result;
+}
+
+void WriteAheadQueue::sendAfterSync(PeerMessage message) {
+  heldMessages.push_back({nextVersion, std::move(message)});
+}
+
+void WriteAheadQueue::truncateFrom(LogIndex index) {
+  limitSynced(indexBefore(index));
+  durable = std::min(durable, indexBefore(index));
+  persistFrom(index);
+}
+
+void WriteAheadQueue::limitSynced(LogIndex index) {
+  synced = std::min(synced, index);
+  if (underWay)
+    underWay->lastIndex = std::min(underWay->lastIndex, index);
+}
+
+}  // namespace aniseline
