--- a/source/daemons/controller_daemon.cpp
+++ b/source/daemons/controller_daemon.cpp
@@ -160,7 +160,7 @@
     if (!opened || !restored) {
       const auto& error = opened ? restored.error() : opened.error();
       log(LogLevel::error, "the data folder can't be used", {{"why", json(error.message())}});
-      if (error.kind == DiskError::Kind::systemError)
+      if (!error.isCorruption())
         return false;  // the state may be sound; it is tried again with the next start
       // docs/design.md 3.5: damaged state never votes; this machine goes on as a new identity.
       auto aside = folder.quarantine();
@@ -215,7 +215,7 @@
     views = std::make_unique<WorkThread>();
     return true;
   }
-  void written(const DiskResult<bool>& result, DiskVersion version) {
+  void written(const DiskResult<void>& result, DiskVersion version) {
     if (!result) {
       log(LogLevel::error, "a write to disk failed; stopping rather than vouch for it",
           {{"why", json(result.error().message())}});
--- a/source/net/data_folder.cpp
+++ b/source/net/data_folder.cpp
@@ -7,73 +7,131 @@
 namespace aniseline {
 
 namespace {
-constexpr char frameMark[8] = {'A', 'N', 'I', 'S',
-                               'E', '0', '0', '5'};  // the last three are the format's number
 
-constexpr std::string_view partialEnding = ".partial";
+using Code = DiskError::Code;
 
-std::string nameOf(const WriteAheadRecord& record) {
-  char name[64];
-  std::snprintf(name, sizeof name, "%s-%020llu", record.holdsSnapshot ? "snapshot" : "log",
-                (unsigned long long)record.version.value);
-  return name;
+// A file begins with the product's mark and the three digits of the format.
+constexpr char formatMark[8] = {'A', 'N', 'I', 'S', 'E', '0', '0', '5'};
+constexpr std::size_t productMarkBytes = 5;
+constexpr std::size_t formatDigits = sizeof formatMark - productMarkBytes;
+// The mark, the size of the body in 8 bytes, and its checksum in 4.
+constexpr std::size_t headerBytes = sizeof formatMark + 8 + 4;
+
+constexpr const char* identityName = "identity";
+constexpr std::string_view snapshotPrefix = "snapshot-";
+constexpr std::string_view logPrefix = "log-";
+// Of a file that is still being written.
+constexpr std::string_view partialSuffix = ".partial";
+
+std::string fileNameOf(const WriteAheadRecord& record) {
+  char version[24];
+  std::snprintf(version, sizeof version, "%020llu", (unsigned long long)record.version.value);
+  return std::string(record.holdsSnapshot ? snapshotPrefix : logPrefix) + version;
 }
 
-// What a file of the folder is by its name; the others are none of the state.
-struct VersionFile {
+// What the name of a record's file says of it.
+struct RecordFile {
   std::uint64_t version = 0;
-  bool snapshot = false;
+  bool holdsSnapshot = false;
 };
-std::optional<VersionFile> versionFile(const std::string& name) {
-  constexpr std::string_view snapshotName = "snapshot-", logName = "log-";
-  const bool snapshot = name.starts_with(snapshotName);
-  if ((!snapshot && !name.starts_with(logName)) || name.ends_with(partialEnding))
+
+// Nothing where the name is not that of a record's file.
+std::optional<RecordFile> parseRecordName(const std::string& name) {
+  const bool isSnapshot = name.starts_with(snapshotPrefix);
+  if ((!isSnapshot && !name.starts_with(logPrefix)) || name.ends_with(partialSuffix))
     return std::nullopt;
-  const std::size_t head = snapshot ? snapshotName.size() : logName.size();
-  return VersionFile{std::strtoull(name.c_str() + head, nullptr, 10), snapshot};
+  const std::size_t prefixLength = isSnapshot ? snapshotPrefix.size() : logPrefix.size();
+  return RecordFile{std::strtoull(name.c_str() + prefixLength, nullptr, 10), isSnapshot};
+}
+
+// The files that hold the newest state, by version.
+struct RecordFiles {
+  std::uint64_t snapshotVersion = 0;  // of the newest snapshot; 0 where there is none
+  std::map<std::uint64_t, std::string> paths;
+};
+
+// Older files are there where their removal was not durable. They are of no use: when the newest
+// snapshot can't be read, nothing tells whether they hold everything that was acknowledged.
+DiskResult<RecordFiles> newestRecords(const std::string& folder, FileSystem& fileSystem) {
+  auto names = fileSystem.listNames(folder);
+  if (!names)
+    return names.error();
+  RecordFiles files;
+  for (const auto& name : names.value()) {
+    const auto file = parseRecordName(name);
+    if (!file)
+      continue;
+    const std::string path = folder + "/" + name;
+    if (!files.paths.emplace(file->version, path).second)
+      return DiskError{Code::versionDuplicated, path, 0, "a version stands twice"};
+    if (file->holdsSnapshot)
+      files.snapshotVersion = std::max(files.snapshotVersion, file->version);
+  }
+  files.paths.erase(files.paths.begin(), files.paths.lower_bound(files.snapshotVersion));
+  return files;
 }
+
+DiskResult<WriteAheadRecord> readRecord(const std::string& path, std::uint64_t version,
+                                        FileSystem& fileSystem) {
+  auto bytes = fileSystem.read(path);
+  if (!bytes)
+    return bytes.error();
+  auto body = DataFolder::unframe(path, bytes.value());
+  if (!body)
+    return body.error();
+  auto record = unpack<WriteAheadRecord>(body.value());
+  if (!record)
+    return DiskError{Code::unreadableRecord, path, headerBytes, record.error().text()};
+  if (record.value().version.value != version)
+    return DiskError{Code::versionMismatch, path, headerBytes,
+                     "holds another version than its name says"};
+  return std::move(record.value());
+}
+
 }  // namespace
 
-std::string DataFolder::frame(const std::string& bytes) {
-  std::string framed(frameMark, sizeof frameMark);
-  const std::uint64_t size = bytes.size();
-  const std::uint32_t sum = checksum(bytes);
+std::string DataFolder::frame(const std::string& body) {
+  std::string framed(formatMark, sizeof formatMark);
+  const std::uint64_t size = body.size();
+  const std::uint32_t sum = checksum(body);
   framed.append(reinterpret_cast<const char*>(&size), sizeof size);
   framed.append(reinterpret_cast<const char*>(&sum), sizeof sum);
-  return framed + bytes;
+  return framed + body;
 }
 
 DiskResult<std::string> DataFolder::unframe(const std::string& file, const std::string& bytes) {
-  constexpr std::size_t head = sizeof frameMark + 12;
-  if (bytes.size() < head)
-    return DiskError{file, bytes.size(), "is torn: the head is not whole"};
-  if (std::memcmp(bytes.data(), frameMark, 5) != 0)
-    return DiskError{file, 0, "is not a file of aniseline"};
-  if (std::memcmp(bytes.data(), frameMark, sizeof frameMark) != 0)
-    return DiskError{file, 5,
-                     "is of format " + bytes.substr(5, 3) + ", which this version does not read"};
+  if (bytes.size() < headerBytes)
+    return DiskError{Code::truncated, file, bytes.size(), "is torn: the head is not whole"};
+  if (std::memcmp(bytes.data(), formatMark, productMarkBytes) != 0)
+    return DiskError{Code::foreignFile, file, 0, "is not a file of aniseline"};
+  if (std::memcmp(bytes.data(), formatMark, sizeof formatMark) != 0) {
+    const std::string format = bytes.substr(productMarkBytes, formatDigits);
+    return DiskError{Code::unsupportedFormat, file, productMarkBytes,
+                     "is of format " + format + ", which this version does not read"};
+  }
   std::uint64_t size;
   std::uint32_t sum;
-  std::memcpy(&size, bytes.data() + sizeof frameMark, sizeof size);
-  std::memcpy(&sum, bytes.data() + sizeof frameMark + 8, sizeof sum);
-  if (bytes.size() - head != size)
-    return DiskError{file, bytes.size(),
+  std::memcpy(&size, bytes.data() + sizeof formatMark, sizeof size);
+  std::memcpy(&sum, bytes.data() + sizeof formatMark + sizeof size, sizeof sum);
+  if (bytes.size() - headerBytes != size)
+    return DiskError{Code::truncated, file, bytes.size(),
                      "is torn: " + std::to_string(size) + " bytes were written"};
-  std::string body = bytes.substr(head);
+  std::string body = bytes.substr(headerBytes);
   if (checksum(body) != sum)
-    return DiskError{file, head, "is corrupt: the checksum does not match"};
+    return DiskError{Code::checksumMismatch, file, headerBytes,
+                     "is corrupt: the checksum does not match"};
   return body;
 }
 
-// Whole or absent: it gets its name only once its content is durable, and counts as written only
-// once the name is.
-DiskResult<bool> DataFolder::writeFileAtomically(const std::string& name,
+// The file is there completely or not at all: it gets its name only once its content is durable,
+// and counts as written only once the name is.
+DiskResult<void> DataFolder::writeFileAtomically(const std::string& name,
                                                  const std::string& bytes) {
-  const std::string target = path + "/" + name;
-  const std::string aside = target + std::string(partialEnding);
-  if (auto written = fileSystem->writeSynced(aside, bytes); !written)
+  const std::string target = pathOf(name);
+  const std::string partial = target + std::string(partialSuffix);
+  if (auto written = fileSystem->writeSynced(partial, bytes); !written)
     return written;
-  if (auto renamed = fileSystem->rename(aside, target); !renamed)
+  if (auto renamed = fileSystem->rename(partial, target); !renamed)
     return renamed;
   return fileSystem->syncFolder(path);
 }
@@ -81,33 +139,22 @@
 DiskResult<ControllerId> DataFolder::open() {
   if (auto made = fileSystem->makeFolder(path); !made)
     return made.error();
-  const int lock = ::open((path + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
+  const std::string lockPath = pathOf("lock");
+  const int lock = ::open(lockPath.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
   if (lock < 0)
-    return DiskError{path + "/lock", 0, std::strerror(errno), DiskError::Kind::systemError};
+    return DiskError{Code::systemError, lockPath, 0, std::strerror(errno)};
   if (::flock(lock, LOCK_EX | LOCK_NB) != 0) {
     ::close(lock);
-    return DiskError{path, 0, "is in use by another process", DiskError::Kind::systemError};
+    return DiskError{Code::folderInUse, path, 0, "is in use by another process"};
   }
-  // The lock is kept for the life of the process.
+  // The descriptor stays open, and with it the lock, until the process ends.
   return openLocked();
 }
 
 DiskResult<ControllerId> DataFolder::openLocked() {
-  const std::string file = path + "/identity";
-  if (!fileSystem->exists(file)) {
-    auto names = fileSystem->listNames(path);
-    if (!names)
-      return names.error();
-    for (const auto& name : names.value())
-      if (versionFile(name))
-        return DiskError{file, 0, "is missing, but the folder holds state"};
-    std::random_device device;
-    char text[40];
-    std::snprintf(text, sizeof text, "%08x%08x", device(), device());
-    if (auto written = writeFileAtomically("identity", frame(text)); !written)
-      return written.error();
-    return ControllerId{text};
-  }
+  const std::string file = pathOf(identityName);
+  if (!fileSystem->exists(file))
+    return createIdentity();
   auto bytes = fileSystem->read(file);
   if (!bytes)
     return bytes.error();
@@ -117,104 +164,106 @@
   return ControllerId{body.value()};
 }
 
+DiskResult<ControllerId> DataFolder::createIdentity() {
+  auto names = fileSystem->listNames(path);
+  if (!names)
+    return names.error();
+  for (const auto& name : names.value()) {
+    if (parseRecordName(name))
+      return DiskError{Code::identityMissing, pathOf(identityName), 0,
+                       "is missing, but the folder holds state"};
+  }
+  std::random_device device;
+  char identity[40];
+  std::snprintf(identity, sizeof identity, "%08x%08x", device(), device());
+  if (auto written = writeFileAtomically(identityName, frame(identity)); !written)
+    return written.error();
+  return ControllerId{identity};
+}
+
 DiskResult<std::vector<WriteAheadRecord>> DataFolder::load() {
   auto names = fileSystem->listNames(path);
   if (!names)
     return names.error();
-  for (const auto& name : names.value())
-    if (name.ends_with(partialEnding))
-      if (auto removed = fileSystem->remove(path + "/" + name); !removed)
-        return removed.error();
+  for (const auto& name : names.value()) {
+    if (!name.ends_with(partialSuffix))
+      continue;
+    if (auto removed = fileSystem->remove(pathOf(name)); !removed)
+      return removed.error();
+  }
   // A process that was killed may have left a version whose name is not durable yet. It is about to
-  // be claimed to others, so first it is made so.
+  // be claimed to others, so it is made durable first.
   if (auto synced = fileSystem->syncFolder(path); !synced)
     return synced.error();
   return readRecords(path, *fileSystem);
 }
 
 DiskResult<std::vector<WriteAheadRecord>> DataFolder::readRecords(const std::string& path,
-                                                                  FileSystem& files) {
-  auto names = files.listNames(path);
-  if (!names)
-    return names.error();
-  std::map<std::uint64_t, std::string> versions;
-  std::uint64_t latestSnapshot = 0;
-  for (const auto& name : names.value()) {
-    const auto found = versionFile(name);
-    if (!found)
-      continue;
-    if (!versions.emplace(found->version, path + "/" + name).second)
-      return DiskError{path + "/" + name, 0, "a version stands twice"};
-    if (found->snapshot)
-      latestSnapshot = std::max(latestSnapshot, found->version);
-  }
-  // Older ones are there when their removal was not durable. They are of no use: when the newest
-  // snapshot can't be read, nothing tells whether they hold all that was acknowledged.
-  versions.erase(versions.begin(), versions.lower_bound(latestSnapshot));
+                                                                  FileSystem& fileSystem) {
+  auto files = newestRecords(path, fileSystem);
+  if (!files)
+    return files.error();
   std::vector<WriteAheadRecord> records;
-  std::uint64_t expected = latestSnapshot ? latestSnapshot : 1;
-  for (const auto& [version, file] : versions) {
-    if (version != expected++)
-      return DiskError{file, 0,
-                       "version " + std::to_string(expected - 1) + " before it is missing"};
-    auto bytes = files.read(file);
-    if (!bytes)
-      return bytes.error();
-    auto body = unframe(file, bytes.value());
-    if (!body)
-      return body.error();
-    auto record = unpack<WriteAheadRecord>(body.value());
+  const std::uint64_t snapshotVersion = files.value().snapshotVersion;
+  std::uint64_t expected = snapshotVersion ? snapshotVersion : 1;
+  for (const auto& [version, file] : files.value().paths) {
+    if (version != expected)
+      return DiskError{Code::versionMissing, file, 0,
+                       "version " + std::to_string(expected) + " before it is missing"};
+    ++expected;
+    auto record = readRecord(file, version, fileSystem);
     if (!record)
-      return DiskError{file, 20, record.error().text()};
-    if (record.value().version.value != version)
-      return DiskError{file, 20, "holds another version than its name says"};
+      return record.error();
     records.push_back(std::move(record.value()));
   }
   return records;
 }
 
-DiskResult<bool> DataFolder::write(const WriteAheadRecord& record) {
-  auto written = writeFileAtomically(nameOf(record), frame(pack(record)));
-  if (!written || !record.holdsSnapshot)
-    return written;
-  return removeVersionsBefore(record.version);
+DiskResult<void> DataFolder::write(const WriteAheadRecord& record) {
+  auto written = writeFileAtomically(fileNameOf(record), frame(pack(record)));
+  // Only now that the snapshot is durable, its name included. A file that is back after a loss of
+  // power lies below it and is not read.
+  if (written && record.holdsSnapshot)
+    removeVersionsBefore(record.version);
+  return written;
 }
 
-// Only now that the whole version is durable, its name included. One that comes back after a loss
-// of power lies below it and is not read.
-DiskResult<bool> DataFolder::removeVersionsBefore(DiskVersion version) {
+// What can't be removed now is removed with the next snapshot.
+void DataFolder::removeVersionsBefore(DiskVersion version) {
   auto names = fileSystem->listNames(path);
   if (!names)
-    return true;  // they are removed with the next snapshot
+    return;
   for (const auto& name : names.value()) {
-    const auto found = versionFile(name);
-    if (!found || found->version >= version.value)
-      continue;
-    [[maybe_unused]] const auto removed = fileSystem->remove(path + "/" + name);
+    const auto file = parseRecordName(name);
+    if (file && file->version < version.value)
+      (void)fileSystem->remove(pathOf(name));
   }
-  return true;
 }
 
-DiskResult<bool> DataFolder::quarantine() {
-  int count = 1;
-  while (fileSystem->exists(path + "/aside-" + std::to_string(count)))
-    ++count;
-  const std::string target = path + "/aside-" + std::to_string(count);
+DiskResult<void> DataFolder::quarantine() {
+  int number = 1;
+  while (fileSystem->exists(pathOf("aside-" + std::to_string(number))))
+    ++number;
+  const std::string target = pathOf("aside-" + std::to_string(number));
   if (auto made = fileSystem->makeFolder(target); !made)
     return made;
   // The identity goes first: without it the rest is never taken for a voter's state.
-  if (fileSystem->exists(path + "/identity"))
-    if (auto moved = fileSystem->rename(path + "/identity", target + "/identity"); !moved)
+  const std::string identityPath = pathOf(identityName);
+  if (fileSystem->exists(identityPath)) {
+    if (auto moved = fileSystem->rename(identityPath, target + "/" + identityName); !moved)
       return moved;
+  }
   if (auto synced = fileSystem->syncFolder(path); !synced)
     return synced;
   auto names = fileSystem->listNames(path);
   if (!names)
     return names.error();
-  for (const auto& name : names.value())
-    if (versionFile(name))
-      if (auto moved = fileSystem->rename(path + "/" + name, target + "/" + name); !moved)
-        return moved;
+  for (const auto& name : names.value()) {
+    if (!parseRecordName(name))
+      continue;
+    if (auto moved = fileSystem->rename(pathOf(name), target + "/" + name); !moved)
+      return moved;
+  }
   if (auto synced = fileSystem->syncFolder(target); !synced)
     return synced;
   return fileSystem->syncFolder(path);
--- a/source/net/file_system.cpp
+++ b/source/net/file_system.cpp
@@ -11,10 +11,16 @@
 
 namespace {
 
-DiskError systemError(const std::string& path, std::uint64_t offset = 0) {
-  return DiskError{path, offset, std::strerror(errno), DiskError::Kind::systemError};
+// The error of the system call that failed last.
+DiskError lastSystemError(const std::string& path, std::uint64_t offset = 0) {
+  return DiskError{DiskError::Code::systemError, path, offset, std::strerror(errno)};
 }
 
+DiskError systemError(const std::string& path, const std::error_code& error) {
+  return DiskError{DiskError::Code::systemError, path, 0, error.message()};
+}
+
+// Closes a file descriptor at the end of its scope.
 struct Descriptor {
   int number;
   explicit Descriptor(int number) : number(number) {}
@@ -32,10 +38,11 @@
     std::error_code error;
     std::vector<std::string> names;
     for (fs::directory_iterator entry(folder, error), end; !error && entry != end;
-         entry.increment(error))
+         entry.increment(error)) {
       names.push_back(entry->path().filename());
+    }
     if (error)
-      return DiskError{folder, 0, error.message(), DiskError::Kind::systemError};
+      return systemError(folder, error);
     return names;
   }
 
@@ -47,47 +54,47 @@
   DiskResult<std::string> read(const std::string& path) override {
     std::ifstream stream(path, std::ios::binary);
     if (!stream)
-      return systemError(path);
+      return lastSystemError(path);
     std::string bytes((std::istreambuf_iterator<char>(stream)), {});
     if (stream.bad())
-      return DiskError{path, bytes.size(), "can't be read"};
+      return DiskError{DiskError::Code::readFailed, path, bytes.size(), "can't be read"};
     return bytes;
   }
 
-  DiskResult<bool> writeSynced(const std::string& path, const std::string& bytes) override {
+  DiskResult<void> writeSynced(const std::string& path, const std::string& bytes) override {
     Descriptor file(::open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0644));
     if (file.number < 0)
-      return systemError(path);
+      return lastSystemError(path);
     for (std::size_t written = 0; written < bytes.size();) {
       const auto count = ::write(file.number, bytes.data() + written, bytes.size() - written);
       if (count < 0 && errno == EINTR)
         continue;
       if (count < 0)
-        return systemError(path, written);
+        return lastSystemError(path, written);
       written += std::size_t(count);
     }
     if (::fsync(file.number) != 0)
-      return systemError(path);
-    return true;
+      return lastSystemError(path);
+    return outcome::success();
   }
 
-  DiskResult<bool> rename(const std::string& from, const std::string& to) override {
+  DiskResult<void> rename(const std::string& from, const std::string& to) override {
     if (::rename(from.c_str(), to.c_str()) != 0)
-      return systemError(to);
-    return true;
+      return lastSystemError(to);
+    return outcome::success();
   }
 
-  DiskResult<bool> remove(const std::string& path) override {
+  DiskResult<void> remove(const std::string& path) override {
     if (::unlink(path.c_str()) != 0)
-      return systemError(path);
-    return true;
+      return lastSystemError(path);
+    return outcome::success();
   }
 
-  // Each folder that is made is synced into the one above it.
-  DiskResult<bool> makeFolder(const std::string& path) override {
+  // The name of each new folder is made durable in the one above it.
+  DiskResult<void> makeFolder(const std::string& path) override {
     const fs::path folder = fs::absolute(path).lexically_normal();
     if (exists(folder))
-      return true;
+      return outcome::success();
     const fs::path above =
         folder.has_filename() ? folder.parent_path() : folder.parent_path().parent_path();
     if (auto made = makeFolder(above); !made)
@@ -95,15 +102,15 @@
     std::error_code error;
     fs::create_directory(folder, error);
     if (error)
-      return DiskError{path, 0, error.message(), DiskError::Kind::systemError};
+      return systemError(path, error);
     return syncFolder(above);
   }
 
-  DiskResult<bool> syncFolder(const std::string& path) override {
+  DiskResult<void> syncFolder(const std::string& path) override {
     Descriptor folder(::open(path.c_str(), O_RDONLY | O_DIRECTORY));
     if (folder.number < 0 || ::fsync(folder.number) != 0)
-      return systemError(path);
-    return true;
+      return lastSystemError(path);
+    return outcome::success();
   }
 };
 
--- a/tests/net/data_folder_crash_tests.cpp
+++ b/tests/net/data_folder_crash_tests.cpp
@@ -30,7 +30,7 @@
     return folder || seen.count(path);
   }
   DiskResult<std::string> read(const std::string& path) override { return seen.at(path)->content; }
-  DiskResult<bool> writeSynced(const std::string& path, const std::string& bytes) override {
+  DiskResult<void> writeSynced(const std::string& path, const std::string& bytes) override {
     step();
     auto file = std::make_shared<File>();
     change({Change::Kind::put, "", path, file});
@@ -39,27 +39,27 @@
     step();
     file->content = bytes;
     file->synced = true;
-    return true;
+    return outcome::success();
   }
-  DiskResult<bool> rename(const std::string& from, const std::string& to) override {
+  DiskResult<void> rename(const std::string& from, const std::string& to) override {
     step();
     const auto file = seen.at(from);
     if (folderOf(from) == folderOf(to)) {
       change({Change::Kind::move, from, to, file});
-      return true;
+      return outcome::success();
     }
     // Each folder has its part of it, and is synced by itself.
     change({Change::Kind::put, "", to, file});
     change({Change::Kind::remove, "", from, file});
-    return true;
+    return outcome::success();
   }
-  DiskResult<bool> remove(const std::string& path) override {
+  DiskResult<void> remove(const std::string& path) override {
     step();
     change({Change::Kind::remove, "", path, seen.at(path)});
-    return true;
+    return outcome::success();
   }
-  DiskResult<bool> makeFolder(const std::string&) override { return true; }
-  DiskResult<bool> syncFolder(const std::string& path) override {
+  DiskResult<void> makeFolder(const std::string&) override { return outcome::success(); }
+  DiskResult<void> syncFolder(const std::string& path) override {
     step();
     std::vector<Change> rest;
     for (auto& made : unsynced)
@@ -68,7 +68,7 @@
       else
         rest.push_back(made);
     unsynced = std::move(rest);
-    return true;
+    return outcome::success();
   }
 
   std::size_t unsyncedChanges() const { return unsynced.size(); }
@@ -270,7 +270,8 @@
       const auto loaded = DataFolder("d", found).load();
       CHECK(!loaded.has_value());
       STRCMP_EQUAL(newest.c_str(), loaded.error().file.c_str());
-      CHECK(loaded.error().kind == DiskError::Kind::corruption);
+      CHECK(loaded.error().code == DiskError::Code::truncated);
+      CHECK(loaded.error().isCorruption());
       CHECK(claims.attempted == 4);
     });
   });
