--- /dev/null
+++ b/source/controller/gateway_registry.hpp
@@ -0,0 +1,31 @@
+// The gateways that have asked this controller for the route, and when. Every
+// controller keeps its own registry, in memory only; it is what workers and
+// callers learn of gateways. docs/design.md 9.2.
+#ifndef ANISELINE_CONTROLLER_GATEWAY_REGISTRY_HPP
+#define ANISELINE_CONTROLLER_GATEWAY_REGISTRY_HPP
+#include "state/api_request.hpp"
+
+namespace aniseline {
+
+class GatewayRegistry {
+ public:
+  struct Gateway {
+    ZoneName zone;
+    MonotonicTime lastContact;
+  };
+
+  void recordContact(const GatewayEndpoint& gateway, MonotonicTime now) {
+    gateways[gateway.address] = {gateway.zone, now};
+  }
+  // Those heard from lately, by address.
+  std::vector<GatewayEndpoint> live(MonotonicTime now) const;
+  void removeStale(MonotonicTime now);
+  const std::map<Address, Gateway>& all() const { return gateways; }
+
+ private:
+  std::map<Address, Gateway> gateways;
+};
+
+}  // namespace aniseline
+
+#endif  // ANISELINE_CONTROLLER_GATEWAY_REGISTRY_HPP
--- /dev/null
+++ b/source/controller/job_retention.cpp
@@ -0,0 +1,54 @@
+// How long finished jobs are kept. docs/design.md 4.5.
+#include "controller/job_retention.hpp"
+
+namespace aniseline {
+
+namespace {
+constexpr Duration keptComplete{60'000};       // after its end; then a job is reduced
+constexpr std::size_t maxJobsPerEvent = 2000;  // so that one log entry stays small
+}  // namespace
+
+// Finished work never causes new work to be rejected: past the limit the
+// earliest goes.
+void JobRetention::collectExpired(const ClusterState& state, ClusterTime clusterNow,
+                                  JobsExpired& expired) const {
+  const auto& limits = state.config().planner;
+  std::size_t kept = state.jobs().size();
+  for (const auto& [endedAt, id] : state.jobsByEndTime()) {
+    const bool isExpired =
+        clusterNow - endedAt > limits.finishedJobRetention || kept > limits.maxRetainedJobs;
+    if (!isExpired || expired.jobs.size() >= maxJobsPerEvent)
+      break;
+    --kept;
+    expired.jobs.push_back(id);
+  }
+  for (const auto& [id, worker] : state.workers())
+    if (worker.state == WorkerState::removed &&
+        clusterNow - worker.lastSeenAt > limits.finishedJobRetention)
+      expired.workers.push_back(id);
+}
+
+void JobRetention::collectShortened(const ClusterState& state, ClusterTime clusterNow,
+                                    JobsExpired& expired) {
+  for (auto next = state.jobsByEndTime().lower_bound({shortenedThrough, JobId{}});
+       next != state.jobsByEndTime().end() && expired.compacted.size() < maxJobsPerEvent; ++next) {
+    const auto& [endedAt, id] = *next;
+    if (clusterNow - endedAt <= keptComplete)
+      break;
+    shortenedThrough = endedAt;
+    if (!state.jobs().at(id).compactedTaskCount)
+      expired.compacted.push_back(id);
+  }
+}
+
+std::optional<JobsExpired> JobRetention::collect(const ClusterState& state,
+                                                 ClusterTime clusterNow) {
+  JobsExpired expired;
+  collectExpired(state, clusterNow, expired);
+  collectShortened(state, clusterNow, expired);
+  if (expired.jobs.empty() && expired.compacted.empty() && expired.workers.empty())
+    return std::nullopt;
+  return expired;
+}
+
+}  // namespace aniseline
--- /dev/null
+++ b/source/controller/log_event.cpp
@@ -0,0 +1,99 @@
+// The names and fields of log events. docs/operations.md lists them.
+#include "controller/log_event.hpp"
+#include "state/api_request.hpp"
+
+namespace aniseline {
+
+const char* name(MembershipChangeCause cause) {
+  switch (cause) {
+    case MembershipChangeCause::lostState:
+      return "lost state";
+    case MembershipChangeCause::removed:
+      return "removed";
+    case MembershipChangeCause::promotedToVoter:
+      return "voter";
+  }
+  return "";
+}
+
+namespace {
+
+picojson::object fieldsOf(MembershipChangeCause cause, const Member& member) {
+  return {{"change", json(name(cause))},
+          {"member", json(member.id.value)},
+          {"zone", json(member.zone.value)}};
+}
+
+struct Renderer {
+  RenderedLogEvent operator()(const log_events::SnapshotInstalled& event) const {
+    return {"view installed", {{"index", json(event.index.value)}}};
+  }
+  RenderedLogEvent operator()(const log_events::UnreadableRecord& event) const {
+    return {"unreadable record", {{"index", json(event.index.value)}}};
+  }
+  RenderedLogEvent operator()(const log_events::LeadershipStarted& event) const {
+    return {"leads", {{"term", json(event.term.value)}, {"last", json(event.lastIndex.value)}}};
+  }
+  RenderedLogEvent operator()(const log_events::LeadershipEnded& event) const {
+    return {"leads no more", {{"term", json(event.term.value)}}};
+  }
+  RenderedLogEvent operator()(const log_events::ServingStarted& event) const {
+    return {"serves", {{"term", json(event.term.value)}}};
+  }
+  RenderedLogEvent operator()(const log_events::ConfigAccepted& event) const {
+    return {"config taken", {{"version", json(event.version.value)}}};
+  }
+  RenderedLogEvent operator()(const log_events::WorkerIdInUse& event) const {
+    return {"worker id in use", {{"worker", json(event.worker.value)}}};
+  }
+  RenderedLogEvent operator()(const log_events::WorkerDraining& event) const {
+    return {"worker leaves", {{"worker", json(event.worker.value)}}};
+  }
+  RenderedLogEvent operator()(const log_events::WorkerUnreachable& event) const {
+    return {"worker silent", {{"worker", json(event.worker.value)}}};
+  }
+  RenderedLogEvent operator()(const log_events::MembershipChanged& event) const {
+    return {"members change", fieldsOf(event.cause, event.member)};
+  }
+  RenderedLogEvent operator()(const log_events::MembershipChangeRefused& event) const {
+    picojson::object fields = fieldsOf(event.cause, event.member);
+    fields["why"] = json(event.refusal ? name(*event.refusal) : "");
+    return {"members change refused", std::move(fields)};
+  }
+  RenderedLogEvent operator()(const log_events::TaskDelayed& event) const {
+    picojson::object fields{{"job", json(event.job.value)},
+                            {"step", json(event.step)},
+                            {"within", json(event.taskIndex)},
+                            {"state", json(name(event.state))},
+                            {"run", json(event.run)}};
+    if (event.attempt) {
+      fields["attempt"] = json(name(event.attempt->state));
+      fields["worker"] = json(event.attempt->worker.value);
+    }
+    if (event.reservedFor)
+      fields["reserved_for"] = json(event.reservedFor->value);
+    return {"work waits long", std::move(fields)};
+  }
+  RenderedLogEvent operator()(const log_events::Occupancy& event) const {
+    return {"occupancy",
+            {{"waiting", json(event.waitingTasks)},
+             {"in_time", json(event.withinTarget)},
+             {"late", json(event.late)},
+             {"past", json(event.pastUse)},
+             {"attempts", json(event.attempts)},
+             {"open", json(event.openJobs)},
+             {"workers", json(event.usableWorkers)},
+             {"passed_over", json(event.excludedWorkers)},
+             {"copies", json(event.redundantCopies)},
+             {"cores", json(event.cores)},
+             {"cores_used", json(event.coresUsed)}}};
+  }
+};
+
+}  // namespace
+
+RenderedLogEvent render(const LogEvent& event) {
+  return std::visit(Renderer{}, event);
+}
+
+}  // namespace aniseline
--- /dev/null
+++ b/source/controller/options.cpp
@@ -0,0 +1,31 @@
+// How the memory of a controller process is shared out. docs/design.md 3.4.
+#include "controller/options.hpp"
+
+namespace aniseline {
+
+namespace {
+
+// Each limit is the process' memory divided by one of these. Together they take
+// well under half; the rest is for the cluster state, its copies and responses.
+constexpr std::uint64_t keptLogDivisor = 16;
+constexpr std::uint64_t snapshotDivisor = 32;
+constexpr std::uint64_t pendingDivisor = 16;
+constexpr std::uint64_t outboxDivisor = 64;           // to each peer
+constexpr std::uint64_t unacknowledgedDivisor = 256;  // by each peer
+
+}  // namespace
+
+void ControllerOptions::applyMemoryLimit(std::uint64_t processBytes) {
+  if (!processBytes)
+    return;
+  auto limit = [&](auto& bytes, std::uint64_t divisor) {
+    bytes = std::min<std::uint64_t>(bytes, processBytes / divisor);
+  };
+  limit(raft.maxRetainedBytes, keptLogDivisor);
+  limit(maxBytesBetweenSnapshots, snapshotDivisor);
+  limit(maxPendingBytes, pendingDivisor);
+  limit(maxOutboxBytes, outboxDivisor);
+  limit(raft.maxUnacknowledgedBytes, unacknowledgedDivisor);
+}
+
+}  // namespace aniseline
--- /dev/null
+++ b/source/controller/planning_driver.cpp
@@ -0,0 +1,89 @@
+// When and with which hints a plan is made. docs/design.md 7.
+#include "controller/planning_driver.hpp"
+
+namespace aniseline {
+
+namespace {
+// Without a request: how often the planner is asked when a plan is due by time
+// alone, and how long after the last plan one is made once any such time is
+// known.
+constexpr Duration dueCheckInterval{50};
+constexpr Duration idlePlanInterval{500};
+constexpr Duration dueTolerance{1};
+constexpr Duration occupancyReportInterval{1000};
+// What a plan costs grows with what waits, and so does the pause after it:
+// planning never takes more than a share of the time.
+constexpr std::int64_t waitingUnitsPerPauseMs = 100;
+}  // namespace
+
+void PlanningDriver::restart() {
+  paceEstimator.clear();
+  demandEstimator.clear();
+}
+
+PlannerHints PlanningDriver::hints(MonotonicTime now) const {
+  PlannerHints hints;
+  hints.runtimeRatios = paceEstimator.paces(now);
+  hints.urgentDemand = demandEstimator.demand(now);
+  return hints;
+}
+
+bool PlanningDriver::isRequested(const ClusterState& state, ClusterTime clusterNow,
+                                 MonotonicTime now) {
+  if (requested)
+    return true;
+  if (now < nextDueCheck)
+    return false;
+  nextDueCheck = now + dueCheckInterval;
+  const auto due = Planner::nextPlanTime(state, clusterNow);
+  requested = due && (*due - clusterNow <= dueTolerance || now - lastPlanAt >= idlePlanInterval);
+  return requested;
+}
+
+bool PlanningDriver::isPeriodOver(const ClusterState& state, MonotonicTime now) const {
+  const Duration pause{std::int64_t(waitingAtLastPlan) / waitingUnitsPerPauseMs};
+  const Duration period = periodSkipped ? pause : std::max(state.config().planner.period, pause);
+  return now - lastPlanAt >= period;
+}
+
+void PlanningDriver::reportOccupancy(const Plan& plan, const ClusterState& state,
+                                     MonotonicTime now) {
+  if (now < nextOccupancyReport)
+    return;
+  nextOccupancyReport = now + occupancyReportInterval;
+  log_events::Occupancy occupancy;
+  occupancy.waitingTasks = plan.pendingUnits;
+  occupancy.withinTarget = plan.unitsByTargetStatus[0];
+  occupancy.late = plan.unitsByTargetStatus[1];
+  occupancy.pastUse = plan.unitsByTargetStatus[2];
+  occupancy.attempts = state.attempts().size();
+  occupancy.openJobs = state.openJobs().size();
+  occupancy.usableWorkers = plan.schedulableWorkers;
+  occupancy.excludedWorkers = plan.excludedWorkers;
+  occupancy.redundantCopies = plan.redundantCopies;
+  occupancy.cores = double(plan.schedulableCores) / 1000;
+  occupancy.coresUsed = double(plan.allocatedCores) / 1000;
+  events(occupancy);
+}
+
+std::optional<PlanMade> PlanningDriver::run(const ClusterState& state, ClusterTime clusterNow,
+                                            MonotonicTime now) {
+  if (!isRequested(state, clusterNow, now) || !isPeriodOver(state, now))
+    return std::nullopt;
+  lastPlanAt = now;
+  periodSkipped = false;
+  requested = false;
+  Plan plan = planner.makePlan(state, clusterNow, leases.unheardDurations(now), false, hints(now));
+  demandEstimator.record(plan.urgentDemand, now);
+  waitingAtLastPlan = plan.pendingUnits;
+  reportOccupancy(plan, state, now);
+  if (plan.changesNothing(state.reservation()))
+    return std::nullopt;
+  return std::move(plan.record);
+}
+
+Plan PlanningDriver::explain(const ClusterState& state, ClusterTime clusterNow, MonotonicTime now) {
+  return planner.makePlan(state, clusterNow, leases.unheardDurations(now), true, hints(now));
+}
+
+}  // namespace aniseline
--- /dev/null
+++ b/source/controller/replicated_state_machine.cpp
@@ -0,0 +1,100 @@
+// Folding the log into the committed and the speculative state.
+// docs/design.md 3.2, 3.4.
+#include "controller/replicated_state_machine.hpp"
+
+namespace aniseline {
+
+ReplicatedStateMachine::ReplicatedStateMachine(RaftNode& raft, const LogEventSignal& events)
+    : raft(raft), events(events) {
+  if (raft.logBaseIndex().value > 0)
+    restore(raft.snapshot());
+}
+
+void ReplicatedStateMachine::restore(const Snapshot& snapshot) {
+  auto state = unpack<ClusterState>(snapshot.state);
+  if (state)
+    committedState = std::move(state.value());
+  else
+    unreadableState = true;
+  appliedIndex = snapshot.lastIncludedIndex;
+  snapshotScheduler.restart(snapshot.state);
+}
+
+void ReplicatedStateMachine::applyCommittedEntries() {
+  if (raft.takeSnapshotInstalled()) {
+    restore(raft.snapshot());
+    events(log_events::SnapshotInstalled{appliedIndex});
+  }
+  while (appliedIndex < raft.commitIndex()) {
+    appliedIndex = appliedIndex.next();
+    const LogEntry& entry = raft.entry(appliedIndex);
+    if (entry.isMembership)
+      continue;
+    if (applyCommittedEntry(entry)) {
+      snapshotScheduler.recordApplied(entry.payload);
+    } else {
+      unreadableState = true;
+      events(log_events::UnreadableRecord{appliedIndex});
+    }
+  }
+}
+
+bool ReplicatedStateMachine::applyCommittedEntry(const LogEntry& entry) {
+  while (!proposals.empty() && proposals.front().index < appliedIndex)
+    dropFirstProposal();
+  const bool isProposal = !proposals.empty() && proposals.front().index == appliedIndex &&
+                          proposals.front().term == entry.term;
+  if (isProposal) {
+    committedState.apply(proposals.front().record);
+    dropFirstProposal();
+    return true;
+  }
+  auto record = unpack<LogRecord>(entry.payload);
+  if (record)
+    committedState.apply(record.value());
+  return record.has_value();
+}
+
+void ReplicatedStateMachine::dropFirstProposal() {
+  totalProposalBytes -= proposals.front().bytes;
+  proposals.pop_front();
+}
+
+void ReplicatedStateMachine::clearProposals() {
+  proposals.clear();
+  totalProposalBytes = 0;
+}
+
+void ReplicatedStateMachine::startLeading() {
+  term = raft.term();
+  speculativeState = committedState;
+  for (LogIndex index = appliedIndex.next(); index <= raft.lastIndex(); index = index.next()) {
+    const LogEntry& entry = raft.entry(index);
+    if (entry.isMembership)
+      continue;
+    if (auto record = unpack<LogRecord>(entry.payload))
+      speculativeState->apply(record.value());
+    else
+      unreadableState = true;
+  }
+  clearProposals();
+  committedState.updatedWorkers.clear();
+}
+
+void ReplicatedStateMachine::stopLeading() {
+  speculativeState.reset();
+  clearProposals();
+}
+
+const Event& ReplicatedStateMachine::append(Event event, ClusterTime at, MonotonicTime now) {
+  LogRecord record{std::max(at, speculativeState->now()), std::move(event)};
+  std::string payload = pack(record);
+  const std::size_t bytes = payload.size();
+  const LogIndex index = raft.propose(std::move(payload), now);
+  speculativeState->apply(record);
+  proposals.push_back({index, raft.term(), std::move(record), bytes});
+  totalProposalBytes += bytes;
+  return proposals.back().record.event;
+}
+
+}  // namespace aniseline
--- /dev/null
+++ b/source/controller/request_handlers.cpp
@@ -0,0 +1,190 @@
+// How requests are taken in, and the handlers of clients' and operators'
+// requests. docs/api.md, docs/design.md 8, 10.
+#include "controller/config_service.hpp"
+#include "controller/controller.hpp"
+#include "controller/read_views.hpp"
+
+namespace aniseline {
+
+namespace {
+constexpr Duration overloadRetryDelay{1000};
+}  // namespace
+
+void Controller::submitRequest(RequestNumber number, ApiRequest request, MonotonicTime at) {
+  if (!isLeading() || !raft.isLeader())
+    return sendResponse(number, notLeaderResponse());
+  if (!hasRequestCapacity(request))
+    return sendResponse(number,
+                        ApiResponse::error(429, "overloaded", "too many requests are under way",
+                                           overloadRetryDelay));
+  if (!fitsMemoryLimit(request))
+    return sendResponse(number, ApiResponse::notApplied("too much is under way; ask again"));
+  requests.add(number, std::move(request), at + options.responseTimeout);
+}
+
+// The config in force says which queues are urgent. docs/design.md 10.
+bool Controller::hasRequestCapacity(const ApiRequest& request) const {
+  const auto* queue = committed().config().findQueue(request.job.queue);
+  const bool isUrgent = queue && queue->priority > 0;
+  const bool isPlainSubmission = request.kind == RequestKind::submitJob && !isUrgent;
+  return admitsRequest(request.kind, isPlainSubmission, requests.size(),
+                       options.maxPendingRequests);
+}
+
+// Syncs are always let in: there are as many as workers, and without them
+// nothing ends.
+bool Controller::fitsMemoryLimit(const ApiRequest& request) const {
+  const std::size_t retained = pendingBytes();
+  return request.kind == RequestKind::syncWorker || retained == 0 ||
+         retained + payloadBytes(request) <= options.maxPendingBytes;
+}
+
+void Controller::handleQueuedRequests() {
+  for (auto sequence : requests.takeQueued()) {
+    PendingRequest* pending = requests.find(sequence);
+    if (!pending)
+      continue;  // it timed out before it could be handled
+    handleRequest(*pending);
+    requests.releaseConfigText(*pending);
+  }
+}
+
+// The leader's config is the newest there is, so what comes by an ingress route
+// is never judged by an older one. docs/design.md 6.6.
+std::optional<ApiResponse> Controller::resolveIngressRoute(ApiRequest& request) const {
+  const ClusterConfig& config = speculative().config();
+  if (!config.version.value)
+    return ApiResponse::notApplied("there is no config yet");
+  const auto* entrance = config.findIngressRoute(request.host, request.path);
+  if (!entrance)
+    return ApiResponse::error(404, "no_queue", "no queue is entered there");
+  request.targetId = request.path.substr(entrance->pathPrefix.size());
+  request.job.queue = entrance->queue;
+  request.job.id = JobId{request.targetId};
+  if (request.kind == RequestKind::showPhase && request.targetId.empty())
+    request.kind = RequestKind::countOpenJobs;
+  if (request.kind != RequestKind::submitJob)
+    return std::nullopt;
+  auto faults = request.job.validate();
+  if (faults.empty())
+    return std::nullopt;
+  return ApiResponse::fromError(CoreError{CoreError::Kind::invalid, std::move(faults)});
+}
+
+void Controller::handleRequest(PendingRequest& pending) {
+  if (pending.request.viaIngress())
+    if (auto rejection = resolveIngressRoute(pending.request))
+      return respondWhenCommitted(pending, std::move(*rejection));
+  switch (pending.request.kind) {
+    case RequestKind::submitJob:
+      return handleSubmit(pending);
+    case RequestKind::cancelJob:
+      return handleCancel(pending);
+    case RequestKind::applyConfig:
+      return handleConfig(pending);
+    case RequestKind::syncWorker:
+      return handleSync(pending);
+    case RequestKind::workerShutdown:
+    case RequestKind::drainWorker:
+    case RequestKind::undrainWorker:
+    case RequestKind::removeWorker:
+      return handleWorkerOrder(pending);
+    case RequestKind::replaceController:
+      return handleReplacement(pending);
+    default:
+      return handleReadRequest(pending);
+  }
+}
+
+void Controller::handleReadRequest(PendingRequest& pending) {
+  const ApiRequest& request = pending.request;
+  const ClusterState& state = speculative();
+  auto respond = [&](ApiResponse response) {
+    respondWhenCommitted(pending, std::move(response));
+  };
+  auto show = [&](const picojson::object& body) {
+    respond(ApiResponse::of(200, body));
+  };
+  switch (request.kind) {
+    case RequestKind::showJob:
+      return respond(jobResponse(state, JobId{request.targetId}));
+    case RequestKind::showPhase:
+      return respond(jobPhaseResponse(state, JobId{request.targetId}));
+    case RequestKind::countOpenJobs:
+      return respond(openJobCountResponse(state, request.job.queue));
+    case RequestKind::readConfig:
+      return respond(configTextResponse(state));
+    case RequestKind::listJobs:
+      return show(renderJobList(state, request));
+    case RequestKind::showConfig:
+      return show(renderConfig(state));
+    case RequestKind::listWorkers:
+      return show(renderWorkers(state, leases.unheardDurations(now), clusterNow()));
+    case RequestKind::showCluster:
+      return show(renderCluster(state, raft, gateways, now, clusterNow()));
+    case RequestKind::showPlan:
+      return show(renderPlan(state, planning.explain(state, clusterNow(), now), clusterNow()));
+    case RequestKind::showCounters:
+      return show(renderCounters(state, raft, requests.size()));
+    case RequestKind::exportState:
+      return show(renderExport(state, clusterNow()));
+    default:
+      return;  // changes something: handleRequest dispatches it
+  }
+}
+
+void Controller::handleSubmit(PendingRequest& pending) {
+  RequestDecision decision = admission.decide(pending.request, speculative(), now);
+  const auto* queue = speculative().config().findQueue(pending.request.job.queue);
+  if (decision.event && queue->priority > 0)
+    planning.skipPeriod();
+  carryOut(pending, std::move(decision));
+}
+
+void Controller::handleCancel(PendingRequest& pending) {
+  const JobId id{pending.request.targetId};
+  auto found = speculative().jobs().find(id);
+  if (found == speculative().jobs().end())
+    return respondWhenCommitted(pending, ApiResponse::error(404, "missing", "no job " + id.value));
+  const Job& job = found->second;
+  const bool appends = !job.isTerminal() && job.state != JobState::cancelling;
+  if (appends)
+    append(JobCancelled{id});
+  respondWhenCommitted(
+      pending, ApiResponse::of(200, {{"id", json(id.value)}, {"state", json(name(job.state))}}),
+      appends);
+}
+
+void Controller::handleConfig(PendingRequest& pending) {
+  RequestDecision decision = decideConfigOrder(pending.request, speculative());
+  if (decision.event) {
+    const auto& event = boost::get<ConfigCommitted>(*decision.event);
+    logEvent(log_events::ConfigAccepted{event.config.version});
+  }
+  carryOut(pending, std::move(decision));
+}
+
+// An operator's order that a learner may take a member's place. Identities are
+// never used again, so an order that was accepted is known by the one that it
+// names, also once that one leads or is out.
+void Controller::handleReplacement(PendingRequest& pending) {
+  const ControllerId id{pending.request.targetId};
+  const Membership& members = raft.membership();
+  const auto& replaced = speculative().replacedControllers();
+  const bool isMember = std::any_of(members.begin(), members.end(),
+                                    [&](const Member& member) { return member.id == id; });
+  const bool wasReplaced = std::find(replaced.begin(), replaced.end(), id) != replaced.end();
+  const auto accepted = ApiResponse::of(202, {{"replacing", json(id.value)}});
+  if (speculative().controllersToReplace().count(id) || (wasReplaced && !isMember))
+    return respondWhenCommitted(pending, accepted);
+  if (!isMember)
+    return respondWhenCommitted(pending,
+                                ApiResponse::error(404, "missing", "no member " + id.value));
+  if (id == raft.self().id)
+    return respondWhenCommitted(
+        pending,
+        ApiResponse::error(409, "conflict", "it leads; stop it first so that leadership moves"));
+  carryOut(pending, {accepted, ControllerReplacementRequested{id, false}});
+}
+
+}  // namespace aniseline
--- /dev/null
+++ b/source/controller/snapshot_scheduler.cpp
@@ -0,0 +1,17 @@
+// When a snapshot is due. docs/design.md 3.4.
+#include "controller/snapshot_scheduler.hpp"
+
+namespace aniseline {
+
+void SnapshotScheduler::requestIfDue(const RaftNode& raft, LogIndex appliedIndex,
+                                     const ControllerOptions& options) {
+  if (raft.logRecordsSinceSnapshot() < options.maxRecordsBetweenSnapshots &&
+      raft.logBytesSinceSnapshot() < options.maxBytesBetweenSnapshots)
+    return;
+  if (packing || appliedIndex <= raft.snapshot().lastIncludedIndex)
+    return;
+  work.packThrough = appliedIndex;
+  packing = true;
+}
+
+}  // namespace aniseline
--- a/source/controller/snapshot_writer.cpp
+++ b/source/controller/snapshot_writer.cpp
@@ -1,12 +1,13 @@
+// Packing snapshots of the committed state. docs/design.md 3.4.
 #include "controller/snapshot_writer.hpp"
 
 namespace aniseline {
 
 std::optional<PackedSnapshot> SnapshotWriter::process(const SnapshotWork& work) {
   if (work.restartFrom) {
-    auto read = unpack<ClusterState>(*work.restartFrom);
-    clusterState = read ? std::move(read.value())
-                        : ClusterState{};  // one that can't be read has stopped the core already
+    // One that can't be decoded has stopped the controller already.
+    auto state = unpack<ClusterState>(*work.restartFrom);
+    clusterState = state ? std::move(state.value()) : ClusterState{};
   }
   for (const auto& payload : work.records)
     if (auto record = unpack<LogRecord>(payload))
--- /dev/null
+++ b/source/controller/urgent_demand_estimator.cpp
@@ -0,0 +1,30 @@
+// The fading peak of urgent demand. docs/design.md 7.8.
+#include "controller/urgent_demand_estimator.hpp"
+#include <cmath>
+
+namespace aniseline {
+
+namespace {
+constexpr double peakHalfLifeMs = 5000.0;  // a burst is expected again for some seconds
+}  // namespace
+
+double UrgentDemandEstimator::Peak::fadedAt(MonotonicTime now) const {
+  return cores * std::exp2(-double((now - measuredAt).milliseconds) / peakHalfLifeMs);
+}
+
+void UrgentDemandEstimator::record(const Demand& current, MonotonicTime now) {
+  for (const auto& [pool, wanted] : current) {
+    Peak& peak = peaks[pool];
+    peak.cores = std::max(peak.fadedAt(now), double(wanted));
+    peak.measuredAt = now;
+  }
+}
+
+UrgentDemandEstimator::Demand UrgentDemandEstimator::demand(MonotonicTime now) const {
+  Demand demand;
+  for (const auto& [pool, peak] : peaks)
+    demand[pool] = std::int64_t(peak.fadedAt(now));
+  return demand;
+}
+
+}  // namespace aniseline
--- /dev/null
+++ b/source/controller/worker_handlers.cpp
@@ -0,0 +1,162 @@
+// The handlers of workers' syncs and of operators' orders about workers.
+// docs/design.md 5.
+#include "controller/controller.hpp"
+
+namespace aniseline {
+
+namespace {
+
+bool isReplacedIncarnation(const Worker& worker, Incarnation incarnation) {
+  const auto& retired = worker.retiredIncarnations;
+  return std::find(retired.begin(), retired.end(), incarnation) != retired.end() ||
+         (worker.state == WorkerState::removed && worker.incarnation == incarnation);
+}
+
+// The event that carries out an operator's order about a worker; none where it
+// changes nothing.
+std::optional<Event> eventOfOrder(const ApiRequest& order, const Worker& worker) {
+  const WorkerState state = worker.state;
+  switch (order.kind) {
+    case RequestKind::workerShutdown:
+      // An unreachable worker may return: it is not used then either.
+      if (state == WorkerState::available || state == WorkerState::unreachable)
+        return WorkerDrainStarted{worker.id, order.drainTimeout, false};
+      return std::nullopt;
+    case RequestKind::drainWorker:
+      if (state != WorkerState::drained && state != WorkerState::removed)
+        return WorkerDrainStarted{worker.id, order.drainTimeout, true};
+      return std::nullopt;
+    case RequestKind::undrainWorker:
+      if (state == WorkerState::drained || state == WorkerState::draining)
+        return WorkerReconnected{worker.id};
+      return std::nullopt;
+    default:
+      if (state != WorkerState::removed)
+        return WorkerRemoved{worker.id, "declared gone by an operator"};
+      return std::nullopt;
+  }
+}
+
+}  // namespace
+
+void Controller::handleWorkerOrder(PendingRequest& pending) {
+  const WorkerId id{pending.request.targetId};
+  auto found = speculative().workers().find(id);
+  if (found == speculative().workers().end())
+    return respondWhenCommitted(pending,
+                                ApiResponse::error(404, "missing", "no worker " + id.value));
+  const Worker& worker = found->second;
+  auto event = eventOfOrder(pending.request, worker);
+  const bool appends = event.has_value();
+  if (appends)
+    append(std::move(*event));
+  respondWhenCommitted(
+      pending,
+      ApiResponse::of(200, {{"worker", json(id.value)}, {"state", json(name(worker.state))}}),
+      appends);
+}
+
+void Controller::handleSync(PendingRequest& pending) {
+  const SyncReport& report = pending.request.report;
+  if (auto rejection = syncRejection(report))
+    return respondWhenCommitted(pending, std::move(*rejection));
+  const bool registered = registerWorker(report);
+  const bool replacesPolls =
+      !report.wantsPackedResponse || report.longPollTimeout.milliseconds != 0;
+  if (replacesPolls)
+    requests.endPollsOf(report.id, now);
+  recordContact(report);
+  recordDrainNotice(report);
+  recordProgress(report);
+  startPoll(pending, registered);
+}
+
+// Two processes with one id would replace each other for ever, so while the
+// known one is alive the other is rejected.
+std::optional<ApiResponse> Controller::syncRejection(const SyncReport& report) {
+  auto found = speculative().workers().find(report.id);
+  if (found == speculative().workers().end())
+    return std::nullopt;
+  const Worker& known = found->second;
+  if (isReplacedIncarnation(known, report.incarnation))
+    return replacedIncarnationResponse();
+  const bool idInUse = known.incarnation != report.incarnation &&
+                       known.state != WorkerState::removed && leases.isAlive(report.id, now);
+  if (!idInUse)
+    return std::nullopt;
+  logEvent(log_events::WorkerIdInUse{report.id});
+  return ApiResponse::error(
+      409, "conflict",
+      "worker " + report.id.value + " is alive as another process; give each its own id",
+      options.workerLivenessTimeout);
+}
+
+// True: the worker is new, or its incarnation or capacity is.
+bool Controller::registerWorker(const SyncReport& report) {
+  auto known = speculative().workers().find(report.id);
+  if (known != speculative().workers().end() && known->second.incarnation == report.incarnation &&
+      known->second.capacity == report.capacity)
+    return false;
+  append(WorkerRegistered{report.id, report.incarnation, report.capacity});
+  return true;
+}
+
+void Controller::recordContact(const SyncReport& report) {
+  const auto effect = leases.recordReport(report, now);
+  if (effect.responsiveAgain)
+    planning.requestPlan();
+  const Worker& worker = speculative().workers().at(report.id);
+  if (worker.state == WorkerState::unreachable && !report.unresponsive && !effect.overtaken)
+    append(WorkerReconnected{report.id});
+}
+
+void Controller::recordDrainNotice(const SyncReport& report) {
+  const Worker& worker = speculative().workers().at(report.id);
+  const bool isNews =
+      worker.state == WorkerState::available ||
+      (worker.state == WorkerState::unreachable && worker.drainDeadline == ClusterTime{});
+  if (!report.draining || !isNews)
+    return;
+  append(WorkerDrainStarted{report.id, report.drainTimeout, false});
+  logEvent(log_events::WorkerDraining{report.id});
+}
+
+// Logs the orders that the worker has carried out, its results and its
+// checkpoints, as far as they are news.
+void Controller::recordProgress(const SyncReport& report) {
+  const ClusterState& state = speculative();
+  const Worker& worker = state.workers().at(report.id);
+  WorkerSynced synced{report.id, std::min(report.lastAppliedOrder, worker.lastIssuedOrder), {}};
+  for (const auto& ending : report.results) {
+    auto attempt = state.attempts().find(ending.attempt);
+    if (attempt != state.attempts().end() && attempt->second.worker == report.id)
+      synced.results.push_back(ending);
+  }
+  for (const auto& ending : report.runResults)
+    if (auto number = state.findAttempt(report.id, ending.runId); number.value)
+      synced.results.push_back({number, ending.outcome, ending.checkpoint});
+  for (const auto& save : report.checkpoints)
+    if (auto number = state.findAttempt(report.id, save.runId); number.value)
+      synced.checkpoints.emplace_back(number, save.checkpoint);
+  planning.recordPace(synced, state, clusterNow(), now);
+  if (synced.lastAppliedOrder > worker.lastAppliedOrder || !synced.results.empty() ||
+      !synced.checkpoints.empty())
+    append(std::move(synced));
+}
+
+// The sync waits for orders: no longer than it asked for, and not at all when
+// it brings news whose confirmation the worker waits for.
+void Controller::startPoll(PendingRequest& pending, bool respondAtOnce) {
+  const SyncReport& report = pending.request.report;
+  const bool bringsNews = respondAtOnce || !report.results.empty() || !report.runResults.empty() ||
+                          (report.draining && !report.wantsPackedResponse);
+  requests.startPoll(pending);
+  pending.appendedToLog = false;
+  pending.requiredCommitIndex = raft.lastIndex();
+  pending.requiredRound = raft.startRound(now);
+  pending.pollUntil =
+      bringsNews ? now : now + std::min(report.longPollTimeout, options.maxPollDuration);
+  pending.deadline = now + options.maxPollDuration + options.responseTimeout;
+}
+
+}  // namespace aniseline
--- /dev/null
+++ b/source/controller/worker_pace_estimator.cpp
@@ -0,0 +1,51 @@
+// The pace of each worker as a moving average of logarithms.
+// docs/design.md 5.6.
+#include "controller/worker_pace_estimator.hpp"
+#include <cmath>
+
+namespace aniseline {
+
+namespace {
+constexpr std::uint32_t requiredSamples = 8;  // with fewer nothing is said of a worker
+constexpr double earlyWeight = 0.15;          // of a sample, while there are fewer than that
+constexpr double laterWeight = 0.06;
+constexpr double minRatio = 0.05;  // one outlier moves the average no further than these
+constexpr double maxRatio = 20.0;
+constexpr std::int64_t minRuntimeMs = 50;   // shorter work is dominated by the calls around it
+constexpr std::int64_t fadeDelayMs = 1000;  // without a sample the estimate fades after this,
+constexpr double fadeHalfLifeMs = 4000.0;   // by this half-life
+}  // namespace
+
+void WorkerPaceEstimator::record(const WorkerSynced& synced, const ClusterState& state,
+                                 ClusterTime clusterNow, MonotonicTime now) {
+  for (const auto& ending : synced.results) {
+    auto attempt = state.attempts().find(ending.attempt);
+    if (ending.outcome != AttemptOutcome::succeeded || attempt == state.attempts().end() ||
+        attempt->second.isTrial())
+      continue;
+    const auto requested =
+        std::max<std::int64_t>(minRuntimeMs, attempt->second.runtime.milliseconds);
+    const double ratio =
+        double((clusterNow - attempt->second.orderedAt).milliseconds) / double(requested);
+    Estimate& estimate = estimates[synced.worker];
+    const double weight = estimate.samples < requiredSamples ? earlyWeight : laterWeight;
+    estimate.logRatio +=
+        (std::log(std::clamp(ratio, minRatio, maxRatio)) - estimate.logRatio) * weight;
+    ++estimate.samples;
+    estimate.lastSampleAt = now;
+  }
+}
+
+RuntimeRatios WorkerPaceEstimator::paces(MonotonicTime now) const {
+  RuntimeRatios paces;
+  for (const auto& [worker, estimate] : estimates) {
+    if (estimate.samples < requiredSamples)
+      continue;
+    const auto idle = (now - estimate.lastSampleAt).milliseconds - fadeDelayMs;
+    const double age = double(std::max<std::int64_t>(0, idle));
+    paces[worker] = std::exp(estimate.logRatio * std::exp2(-age / fadeHalfLifeMs));
+  }
+  return paces;
+}
+
+}  // namespace aniseline
--- a/source/daemons/controller_daemon.cpp
+++ b/source/daemons/controller_daemon.cpp
@@ -196,8 +196,10 @@
         Member{identity, settings.advertisedAddress, ZoneName{settings.zone}, false}, options,
         (std::uint64_t(device()) << 32) | device(), restored, monotonicNow());
     keeper = std::make_shared<SnapshotWriter>();
-    core->logEvent.connect(
-        [](const LogEvent& note) { log(LogLevel::info, note.what, note.fields); });
+    core->logEvent.connect([](const LogEvent& event) {
+      const RenderedLogEvent rendered = render(event);
+      log(LogLevel::info, rendered.name, rendered.fields);
+    });
   }
   bool renew() {
     log(LogLevel::warning, "this identity is no member any more; beginning anew",
--- a/source/simulator/fault_injector.cpp
+++ b/source/simulator/fault_injector.cpp
@@ -43,7 +43,8 @@
       }
   };
   cluster.onLogEvent = [this](std::size_t place, const LogEvent& note) {
-    if (note.what != "members change" || armedMembershipFaults.empty())
+    if (!std::holds_alternative<log_events::MembershipChanged>(note) ||
+        armedMembershipFaults.empty())
       return;
     auto strike = std::move(armedMembershipFaults.back());
     armedMembershipFaults.pop_back();
--- a/source/simulator/simulated_controllers.cpp
+++ b/source/simulator/simulated_controllers.cpp
@@ -2,6 +2,17 @@
 
 namespace aniseline {
 
+namespace {
+
+std::string lineOf(const LogEvent& event) {
+  const RenderedLogEvent rendered = render(event);
+  if (rendered.fields.empty())
+    return rendered.name;
+  return rendered.name + " " + picojson::value(rendered.fields).serialize();
+}
+
+}  // namespace
+
 void SimulatedCluster::bootController(ControllerNode& node) {
   node.up = true;
   node.frozen = false;
@@ -20,8 +31,7 @@
     if (onLogEvent)
       schedule(now, [this, place = node.index, note] { onLogEvent(place, note); });
     if (trace)
-      trace(node.identity.value + " " + note.what +
-            (note.fields.empty() ? "" : " " + picojson::value(note.fields).serialize()));
+      trace(node.identity.value + " " + lineOf(note));
   });
   schedule(now, [this, &node, generation = node.generation] { tickController(node, generation); });
 }
--- a/tests/golden_tests.cpp
+++ b/tests/golden_tests.cpp
@@ -255,7 +255,7 @@
   Scenario script(options);
   std::size_t told = 0;
   script.cluster->onLogEvent = [&](std::size_t, const LogEvent& note) {
-    told += note.what == "worker id in use";
+    told += render(note).name == "worker id in use";
   };
   script.cluster->submit(parseJob(jobJson("a", 9000, "plates")));
   script.waitForFinished("a", 15'000);
@@ -282,7 +282,7 @@
   const std::size_t victim = (*script.cluster->leader() + 1) % 3;
   std::size_t changes = 0;
   script.cluster->onLogEvent = [&](std::size_t, const LogEvent& note) {
-    changes += note.what == "members change";
+    changes += render(note).name == "members change";
   };
   script.cluster->freezeController(victim, true);
   script.advance(20'000);
--- a/tests/replacement_tests.cpp
+++ b/tests/replacement_tests.cpp
@@ -152,7 +152,7 @@
   bool struck = false;
   std::optional<std::size_t> away;
   run.cluster->onLogEvent = [&](std::size_t, const LogEvent& note) {
-    if (struck || note.what != "members change")
+    if (struck || render(note).name != "members change")
       return;
     struck = true;
     run.cluster->scheduleAfter(std::int64_t(seed % 15), [&] {
--- a/tests/voters_tests.cpp
+++ b/tests/voters_tests.cpp
@@ -17,9 +17,10 @@
   explicit Centre(std::int64_t replaceAfter = 5000) : Scenario(five(), replaceAfter) {
     advance(8000);  // until no zone has too many
     cluster->onLogEvent = [this](std::size_t, const LogEvent& note) {
-      if (note.what == "members change")
-        changes.push_back(note.fields.at("change").to_str() + " " +
-                          note.fields.at("member").to_str());
+      const RenderedLogEvent rendered = render(note);
+      if (rendered.name == "members change")
+        changes.push_back(rendered.fields.at("change").to_str() + " " +
+                          rendered.fields.at("member").to_str());
     };
   }
   const RaftNode& raftNode() const { return cluster->controller(*cluster->leader())->raftNode(); }
