--- /dev/null
+++ b/tests/controller/lease_manager_tests.cpp
@@ -0,0 +1,99 @@
+// When a leader takes a worker for unreachable or gone. docs/design.md 5.4, 5.7, 5.8.
+#include "controller/lease_manager.hpp"
+#include <CppUTest/TestHarness.h>
+
+using namespace aniseline;
+
+TEST_GROUP(LeaseManagerTests) {
+  ControllerOptions options;
+  LeaseManager leases{options};
+  ClusterState state;
+  const WorkerId worker{"w"};
+  const Duration expiry = options.leaseDuration + options.leaseMargin;
+
+  void setup() override {
+    leases.restart(MonotonicTime{1000});
+    apply(WorkerRegistered{worker, Incarnation{1}, Capacity{}});
+  }
+  void apply(Event event) {
+    state.apply(LogRecord{ClusterTime{1}, std::move(event)});
+    leases.invalidateDeadlines();
+  }
+  SyncReport reportAt(std::int64_t agentTime, bool unresponsive = false) const {
+    SyncReport report;
+    report.id = worker;
+    report.wantsPackedResponse = true;
+    report.reportedAt = MonotonicTime{agentTime};
+    report.unresponsive = unresponsive;
+    report.remainingLease = Duration{500};
+    return report;
+  }
+  std::vector<Event> expireAt(MonotonicTime now, ClusterTime clusterNow = ClusterTime{1}) {
+    return leases.expire(state, now, clusterNow);
+  }
+};
+
+TEST(LeaseManagerTests, aWorkerIsUnreachableOnceLeaseAndMarginAreOver) {
+  leases.recordReport(reportAt(1), MonotonicTime{2000});
+  const MonotonicTime lastMoment = MonotonicTime{2000} + expiry;
+  CHECK(expireAt(lastMoment).empty());
+  const auto events = expireAt(lastMoment + Duration{1});
+  LONGS_EQUAL(1, events.size());
+  CHECK(boost::get<WorkerUnreachable>(&events.front()) != nullptr);
+}
+
+TEST(LeaseManagerTests, aWorkerNotHeardInThisLeadershipCountsFromItsBeginning) {
+  CHECK(expireAt(MonotonicTime{1000} + expiry).empty());
+  LONGS_EQUAL(1, expireAt(MonotonicTime{1001} + expiry).size());
+}
+
+TEST(LeaseManagerTests, aWorkerKnownAsUnreachableIsNotReportedAgain) {
+  apply(WorkerUnreachable{worker, {}});
+  CHECK(expireAt(MonotonicTime{60'000}).empty());
+}
+
+TEST(LeaseManagerTests, anUnresponsiveWorkerIsUnreachableWhenItsOwnHoldIsOver) {
+  leases.recordReport(reportAt(1), MonotonicTime{2000});
+  leases.recordReport(reportAt(2, true), MonotonicTime{2100});
+  const MonotonicTime over = MonotonicTime{2600} + options.unresponsiveMargin;
+  CHECK(expireAt(over).empty());
+  LONGS_EQUAL(1, expireAt(over + Duration{1}).size());
+  LONGS_EQUAL(60'000, leases.unheardDurations(MonotonicTime{2200}).at(worker).milliseconds);
+}
+
+TEST(LeaseManagerTests, anOvertakenReportChangesNothing) {
+  leases.recordReport(reportAt(5), MonotonicTime{2000});
+  const auto effect = leases.recordReport(reportAt(4, true), MonotonicTime{2100});
+  CHECK(effect.overtaken);
+  LONGS_EQUAL(100, leases.unheardDurations(MonotonicTime{2100}).at(worker).milliseconds);
+}
+
+TEST(LeaseManagerTests, aWorkerThatAnswersAgainIsResponsive) {
+  leases.recordReport(reportAt(1, true), MonotonicTime{2000});
+  const auto effect = leases.recordReport(reportAt(2), MonotonicTime{2100});
+  CHECK(effect.responsiveAgain);
+  CHECK(!leases.recordReport(reportAt(3), MonotonicTime{2200}).responsiveAgain);
+}
+
+TEST(LeaseManagerTests, aDrainingWorkerWithoutTasksIsGoneOnceItIsUnheard) {
+  apply(WorkerDrainStarted{worker, Duration{100'000}, false});
+  const auto events = expireAt(MonotonicTime{1001} + expiry);
+  LONGS_EQUAL(1, events.size());
+  CHECK(boost::get<WorkerRemoved>(&events.front()) != nullptr);
+}
+
+TEST(LeaseManagerTests, aDrainDeadlineThatPassedIsReportedOnce) {
+  apply(WorkerDrainStarted{worker, Duration{100}, false});
+  CHECK(expireAt(MonotonicTime{1100}, ClusterTime{100}).empty());
+  const auto events = expireAt(MonotonicTime{1101}, ClusterTime{101});
+  LONGS_EQUAL(1, events.size());
+  CHECK(boost::get<WorkerDrainDeadlinePassed>(&events.front()) != nullptr);
+  apply(WorkerDrainDeadlinePassed{worker});
+  CHECK(expireAt(MonotonicTime{1102}, ClusterTime{102}).empty());
+}
+
+TEST(LeaseManagerTests, aWorkerIsAliveForTheLivenessTimeout) {
+  leases.recordReport(reportAt(1), MonotonicTime{2000});
+  CHECK(leases.isAlive(worker, MonotonicTime{1999} + options.workerLivenessTimeout));
+  CHECK(!leases.isAlive(worker, MonotonicTime{2000} + options.workerLivenessTimeout));
+}
