--- a/library/library.cpp
+++ b/library/library.cpp
@@ -1,6 +1,7 @@
 #include "aniseline/library.hpp"
 #include "base/json.hpp"
-#include "net/client.hpp"
+#include "net/gateway_client.hpp"
+#include "net/worker_client.hpp"
 #include <future>
 #include <stdexcept>
 #include <thread>
@@ -209,18 +210,18 @@
     auto& own = *parts;
     own.client = std::make_unique<WorkerClient>(
         loop, hand, Incarnation{((std::uint64_t(device()) << 32) | device()) | 1}, contacts);
-    own.client->effect.connect([&own](const TaskCommand& effect) {
-      const auto attempt = effect.attempt.value;
-      const Order& order = effect.order;
-      if (effect.kind == TaskCommand::Kind::start && own.slots.start)
+    own.client->command.connect([&own](const TaskCommand& command) {
+      const auto attempt = command.attempt.value;
+      const Order& order = command.order;
+      if (command.kind == TaskCommand::Kind::start && own.slots.start)
         own.slots.start(Work{attempt, order.job.value, order.taskIndex, order.cores / 1000,
                              order.memory, Duration{order.runtime.milliseconds},
                              order.quantum.milliseconds > 0, order.payload});
-      else if (effect.kind == TaskCommand::Kind::suspend && own.slots.hold)
+      else if (command.kind == TaskCommand::Kind::suspend && own.slots.hold)
         own.slots.hold(attempt);
-      else if (effect.kind == TaskCommand::Kind::resume && own.slots.resume)
+      else if (command.kind == TaskCommand::Kind::resume && own.slots.resume)
         own.slots.resume(attempt);
-      else if (effect.kind == TaskCommand::Kind::stop && own.slots.stop)
+      else if (command.kind == TaskCommand::Kind::stop && own.slots.stop)
         own.slots.stop(attempt);
     });
     own.client->confirmed.connect([&own](const Order& order, AttemptOutcome kind) {
--- a/programs/agent.cpp
+++ b/programs/agent.cpp
@@ -1,7 +1,8 @@
 // agent: the agent beside one worker that is called rather than calls. docs/design.md 5.8,
 // docs/api.md 5.
 #include "net/log.hpp"
-#include "net/worker_protocol.hpp"
+#include "daemons/agent_daemon.hpp"
+#include "net/json_worker_protocol.hpp"
 #include "net/options.hpp"
 
 using namespace aniseline;
@@ -11,11 +12,13 @@
   std::string from;
   std::int64_t longestHold = settings.options.maxWorkerLease.milliseconds;
   OptionSet options("agent", "aniseline's agent beside a worker that is called rather than calls");
-  options.addAddress("listen", settings.listenAddress, "where the worker makes itself known", true);
-  options.addAddress("worker", settings.workerAddress, "where the worker is called", true);
-  options.addText("zone", settings.zone, "the zone of this machine", true);
+  options.addAddress("listen", settings.listenAddress, "where the worker makes itself known",
+                     OptionSet::Presence::required);
+  options.addAddress("worker", settings.workerAddress, "where the worker is called",
+                     OptionSet::Presence::required);
+  options.addText("zone", settings.zone, "the zone of this machine", OptionSet::Presence::required);
   options.addAddresses("seeds", settings.seeds, "peer addresses of controllers, for first contact",
-                       true);
+                       OptionSet::Presence::required);
   options.addText("from", from, "the IP number to connect from, on a machine with several");
   options.addInteger("longest-hold-ms", longestHold, "the longest hold that the worker grants", 500,
                      600'000);
--- a/programs/aniselinectl.cpp
+++ b/programs/aniselinectl.cpp
@@ -2,7 +2,7 @@
 // docs/operations.md 3.
 #include "net/log.hpp"
 #include "net/options.hpp"
-#include "net/wire.hpp"
+#include "net/rpc_client.hpp"
 #include "cli/command.hpp"
 #include <iostream>
 #include <unistd.h>
@@ -25,8 +25,8 @@
 void printHelp(const OptionSet& options, Arguments words) {
   if (!words.empty() && words[0] == "help")
     words.erase(words.begin());
-  std::size_t taken = 0;
-  const Command* command = findCommand(words, taken);
+  std::size_t nameLength = 0;
+  const Command* command = findCommand(words, nameLength);
   std::cout << (command ? commandHelp(*command, options.describe(command->options),
                                       options.describe(commonOptions()))
                         : generalHelp(options.describe(commonOptions())));
@@ -67,9 +67,9 @@
   options.addPositionals(words, "a command");
   options.setHelp([&](const Arguments& asked) { printHelp(options, asked); });
   options.read(count, values);
-  std::size_t taken = 0;
+  std::size_t nameLength = 0;
   if (!words.empty() && words[0] == "help" &&
-      (words.size() == 1 || findCommand(Arguments(words.begin() + 1, words.end()), taken))) {
+      (words.size() == 1 || findCommand(Arguments(words.begin() + 1, words.end()), nameLength))) {
     printHelp(options, words);
     return 0;
   }
--- a/programs/controller.cpp
+++ b/programs/controller.cpp
@@ -9,16 +9,17 @@
   ControllerSettings settings;
   OptionSet options("controller", "aniseline's control plane and state, on a machine with a disk");
   options.addAddress("peer", settings.peerAddress,
-                     "the address where other processes of the system reach this one", true);
+                     "the address where other processes of the system reach this one",
+                     OptionSet::Presence::required);
   options.addAddress("advertise", settings.advertisedAddress,
                      "the address at which other processes reach --peer, if another");
   options.addAddress("http", settings.httpAddress, "the address of /healthz and /readyz");
-  options.addText("zone", settings.zone, "the zone of this machine", true);
+  options.addText("zone", settings.zone, "the zone of this machine", OptionSet::Presence::required);
   options.addText(
       "data", settings.dataFolder,
       "the data folder; without one it keeps nothing, never votes and only leads the way");
   options.addAddresses("seeds", settings.seeds, "peer addresses of controllers, for first contact",
-                       true);
+                       OptionSet::Presence::required);
   options.addFlag("found", settings.bootstrap,
                   "found a cluster when every seed is there and blank");
   options.addInteger("heartbeat-ms", settings.heartbeatMilliseconds, "a leader's heartbeat", 10,
--- a/programs/core_benchmark.cpp
+++ b/programs/core_benchmark.cpp
@@ -2,6 +2,7 @@
 // virtual time. docs/CAPACITY.md.
 #include "net/data_folder.hpp"
 #include "net/options.hpp"
+#include "controller/controller.hpp"
 #include "net/wire.hpp"
 #include "agent/node_agent.hpp"
 #include <iostream>
--- a/programs/gateway.cpp
+++ b/programs/gateway.cpp
@@ -10,12 +10,12 @@
   OptionSet options("gateway",
                     "aniseline's data plane, on every machine that callers and workers reach");
   options.addAddress("http", settings.httpAddress, "the address for callers, workers and operators",
-                     true);
+                     OptionSet::Presence::required);
   options.addAddress("advertise", settings.advertisedAddress,
                      "the address at which others reach --http, if another");
-  options.addText("zone", settings.zone, "the zone of this machine", true);
+  options.addText("zone", settings.zone, "the zone of this machine", OptionSet::Presence::required);
   options.addAddresses("seeds", settings.seeds, "peer addresses of controllers, for first contact",
-                       true);
+                       OptionSet::Presence::required);
   options.addInteger("threads", settings.threads, "threads that serve", 1, 64);
   options.addInteger("requests", settings.maxRequestsInFlight, "requests under way at once", 1,
                      100'000);
--- a/programs/history_check.cpp
+++ b/programs/history_check.cpp
@@ -15,7 +15,7 @@
   OptionSet options("history_check",
                     "checks aniseline's never-rules from witnessed histories (*.witness, "
                     "*.submissions in a folder)");
-  options.addText("folder", folder, "the folder with the histories", true);
+  options.addText("folder", folder, "the folder with the histories", OptionSet::Presence::required);
   options.addText("config", configFile, "the config in force, for the queues' retries");
   options.addInteger("slack-ms", slack, "allowed for the witnesses' own clock readings", 0, 10'000);
   options.read(count, values);
--- a/programs/loadgen.cpp
+++ b/programs/loadgen.cpp
@@ -1,5 +1,5 @@
 // loadgen: stand-in callers of the two deployments, open loop. docs/operations.md 7.
-#include "net/client.hpp"
+#include "net/gateway_client.hpp"
 #include "net/history_file.hpp"
 #include "net/log.hpp"
 #include "net/options.hpp"
@@ -230,7 +230,8 @@
   Settings settings;
   OptionSet options("loadgen", "stand-in callers for aniseline");
   options.addText("deployment", settings.deployment, "cedarmark or cooperative");
-  options.addAddresses("gateways", settings.gateways, "outer addresses of gateways", true);
+  options.addAddresses("gateways", settings.gateways, "outer addresses of gateways",
+                       OptionSet::Presence::required);
   options.addText("name", settings.name, "the beginning of the jobs' ids");
   options.addInteger("seconds", settings.seconds, "how long to submit", 1, 86'400);
   options.addInteger("settle", settings.settle, "seconds to wait for what is open then", 0, 86'400);
--- a/programs/local_cluster.cpp
+++ b/programs/local_cluster.cpp
@@ -1,7 +1,8 @@
 // local_cluster: a whole fleet of real processes on one machine, with load and faults, checked at
 // its end. The only program that starts processes. docs/operations.md 6.
-#include "net/client.hpp"
+#include "net/gateway_client.hpp"
 #include "net/history_file.hpp"
+#include "net/http_server.hpp"
 #include "net/log.hpp"
 #include "net/options.hpp"
 #include "net/signals.hpp"
@@ -273,8 +274,8 @@
     for (int place = 1; place <= settings.gateways; ++place)
       if (!open(place, 20 + place))
         return false;
-    if (auto listening = control.listen(Address{at(0)}, false); !listening) {
-      say(listening.error().text);
+    if (auto error = control.listen(Address{at(0)})) {
+      say(error->text());
       return false;
     }
     return true;
@@ -535,8 +536,8 @@
                     "a whole fleet of aniseline on this machine; steps are VERB:NAME[:SECONDS], "
                     "with kill, freeze, stop or empty and a process' name or 'leader'");
   options.addText("folder", settings.folder, "a folder for data, logs and histories; must be new",
-                  true);
-  options.addText("config", settings.config, "the config to apply", true);
+                  OptionSet::Presence::required);
+  options.addText("config", settings.config, "the config to apply", OptionSet::Presence::required);
   options.addText("deployment", settings.deployment, "cedarmark or cooperative");
   options.addText("programs", settings.programs, "the folder with the programs");
   options.addInteger("seconds", settings.seconds, "how long to submit", 5, 86'400);
--- a/programs/model_check.cpp
+++ b/programs/model_check.cpp
@@ -2,6 +2,7 @@
 // a bound; and long random walks. docs/design.md 3.
 #include "checker/model/scenarios.hpp"
 #include "net/options.hpp"
+#include "state/api_request.hpp"
 #include <iostream>
 
 using namespace aniseline;
--- a/programs/worker_stub.cpp
+++ b/programs/worker_stub.cpp
@@ -1,10 +1,11 @@
 // worker_stub: a stand-in worker, on the worker library or called by an agent. Its tasks are
 // timers. docs/operations.md 7.
 #include "agent/called_worker_session.hpp"
-#include "net/client.hpp"
+#include "daemons/listening.hpp"
+#include "net/worker_client.hpp"
 #include "net/history_file.hpp"
 #include "net/log.hpp"
-#include "net/worker_protocol.hpp"
+#include "net/json_worker_protocol.hpp"
 #include "net/options.hpp"
 #include "net/signals.hpp"
 #include <iostream>
@@ -73,19 +74,19 @@
     witness.detail = std::move(detail);
     history.write(std::move(witness));
   }
-  void follow(const TaskCommand& effect) {
-    auto found = tasks.find(effect.attempt);
+  void follow(const TaskCommand& command) {
+    auto found = tasks.find(command.attempt);
     const MonotonicTime now = monotonicNow();
-    if (effect.kind == TaskCommand::Kind::start) {
-      tasks[effect.attempt] = Running{effect.order, now, really(effect.order), true};
-      write(HistoryEvent::Kind::started, effect.order);
+    if (command.kind == TaskCommand::Kind::start) {
+      tasks[command.attempt] = Running{command.order, now, really(command.order), true};
+      write(HistoryEvent::Kind::started, command.order);
     } else if (found == tasks.end())
       return;
-    else if (effect.kind == TaskCommand::Kind::suspend) {
+    else if (command.kind == TaskCommand::Kind::suspend) {
       found->second.left = found->second.left - (now - found->second.since);
       found->second.active = false;
       write(HistoryEvent::Kind::suspended, found->second.order);
-    } else if (effect.kind == TaskCommand::Kind::resume) {
+    } else if (command.kind == TaskCommand::Kind::resume) {
       found->second.since = now;
       found->second.active = true;
       write(HistoryEvent::Kind::resumed, found->second.order);
@@ -112,7 +113,7 @@
     return well;
   }
   [[noreturn]] void close() {
-    log(LogLevel::info, "stopped");
+    log(LogLevel::info, log_events::stopped);
     // Whatever still runs ends with this process.
     write(HistoryEvent::Kind::workerLost, {});
     history.close();
@@ -162,13 +163,13 @@
       timers.write(HistoryEvent::Kind::resultConfirmed, order, name(kind));
     });
     client->rejected.connect([](const std::string& words) {
-      log(LogLevel::warning, "the centre rejects this worker", {{"why", json(words)}});
+      log(LogLevel::warning, log_events::workerRejected, {{"error", json(words)}});
     });
-    client->effect.connect([this](const TaskCommand& effect) { timers.follow(effect); });
+    client->command.connect([this](const TaskCommand& command) { timers.follow(command); });
     std::atomic<bool> over{false};
     spawn([this, &over] { client->run(over); });
     StopSignal stop(loop);
-    log(LogLevel::info, "started", {{"worker", json(settings.id)}});
+    log(LogLevel::info, log_events::started, {{"worker", json(settings.id)}});
     while (!stop.requested()) {
       sleepFor(Duration{2});
       finishDue();
@@ -176,7 +177,7 @@
     // docs/operations.md 4: it says that it leaves, lets its work end for a while, then goes.
     client->startDrain(Duration{settings.leaveWithin});
     timers.write(HistoryEvent::Kind::draining, {});
-    log(LogLevel::info, "leaving");
+    log(LogLevel::info, log_events::draining);
     const MonotonicTime until = monotonicNow() + Duration{settings.leaveWithin + 1500};
     while (!client->session().empty() && monotonicNow() < until) {
       sleepFor(Duration{2});
@@ -209,13 +210,11 @@
   int run() {
     HttpServer server(loop, HttpLimits{64 * 1024, 50, Duration{60'000}, Duration{2000}},
                       [this](const HttpRequest& request) { return called(request); });
-    if (auto listening = server.listen(settings.listen, false); !listening) {
-      log(LogLevel::error, listening.error().text);
+    if (!listenOrLog(server, settings.listen))
       return 1;
-    }
     StopSignal stop(loop);
-    log(LogLevel::info, "started",
-        {{"worker", json(settings.id)}, {"life", json(hand.currentInstance().value)}});
+    log(LogLevel::info, log_events::started,
+        {{"worker", json(settings.id)}, {"worker_instance", json(hand.currentInstance().value)}});
     spawn([this] {
       for (;; sleepFor(Duration{300}))
         account();
@@ -225,7 +224,7 @@
     // It says that it leaves; what runs may go on for a while, then it goes.
     leaving = true;
     timers.write(HistoryEvent::Kind::draining, {});
-    log(LogLevel::info, "leaving");
+    log(LogLevel::info, log_events::draining);
     const MonotonicTime until = monotonicNow() + Duration{settings.leaveWithin + 1500};
     while ((!told || !hand.empty()) && monotonicNow() < until)
       turn();
@@ -233,8 +232,8 @@
     if (auto left = client.send(settings.agent, encodeShutdownNotice(hand.currentInstance()),
                                 Duration{1500});
         !left)
-      log(LogLevel::warning, "the agent was not told of the end",
-          {{"why", json(left.error().text)}});
+      log(LogLevel::warning, log_events::shutdownNoticeFailed,
+          {{"code", json(name(left.error().kind))}, {"error", json(left.error().text)}});
     hand.onReplaced(nextLife());
     deliver();
     timers.close();
@@ -255,8 +254,8 @@
   void deliver() {
     for (const auto& [order, kind] : hand.takeConfirmedResults())
       timers.write(HistoryEvent::Kind::resultConfirmed, order, name(kind));
-    for (const auto& effect : hand.takeCommands())
-      timers.follow(effect);
+    for (const auto& command : hand.takeCommands())
+      timers.follow(command);
   }
   void turn() {
     sleepFor(Duration{2});
@@ -296,8 +295,8 @@
       return;
     hand.onReplaced(nextLife());
     deliver();
-    log(LogLevel::warning, "begins as another life",
-        {{"life", json(hand.currentInstance().value)}});
+    log(LogLevel::warning, log_events::instanceRestarted,
+        {{"worker_instance", json(hand.currentInstance().value)}});
   }
 
   Settings settings;
@@ -313,8 +312,8 @@
 int main(int count, char** values) {
   Settings settings;
   OptionSet options("worker_stub", "a stand-in worker for aniseline");
-  options.addText("id", settings.id, "the worker's id", true);
-  options.addText("zone", settings.zone, "the zone of this machine", true);
+  options.addText("id", settings.id, "the worker's id", OptionSet::Presence::required);
+  options.addText("zone", settings.zone, "the zone of this machine", OptionSet::Presence::required);
   options.addText("rack", settings.rack, "the rack of this machine");
   options.addAddresses("gateways", settings.gateways,
                        "outer addresses of gateways, for first contact");
--- a/programs/zone_drill.cpp
+++ b/programs/zone_drill.cpp
@@ -1,6 +1,6 @@
 // zone_drill: takes a zone out of a running fleet under load, gives it back, and checks the
 // promises. docs/operations.md 9.
-#include "net/client.hpp"
+#include "net/gateway_client.hpp"
 #include "net/history_file.hpp"
 #include "net/log.hpp"
 #include "net/options.hpp"
@@ -269,8 +269,9 @@
       "zone_drill",
       "takes a zone out of a running fleet under load, gives it back, and checks the promises");
   options.addAddress("control", settings.control,
-                     "where the fleet's keeper takes orders (local_cluster says it)", true);
-  options.addText("zone", settings.zone, "the zone to take out", true);
+                     "where the fleet's keeper takes orders (local_cluster says it)",
+                     OptionSet::Presence::required);
+  options.addText("zone", settings.zone, "the zone to take out", OptionSet::Presence::required);
   options.addText("by", settings.by, "kill, freeze or cut");
   options.addText("queue", settings.queue, "the urgent queue to probe");
   options.addText("config", settings.config, "the config in force, for the queues' retries");
--- a/source/cli/errors.hpp
+++ b/source/cli/errors.hpp
@@ -1,7 +1,7 @@
 // Exit codes by kind, and errors as people or programs read them. docs/operations.md 3.
 #ifndef ANISELINE_CLI_ERRORS_HPP
 #define ANISELINE_CLI_ERRORS_HPP
-#include "net/client.hpp"
+#include "net/gateway_client.hpp"
 
 namespace aniseline {
 
--- a/source/daemons/agent_daemon.cpp
+++ b/source/daemons/agent_daemon.cpp
@@ -1,4 +1,9 @@
+// The agent process: carries calls of the core out at its worker, and syncs with the leader.
+// docs/design.md 5.8. One thread; every fiber of it works on the same core.
 #include "daemons/agent_daemon.hpp"
+#include "daemons/listening.hpp"
+#include "net/leader_forwarder.hpp"
+#include "net/http_client.hpp"
 #include "net/log.hpp"
 #include "net/signals.hpp"
 
@@ -6,210 +11,254 @@
 
 namespace {
 
-class Program {
+constexpr HttpLimits listenerLimits{64 * 1024, 50, Duration{60'000}, Duration{2000}};
+// The core is asked for its next calls at least this often.
+constexpr Duration maxIdle{500};
+constexpr Duration syncRetryDelay{100};
+constexpr Duration acknowledgementPollInterval{5};
+constexpr Duration drainReportRetryDelay{100};
+// Reports of an unknown instance's shutdown. An instance serves on for some seconds after its
+// notice; by then the leader has been told, or the instance is gone and its lease ends.
+constexpr std::size_t maxDrainReports = 30;
+constexpr int firstServerErrorStatus = 500;
+
+constexpr Duration routeQueryTimeout{250};
+// A controller that is silent costs no more than its time-out: the next is asked at once.
+// docs/incidents.md 7.
+constexpr Duration nextControllerDelay{20};
+constexpr Duration leaderlessRouteInterval{100};
+constexpr Duration routeInterval{300};
+
+class AgentProcess {
  public:
-  explicit Program(AgentSettings settings)
-      : settings(std::move(settings)),
-        core(this->settings.options),
-        relay(
-            loop, [this] { return route; }, this->settings.seeds, [] { return false; }) {}
+  explicit AgentProcess(AgentSettings given)
+      : settings(std::move(given)),
+        core(settings.options),
+        forwarder(
+            loop, [this] { return route; }, settings.seeds, [] { return false; }) {}
 
+  // The process' exit status where it could not start; else it ends the process itself.
   int run() {
-    HttpServer http(loop, HttpLimits{64 * 1024, 50, Duration{60'000}, Duration{2000}},
-                    [this](const HttpRequest& request) { return hear(request); });
-    if (auto listening = http.listen(settings.listenAddress, false); !listening) {
-      log(LogLevel::error, listening.error().text);
+    HttpServer listener(loop, listenerLimits,
+                        [this](const HttpRequest& request) { return onNotice(request); });
+    if (!listenOrLog(listener, settings.listenAddress))
       return 1;
-    }
-    log(LogLevel::info, "started",
+    log(LogLevel::info, log_events::started,
         {{"listen", json(settings.listenAddress.value)},
          {"worker", json(settings.workerAddress.value)}});
-    StopSignal stop(loop);
-    ReloadSignal reload(loop, [this] { renewSeeds(); });
-    spawn([this] { learnRoute(); });
+    const StopSignal stop(loop);
+    const ReloadSignal reload(loop, [this] { refreshSeeds(); });
+    spawn([this] { followRoute(); });
     while (!stop.requested()) {
       const MonotonicTime now = monotonicNow();
-      for (auto& call : core.takeCalls(now))
-        spawn([this, call = std::move(call)] { perform(call); });
-      if (core.mayReport() && !patientBusy)
-        spawnSync(true);
-      if (core.hasUrgentReport(now) && !urgentBusy)
-        spawnSync(false);
-      std::unique_lock lock(wakeMutex);
-      const Duration rest = std::clamp(core.nextWakeUp(now) - now, Duration{1}, Duration{500});
-      wake.wait_for(lock, std::chrono::milliseconds(rest.milliseconds), [&] { return woken; });
-      woken = false;
+      startCallsAndSyncs(now);
+      waitForWork(now);
     }
-    // What runs goes on under its hold; the next process finds it by looking. docs/operations.md 4.
-    log(LogLevel::info, "stopped");
+    // What runs goes on under its lease; the next process finds it by polling the worker.
+    // docs/operations.md 4.
+    log(LogLevel::info, log_events::stopped);
     std::_Exit(0);
   }
 
  private:
-  void renewSeeds() {
-    if (aniseline::refreshSeeds(settings.seedSource, settings.seeds))
-      relay.setSeeds(settings.seeds);
+  // --- the loop ---
+
+  void startCallsAndSyncs(MonotonicTime now) {
+    for (auto& call : core.takeCalls(now))
+      spawn([this, call = std::move(call)] { perform(call); });
+    if (core.mayReport() && !longPollInFlight)
+      startSync(longPollInFlight, settings.syncWait);
+    if (core.hasUrgentReport(now) && !urgentSyncInFlight)
+      startSync(urgentSyncInFlight, Duration{0});
   }
-  void nudge() {
+  void waitForWork(MonotonicTime now) {
     std::unique_lock lock(wakeMutex);
-    woken = true;
-    wake.notify_one();
+    const Duration interval = std::clamp(core.nextWakeUp(now) - now, Duration{1}, maxIdle);
+    wakeCondition.wait_for(lock, std::chrono::milliseconds(interval.milliseconds),
+                           [this] { return awake; });
+    awake = false;
+  }
+  void wakeUp() {
+    const std::unique_lock lock(wakeMutex);
+    awake = true;
+    wakeCondition.notify_one();
   }
-  ApiResponse hear(const HttpRequest& request) {
-    auto word = settings.protocol.decodeNotice(request);
-    if (!word)
+
+  // --- towards the worker ---
+
+  // The worker registers, or says that it is about to end.
+  ApiResponse onNotice(const HttpRequest& request) {
+    auto notice = settings.protocol.decodeNotice(request);
+    if (!notice)
       return ApiResponse::error(404, "missing", "an agent hears its worker only");
     const MonotonicTime now = monotonicNow();
-    const WorkerId life = word->account.workerInstance;
-    if (word->shuttingDown) {
-      if (!core.onDrainNotice(life, settings.defaultDrainPeriod, now))
-        tellOfUnknown(life);
-      return acknowledgeLeaving(life, settings.defaultDrainPeriod, now);
-    }
-    const bool isNew = core.workerInstance() != life;
-    if (!core.onRegistration(word->account, now))
+    const WorkerRegistration& registration = notice->registration;
+    return notice->shuttingDown ? onShutdown(registration.workerInstance, now)
+                                : onRegistration(registration, now);
+  }
+  ApiResponse onShutdown(const WorkerId& instance, MonotonicTime now) {
+    if (!core.onDrainNotice(instance, settings.defaultDrainPeriod, now))
+      reportUnknownInstanceDraining(instance);
+    return acknowledgeDraining(instance, settings.defaultDrainPeriod, now);
+  }
+  ApiResponse onRegistration(const WorkerRegistration& registration, MonotonicTime now) {
+    const bool isNew = core.workerInstance() != registration.workerInstance;
+    if (!core.onRegistration(registration, now))
       return ApiResponse::error(410, "gone", "a later word of this worker has come before");
-    if (word->account.draining)
-      return acknowledgeLeaving(life, word->account.drainTimeout, now);
+    if (registration.draining)
+      return acknowledgeDraining(registration.workerInstance, registration.drainTimeout, now);
     if (isNew)
-      nudge();
+      wakeUp();
     return ApiResponse::of(200, {});
   }
   // Acknowledged only once it is logged; the leader is told also when no acknowledgement can be
   // given in time. docs/design.md 5.7.
-  ApiResponse acknowledgeLeaving(const WorkerId& life, Duration within, MonotonicTime since) {
-    auto told = [&] {
-      return core.drainAcknowledged(life) || toldOfUnknown.count(life);
+  ApiResponse acknowledgeDraining(const WorkerId& instance, Duration period, MonotonicTime since) {
+    auto isLogged = [&] {
+      return core.drainAcknowledged(instance) || drainReported.count(instance) > 0;
     };
-    if (!told()) {
-      log(LogLevel::info, "worker leaves",
-          {{"life", json(life.value)}, {"within_ms", json(within.milliseconds)}});
-      nudge();
+    if (!isLogged()) {
+      log(LogLevel::info, log_events::workerDraining,
+          {{"worker_instance", json(instance.value)}, {"period_ms", json(period.milliseconds)}});
+      wakeUp();
     }
-    while (!told() && monotonicNow() - since < settings.drainAcknowledgementTimeout)
-      sleepFor(Duration{5});
-    return told() ? ApiResponse::of(200, {}) : ApiResponse::notApplied("no leader heard of it yet");
+    while (!isLogged() && monotonicNow() - since < settings.drainAcknowledgementTimeout)
+      sleepFor(acknowledgementPollInterval);
+    return isLogged() ? ApiResponse::of(200, {})
+                      : ApiResponse::notApplied("no leader heard of it yet");
   }
-  // A life that this process never heard of: the process before it may have reported it.
-  void tellOfUnknown(const WorkerId& life) {
-    if (toldOfUnknown.count(life) || !tellingOfUnknown.insert(life).second)
-      return;
-    spawn([this, life] {
-      ApiRequest leaving;
-      leaving.kind = RequestKind::workerShutdown;
-      leaving.targetId = life.value;
-      leaving.drainTimeout = settings.defaultDrainPeriod;
-      leaving.clientTimeout = settings.drainAcknowledgementTimeout;
-      for (std::size_t tries = 0; tries < tellingTries; ++tries) {
-        const int status = relay.forward(leaving).status;
-        if (status < 500) {  // logged, or the leader knows no such worker
-          toldOfUnknown.insert(life);
-          break;
-        }
-        sleepFor(Duration{100});
+  // An instance that this process never heard of: the process before it may have reported it.
+  void reportUnknownInstanceDraining(const WorkerId& instance) {
+    if (!drainReported.count(instance) && drainReportsInFlight.insert(instance).second)
+      spawn([this, instance] {
+        reportDraining(instance);
+        drainReportsInFlight.erase(instance);
+      });
+  }
+  void reportDraining(const WorkerId& instance) {
+    ApiRequest request;
+    request.kind = RequestKind::workerShutdown;
+    request.targetId = instance.value;
+    request.drainTimeout = settings.defaultDrainPeriod;
+    request.clientTimeout = settings.drainAcknowledgementTimeout;
+    for (std::size_t attempt = 0; attempt < maxDrainReports; ++attempt) {
+      // Any other status: the leader logged it, or knows no such worker.
+      if (forwarder.forward(request).status < firstServerErrorStatus) {
+        drainReported.insert(instance);
+        return;
       }
-      tellingOfUnknown.erase(life);
-    });
+      sleepFor(drainReportRetryDelay);
+    }
   }
   void perform(const WorkerCall& call) {
-    std::unique_ptr<HttpClient> client;
-    if (idle.empty())
-      client = std::make_unique<HttpClient>(loop);
-    else {
-      client = std::move(idle.back());
-      idle.pop_back();
-    }
-    auto answer =
+    auto client = takeIdleClient();
+    const auto answer =
         client->send(settings.workerAddress, settings.protocol.encodeCall(call), call.timeout);
     core.onWorkerReply(call, settings.protocol.decodeReply(call, answer), monotonicNow());
-    if (core.mayReport() && core.workerInstance() != shownLife) {
-      shownLife = core.workerInstance();
-      log(LogLevel::info, "worker", {{"life", json(shownLife.value)}});
-    }
-    idle.push_back(std::move(client));
-    nudge();
-  }
-  void spawnSync(bool patient) {
-    (patient ? patientBusy : urgentBusy) = true;
-    spawn([this, patient] {
-      sync(patient);
-      (patient ? patientBusy : urgentBusy) = false;
-      nudge();
+    logNewInstance();
+    idleClients.push_back(std::move(client));
+    wakeUp();
+  }
+  std::unique_ptr<HttpClient> takeIdleClient() {
+    if (idleClients.empty())
+      return std::make_unique<HttpClient>(loop);
+    auto client = std::move(idleClients.back());
+    idleClients.pop_back();
+    return client;
+  }
+  void logNewInstance() {
+    if (!core.mayReport() || core.workerInstance() == loggedInstance)
+      return;
+    loggedInstance = core.workerInstance();
+    log(LogLevel::info, log_events::workerRegistered,
+        {{"worker_instance", json(loggedInstance.value)}});
+  }
+
+  // --- towards the leader ---
+
+  void startSync(bool& inFlight, Duration longPollTimeout) {
+    inFlight = true;
+    spawn([this, &inFlight, longPollTimeout] {
+      sync(longPollTimeout);
+      inFlight = false;
+      wakeUp();
     });
   }
-  void sync(bool patient) {
-    ApiRequest apiRequest;
-    apiRequest.kind = RequestKind::syncWorker;
+  void sync(Duration longPollTimeout) {
+    ApiRequest request;
+    request.kind = RequestKind::syncWorker;
     const MonotonicTime sentAt = monotonicNow();
-    apiRequest.report = core.makeSyncReport(sentAt);
-    apiRequest.report.longPollTimeout = patient ? settings.syncWait : Duration{0};
-    apiRequest.targetId = apiRequest.report.id.value;
-    ApiResponse answer = relay.forward(apiRequest);
+    request.report = core.makeSyncReport(sentAt);
+    request.report.longPollTimeout = longPollTimeout;
+    request.targetId = request.report.id.value;
+    const ApiResponse response = forwarder.forward(request);
     const MonotonicTime now = monotonicNow();
-    if (answer.status == 200) {
-      if (auto told = unpack<SyncResponse>(answer.body))
-        core.onSyncResponse(apiRequest.report, told.value(), sentAt, now);
+    if (response.status == 200) {
+      if (auto decoded = unpack<SyncResponse>(response.body))
+        core.onSyncResponse(request.report, decoded.value(), sentAt, now);
       return;
     }
-    if (answer.status == 410 && apiRequest.report.id == core.workerInstance()) {
-      log(LogLevel::warning, "the leader holds this worker for gone",
-          {{"life", json(apiRequest.report.id.value)}});
+    if (response.status == 410 && request.report.id == core.workerInstance()) {
+      log(LogLevel::warning, log_events::workerDeclaredGone,
+          {{"worker_instance", json(request.report.id.value)}});
       core.onDeclaredGone(now);
     }
-    sleepFor(Duration{100});
+    sleepFor(syncRetryDelay);
+  }
+  // The seeds may have changed, with or without a signal.
+  void refreshSeeds() {
+    if (aniseline::refreshSeeds(settings.seedSource, settings.seeds))
+      forwarder.setSeeds(settings.seeds);
   }
   // Which controllers there are; which of them leads is learned by asking. docs/design.md 9.2.
-  void learnRoute() {
-    std::map<Address, std::shared_ptr<RpcClient>> callers;
+  void followRoute() {
     for (std::size_t turn = 0;; ++turn) {
-      const auto& known = route.controllers.empty() ? settings.seeds : route.controllers;
-      const Address target =
-          known.empty() ? Address{}
-                        : known[turn % known.size()];  // each in turn: one of them may be frozen
-      bool learned = false;
-      if (!target.value.empty()) {
-        auto& caller = callers[target];
-        if (!caller)
-          caller = std::make_shared<RpcClient>(loop, target);
-        auto answered = caller->call(RouteQuery{}, Duration{250});
-        auto* told = answered ? boost::get<RouteReply>(&answered.value().body) : nullptr;
-        if (told && !told->uninitialized) {
-          route.mergeNewer(told->view);
-          learned = true;
-          route.gateways.clear();
-        }
-      }
+      const bool learned = queryNextController(turn);
       if (!learned)
-        renewSeeds();
-      // One that is silent costs no more than its wait: the next is asked at once.
-      // docs/incidents.md 7.
-      sleepFor(!learned                     ? Duration{20}
-               : route.leader.value.empty() ? Duration{100}
-                                            : Duration{300});
+        refreshSeeds();
+      sleepFor(!learned                     ? nextControllerDelay
+               : route.leader.value.empty() ? leaderlessRouteInterval
+                                            : routeInterval);
     }
   }
-
-  // A life serves on for some seconds after it said that it leaves; by then the leader is told, or
-  // it is gone and its lease ends.
-  static constexpr std::size_t tellingTries = 30;
+  // Each in turn, because one of them may be frozen. False: it told of no cluster.
+  bool queryNextController(std::size_t turn) {
+    const auto& known = route.controllers.empty() ? settings.seeds : route.controllers;
+    if (known.empty())
+      return false;
+    const Address target = known[turn % known.size()];
+    if (target.value.empty())
+      return false;
+    const auto reply = queryRoute(*controllers.clientFor(target), RouteQuery{}, routeQueryTimeout);
+    if (!reply || reply->uninitialized)
+      return false;
+    route.mergeNewer(reply->view);
+    route.gateways.clear();  // an agent asks controllers only
+    return true;
+  }
 
   AgentSettings settings;
   EventLoop loop;
   NodeAgent core;
   LeaderRoute route;
-  LeaderForwarder relay;
-  std::vector<std::unique_ptr<HttpClient>> idle;
-  bool patientBusy = false, urgentBusy = false, woken = false;
-  WorkerId shownLife;
-  std::set<WorkerId> tellingOfUnknown, toldOfUnknown;
+  LeaderForwarder forwarder;
+  RpcClientPool controllers{loop};
+  std::vector<std::unique_ptr<HttpClient>> idleClients;
+  // One sync that waits for orders, and one for what is urgent, at a time.
+  bool longPollInFlight = false;
+  bool urgentSyncInFlight = false;
+  WorkerId loggedInstance;
+  std::set<WorkerId> drainReportsInFlight;  // of instances that the core does not know
+  std::set<WorkerId> drainReported;
+  bool awake = false;
   boost::fibers::mutex wakeMutex;
-  boost::fibers::condition_variable wake;
+  boost::fibers::condition_variable wakeCondition;
 };
 
 }  // namespace
 
 int runAgent(AgentSettings settings) {
-  return Program(std::move(settings)).run();
+  return AgentProcess(std::move(settings)).run();
 }
 
 }  // namespace aniseline
--- a/source/daemons/agent_daemon.hpp
+++ b/source/daemons/agent_daemon.hpp
@@ -1,38 +1,26 @@
-// The agent as a daemon: the agent beside one worker that is called rather than calls.
-// docs/design.md 5.8, 9.
+// The agent as a daemon: it stands beside one worker that is called rather than calls, carries the
+// leader's orders out there and reports what it sees. docs/design.md 5.8, 9.
 #ifndef ANISELINE_DAEMONS_AGENT_DAEMON_HPP
 #define ANISELINE_DAEMONS_AGENT_DAEMON_HPP
 #include "net/leader_forwarder.hpp"
-#include "agent/node_agent.hpp"
+#include "net/worker_protocol.hpp"
 
 namespace aniseline {
 
-// How a kind of worker is spoken to; an adapter gives these.
-struct WorkerProtocol {
-  std::function<HttpRequest(const WorkerCall&)> encodeCall;
-  std::function<WorkerReply(const WorkerCall&, const Result<HttpResponse, HttpError>&)> decodeReply;
-  struct Notice {
-    WorkerRegistration account;
-    bool shuttingDown = false;  // it says that it is about to end, and nothing else of itself
-  };
-  std::function<std::optional<Notice>(const HttpRequest&)>
-      decodeNotice;  // nothing: the request is none of a worker's
-};
-
 struct AgentSettings {
-  Address listenAddress;  // where the worker makes itself known
-  Address workerAddress;  // where it is called
+  Address listenAddress;  // where the worker registers
+  Address workerAddress;  // where the worker is called
   std::string zone;
-  std::vector<Address> seeds;
-  bool quiet = false;
+  std::vector<Address> seeds;  // for first contact
+  bool quiet = false;          // no logs
   NodeAgentOptions options;
   Duration syncWait{1000};  // a sync waits for orders this long
-  Duration drainAcknowledgementTimeout{
-      900};  // a word of leaving is answered by then, or not acknowledged
-  Duration defaultDrainPeriod{
-      2000};  // how long one that leaves with no other word serves on, at least
+  // A worker's notice that it drains is answered by then, or not acknowledged.
+  Duration drainAcknowledgementTimeout{900};
+  // How long a worker that ends without a drain serves on, at least.
+  Duration defaultDrainPeriod{2000};
   WorkerProtocol protocol;
-  SeedSource seedSource;
+  SeedSource seedSource;  // where the seeds can change while the process runs
 };
 
 // Serves until it is told to stop; the process' exit status.
--- /dev/null
+++ b/source/daemons/cluster_discovery.cpp
@@ -0,0 +1,162 @@
+#include "daemons/cluster_discovery.hpp"
+#include "net/contacts.hpp"
+#include "net/log.hpp"
+#include "raft/cluster_bootstrap.hpp"
+
+namespace aniseline {
+
+namespace {
+
+constexpr Duration searchInterval{200};   // while nobody has told of a cluster
+constexpr Duration joinInterval{400};     // while a cluster is known that has not taken this one in
+constexpr Duration memberInterval{1000};  // on top of the above, once this one is a member
+constexpr Duration searchTimeout{500};
+constexpr Duration introductionTimeout{300};
+constexpr Duration routeInterval{200};  // less than an election takes
+constexpr Duration routeTimeout{500};
+constexpr std::size_t maxVisitors = 32;  // a cluster has far fewer controllers
+
+bool contains(const std::vector<Address>& addresses, const Address& address) {
+  return std::find(addresses.begin(), addresses.end(), address) != addresses.end();
+}
+
+}  // namespace
+
+void ClusterDiscovery::start() {
+  spawn([this] { searchForCluster(); });
+  spawn([this] { followDiscoveredCluster(); });
+}
+
+LeaderRoute ClusterDiscovery::route() const {
+  return isBlank() ? discovered : hooks.controller().route(monotonicNow());
+}
+
+RouteReply ClusterDiscovery::routeReply(const ControllerId& identity) const {
+  RouteReply reply;
+  reply.view = route();
+  reply.id = identity;
+  reply.peer = self.advertisedAddress;
+  reply.zone = self.zone;
+  reply.uninitialized = isBlank() && discovered.controllers.empty();
+  reply.isLeader = hooks.controller().raftNode().isLeader();
+  reply.hasDisk = self.hasDisk;
+  reply.bootstrapCandidate = bootstrapCandidate;
+  return reply;
+}
+
+void ClusterDiscovery::onRouteQuery(const RouteQuery& query) {
+  if (!query.gateway.address.value.empty())
+    hooks.controller().recordGateway(query.gateway, monotonicNow());
+  // Where no seed has a disk, one of them names the controller that bootstraps, once and for all.
+  // docs/design.md 3.7.
+  if (!self.hasDisk && bootstrapCandidate.value.empty() && query.canBootstrap)
+    bootstrapCandidate = query.controller;
+  if (isBlank() && !query.controller.value.empty() && visitors.size() < maxVisitors)
+    visitors.insert(query.controller);
+}
+
+void ClusterDiscovery::searchForCluster() {
+  for (;; sleepFor(discovered.controllers.empty() ? searchInterval : joinInterval)) {
+    if (route().leader.value.empty())
+      hooks.refreshSeeds();
+    if (isBlank()) {
+      searchRound();
+      continue;
+    }
+    discovered = LeaderRoute{};
+    visitors.clear();
+    introduceToSeeds();
+    sleepFor(memberInterval);
+  }
+}
+
+std::vector<Address> ClusterDiscovery::searchTargets() const {
+  std::vector<Address> targets = seeds;
+  for (const auto& address : discovered.controllers) {
+    if (!contains(targets, address))
+      targets.push_back(address);
+  }
+  for (const auto& address : visitors) {
+    if (!contains(targets, address))
+      targets.push_back(address);
+  }
+  return targets;
+}
+
+// Asks everyone once, then joins what was found, or bootstraps where nobody has a cluster.
+void ClusterDiscovery::searchRound() {
+  ClusterBootstrap bootstrap(self.advertisedAddress, self.hasDisk, seeds);
+  const RouteQuery query{{}, self.advertisedAddress, self.mayBootstrap && self.hasDisk};
+  for (const auto& address : searchTargets()) {
+    if (address == self.advertisedAddress)
+      continue;
+    const auto reply = queryRoute(*searchClients.clientFor(address), query, searchTimeout);
+    if (!reply) {
+      // A seed may be a gateway; it names the controllers. docs/design.md 9.5.
+      for (const auto& controller : fetchControllers(loop, address))
+        joinThrough(controller);
+    } else if (reply->uninitialized)
+      bootstrap.addBlankSeed(address, reply->hasDisk, reply->bootstrapCandidate);
+    else
+      onClusterFound(reply->view);
+  }
+  if (!discovered.leader.value.empty())
+    joinThrough(discovered.leader);
+  if (self.mayBootstrap && isBlank() && discovered.controllers.empty() &&
+      bootstrap.mayBootstrap()) {
+    log(LogLevel::info, log_events::clusterBootstrapped);
+    hooks.controller().bootstrap(monotonicNow());
+    hooks.wakeUp();
+  }
+}
+
+void ClusterDiscovery::onClusterFound(const LeaderRoute& view) {
+  discovered.mergeNewer(view);
+  if (!view.leader.value.empty())
+    joinThrough(view.leader);
+  else if (!view.controllers.empty())
+    joinThrough(view.controllers.front());
+}
+
+// A seed may belong to no cluster and have no disk, and other processes start from it: it must
+// learn of this member, also after it was restarted. docs/design.md 9.7, docs/incidents.md 8.
+void ClusterDiscovery::introduceToSeeds() {
+  const auto members = hooks.controller().raftNode().membership();
+  // A copy: the seeds may be replaced while an answer is awaited.
+  for (const auto& seed : std::vector<Address>(seeds)) {
+    const bool isMember = std::any_of(members.begin(), members.end(),
+                                      [&](const Member& member) { return member.address == seed; });
+    if (!isMember)
+      queryRoute(*searchClients.clientFor(seed), RouteQuery{{}, self.advertisedAddress, false},
+                 introductionTimeout);
+  }
+}
+
+// A blank controller serves callers all the same, by the route that it discovered: it must learn
+// of a new leader as soon as gateways do, however many controllers are silent.
+void ClusterDiscovery::followDiscoveredCluster() {
+  for (;; sleepFor(routeInterval)) {
+    if (!isBlank())
+      continue;
+    for (const auto& address : discovered.controllers) {
+      if (address != self.advertisedAddress && routeQueriesSent.insert(address).second)
+        spawn([this, address] { refreshRouteFrom(address); });
+    }
+  }
+}
+
+void ClusterDiscovery::refreshRouteFrom(const Address& address) {
+  const auto client = routeClients.clientFor(address);
+  const auto reply =
+      queryRoute(*client, RouteQuery{{}, self.advertisedAddress, false}, routeTimeout);
+  routeQueriesSent.erase(address);
+  if (reply && !reply->uninitialized && isBlank())
+    discovered.mergeNewer(reply->view);
+}
+
+void ClusterDiscovery::joinThrough(const Address& controller) {
+  if (self.hasDisk)
+    hooks.controller().join(controller);
+}
+
+}  // namespace aniseline
--- a/source/daemons/controller_daemon.hpp
+++ b/source/daemons/controller_daemon.hpp
@@ -6,25 +6,33 @@
 namespace aniseline {
 
 struct ControllerSettings {
-  Address peerAddress, httpAddress, advertisedAddress;
-  std::string zone, dataFolder;  // without a data folder it stores nothing and never votes: it
-                                 // leads the way only. docs/design.md 9.7
-  std::vector<Address> seeds;
-  bool bootstrap = false, quiet = false;
-  std::int64_t heartbeatMilliseconds = 100, electionLowMilliseconds = 500,
-               electionHighMilliseconds = 1000, replaceAfterMilliseconds = 30'000,
-               snapshotVersions = 1000, voters = 3;
-  // How long a stop waits for another leader and for other full copies, in milliseconds. As long as
-  // two elections and a lost message take.
+  Address peerAddress;        // the inner interface, for other processes of the system
+  Address httpAddress;        // health and readiness; empty: none
+  Address advertisedAddress;  // where others reach `peerAddress`
+  std::string zone;
+  // Without a data folder the controller stores nothing and never votes: it only leads the way.
+  // docs/design.md 9.7
+  std::string dataFolder;
+  std::vector<Address> seeds;  // for first contact
+  bool bootstrap = false;      // it may bootstrap a cluster once every seed is there and blank
+  bool quiet = false;          // no logs
+  std::int64_t heartbeatMilliseconds = 100;
+  std::int64_t electionLowMilliseconds = 500;
+  std::int64_t electionHighMilliseconds = 1000;
+  std::int64_t replaceAfterMilliseconds = 30'000;  // a silent voter, where a learner is there
+  std::int64_t snapshotVersions = 1000;            // records on disk between snapshots
+  std::int64_t voters = 3;
+  // How long a stop waits for another leader and for other full copies. As long as two elections
+  // and a lost message take.
   static constexpr std::int64_t defaultStopTimeoutMilliseconds = 3000;
   std::int64_t stopTimeoutMilliseconds = defaultStopTimeoutMilliseconds;
   // What the process may take of memory; its queues, log tail and snapshots are shares of it. 0:
   // the defaults.
   std::uint64_t memoryBytes = 0;
-  std::int64_t leaseMilliseconds = 3000,
-               leaseMarginMilliseconds = 1000;  // of workers' leases, in milliseconds
-  ExternalInterface externalInterface;
-  SeedSource seedSource;
+  std::int64_t leaseMilliseconds = 3000;        // of a worker
+  std::int64_t leaseMarginMilliseconds = 1000;  // beyond it, for clocks that differ
+  ExternalInterface externalInterface;          // an adapter's, beside the product's own
+  SeedSource seedSource;                        // where the seeds can change while the process runs
 };
 
 // Serves until it is told to stop; the process' exit status.
--- /dev/null
+++ b/source/daemons/controller_storage.cpp
@@ -0,0 +1,63 @@
+#include "daemons/controller_storage.hpp"
+#include "net/log.hpp"
+#include <random>
+
+namespace aniseline {
+
+namespace {
+
+RecoveredState stateWithoutDisk() {
+  std::random_device device;
+  return {ControllerId{"no-disk-" + std::to_string(device())}, {}};
+}
+
+DiskResult<RecoveredState> openAndLoad(DataFolder& folder) {
+  auto identity = folder.open();
+  if (!identity)
+    return identity.error();
+  auto records = folder.load();
+  if (!records)
+    return records.error();
+  return RecoveredState{std::move(identity.value()), std::move(records.value())};
+}
+
+}  // namespace
+
+void logDiskError(std::string_view event, const DiskError& error) {
+  const bool corrupt = error.kind == DiskError::Kind::corruption;
+  log(LogLevel::error, event,
+      {{"code", json(corrupt ? "corruption" : "system_error")},
+       {"file", json(error.file)},
+       {"error", json(error.message())}});
+}
+
+std::optional<RecoveredState> ControllerStorage::recover() {
+  if (!isPersistent())
+    return stateWithoutDisk();
+  auto recovered = openAndLoad(folder);
+  if (recovered)
+    return std::move(recovered.value());
+  logDiskError(log_events::dataFolderOpenFailed, recovered.error());
+  if (recovered.error().kind == DiskError::Kind::systemError)
+    return std::nullopt;
+  auto fresh = beginAsNewIdentity();
+  if (fresh)
+    log(LogLevel::warning, log_events::newIdentityAfterCorruption,
+        {{"identity", json(fresh->identity.value)}});
+  return fresh;
+}
+
+std::optional<RecoveredState> ControllerStorage::beginAsNewIdentity() {
+  if (auto quarantined = folder.quarantine(); !quarantined) {
+    logDiskError(log_events::dataFolderQuarantineFailed, quarantined.error());
+    return std::nullopt;
+  }
+  auto identity = folder.openLocked();
+  if (!identity) {
+    logDiskError(log_events::dataFolderOpenFailed, identity.error());
+    return std::nullopt;
+  }
+  return RecoveredState{std::move(identity.value()), {}};
+}
+
+}  // namespace aniseline
--- a/source/daemons/gateway_daemon.cpp
+++ b/source/daemons/gateway_daemon.cpp
@@ -1,4 +1,8 @@
+// The gateway process: one thread keeps the route to the leader up to date, the others serve
+// callers by it. docs/design.md 9.1, 9.2.
 #include "daemons/gateway_daemon.hpp"
+#include "daemons/listening.hpp"
+#include "net/contacts.hpp"
 #include "net/log.hpp"
 #include "net/signals.hpp"
 #include <thread>
@@ -7,195 +11,240 @@
 
 namespace {
 
-class Program {
+constexpr HttpLimits readinessLimits{4096, 100, Duration{30'000}, Duration{2000}};
+constexpr Duration routeQueryTimeout{1000};
+// A route that no controller has confirmed for this long is not good enough to be ready.
+constexpr Duration routeStaleAfter{2500};
+constexpr std::int64_t neverConfirmed = -1'000'000;  // long before the clock's start
+constexpr Duration stopPollInterval{100};
+// A stop takes at least this long, so that callers learn of it and go elsewhere; after the second
+// span what is under way is answered at once; after the third the process ends in any case.
+constexpr Duration minStopTime{1000};
+constexpr Duration giveUpAfter{1500};
+constexpr Duration maxStopTime{2500};
+// A serving thread after a stop: until its listeners close, and until it ends.
+constexpr Duration listenerLinger{1000};
+constexpr Duration threadLinger{5000};
+
+class GatewayProcess {
  public:
-  explicit Program(GatewaySettings settings) : settings(std::move(settings)) {}
+  explicit GatewayProcess(GatewaySettings settings) : settings(std::move(settings)) {}
 
+  // The process' exit status where it could not start; else it ends the process itself.
   int run() {
-    RcuReaderRegistration reader;
-    std::vector<std::thread> threads;
-    std::atomic<int> listening{0}, failed{0};
-    for (std::int64_t count = 0; count < settings.threads; ++count)
-      threads.emplace_back([&] { work(listening, failed); });
-    StopSignal stop(loop);
-    ReloadSignal reload(loop, [this] { renewSeeds(); });
-    while (listening + failed < settings.threads)
-      sleepFor(Duration{5});
-    if (failed) {
-      stopping = true;
-      for (auto& thread : threads)
-        thread.join();
+    const RcuReaderRegistration reader;
+    const StopSignal stop(loop);
+    const ReloadSignal reload(loop, [this] { refreshSeeds(); });
+    if (!startThreads())
       return 1;
-    }
-    log(LogLevel::info, "started",
+    log(LogLevel::info, log_events::started,
         {{"http", json(settings.httpAddress.value)}, {"zone", json(settings.zone)}});
+    const Duration refreshInterval{settings.routeRefreshMilliseconds};
     while (!stop.requested()) {
-      refresh();
-      for (Duration waited{0};
-           waited < Duration{settings.routeRefreshMilliseconds} && !stop.requested();
-           waited = waited + Duration{100})
-        sleepFor(Duration{100});
+      refreshRoute();
+      for (Duration waited{0}; waited < refreshInterval && !stop.requested();
+           waited = waited + stopPollInterval)
+        sleepFor(stopPollInterval);
     }
-    // Not ready first, so that the platform stops sending; then the listeners close.
-    // docs/operations.md 4.
+    shutDown();
+  }
+
+ private:
+  // --- start and stop, on the main thread ---
+
+  // False: a thread could not listen, which has been logged; all threads have ended.
+  bool startThreads() {
+    for (std::int64_t count = 0; count < settings.threads; ++count)
+      threads.emplace_back([this] { serve(); });
+    while (threadsListening + threadsFailed < settings.threads)
+      sleepFor(Duration{5});
+    if (threadsFailed == 0)
+      return true;
+    stopping = true;
+    for (auto& thread : threads)
+      thread.join();
+    return false;
+  }
+  // Not ready first, so that the platform stops sending; then the listeners close; what is still
+  // under way then is answered at once: outcome unknown, or surely not applied.
+  // docs/operations.md 4, docs/design.md 8.3.
+  [[noreturn]] void shutDown() {
     stopping = true;
-    log(LogLevel::info, "stopping", {{"requests", json(inFlight.load())}});
-    const MonotonicTime until = monotonicNow() + Duration{2500};
-    // Whatever is still under way is answered at once: unknown, or surely not taken.
-    // docs/design.md 8.3.
-    runAfter(Duration{1500}, [this] { givingUp = true; });
-    while ((inFlight > 0 || monotonicNow() < until - Duration{1500}) && monotonicNow() < until)
+    log(LogLevel::info, log_events::stopping, {{"requests", json(inFlight.load())}});
+    const MonotonicTime stoppedAt = monotonicNow();
+    runAfter(giveUpAfter, [this] { givingUp = true; });
+    while ((inFlight > 0 || monotonicNow() < stoppedAt + minStopTime) &&
+           monotonicNow() < stoppedAt + maxStopTime)
       sleepFor(Duration{20});
-    log(LogLevel::info, "stopped", {{"served", json(served.load())}});
-    std::_Exit(0);
+    log(LogLevel::info, log_events::stopped, {{"served", json(served.load())}});
+    std::_Exit(0);  // the threads wait for their connections: they end with the process
   }
 
- private:
-  // The seeds may have changed, with or without a signal; only the thread of the route works with
-  // them.
-  void renewSeeds() { aniseline::refreshSeeds(settings.seedSource, settings.seeds); }
+  // --- the route, on the main thread ---
+
+  // The seeds may have changed, with or without a signal.
+  void refreshSeeds() { aniseline::refreshSeeds(settings.seedSource, settings.seeds); }
   // Asks controllers for the route; the first contact goes to the seeds, later ones to whoever the
   // state names.
-  void refresh() {
+  void refreshRoute() {
     if (!ready())
-      renewSeeds();
-    std::vector<Address> known =
-        board.read([](const LeaderRoute& view) { return view.controllers; });
+      refreshSeeds();
+    for (const auto& address : routeSources()) {
+      if (queriesInFlight.insert(address).second)
+        spawn([this, address] { queryRouteFrom(address); });
+    }
+  }
+  std::vector<Address> routeSources() const {
+    std::vector<Address> sources =
+        directory.read([](const LeaderRoute& route) { return route.controllers; });
+    auto add = [&](const Address& address) {
+      if (!std::count(sources.begin(), sources.end(), address))
+        sources.push_back(address);
+    };
     for (const auto& seed : settings.seeds)
-      if (!std::count(known.begin(), known.end(), seed))
-        known.push_back(seed);
-    for (const auto& address : found)
-      if (!std::count(known.begin(), known.end(), address))
-        known.push_back(address);
-    for (const auto& address : known) {
-      auto& caller = callers[address];
-      if (!caller)
-        caller = std::make_shared<RpcClient>(loop, address);
-      if (busy.count(address))
-        continue;
-      busy.insert(address);
-      spawn([this, address, caller] {
-        auto answered = caller->call(
-            RouteQuery{{settings.advertisedAddress, ZoneName{settings.zone}}, {}, false},
-            Duration{1000});
-        auto* told = answered ? boost::get<RouteReply>(&answered.value().body) : nullptr;
-        // docs/design.md 9.5: a seed may be another gateway, which names the controllers.
-        if (!told && isSeed(address) &&
-            board.read([](const LeaderRoute& view) { return view.controllers.empty(); }))
-          for (const auto& controller : fetchControllers(loop, address))
-            found.insert(controller);
-        busy.erase(address);
-        if (!told || told->uninitialized)
-          return;
-        LeaderRoute view = told->view;
-        const Address before = board.read([](const LeaderRoute& view) { return view.leader; });
-        if (!board.publish(view))
-          return;
-        if (told->isLeader || !view.leader.value.empty())
-          freshAt = monotonicNow().milliseconds;
-        if (view.leader != before && !view.leader.value.empty())
-          log(LogLevel::info, "leader",
-              {{"address", json(view.leader.value)}, {"term", json(view.term.value)}});
-      });
+      add(seed);
+    for (const auto& address : discoveredControllers)
+      add(address);
+    return sources;
+  }
+  void queryRouteFrom(const Address& address) {
+    const RouteQuery query{{settings.advertisedAddress, ZoneName{settings.zone}}, {}, false};
+    const auto reply = queryRoute(*controllers.clientFor(address), query, routeQueryTimeout);
+    // A seed may be another gateway, which names the controllers. docs/design.md 9.5.
+    if (!reply && isSeed(address) && knowsNoController()) {
+      for (const auto& controller : fetchControllers(loop, address))
+        discoveredControllers.insert(controller);
     }
+    queriesInFlight.erase(address);
+    if (reply && !reply->uninitialized)
+      publishRoute(*reply);
+  }
+  void publishRoute(const RouteReply& reply) {
+    const LeaderRoute& route = reply.view;
+    const Address before =
+        directory.read([](const LeaderRoute& current) { return current.leader; });
+    if (!directory.publish(route))
+      return;
+    if (reply.isLeader || !route.leader.value.empty())
+      routeConfirmedAt = monotonicNow().milliseconds;
+    if (route.leader != before && !route.leader.value.empty())
+      log(LogLevel::info, log_events::leaderChanged,
+          {{"address", json(route.leader.value)}, {"term", json(route.term.value)}});
   }
-
   bool isSeed(const Address& address) const {
     return std::count(settings.seeds.begin(), settings.seeds.end(), address) > 0;
   }
+  bool knowsNoController() const {
+    return directory.read([](const LeaderRoute& route) { return route.controllers.empty(); });
+  }
 
-  void work(std::atomic<int>& listening, std::atomic<int>& failed) {
-    RcuReaderRegistration reader;
+  // --- requests, on the serving threads ---
+
+  // A serving thread: its own loop, listeners and connections to the leader.
+  void serve() {
+    const RcuReaderRegistration reader;
     EventLoop threadLoop;
-    LeaderForwarder relay(
-        threadLoop, [this] { return board.read([](const LeaderRoute& view) { return view; }); },
-        settings.seeds, [this] { return givingUp.load(); });
+    LeaderForwarder forwarder(
+        threadLoop, [this] { return currentRoute(); }, settings.seeds,
+        [this] { return givingUp.load(); });
     HttpServer http(threadLoop, HttpLimits{},
-                    [&](const HttpRequest& request) { return handle(relay, request); });
-    if (!settings.httpAddress.value.empty())
-      if (auto opened = http.listen(settings.httpAddress, true); !opened) {
-        log(LogLevel::error, opened.error().text);
-        ++failed;
-        return;
-      }
-    const ForwardRequest serve = [this, &relay](const ApiRequest& apiRequest) {
-      return bounded(relay, apiRequest);
-    };
-    HttpServer outer(threadLoop, settings.externalInterface.limits,
-                     [&](const HttpRequest& request) {
-                       return settings.externalInterface.handle(request, serve);
-                     });
-    HttpServer readiness(
-        threadLoop, HttpLimits{4096, 100, Duration{30'000}, Duration{2000}},
-        [&](const HttpRequest& request) { return settings.readiness(request, ready()); });
-    auto opened = settings.externalInterface.handle
-                      ? outer.listen(settings.externalInterface.address, true)
-                      : Result<bool, HttpError>(true);
-    if (opened && settings.readiness)
-      opened = readiness.listen(settings.readinessAddress, true);
-    if (!opened) {
-      log(LogLevel::error, opened.error().text);
-      ++failed;
+                    [&](const HttpRequest& request) { return handle(forwarder, request); });
+    HttpServer external(
+        threadLoop, settings.externalInterface.limits, [&](const HttpRequest& request) {
+          return settings.externalInterface.handle(request, [&](const ApiRequest& apiRequest) {
+            return forwardBounded(forwarder, apiRequest);
+          });
+        });
+    HttpServer readiness(threadLoop, readinessLimits, [&](const HttpRequest& request) {
+      return settings.readiness(request, ready());
+    });
+    if (!listen(http, external, readiness)) {
+      ++threadsFailed;
       return;
     }
-    ++listening;
+    ++threadsListening;
     while (!stopping)
       sleepFor(Duration{50});
-    sleepFor(Duration{1000});
+    sleepFor(listenerLinger);
     http.stop();
-    outer.stop();
-    sleepFor(Duration{5000});
+    external.stop();
+    sleepFor(threadLinger);
   }
-
-  ApiResponse handle(LeaderForwarder& relay, const HttpRequest& request) {
+  bool listen(HttpServer& http, HttpServer& external, HttpServer& readiness) const {
+    constexpr bool shared = true;
+    if (!settings.httpAddress.value.empty() && !listenOrLog(http, settings.httpAddress, shared))
+      return false;
+    if (settings.externalInterface.handle &&
+        !listenOrLog(external, settings.externalInterface.address, shared))
+      return false;
+    return !settings.readiness || listenOrLog(readiness, settings.readinessAddress, shared);
+  }
+  ApiResponse handle(LeaderForwarder& forwarder, const HttpRequest& request) {
     if (request.target == "/healthz")
       return ApiResponse::of(200, {{"alive", json(true)}});
-    if (request.target == "/readyz") {
-      const bool served = ready();
-      return ApiResponse::of(served ? 200 : 503, board.read([&](const LeaderRoute& view) {
-        return picojson::object{{"ready", json(served)},
-                                {"leader", json(view.leader.value)},
-                                {"term", json(view.term.value)},
-                                {"config", json(view.config.value)}};
-      }));
-    }
-    if (auto contacts = board.read(
-            [&](const LeaderRoute& view) { return answerContactsRequest(request, view); }))
+    if (request.target == "/readyz")
+      return answerReadiness();
+    auto contacts = directory.read(
+        [&](const LeaderRoute& route) { return answerContactsRequest(request, route); });
+    if (contacts)
       return *contacts;
     auto parsed = ApiRequest::parse(request.method, request.target, request.body);
     if (!parsed)
       return ApiResponse::fromError(parsed.error());
-    return bounded(relay, parsed.value());
-  }
-  bool ready() const { return monotonicNow().milliseconds - freshAt < 2500 && !stopping; }
-  ApiResponse bounded(LeaderForwarder& relay, const ApiRequest& apiRequest) {
-    if (!board.read([&](const LeaderRoute& view) {
-          return view.admits(apiRequest, std::size_t(inFlight),
-                             std::size_t(settings.maxRequestsInFlight));
-        }))
+    return forwardBounded(forwarder, parsed.value());
+  }
+  ApiResponse answerReadiness() const {
+    const bool isReady = ready();
+    const LeaderRoute route = currentRoute();
+    return ApiResponse::of(isReady ? 200 : 503, {{"ready", json(isReady)},
+                                                 {"leader", json(route.leader.value)},
+                                                 {"term", json(route.term.value)},
+                                                 {"config", json(route.config.value)}});
+  }
+  // Forwards a request to the leader, unless too many are under way.
+  ApiResponse forwardBounded(LeaderForwarder& forwarder, const ApiRequest& apiRequest) {
+    const bool admitted = directory.read([&](const LeaderRoute& route) {
+      return route.admits(apiRequest, std::size_t(inFlight),
+                          std::size_t(settings.maxRequestsInFlight));
+    });
+    if (!admitted)
       return ApiResponse::error(429, "overloaded", "this gateway has too many requests under way",
                                 Duration{1000});
     ++inFlight;
-    ApiResponse answer = relay.forward(apiRequest);
+    ApiResponse response = forwarder.forward(apiRequest);
     --inFlight;
     ++served;
-    return answer;
+    return response;
+  }
+  bool ready() const {
+    return !stopping && monotonicNow() - MonotonicTime{routeConfirmedAt} < routeStaleAfter;
+  }
+  LeaderRoute currentRoute() const {
+    return directory.read([](const LeaderRoute& route) { return route; });
   }
 
+  // Of the main thread, but for what is constant.
   GatewaySettings settings;
   EventLoop loop;
-  LeaderDirectory board;
-  std::map<Address, std::shared_ptr<RpcClient>> callers;
-  std::set<Address> busy, found;  // found: controllers that other gateways named
-  std::atomic<std::int64_t> freshAt{-1'000'000}, inFlight{0};
+  RpcClientPool controllers{loop};
+  std::set<Address> queriesInFlight;
+  std::set<Address> discoveredControllers;  // that other gateways named
+  std::vector<std::thread> threads;
+  // Shared by all threads.
+  LeaderDirectory directory;                                   // published by the main thread only
+  std::atomic<std::int64_t> routeConfirmedAt{neverConfirmed};  // of the monotonic clock, in ms
+  std::atomic<std::int64_t> inFlight{0};
   std::atomic<std::uint64_t> served{0};
-  std::atomic<bool> stopping{false}, givingUp{false};
+  std::atomic<int> threadsListening{0};
+  std::atomic<int> threadsFailed{0};
+  std::atomic<bool> stopping{false};  // not ready any more; the threads close their listeners
+  std::atomic<bool> givingUp{false};  // what is under way is answered at once
 };
 
 }  // namespace
 
 int runGateway(GatewaySettings settings) {
-  return Program(std::move(settings)).run();
+  return GatewayProcess(std::move(settings)).run();
 }
 
 }  // namespace aniseline
--- /dev/null
+++ b/source/daemons/state_writers.cpp
@@ -0,0 +1,33 @@
+#include "daemons/state_writers.hpp"
+
+namespace aniseline {
+
+template <class Callback>
+void StateWriters::postToLoop(std::weak_ptr<Alive> token, Callback callback) {
+  asio::post(loop.context, [token = std::move(token), callback = std::move(callback)]() mutable {
+    if (token.lock())
+      callback();
+  });
+}
+
+void StateWriters::write(WriteAheadRecord record) {
+  diskThread.submit([this, record = std::move(record), token = std::weak_ptr(alive)] {
+    auto result = storage.write(record);
+    postToLoop(token, [this, result = std::move(result), version = record.version] {
+      callbacks.onRecordWritten(result, version);
+    });
+  });
+}
+
+void StateWriters::updateSnapshot(SnapshotWork work) {
+  snapshotThread.submit([this, work = std::move(work), token = std::weak_ptr(alive)] {
+    auto snapshot = snapshotWriter.process(work);
+    if (!snapshot)
+      return;
+    postToLoop(token, [this, snapshot = std::move(*snapshot)]() mutable {
+      callbacks.onSnapshotPacked(std::move(snapshot));
+    });
+  });
+}
+
+}  // namespace aniseline
--- a/source/gateway/leader_call.cpp
+++ b/source/gateway/leader_call.cpp
@@ -3,6 +3,18 @@
 namespace aniseline {
 
 namespace {
+
+// Beyond a sync's long poll: for the answer to come.
+constexpr Duration syncTransitTime{1500};
+// However long the client would wait: an election is over well within these.
+constexpr Duration maxRequestTime{2500};
+constexpr Duration maxLeaderSearchTime{2000};
+constexpr std::size_t maxHintsFollowed = 3;
+// Between candidates: short for the first few, in case one of them leads.
+constexpr std::size_t quickCandidates = 4;
+constexpr Duration quickBackoff{20};
+constexpr Duration laterBackoff{60};
+
 // A submission, cancel, config or order about a worker that may have been taken is never sent twice
 // by a gateway.
 bool readsOnly(RequestKind kind) {
@@ -24,6 +36,16 @@
       return false;
   }
 }
+
+Duration timeoutOf(const ApiRequest& request) {
+  return request.kind == RequestKind::syncWorker ? request.report.longPollTimeout + syncTransitTime
+                                                 : std::min(request.clientTimeout, maxRequestTime);
+}
+
+ApiResponse noLeaderKnown() {
+  return ApiResponse::notApplied("no leader of the controllers is known");
+}
+
 }  // namespace
 
 LeaderCall::LeaderCall(const ApiRequest& request, Route route, const std::vector<Address>& seeds,
@@ -31,54 +53,57 @@
     : route(std::move(route)),
       seeds(seeds),
       idempotent(readsOnly(request.kind)),
-      deadline(now + (request.kind == RequestKind::syncWorker
-                          ? request.report.longPollTimeout + Duration{1500}
-                          : std::min(request.clientTimeout, Duration{2500}))),
-      leaderSearchDeadline(now + std::min(request.clientTimeout, Duration{2000})) {}
+      deadline(now + timeoutOf(request)),
+      leaderSearchDeadline(now + std::min(request.clientTimeout, maxLeaderSearchTime)) {}
 
-LeaderCall::Step LeaderCall::completeWith(ApiResponse answer) {
-  return Step{Step::Kind::complete, {}, {}, std::move(answer)};
+LeaderCall::Step LeaderCall::completeWith(ApiResponse response) {
+  return Step{Step::Kind::complete, {}, {}, std::move(response)};
+}
+
+// The hint, else the leader by the route, else the controllers in turn; whoever did not serve when
+// last asked is skipped.
+Address LeaderCall::chooseTarget() {
+  if (!leaderHint.value.empty())
+    return std::exchange(leaderHint, Address{});
+  const LeaderRoute current = route();
+  if (!current.leader.value.empty() && current.leader != skippedTarget)
+    return current.leader;
+  const std::vector<Address>& candidates =
+      current.controllers.empty() ? seeds : current.controllers;
+  const Address& candidate = candidates[candidateIndex % candidates.size()];
+  if (candidate != skippedTarget)
+    return candidate;
+  return candidates[++candidateIndex % candidates.size()];
 }
 
 LeaderCall::Step LeaderCall::send(MonotonicTime now) {
   if (now >= deadline)
-    return completeWith(ApiResponse::notApplied("no leader of the controllers is known"));
-  Address target = std::exchange(leaderHint, Address{});
-  if (target.value.empty()) {
-    const LeaderRoute view = route();
-    const std::vector<Address>& known = view.controllers.empty() ? seeds : view.controllers;
-    if (!view.leader.value.empty() && view.leader != skippedTarget)
-      target = view.leader;
-    else {
-      target = known[candidateIndex % known.size()];
-      if (target == skippedTarget)
-        target = known[++candidateIndex % known.size()];
-    }
-  }
-  lastTarget = target;
-  return Step{Step::Kind::send, target, deadline - now, {}};
+    return completeWith(noLeaderKnown());
+  lastTarget = chooseTarget();
+  return Step{Step::Kind::send, lastTarget, deadline - now, {}};
 }
 
 LeaderCall::Step LeaderCall::tryNext(MonotonicTime now) {
   skippedTarget = lastTarget;
   if (now >= leaderSearchDeadline)
-    return completeWith(ApiResponse::notApplied("no leader of the controllers is known"));
-  if (!leaderHint.value.empty() && hintsFollowed++ < 3)
+    return completeWith(noLeaderKnown());
+  if (!leaderHint.value.empty() && hintsFollowed++ < maxHintsFollowed)
     return send(now);
   leaderHint = Address{};
   ++candidateIndex;
-  return Step{Step::Kind::backOff, {}, Duration{candidateIndex < 4 ? 20 : 60}, {}};
+  const Duration backoff = candidateIndex < quickCandidates ? quickBackoff : laterBackoff;
+  return Step{Step::Kind::backOff, {}, backoff, {}};
 }
 
-LeaderCall::Step LeaderCall::onResponse(const ApiResponse& answer, MonotonicTime now) {
-  if (!answer.notLeader)
-    return completeWith(answer);
-  leaderHint = answer.leader;
+LeaderCall::Step LeaderCall::onResponse(const ApiResponse& response, MonotonicTime now) {
+  if (!response.notLeader)
+    return completeWith(response);
+  leaderHint = response.leader;
   return tryNext(now);
 }
 
-LeaderCall::Step LeaderCall::onFailure(Failure loss, MonotonicTime now) {
-  if (loss != Failure::unreachable && !idempotent)
+LeaderCall::Step LeaderCall::onFailure(Failure failure, MonotonicTime now) {
+  if (failure != Failure::unreachable && !idempotent)
     return completeWith(
         ApiResponse::outcomeUnknown("the leader was lost while this was under way; ask again"));
   return tryNext(now);
--- a/source/gateway/leader_directory.cpp
+++ b/source/gateway/leader_directory.cpp
@@ -5,9 +5,9 @@
 // liburcu's grace periods are not visible to the thread sanitizer; this says what they order.
 extern "C" void __tsan_acquire(void* address);
 extern "C" void __tsan_release(void* address);
-static char graceMark;
-#define ANISELINE_GRACE_RELEASE() __tsan_release(&graceMark)
-#define ANISELINE_GRACE_ACQUIRE() __tsan_acquire(&graceMark)
+static char gracePeriod;
+#define ANISELINE_GRACE_RELEASE() __tsan_release(&gracePeriod)
+#define ANISELINE_GRACE_ACQUIRE() __tsan_acquire(&gracePeriod)
 #else
 #define ANISELINE_GRACE_RELEASE() (void)0
 #define ANISELINE_GRACE_ACQUIRE() (void)0
@@ -15,33 +15,35 @@
 
 namespace aniseline {
 
-LeaderDirectory::LeaderDirectory() : current(new LeaderRoute) {}
-LeaderDirectory::~LeaderDirectory() {
-  delete current.load();
-}
 RcuReaderRegistration::RcuReaderRegistration() {
   rcu_register_thread();
 }
 RcuReaderRegistration::~RcuReaderRegistration() {
   rcu_unregister_thread();
 }
-void LeaderDirectory::lockRead() {
+
+LeaderDirectory::ReadLock::ReadLock() {
   rcu_read_lock();
 }
-void LeaderDirectory::unlockRead() {
+LeaderDirectory::ReadLock::~ReadLock() {
   ANISELINE_GRACE_RELEASE();
   rcu_read_unlock();
 }
 
-bool LeaderDirectory::publish(const LeaderRoute& view) {
+LeaderDirectory::LeaderDirectory() : current(std::make_unique<LeaderRoute>().release()) {}
+LeaderDirectory::~LeaderDirectory() {
+  const std::unique_ptr<const LeaderRoute> last(current.load());
+}
+
+bool LeaderDirectory::publish(const LeaderRoute& route) {
   const LeaderRoute* before = current.load(std::memory_order_acquire);
   auto next = std::make_unique<LeaderRoute>(*before);
-  if (!next->mergeNewer(view))
+  if (!next->mergeNewer(route))
     return false;
   current.store(next.release(), std::memory_order_release);
   synchronize_rcu();
   ANISELINE_GRACE_ACQUIRE();
-  delete before;
+  const std::unique_ptr<const LeaderRoute> retired(before);  // nobody reads it any more
   return true;
 }
 
--- a/source/gateway/leader_directory.hpp
+++ b/source/gateway/leader_directory.hpp
@@ -1,30 +1,37 @@
-// The route view that a gateway's threads read without waiting: read-copy-update by liburcu.
-// docs/design.md 9.2.
+// The route to the leader, which a gateway's threads read without waiting: read-copy-update by
+// liburcu. docs/design.md 9.2.
 #ifndef ANISELINE_GATEWAY_LEADER_DIRECTORY_HPP
 #define ANISELINE_GATEWAY_LEADER_DIRECTORY_HPP
 #include "state/api_request.hpp"
 
 namespace aniseline {
 
+// Owns the current route. Read by any number of threads, published by one at a time.
 class LeaderDirectory {
  public:
   LeaderDirectory();
   ~LeaderDirectory();
-  // For any thread that holds a RouteReader.
+  LeaderDirectory(const LeaderDirectory&) = delete;
+  LeaderDirectory& operator=(const LeaderDirectory&) = delete;
+
+  // Hands the route to `use` and returns what that returns. The calling thread holds an
+  // RcuReaderRegistration; `use` must not wait for anything, nor keep a reference.
   template <class Use>
   auto read(Use&& use) const {
-    lockRead();
-    const LeaderRoute* view = current.load(std::memory_order_acquire);
-    auto result = use(*view);
-    unlockRead();
-    return result;
+    const ReadLock lock;
+    return use(*current.load(std::memory_order_acquire));
   }
-  // Takes the view if it is not older than the one that stands; by one thread at a time.
-  bool publish(const LeaderRoute& view);
+  // Merges the route into the current one unless it is older; whether it did. Waits until no thread
+  // reads the one before.
+  bool publish(const LeaderRoute& route);
 
  private:
-  static void lockRead();
-  static void unlockRead();
+  struct ReadLock {
+    ReadLock();
+    ~ReadLock();
+    ReadLock(const ReadLock&) = delete;
+    ReadLock& operator=(const ReadLock&) = delete;
+  };
   std::atomic<const LeaderRoute*> current;
 };
 
@@ -32,6 +39,8 @@
 struct RcuReaderRegistration {
   RcuReaderRegistration();
   ~RcuReaderRegistration();
+  RcuReaderRegistration(const RcuReaderRegistration&) = delete;
+  RcuReaderRegistration& operator=(const RcuReaderRegistration&) = delete;
 };
 
 }  // namespace aniseline
--- a/source/gateway/peer_directory.cpp
+++ b/source/gateway/peer_directory.cpp
@@ -3,7 +3,7 @@
 namespace aniseline {
 
 namespace {
-constexpr Duration comeBackAfter{10'000};  // to a preferred one that had failed
+constexpr Duration preferredRetryAfter{10'000};
 }
 
 PeerDirectory::PeerDirectory(std::vector<Address> given, std::uint64_t spread)
@@ -20,18 +20,19 @@
 }
 
 const Address& PeerDirectory::current(MonotonicTime now) {
-  if (learnedIndex > 0 && !learned.empty() && now - failedAt > comeBackAfter)
+  if (learnedIndex > 0 && !learned.empty() && now - failedAt > preferredRetryAfter)
     learnedIndex = 0;
   return learnedIndex < learned.size() ? learned[learnedIndex] : seeds[seedIndex];
 }
 
 void PeerDirectory::markFailed(MonotonicTime now) {
   failedAt = now;
-  if (learnedIndex >= learned.size()) {
-    seedIndex = (seedIndex + 1) % seeds.size();
-    learnedIndex = 0;
-  } else
+  if (learnedIndex < learned.size()) {
     ++learnedIndex;
+    return;
+  }
+  seedIndex = (seedIndex + 1) % seeds.size();
+  learnedIndex = 0;
 }
 
 }  // namespace aniseline
--- a/source/gateway/peer_directory.hpp
+++ b/source/gateway/peer_directory.hpp
@@ -1,5 +1,7 @@
-// Whom to ask next: the gateways given for first contact, and those learned since. Sans-IO.
-// docs/design.md 9.5.
+// Which gateway a client asks next: the seeds given for first contact, and the gateways in force
+// that were learned since. docs/design.md 9.5.
+//
+// It does no I/O itself. For one client and its thread.
 #ifndef ANISELINE_GATEWAY_PEER_DIRECTORY_HPP
 #define ANISELINE_GATEWAY_PEER_DIRECTORY_HPP
 #include "base/types.hpp"
@@ -8,19 +10,24 @@
 
 class PeerDirectory {
  public:
-  // Starts anywhere among the seeds, so that many do not begin with the same one.
+  // At least one seed. `spread` chooses the seed to start with, so that many clients do not begin
+  // with the same one.
   PeerDirectory(std::vector<Address> seeds, std::uint64_t spread);
-  // Those in force, the preferred first. Seeds stay a last resort: they may all be gone by then, or
-  // all that is left.
+  // Learns those in force, the preferred first; nothing changes where there are none. Seeds stay a
+  // last resort: they may all be gone by then, or all that is left.
   void update(const std::vector<Address>& inForce);
+  // Whom to ask now. A preferred one that had failed is tried again after a while.
   const Address& current(MonotonicTime now);
-  void markFailed(MonotonicTime now);  // the current one was silent or not able
+  // The current one was silent or not able.
+  void markFailed(MonotonicTime now);
   std::size_t seedCount() const { return seeds.size(); }
   bool hasLearned() const { return !learned.empty(); }
 
  private:
-  std::vector<Address> seeds, learned;
-  std::size_t learnedIndex = 0, seedIndex;
+  std::vector<Address> seeds;
+  std::vector<Address> learned;
+  std::size_t learnedIndex = 0;  // of the current one; past the end: it is a seed
+  std::size_t seedIndex;
   MonotonicTime failedAt;
 };
 
--- a/source/net/event_loop.hpp
+++ b/source/net/event_loop.hpp
@@ -126,6 +126,8 @@
 
 // How many connections may wait to be accepted: from our own processes, and from clients.
 constexpr int peerBacklog = 256, clientBacklog = 1024;
+// Before the next connection is accepted after an error, as when no descriptor is free.
+constexpr Duration acceptRetryDelay{10};
 // Has an acceptor listen. Shared: other acceptors may listen at the same endpoint.
 IoError listenOn(tcp::acceptor& acceptor, const tcp::endpoint& endpoint, int backlog,
                  bool shared = false);
--- a/source/net/history_file.hpp
+++ b/source/net/history_file.hpp
@@ -1,4 +1,5 @@
-// The file in which a program writes down what it witnesses, line by line, for history_check.
+// Histories on disk: the file in which a program records events, line by line, and the reader of a
+// folder of them, for history_check.
 // docs/design.md 11.
 #ifndef ANISELINE_NET_HISTORY_FILE_HPP
 #define ANISELINE_NET_HISTORY_FILE_HPP
@@ -9,36 +10,41 @@
 
 namespace aniseline {
 
+// Appends events to one file, each flushed at once. For one thread.
 class HistoryFile {
  public:
+  // Writes nothing.
   HistoryFile() = default;
-  // What an earlier process of the same name left half written ends here.
+  // Begins with a new line, because an earlier process of the same name may have left half of one.
+  // An empty name: nothing is written.
   explicit HistoryFile(const std::string& name) {
     if (name.empty())
       return;
     out.open(name, std::ios::app);
     out << "\n" << std::flush;
   }
-  void write(HistoryEvent witness) {
+  // Adds the time where the event has none.
+  void write(HistoryEvent event) {
     if (!out.is_open())
       return;
-    if (!witness.timestamp)
-      witness.timestamp = wallNow().milliseconds;
-    out << witness.toJsonLine() << "\n" << std::flush;
+    if (!event.timestamp)
+      event.timestamp = wallNow().milliseconds;
+    out << event.toJsonLine() << "\n" << std::flush;
   }
   void write(HistoryEvent::Kind kind, std::string detail = {}) {
-    HistoryEvent witness;
-    witness.kind = kind;
-    witness.detail = std::move(detail);
-    write(std::move(witness));
+    HistoryEvent event;
+    event.kind = kind;
+    event.detail = std::move(detail);
+    write(std::move(event));
   }
+  // Records that nothing follows.
   void close() { write(HistoryEvent::Kind::closed); }
 
  private:
   std::ofstream out;
 };
 
-// What all writers of a folder witnessed (*.witness), and the jobs submitted (*.submissions).
+// What all writers of a folder recorded (*.witness), and the jobs submitted (*.submissions).
 struct FleetHistory {
   std::vector<HistoryEvent> events;
   std::map<std::string, JobSubmission> submissions;
--- a/source/net/leader_forwarder.cpp
+++ b/source/net/leader_forwarder.cpp
@@ -3,60 +3,72 @@
 
 namespace aniseline {
 
+namespace {
+
+using Step = LeaderCall::Step;
+
+LeaderCall::Failure failureOf(const WireError& error) {
+  switch (error.kind) {
+    case WireError::Kind::unreachable:
+      return LeaderCall::Failure::unreachable;
+    case WireError::Kind::timedOut:
+      return LeaderCall::Failure::timedOut;
+    case WireError::Kind::connectionLost:
+    case WireError::Kind::malformed:
+      return LeaderCall::Failure::connectionLost;
+  }
+  return LeaderCall::Failure::connectionLost;
+}
+
+ApiResponse responseIn(const WireMessage& message) {
+  const auto* response = boost::get<ApiResponse>(&message.body);
+  return response ? *response
+                  : ApiResponse::outcomeUnknown("the leader's answer could not be read");
+}
+
+}  // namespace
+
 bool refreshSeeds(const SeedSource& source, std::vector<Address>& seeds) {
   if (!source)
     return false;
-  auto told = source();
-  if (told.empty())
+  auto current = source();
+  if (current.empty())
     return false;
-  seeds = std::move(told);
+  seeds = std::move(current);
   return true;
 }
 
-RpcClient& LeaderForwarder::clientFor(const Address& address) {
-  auto& caller = clients[address];
-  if (!caller)
-    caller = std::make_unique<RpcClient>(loop, address);
-  return *caller;
+// Once another is known to lead, one that is silent is not waited for: it may be frozen.
+// docs/design.md 9.2.
+Result<WireMessage, WireError> LeaderForwarder::callTarget(const Address& target,
+                                                           const ApiRequest& request,
+                                                           Duration timeout) {
+  const Term termAtStart = route().term;
+  const auto client = clients.clientFor(target);
+  return client->call(request, timeout, [&] {
+    if (shuttingDown())
+      return true;
+    const LeaderRoute current = route();
+    return current.term > termAtStart && !current.leader.value.empty() && current.leader != target;
+  });
 }
 
 ApiResponse LeaderForwarder::forward(const ApiRequest& request) {
   LeaderCall course(request, route, seeds, monotonicNow());
-  auto step = course.begin(monotonicNow());
+  Step step = course.begin(monotonicNow());
   for (;;) {
-    if (step.kind == LeaderCall::Step::Kind::complete)
+    if (step.kind == Step::Kind::complete)
       return step.response;
     if (shuttingDown())
       return ApiResponse::notApplied("this gateway is stopping");
-    if (step.kind == LeaderCall::Step::Kind::backOff) {
+    if (step.kind == Step::Kind::backOff) {
       sleepFor(step.timeout);
       step = course.onBackoffElapsed(monotonicNow());
       continue;
     }
-    // Once another is known to lead, one that is silent is not waited for: it may be frozen.
-    // docs/design.md 9.2.
-    const Term asked = route().term;
-    auto answered = clientFor(step.target).call(request, step.timeout, [&] {
-      if (shuttingDown())
-        return true;
-      const LeaderRoute view = route();
-      return view.term > asked && !view.leader.value.empty() && view.leader != step.target;
-    });
-    if (answered) {
-      auto* answer = boost::get<ApiResponse>(&answered.value().body);
-      if (answer && !answer->notLeader)
-        lastServed = step.target;
-      step = course.onResponse(
-          answer ? *answer : ApiResponse::outcomeUnknown("the leader's answer could not be read"),
-          monotonicNow());
-    } else {
-      const auto kind = answered.error().kind;
-      step = course.onFailure(
-          kind == WireError::Kind::unreachable ? LeaderCall::Failure::unreachable
-          : kind == WireError::Kind::timedOut  ? LeaderCall::Failure::timedOut
-                                               : LeaderCall::Failure::connectionLost,
-          monotonicNow());
-    }
+    const auto answer = callTarget(step.target, request, step.timeout);
+    step = answer ? course.onResponse(responseIn(answer.value()), monotonicNow())
+                  : course.onFailure(failureOf(answer.error()), monotonicNow());
   }
 }
 
--- a/source/net/leader_forwarder.hpp
+++ b/source/net/leader_forwarder.hpp
@@ -1,9 +1,11 @@
-// A gateway's way from a typed request to the leader and back. docs/design.md 9.2.
+// How a process that is not the leader has a request served by it: finds the leader, forwards, and
+// follows it when it changes. docs/design.md 9.2.
+//
+// For the fibers of one thread.
 #ifndef ANISELINE_NET_LEADER_FORWARDER_HPP
 #define ANISELINE_NET_LEADER_FORWARDER_HPP
-#include "net/http.hpp"
-#include "gateway/leader_directory.hpp"
-#include "net/wire.hpp"
+#include "net/http_server.hpp"
+#include "net/rpc_client.hpp"
 
 namespace aniseline {
 
@@ -12,38 +14,41 @@
 
 // The addresses for first contact as they stand now, where they can change while a process runs.
 using SeedSource = std::function<std::vector<Address>()>;
-// Takes what the source tells, unless there is none or it tells of none. Whether it did.
+// Replaces the seeds by what the source gives. False, and no change, where there is no source or it
+// gives none.
 bool refreshSeeds(const SeedSource& source, std::vector<Address>& seeds);
 
 // An interface that an adapter gives a daemon beside the product's own. docs/design.md 9.6.
 struct ExternalInterface {
   Address address;
   HttpLimits limits;
-  std::function<ApiResponse(const HttpRequest&, const ForwardRequest&)> handle;
+  std::function<ApiResponse(const HttpRequest&, const ForwardRequest&)> handle;  // empty: none
 };
 
 class LeaderForwarder {
  public:
-  // givingUp: this process ends, and what is under way gets its last answer now.
+  // `route` is asked for the newest known route at every step. `shuttingDown`: this process ends,
+  // and what is under way gets its last answer now.
   LeaderForwarder(EventLoop& loop, std::function<LeaderRoute()> route, std::vector<Address> seeds,
                   std::function<bool()> shuttingDown)
-      : loop(loop),
+      : clients(loop),
         route(std::move(route)),
         seeds(std::move(seeds)),
         shuttingDown(std::move(shuttingDown)) {}
+
+  // Waits for the leader's answer, for as long as the request gives. An answer "not applied" means
+  // that the request surely was not; "unknown" that it may have been.
   ApiResponse forward(const ApiRequest& apiRequest);
   void setSeeds(std::vector<Address> given) { seeds = std::move(given); }
-  // Whoever served last; empty before anyone did.
-  const Address& served() const { return lastServed; }
 
  private:
-  RpcClient& clientFor(const Address& address);
-  EventLoop& loop;
+  Result<WireMessage, WireError> callTarget(const Address& target, const ApiRequest& request,
+                                            Duration timeout);
+
+  RpcClientPool clients;
   std::function<LeaderRoute()> route;
   std::vector<Address> seeds;
   std::function<bool()> shuttingDown;
-  Address lastServed;
-  std::map<Address, std::unique_ptr<RpcClient>> clients;
 };
 
 }  // namespace aniseline
--- a/source/net/link_proxy.hpp
+++ b/source/net/link_proxy.hpp
@@ -1,4 +1,5 @@
-// Relays between processes of a fleet on one machine, through which a zone can be cut off.
+// Forwards connections between the processes of a fleet on one machine, so that a zone can be
+// partitioned from the others.
 // docs/operations.md 6.
 #ifndef ANISELINE_NET_LINK_PROXY_HPP
 #define ANISELINE_NET_LINK_PROXY_HPP
@@ -6,6 +7,7 @@
 
 namespace aniseline {
 
+// For the fibers of one thread; open connections end with the process.
 class LinkProxy {
  public:
   // The zone of whoever connects from an IP number; empty: from outside of all zones, never cut.
@@ -14,7 +16,7 @@
       : loop(loop), zoneLookup(std::move(zoneLookup)) {}
   // Takes connections at one address and passes them on to another, in the zone named.
   Result<bool> open(const Address& at, const Address& target, std::string zone);
-  // A cut zone neither hears nor is heard; what was under way waits, as on a real wire.
+  // Nothing passes to or from a partitioned zone; what was under way waits, as on a real wire.
   void setPartitioned(const std::string& zone, bool cut);
 
  private:
--- a/source/net/log.cpp
+++ b/source/net/log.cpp
@@ -7,12 +7,47 @@
 namespace aniseline {
 
 namespace {
-std::string programName, whoName;
+
+// Set once by startLog, before other threads log.
+std::string programName;
+std::string instanceName;
+
+const char* name(LogLevel level) {
+  switch (level) {
+    case LogLevel::debug:
+      return "debug";
+    case LogLevel::info:
+      return "info";
+    case LogLevel::warning:
+      return "warning";
+    case LogLevel::error:
+      return "error";
+  }
+  return "error";
+}
+
+void write(LogLevel level, const std::string& line) {
+  switch (level) {
+    case LogLevel::debug:
+      LOG(DEBUG) << line;
+      break;
+    case LogLevel::info:
+      LOG(INFO) << line;
+      break;
+    case LogLevel::warning:
+      LOG(WARNING) << line;
+      break;
+    case LogLevel::error:
+      LOG(ERROR) << line;
+      break;
+  }
 }
 
-void startLog(const std::string& program, const std::string& who, bool quiet) {
+}  // namespace
+
+void startLog(const std::string& program, const std::string& instance, bool quiet) {
   programName = program;
-  whoName = who;
+  instanceName = instance;
   el::Configurations configurations;
   configurations.setToDefault();
   configurations.setGlobally(el::ConfigurationType::Format, "%msg");
@@ -21,24 +56,19 @@
   el::Loggers::reconfigureAllLoggers(configurations);
 }
 
-void log(LogLevel level, const std::string& what, picojson::object fields) {
+void log(LogLevel level, std::string_view event, picojson::object fields) {
   fields["at"] = json(date::format(
       "%FT%TZ", date::floor<std::chrono::milliseconds>(std::chrono::system_clock::now())));
-  fields["what"] = json(what);
+  fields["event"] = json(std::string(event));
   fields["program"] = json(programName);
-  if (!whoName.empty())
-    fields["who"] = json(whoName);
-  static const char* const levels[] = {"debug", "info", "warning", "error"};
-  fields["level"] = json(levels[int(level)]);
-  const std::string line = picojson::value(fields).serialize();
-  if (level == LogLevel::error)
-    LOG(ERROR) << line;
-  else if (level == LogLevel::warning)
-    LOG(WARNING) << line;
-  else if (level == LogLevel::info)
-    LOG(INFO) << line;
-  else
-    LOG(DEBUG) << line;
+  if (!instanceName.empty())
+    fields["instance"] = json(instanceName);
+  fields["level"] = json(name(level));
+  write(level, picojson::value(fields).serialize());
+}
+
+std::string codeOf(const IoError& error) {
+  return std::string(error.category().name()) + ":" + std::to_string(error.value());
 }
 
 }  // namespace aniseline
--- /dev/null
+++ b/source/net/log_events.hpp
@@ -0,0 +1,40 @@
+// The names of the log events of daemons and programs; docs/operations.md 5 lists each with what it
+// means. The core's own events have their names in the controller's modules.
+#ifndef ANISELINE_NET_LOG_EVENTS_HPP
+#define ANISELINE_NET_LOG_EVENTS_HPP
+
+namespace aniseline::log_events {
+
+// Of every daemon.
+constexpr const char* started = "started";
+constexpr const char* stopping = "stopping";
+constexpr const char* stopped = "stopped";
+constexpr const char* listenFailed = "listen_failed";
+
+// Of a controller.
+constexpr const char* dataFolderOpenFailed = "data_folder_open_failed";
+constexpr const char* dataFolderQuarantineFailed = "data_folder_quarantine_failed";
+constexpr const char* diskWriteFailed = "disk_write_failed";
+constexpr const char* stateUnreadable = "state_unreadable";
+constexpr const char* newIdentityAfterCorruption = "new_identity_after_corruption";
+constexpr const char* identityRemovedFromCluster = "identity_removed_from_cluster";
+constexpr const char* clusterBootstrapped = "cluster_bootstrapped";
+constexpr const char* peerMessageRejected = "peer_message_rejected";
+
+// Of a gateway.
+constexpr const char* leaderChanged = "leader_changed";
+
+// Of an agent.
+constexpr const char* workerRegistered = "worker_registered";
+constexpr const char* workerDraining = "worker_draining";
+constexpr const char* workerDeclaredGone = "worker_declared_gone";
+
+// Of a stand-in worker.
+constexpr const char* draining = "draining";
+constexpr const char* workerRejected = "worker_rejected";
+constexpr const char* shutdownNoticeFailed = "shutdown_notice_failed";
+constexpr const char* instanceRestarted = "instance_restarted";
+
+}  // namespace aniseline::log_events
+
+#endif  // ANISELINE_NET_LOG_EVENTS_HPP
--- a/source/net/peer_outbox.hpp
+++ b/source/net/peer_outbox.hpp
@@ -1,4 +1,4 @@
-// What waits to be sent to one peer, bounded in bytes. docs/design.md 3.4.
+// The queue of messages to one peer, bounded in bytes. docs/design.md 3.4.
 #ifndef ANISELINE_NET_PEER_OUTBOX_HPP
 #define ANISELINE_NET_PEER_OUTBOX_HPP
 #include "raft/node.hpp"
@@ -11,7 +11,8 @@
  public:
   explicit PeerOutbox(std::size_t maxBytes) : maxBytes(maxBytes) {}
 
-  bool push(PeerMessage message) {  // false: there is no room for it
+  // False: the message does not fit and is dropped.
+  bool push(PeerMessage message) {
     const std::size_t bytes = payloadBytes(message) + messageOverheadBytes;
     if (!messages.empty() && queuedBytes + bytes > maxBytes)
       return false;
@@ -19,6 +20,7 @@
     messages.push_back(std::move(message));
     return true;
   }
+  // The oldest message; there has to be one.
   PeerMessage pop() {
     PeerMessage message = std::move(messages.front());
     messages.pop_front();
@@ -29,8 +31,7 @@
   std::size_t bytes() const { return queuedBytes; }
 
  private:
-  static constexpr std::size_t messageOverheadBytes =
-      sizeof(PeerMessage);  // about what it is without payload
+  static constexpr std::size_t messageOverheadBytes = sizeof(PeerMessage);  // without its payload
   std::size_t maxBytes;
   std::size_t queuedBytes = 0;
   std::deque<PeerMessage> messages;
--- a/source/net/signals.hpp
+++ b/source/net/signals.hpp
@@ -1,4 +1,4 @@
-// The polite signals, as a flag that fibers can see.
+// Signals of the process, as the fibers of an event loop see them. docs/operations.md 4.
 #ifndef ANISELINE_NET_SIGNALS_HPP
 #define ANISELINE_NET_SIGNALS_HPP
 #include "net/event_loop.hpp"
@@ -6,6 +6,7 @@
 
 namespace aniseline {
 
+// SIGTERM and SIGINT: the process is asked to stop, which it does in its own order.
 class StopSignal {
  public:
   explicit StopSignal(EventLoop& loop) : signals(loop.context, SIGTERM, SIGINT) {
@@ -21,7 +22,8 @@
   std::atomic<bool> stop{false};
 };
 
-// SIGHUP: the options of this process have changed where they are kept.
+// SIGHUP: the settings of this process have changed where they are kept. The callback runs on the
+// loop's thread, each time the signal comes.
 class ReloadSignal {
  public:
   ReloadSignal(EventLoop& loop, std::function<void()> reload)
--- a/source/net/worker_protocol.hpp
+++ b/source/net/worker_protocol.hpp
@@ -1,19 +1,26 @@
-// The product's own words for workers that are called: an agent's side, and a worker's.
-// docs/api.md 5.
+// What an agent needs to know of how its kind of worker is spoken to; an adapter gives it.
+// docs/design.md 5.8, 9.6.
 #ifndef ANISELINE_NET_WORKER_PROTOCOL_HPP
 #define ANISELINE_NET_WORKER_PROTOCOL_HPP
-#include "daemons/agent_daemon.hpp"
+#include "agent/node_agent.hpp"
+#include "net/http_message.hpp"
 
 namespace aniseline {
 
-// An agent's side.
-WorkerProtocol jsonWorkerProtocol();
-
-// A worker's side.
-Result<WorkerCall> decodeWorkerCall(const HttpRequest& request);
-ApiResponse encodeWorkerReply(const WorkerCall& call, const WorkerReply& reply);
-HttpRequest encodeRegistration(const WorkerRegistration& account);
-HttpRequest encodeShutdownNotice(const WorkerId& life);
+struct WorkerProtocol {
+  // What a worker tells its agent unasked.
+  struct Notice {
+    WorkerRegistration registration;
+    // It is about to end. The registration then names its instance and nothing else.
+    bool shuttingDown = false;
+  };
+  // The request by which a call is made.
+  std::function<HttpRequest(const WorkerCall&)> encodeCall;
+  // What the answer to a call says; an answer that can't be read says nothing.
+  std::function<WorkerReply(const WorkerCall&, const Result<HttpResponse, HttpError>&)> decodeReply;
+  // Nothing: the request is none of a worker's.
+  std::function<std::optional<Notice>(const HttpRequest&)> decodeNotice;
+};
 
 }  // namespace aniseline
 
--- a/tests/agent/called_worker_session_tests.cpp
+++ b/tests/agent/called_worker_session_tests.cpp
@@ -1,7 +1,7 @@
 // Workers that are called: their words over HTTP, their core, and gangs staged in the agent.
 // docs/api.md 5.
 #include "agent/called_worker_session.hpp"
-#include "net/worker_protocol.hpp"
+#include "net/json_worker_protocol.hpp"
 #include <CppUTest/TestHarness.h>
 
 using namespace aniseline;
@@ -115,16 +115,18 @@
   account.capacity.rack = "rack1";
   account.capacity.labels = {"fast"};
   const auto word = words.decodeNotice(encodeRegistration(account));
-  CHECK(word && !word->shuttingDown && word->account.workerInstance == account.workerInstance &&
-        word->account.draining && word->account.drainTimeout == Duration{2000} &&
-        word->account.clockReading == account.clockReading);
-  CHECK(word->account.capacity.cores == 1500 &&
-        word->account.capacity.labels == account.capacity.labels &&
-        word->account.capacity.rack == "rack1");
-  CHECK(word->account.capacity.killsOnLeaseExpiry && word->account.capacity.honoursLeases &&
-        !word->account.capacity.supportsSuspend && !word->account.capacity.selfAssemblingGangs);
+  CHECK(word && !word->shuttingDown &&
+        word->registration.workerInstance == account.workerInstance &&
+        word->registration.draining && word->registration.drainTimeout == Duration{2000} &&
+        word->registration.clockReading == account.clockReading);
+  CHECK(word->registration.capacity.cores == 1500 &&
+        word->registration.capacity.labels == account.capacity.labels &&
+        word->registration.capacity.rack == "rack1");
+  CHECK(word->registration.capacity.killsOnLeaseExpiry &&
+        word->registration.capacity.honoursLeases && !word->registration.capacity.supportsSuspend &&
+        !word->registration.capacity.selfAssemblingGangs);
   const auto leave = words.decodeNotice(encodeShutdownNotice(WorkerId{"m.1"}));
-  CHECK(leave && leave->shuttingDown && leave->account.workerInstance == WorkerId{"m.1"});
+  CHECK(leave && leave->shuttingDown && leave->registration.workerInstance == WorkerId{"m.1"});
   for (const HttpRequest& other :
        {HttpRequest{"GET", "/v1/account", "{}"}, HttpRequest{"POST", "/v1/account", "{}"},
         HttpRequest{"POST", "/v1/account", "no"}, HttpRequest{"POST", "/v1/leave", "{}"},
--- a/tests/base/json_tests.cpp
+++ b/tests/base/json_tests.cpp
@@ -1,5 +1,5 @@
 #include "base/json.hpp"
-#include "net/worker_protocol.hpp"
+#include "net/json_worker_protocol.hpp"
 #include "state/cluster_config.hpp"
 
 #include <CppUTest/TestHarness.h>
--- a/tests/fuzz/platform.cpp
+++ b/tests/fuzz/platform.cpp
@@ -1,5 +1,8 @@
 // The platform's words and settings: a line of what to read, then the bytes. docs/platform.md 3.
-#include "platform/words.hpp"
+#include "platform/configuration_codec.hpp"
+#include "platform/request_codec.hpp"
+#include "platform/response_codec.hpp"
+#include "platform/worker_codec.hpp"
 #include "fuzz.hpp"
 
 using namespace aniseline;
--- a/tests/fuzz/worker.cpp
+++ b/tests/fuzz/worker.cpp
@@ -1,6 +1,6 @@
 // What an agent and its worker say to each other: a line of the target or the answer's status, then
 // the body.
-#include "net/worker_protocol.hpp"
+#include "net/json_worker_protocol.hpp"
 #include "fuzz.hpp"
 
 using namespace aniseline;
--- a/tests/net/connection_fault_tests.cpp
+++ b/tests/net/connection_fault_tests.cpp
@@ -2,8 +2,9 @@
 // most once, is told its own answer or that it is unknown, and leaves nothing behind for the next
 // call.
 #include "byte_fault_proxy.hpp"
-#include "net/client.hpp"
-#include "net/wire.hpp"
+#include "net/gateway_client.hpp"
+#include "net/http_server.hpp"
+#include "net/rpc_client.hpp"
 #include <thread>
 
 #include <CppUTest/TestHarness.h>
@@ -49,7 +50,7 @@
           ++carriedOut[request.body];
           return ApiResponse::of(200, {{"call", json(request.body)}});
         }) {
-    if (!server.listen(address, false))
+    if (server.listen(address))
       throw std::runtime_error("no address is free");
   }
   ~CountingHttpServer() {
@@ -224,18 +225,18 @@
 
 }  // namespace
 
-TEST_GROUP(HopsTests){};
+TEST_GROUP(ConnectionFaultTests){};
 
-TEST(HopsTests, aFaultAtAnyByteOfAnHttpCall) {
+TEST(ConnectionFaultTests, aFaultAtAnyByteOfAnHttpCall) {
   onLoop([](EventLoop& loop) { return Sweep<HttpHop>(loop).run(); });
 }
 
-TEST(HopsTests, aFaultAtAnyByteOfAWireCall) {
+TEST(ConnectionFaultTests, aFaultAtAnyByteOfAWireCall) {
   onLoop([](EventLoop& loop) { return Sweep<WireHop>(loop).run(); });
 }
 
 // A far end that is gone without a word: TCP would go on trying for minutes, the next call doesn't.
-TEST(HopsTests, aSilentWireConnectionCarriesNoNewCalls) {
+TEST(ConnectionFaultTests, aSilentWireConnectionCarriesNoNewCalls) {
   onLoop([](EventLoop& loop) {
     std::string faults;
     CountingWireServer server(loop);
@@ -315,7 +316,7 @@
 
 // A worker's server is not ours and repeats no numbers: what it says beyond an answer, or before
 // it, is never taken for the answer to the next call.
-TEST(HopsTests, whatAServerSaysBesideAnAnswerIsNobodysAnswer) {
+TEST(ConnectionFaultTests, whatAServerSaysBesideAnAnswerIsNobodysAnswer) {
   onLoop([](EventLoop& loop) {
     std::string faults;
     auto expect = [&](const std::string& wanted, const std::vector<std::string>& texts) {
@@ -334,7 +335,7 @@
 
 // The rule of every hop: once the first byte may have left, what can't be repeated is not sent
 // again.
-TEST(HopsTests, aCallerRepeatsOnlyWhatHasItsOwnIdentity) {
+TEST(ConnectionFaultTests, aCallerRepeatsOnlyWhatHasItsOwnIdentity) {
   onLoop([](EventLoop& loop) {
     std::string faults;
     CountingHttpServer server(loop);
--- a/tests/net/http_client_tests.cpp
+++ b/tests/net/http_client_tests.cpp
@@ -1,6 +1,6 @@
 // One kept connection to a worker, over real sockets of this machine: an answer belongs to the
 // request that it was asked by, whatever else the other side sends. docs/design.md 9.4.
-#include "net/http.hpp"
+#include "net/http_client.hpp"
 #include <CppUTest/TestHarness.h>
 #include <boost/asio/read_until.hpp>
 #include <boost/asio/write.hpp>
--- a/tests/net/peer_outbox_tests.cpp
+++ b/tests/net/peer_outbox_tests.cpp
@@ -1,7 +1,7 @@
 // Queues to other processes are bounded in bytes; a single larger message passes.
 // docs/design.md 3.4, 9.3.
 #include "net/peer_outbox.hpp"
-#include "net/wire.hpp"
+#include "net/wire_connection.hpp"
 
 #include <CppUTest/TestHarness.h>
 using namespace aniseline;
--- a/tests/net/rpc_client_tests.cpp
+++ b/tests/net/rpc_client_tests.cpp
@@ -1,6 +1,6 @@
 // A leader's machine that is dark takes no connection: whoever calls it goes on once another leads,
 // and nothing was sent.
-#include "net/wire.hpp"
+#include "net/rpc_client.hpp"
 #include <CppUTest/TestHarness.h>
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -47,9 +47,9 @@
 
 }  // namespace
 
-TEST_GROUP(ConnectTests){};
+TEST_GROUP(RpcClientTests){};
 
-TEST(ConnectTests, aConnectionIsGivenUpWhenItsCallIsAbandoned) {
+TEST(RpcClientTests, aConnectionIsGivenUpWhenItsCallIsAbandoned) {
   DarkListener dark;
   std::unique_ptr<EventLoop> loop;
   std::optional<WireError::Kind> kind;
--- a/tests/platform_tests.cpp
+++ b/tests/platform_tests.cpp
@@ -1,6 +1,9 @@
 // The platform's words, both ways, without a socket: bodies in, typed words out, and back.
 // docs/platform.md 3.
-#include "../platform/words.hpp"
+#include "platform/configuration_codec.hpp"
+#include "platform/request_codec.hpp"
+#include "platform/response_codec.hpp"
+#include "platform/worker_codec.hpp"
 #include <CppUTest/TestHarness.h>
 
 using namespace aniseline;
@@ -504,8 +507,8 @@
   auto beat = words.decodeNotice(request("POST", "/api/Minions.Heartbeat/i-7f3a91c2", body));
   CHECK(beat.has_value());
   CHECK_FALSE(beat->shuttingDown);
-  STRCMP_EQUAL("i-7f3a91c2", beat->account.workerInstance.value.c_str());
-  const Capacity& capacity = beat->account.capacity;
+  STRCMP_EQUAL("i-7f3a91c2", beat->registration.workerInstance.value.c_str());
+  const Capacity& capacity = beat->registration.capacity;
   LONGS_EQUAL(16'000, capacity.cores);
   LONGS_EQUAL(32'768, capacity.memory);
   LONGS_EQUAL(2, capacity.accelerators);
@@ -516,24 +519,24 @@
   CHECK(capacity.hasLabel("a") && capacity.hasLabel("r1-3") && !capacity.hasLabel("b"));
   CHECK(capacity.honoursLeases && capacity.killsOnLeaseExpiry && capacity.selfAssemblingGangs &&
         !capacity.supportsSuspend);
-  CHECK(beat->account.clockReading == WorkerTime{482'113});
-  CHECK_FALSE(beat->account.draining);
-  LONGS_EQUAL(5, beat->account.sequence);  // counted from 1
+  CHECK(beat->registration.clockReading == WorkerTime{482'113});
+  CHECK_FALSE(beat->registration.draining);
+  LONGS_EQUAL(5, beat->registration.sequence);  // counted from 1
   std::string first = body;
   first.replace(first.find("\"seq\":4"), 7, "\"seq\":0");
   beat = words.decodeNotice(request("POST", "/api/Minions.Heartbeat/i-7f3a91c2", first));
-  LONGS_EQUAL(1, beat->account.sequence);
+  LONGS_EQUAL(1, beat->registration.sequence);
   first.replace(first.find(",\"seq\":0"), 8, "");
   beat = words.decodeNotice(request("POST", "/api/Minions.Heartbeat/i-7f3a91c2", first));
-  LONGS_EQUAL(0, beat->account.sequence);
+  LONGS_EQUAL(0, beat->registration.sequence);
   std::string draining = body;
   draining.replace(draining.find("\"up\""), 4, "\"draining\",\"leave_at_ms\":1800");
   beat = words.decodeNotice(request("POST", "/api/Minions.Heartbeat/i-7f3a91c2", draining));
-  CHECK(beat.has_value() && beat->account.draining);
-  LONGS_EQUAL(1800, beat->account.drainTimeout.milliseconds);
+  CHECK(beat.has_value() && beat->registration.draining);
+  LONGS_EQUAL(1800, beat->registration.drainTimeout.milliseconds);
   auto left = words.decodeNotice(request("POST", "/api/Minions.Leave/i-7f3a91c2"));
   CHECK(left.has_value() && left->shuttingDown);
-  STRCMP_EQUAL("i-7f3a91c2", left->account.workerInstance.value.c_str());
+  STRCMP_EQUAL("i-7f3a91c2", left->registration.workerInstance.value.c_str());
   CHECK(!words.decodeNotice(request("GET", "/api/Minions.Heartbeat/i-7f3a91c2", body)));
   CHECK(!words.decodeNotice(
       request("POST", "/api/Minions.Heartbeat/i-7f3a91c2", body.substr(0, 50))));
