--- a/tests/layout.sh
+++ b/tests/layout.sh
@@ -12,6 +12,41 @@
 if grep -rnE 'ANISELINE_BOOT|Minions\.(Heartbeat|Leave)|Config\.(Replace|Read)|Expect-Minion|/api/(run-start|run-stop|hold)' "${outside[@]}"; then fail "the platform's names stand outside platform/"; fi
 if grep -rlE '#\s*include\s*[<"][^>"]*platform/' tests | grep -vE '^tests/(platform_tests|fuzz/platform)\.cpp$'; then fail "other tests than platform_tests.cpp and fuzz/platform.cpp use platform/"; fi
 
+# Includes point down the layers only: each folder may take what stands beside its name here, and itself.
+# base < raft, state < scheduling < controller; state < agent, gateway; checker beside the core; net above these; daemons and cli
+# above net; programs, platform and library on top. The core's parts that net needs are named one by one.
+declare -A may_include=(
+  [base]=""
+  [raft]="base"
+  [state]="base"
+  [scheduling]="base state"
+  [controller]="base raft state scheduling"
+  [agent]="base state"
+  [gateway]="base state"
+  [checker]="base raft state"
+  [simulator]="base raft state scheduling controller agent gateway checker"
+  [net]="base raft state agent gateway checker"
+  [daemons]="base raft state controller agent gateway net"
+  [cli]="base state gateway net"
+)
+for folder in source/*/; do
+  subject=$(basename "$folder")
+  [ -n "${may_include[$subject]+known}" ] || { fail "source/$subject has no place in the layers"; continue; }
+  while IFS=: read -r file included; do
+    case " ${may_include[$subject]} $subject " in *" $included "*) ;; *) fail "$file includes $included/, which does not stand below source/$subject" ;; esac
+  done < <(grep -rHoE '^#include "[a-z_]+/' "source/$subject" | sed -E 's/#include "([a-z_]+)\//\1/')
+done
+# Nothing under source/ takes what stands on top of it.
+if grep -rnE '#\s*include\s*[<"]([^>"]*/)?(programs|platform|library|aniseline|tests|benchmarks)/' source; then fail "source/ includes what stands above it"; fi
+# The library and the platform's adapter use the edges, not the core's decisions.
+if grep -rnE '#include "(scheduling|controller|simulator|raft|checker)/' platform library; then fail "platform/ or library/ includes the core's decisions"; fi
+
+# Every log event of the daemons is explained to operators.
+while IFS= read -r event; do
+  grep -qF "\`$event\`" docs/operations.md || fail "docs/operations.md does not name the log event $event"
+done < <(sed -nE 's/^constexpr const char\* [a-zA-Z]+ = "([a-z_]+)";$/\1/p' source/net/log_events.hpp)
+if grep -rnE '\blog\(LogLevel::[a-z]+, "' source platform programs library; then fail "a log event has no name in source/net/log_events.hpp"; fi
+
 # What the compiler itself read for each object of the build.
 if [ -f build/build.ninja ]; then
   while IFS= read -r object; do
@@ -32,5 +67,5 @@
   cp "$name" "$folder/$name"
 done
 if ! printf '%s\n' $core | xargs -P 3 -I{} "${CXX:-c++}" -std=c++20 -fsyntax-only -I "$folder/source" "$folder/{}"; then fail "the core does not compile alone"; fi
-[ "$failed" = 0 ] && echo "layout: platform/ is used by its own program and tests only; the core compiles alone"
+[ "$failed" = 0 ] && echo "layout: includes point down the layers; log events are documented; platform/ is used by its own program and tests only; the core compiles alone"
 exit "$failed"
