--- a/source/cli/command.cpp
+++ b/source/cli/command.cpp
@@ -3,16 +3,23 @@
 #include "cli/table.hpp"
 #include <fstream>
 #include <iostream>
+#include <iterator>
 
 namespace aniseline {
 
 namespace {
 
-std::size_t countWords(const std::string& text, bool needed) {
+constexpr std::size_t maxRepeatedArguments = 100;  // of a command that takes any number
+
+std::size_t countArguments(const std::string& text) {
+  std::istringstream stream(text);
+  return std::size_t(std::distance(std::istream_iterator<std::string>(stream), {}));
+}
+std::size_t countRequiredArguments(const std::string& text) {
   std::istringstream stream(text);
   std::size_t count = 0;
   for (std::string word; stream >> word;)
-    count += !needed || word.front() != '[';
+    count += word.front() != '[';
   return count;
 }
 // Ids stand in a request's target as they are; no id of ours holds what would change the target's
@@ -26,16 +33,18 @@
   return argument == "JOB" || argument == "WORKER" || argument == "CONTROLLER";
 }
 
-std::optional<std::string> faultOf(const Command& command, const Arguments& arguments,
-                                   const std::vector<std::string>& given) {
+// Why the command can't be run with these; nothing if it can.
+std::optional<std::string> usageErrorOf(const Command& command, const Arguments& arguments,
+                                        const std::vector<std::string>& givenOptions) {
   if (arguments.size() < command.minArguments() || arguments.size() > command.maxArguments())
     return "it is: aniselinectl " + command.name + " " + command.arguments;
   std::istringstream shape(command.arguments);
   std::string argument;
-  for (const auto& word : arguments)
+  for (const auto& word : arguments) {
     if (shape >> argument && namesId(argument) && !fitsTarget(word))
       return "'" + printable(word) + "' can't be an id";
-  for (const auto& option : given) {
+  }
+  for (const auto& option : givenOptions) {
     const auto& common = commonOptions();
     if (!std::count(common.begin(), common.end(), option) &&
         !std::count(command.options.begin(), command.options.end(), option))
@@ -47,10 +56,10 @@
 }  // namespace
 
 std::size_t Command::minArguments() const {
-  return countWords(arguments, true);
+  return countRequiredArguments(arguments);
 }
 std::size_t Command::maxArguments() const {
-  return arguments.ends_with("...") ? 100 : countWords(arguments, false);
+  return arguments.ends_with("...") ? maxRepeatedArguments : countArguments(arguments);
 }
 
 const std::vector<std::string>& commonOptions() {
@@ -69,36 +78,38 @@
   return commands;
 }
 
-const Command* findCommand(const Arguments& words, std::size_t& taken) {
+const Command* findCommand(const Arguments& words, std::size_t& nameLength) {
   static const std::map<std::string, std::string> otherNames{{"list", "jobs"}};
-  for (taken = std::min<std::size_t>(2, words.size()); taken > 0; --taken) {
-    std::string name = taken == 2 ? words[0] + " " + words[1] : words[0];
+  for (nameLength = std::min<std::size_t>(2, words.size()); nameLength > 0; --nameLength) {
+    std::string name = nameLength == 2 ? words[0] + " " + words[1] : words[0];
     if (auto other = otherNames.find(name); other != otherNames.end())
       name = other->second;
-    for (const auto& command : allCommands())
+    for (const auto& command : allCommands()) {
       if (command.name == name)
         return &command;
+    }
   }
   return nullptr;
 }
 
 ExitCode runCommandLine(Session& session, const Arguments& words,
-                        const std::vector<std::string>& given) {
-  std::size_t taken = 0;
-  const Command* command = findCommand(words, taken);
+                        const std::vector<std::string>& givenOptions) {
+  std::size_t nameLength = 0;
+  const Command* command = findCommand(words, nameLength);
   if (!command)
     return reportUsageError(session,
                             "the words make no command; `aniselinectl help` lists those that do");
-  const Arguments arguments(words.begin() + std::ptrdiff_t(taken), words.end());
-  std::vector<std::string> own = given;
+  const Arguments arguments(words.begin() + std::ptrdiff_t(nameLength), words.end());
+  std::vector<std::string> ownOptions = givenOptions;
   // What `watch` repeats has options of its own.
-  if (std::size_t inner = 0; command->name == "watch")
-    if (const Command* repeated = findCommand(arguments, inner))
-      std::erase_if(own, [&](const std::string& option) {
+  if (command->name == "watch") {
+    if (const Command* repeated = findCommand(arguments, nameLength))
+      std::erase_if(ownOptions, [&](const std::string& option) {
         return std::count(repeated->options.begin(), repeated->options.end(), option) > 0;
       });
-  if (auto fault = faultOf(*command, arguments, own))
-    return reportUsageError(session, command->name + ": " + *fault);
+  }
+  if (auto error = usageErrorOf(*command, arguments, ownOptions))
+    return reportUsageError(session, command->name + ": " + *error);
   if (command->needsGateways && !session.send)
     return reportUsageError(session,
                             "--gateways: is missing, and ANISELINECTL_GATEWAYS is not set");
--- a/source/cli/watch.cpp
+++ b/source/cli/watch.cpp
@@ -15,8 +15,8 @@
 
 // A turn that fails is told and the next one is taken; the last one's code is the command's.
 ExitCode watch(Session& session, const Arguments& words) {
-  std::size_t taken = 0;
-  const Command* command = findCommand(words, taken);
+  std::size_t nameLength = 0;
+  const Command* command = findCommand(words, nameLength);
   if (!command || !command->readOnly)
     return reportUsageError(
         session,
--- a/tests/cli/commands_tests.cpp
+++ b/tests/cli/commands_tests.cpp
@@ -67,9 +67,9 @@
 
 }  // namespace
 
-TEST_GROUP(CliTests){};
+TEST_GROUP(CommandsTests){};
 
-TEST(CliTests, AClusterIsShownWithWhoIsBehindOrSilent) {
+TEST(CommandsTests, AClusterIsShownWithWhoIsBehindOrSilent) {
   STRCMP_EQUAL(
       "term 2, committed 315 of 316, config 1, cluster time 2026-12-02T03:38:38.211Z\n"
       "attention: 2 of 3 voters heard within 2.0 s\n"
@@ -85,7 +85,7 @@
       clusterView(parsed(clusterAnswer)).c_str());
 }
 
-TEST(CliTests, WorkersAreShownWithTheirRoom) {
+TEST(CommandsTests, WorkersAreShownWithTheirRoom) {
   STRCMP_EQUAL(
       "WORKER  STATE    ZONE   RACK   CORES          MEMORY  RUNS  HELD  ORDERS  BLAME  UNHEARD  "
       "NOTES\n"
@@ -101,7 +101,7 @@
           .c_str());
 }
 
-TEST(CliTests, AJobIsShownWithItsTasksAndThoseLeftOut) {
+TEST(CommandsTests, AJobIsShownWithItsTasksAndThoseLeftOut) {
   STRCMP_EQUAL(
       "job first-job, queue plates, failed\n"
       "because: task 1 failed too often\n"
@@ -126,7 +126,7 @@
           .c_str());
 }
 
-TEST(CliTests, APlanSaysWhoWaitsAndWhy) {
+TEST(CommandsTests, APlanSaysWhoWaitsAndWhy) {
   STRCMP_EQUAL(
       "plan 67, 3 units wait\n"
       "reserved: job wide, step 0, in 2.5 s on m11, m1, moved so far: 1\n"
@@ -142,7 +142,7 @@
           .c_str());
 }
 
-TEST(CliTests, QueuesAreCountedAndThoseGoneAreShownClosed) {
+TEST(CommandsTests, QueuesAreCountedAndThoseGoneAreShownClosed) {
   Desk desk;
   desk.give(
       "GET /v1/config",
@@ -162,7 +162,7 @@
       desk.out.str().c_str());
 }
 
-TEST(CliTests, WhatCameFromElsewhereCantSteerATerminal) {
+TEST(CommandsTests, WhatCameFromElsewhereCantSteerATerminal) {
   Table table({{"A"}, {"B", Table::Align::right}});
   table.add({"\x1b[2J\n", "\xc3\xa9"});
   table.add({"x", "longer"});
@@ -173,7 +173,7 @@
   STRCMP_EQUAL("48.0 h", formatDuration(172'800'000).c_str());
 }
 
-TEST(CliTests, AnswersOfAnotherFormAreNoFault) {
+TEST(CommandsTests, AnswersOfAnotherFormAreNoFault) {
   for (
       const char* body :
       {"{}", "[]", "7",
@@ -183,7 +183,7 @@
       CHECK(!view(parsed(body)).empty());
 }
 
-TEST(CliTests, WrongWordsAreNamedAndNothingIsAsked) {
+TEST(CommandsTests, WrongWordsAreNamedAndNothingIsAsked) {
   struct Case {
     const char *words, *part;
     std::vector<std::string> given{};
@@ -220,7 +220,7 @@
   LONGS_EQUAL(0, desk.run("found 127.0.0.1:1"));
 }
 
-TEST(CliTests, ExitCodesAreByKind) {
+TEST(CommandsTests, ExitCodesAreByKind) {
   struct Case {
     ClientError::Kind kind;
     int status, code;
@@ -245,7 +245,7 @@
   LONGS_EQUAL(5, garbled.run("cluster"));
 }
 
-TEST(CliTests, FaultsAreToldByPathAndToProgramsAsJson) {
+TEST(CommandsTests, FaultsAreToldByPathAndToProgramsAsJson) {
   const char* body =
       R"({"error":"invalid","text":"both","details":[{"path":"/id","text":"is missing"},{"path":"/steps","text":"is missing"}]})";
   Desk people, programs;
@@ -259,7 +259,7 @@
   STRCMP_EQUAL("both", textField(parsed(programs.err.str()), "text").c_str());
 }
 
-TEST(CliTests, OldWordsStillWorkAndJsonIsTheAnswerItself) {
+TEST(CommandsTests, OldWordsStillWorkAndJsonIsTheAnswerItself) {
   Desk desk;
   desk.give("GET /v1/jobs?limit=100&state=open", R"({"jobs":[],"open":0,"kept":0})");
   desk.session.options.state = "open";
@@ -276,7 +276,7 @@
   CHECK(desk.tells("worker m1: draining\n"));
 }
 
-TEST(CliTests, WatchRepeatsSoOftenAndGoesOnPastAFailure) {
+TEST(CommandsTests, WatchRepeatsSoOftenAndGoesOnPastAFailure) {
   Desk desk;
   desk.session.options.watchTurns = 3;
   desk.give("GET /v1/plan", R"({"plan":1,"waiting":0,"reasons":[]})");
@@ -295,7 +295,7 @@
   LONGS_EQUAL(2, desk.run("watch jobs", {"state", "every-ms"}));
 }
 
-TEST(CliTests, EveryCommandSaysWhatItIs) {
+TEST(CommandsTests, EveryCommandSaysWhatItIs) {
   const std::string help = generalHelp("");
   for (const auto& command : allCommands()) {
     CHECK_TEXT(help.find("  " + command.name) != std::string::npos && !command.purpose.empty(),
