--- a/tests/called_workers.cpp
+++ b/tests/called_workers.cpp
@@ -220,8 +220,8 @@
     clusterState.apply(LogRecord{ClusterTime{++now}, std::move(event)});
   };
   const WorkerId id{"v"};
-  const Worker& worker = clusterState.workers().at(id);
   apply(WorkerRegistered{id, Incarnation{1}, account("v", 0).capacity});
+  const Worker& worker = clusterState.workers().at(id);
   apply(WorkerDrainStarted{id, Duration{2000}, false});
   apply(WorkerUnreachable{id, {}});
   apply(WorkerReconnected{id});
