--- a/source/controller/job_admission.cpp
+++ b/source/controller/job_admission.cpp
@@ -1,5 +1,6 @@
 // Admission of jobs. docs/design.md 10.
 #include "controller/job_admission.hpp"
+#include "scheduling/feasibility.hpp"
 
 namespace aniseline {
 
@@ -60,7 +61,7 @@
     return std::nullopt;
   const JobSubmission& job = request.job;
   for (std::size_t step = 0; step < job.steps.size(); ++step)
-    if (auto reason = state.infeasibilityReason(job, job.steps[step]))
+    if (auto reason = infeasibilityReason(state, job, job.steps[step]))
       return invalidResponse("/steps/" + std::to_string(step), *reason);
   return std::nullopt;
 }
--- a/source/controller/open_job_monitor.cpp
+++ b/source/controller/open_job_monitor.cpp
@@ -1,5 +1,6 @@
 // Jobs that can't be run, or do not begin. docs/design.md 4.8.
 #include "controller/open_job_monitor.hpp"
+#include "scheduling/feasibility.hpp"
 
 namespace aniseline {
 
@@ -23,7 +24,7 @@
 
 std::optional<std::string> whyNeverRunnable(const Job& job, const ClusterState& state) {
   for (const auto& step : job.submission.steps)
-    if (auto reason = state.infeasibilityReason(job.submission, step))
+    if (auto reason = infeasibilityReason(state, job.submission, step))
       return reason;
   return std::nullopt;
 }
--- a/source/controller/replicated_state_machine.cpp
+++ b/source/controller/replicated_state_machine.cpp
@@ -78,7 +78,7 @@
       unreadableState = true;
   }
   clearProposals();
-  committedState.updatedWorkers.clear();
+  committedState.takeUpdatedWorkers();
 }
 
 void ReplicatedStateMachine::stopLeading() {
