--- a/tests/net/data_folder_crash_tests.cpp
+++ b/tests/net/data_folder_crash_tests.cpp
@@ -75,9 +75,9 @@
   // Of the changes that were not synced those in the mask are there, the others never were; what
   // was not synced of a file's content is torn.
   void losePower(std::size_t mask) {
-    for (std::size_t place = 0; place < unsynced.size(); ++place)
-      if (mask >> place & 1)
-        apply(durable, unsynced[place]);
+    for (std::size_t index = 0; index < unsynced.size(); ++index)
+      if (mask >> index & 1)
+        apply(durable, unsynced[index]);
     unsynced.clear();
     for (auto& [path, file] : durable)
       if (!file->synced)
@@ -170,13 +170,13 @@
   const std::uint64_t newest = records.empty() ? 0 : records.back().version.value;
   CHECK_COMPARE(newest, >=, claims.version);
   CHECK_COMPARE(newest, <=, claims.attempted);
-  for (std::size_t place = 0; place < records.size(); ++place) {
-    const std::uint64_t version = newest - (records.size() - 1 - place);
-    LONGS_EQUAL(version, records[place].version.value);
-    CHECK(records[place].holdsSnapshot == (place == 0 && version > 1) ||
-          records[place].version.value == 1);
+  for (std::size_t index = 0; index < records.size(); ++index) {
+    const std::uint64_t version = newest - (records.size() - 1 - index);
+    LONGS_EQUAL(version, records[index].version.value);
+    CHECK(records[index].holdsSnapshot == (index == 0 && version > 1) ||
+          records[index].version.value == 1);
     const std::string expected = claims.lives[version] + std::to_string(version);
-    STRCMP_EQUAL(expected.c_str(), records[place].entries[0].payload.c_str());
+    STRCMP_EQUAL(expected.c_str(), records[index].entries[0].payload.c_str());
   }
   claims.identity = identity.value().value;
   claims.version = claims.attempted = newest;
--- a/tests/net/data_folder_tests.cpp
+++ b/tests/net/data_folder_tests.cpp
@@ -32,13 +32,13 @@
     std::snprintf(name, sizeof name, "/log-%020llu", (unsigned long long)version);
     return path + name;
   }
-  void spoil(const std::string& file, std::size_t place, std::size_t cut) {
+  void spoil(const std::string& file, std::size_t offset, std::size_t cut) {
     std::ifstream in(file, std::ios::binary);
     std::string bytes((std::istreambuf_iterator<char>(in)), {});
     if (cut)
       bytes.resize(bytes.size() - cut);
     else
-      bytes[place] = char(bytes[place] ^ 0x40);
+      bytes[offset] = char(bytes[offset] ^ 0x40);
     std::ofstream(file, std::ios::binary | std::ios::trunc) << bytes;
   }
 };
@@ -61,7 +61,7 @@
 // Torn, corrupt, missing or foreign: refused by name and offset, and never voted with.
 TEST(DataFolderTests, damageIsRefusedByFileAndOffset) {
   struct Case {
-    std::size_t place, cut;
+    std::size_t offset, cut;
     const char* part;
   };
   for (const Case& bad : {Case{0, 3, "torn"}, Case{40, 0, "checksum"},
@@ -70,7 +70,7 @@
     CHECK(folder.openLocked().has_value());
     for (std::uint64_t version = 1; version <= 3; ++version)
       CHECK(folder.write(record(version, false)).has_value());
-    spoil(fileOf(2), bad.place, bad.cut);
+    spoil(fileOf(2), bad.offset, bad.cut);
     auto loaded = folder.load();
     CHECK(!loaded.has_value());
     CHECK_TEXT(loaded.error().message().find(bad.part) != std::string::npos,
--- a/tests/raft/cluster_bootstrap_tests.cpp
+++ b/tests/raft/cluster_bootstrap_tests.cpp
@@ -10,20 +10,21 @@
   return Address{text};
 }
 const std::vector<Address> seeds{at("a:1"), at("b:1"), at("c:1")};
-}  // namespace
 
-TEST_GROUP(FoundingTests){
-    // What one controller decides when it has heard every seed; those named have no disk.
-    bool founds(const char* self, const std::set<std::string>& diskless, const char* named = ""){
-        ClusterBootstrap founding(at(self), !diskless.count(self), seeds);
-for (const auto& seed : seeds)
-  if (seed != at(self))
-    founding.addBlankSeed(seed, !diskless.count(seed.value),
-                          diskless.count(seed.value) ? at(named) : Address{});
-return founding.mayBootstrap();
-}
+// What one controller decides when it has heard every seed; those named have no disk.
+bool founds(const char* self, const std::set<std::string>& diskless, const char* nominee = "") {
+  ClusterBootstrap bootstrap(at(self), !diskless.count(self), seeds);
+  for (const auto& seed : seeds) {
+    const bool hasDisk = !diskless.count(seed.value);
+    if (seed != at(self))
+      bootstrap.addBlankSeed(seed, hasDisk, hasDisk ? Address{} : at(nominee));
+  }
+  return bootstrap.mayBootstrap();
 }
-;
+
+}  // namespace
+
+TEST_GROUP(FoundingTests){};
 
 TEST(FoundingTests, theLowestSeedWithADiskFoundsAndNoOther) {
   CHECK(founds("a:1", {}));
--- a/tests/raft/node_links.hpp
+++ b/tests/raft/node_links.hpp
@@ -32,8 +32,8 @@
   std::size_t mostRetained = 0;
 
   explicit NodeLinks(std::size_t voters, RaftOptions options = {}) : options(options) {
-    for (std::size_t place = 0; place < voters; ++place) {
-      const std::string name(1, char('a' + place));
+    for (std::size_t memberIndex = 0; memberIndex < voters; ++memberIndex) {
+      const std::string name(1, char('a' + memberIndex));
       members.push_back({ControllerId{name}, Address{name + ":1"}, ZoneName{name}, true});
     }
     WriteAheadRecord founding;
--- a/tests/simulator/voter_replacement_tests.cpp
+++ b/tests/simulator/voter_replacement_tests.cpp
@@ -47,32 +47,32 @@
   }
   std::set<std::size_t> voters() const {
     std::set<std::size_t> found;
-    for (std::size_t place = 0; place < cluster->controllerCount(); ++place)
-      if (cluster->isVoter(place) && !lost.count(place))
-        found.insert(place);
+    for (std::size_t index = 0; index < cluster->controllerCount(); ++index)
+      if (cluster->isVoter(index) && !lost.count(index))
+        found.insert(index);
     return found;
   }
   std::set<std::size_t> learners() const {
     const RaftNode& leader = cluster->controller(*cluster->leader())->raftNode();
     std::set<std::size_t> found;
-    for (std::size_t place = 0; place < cluster->controllerCount(); ++place)
+    for (std::size_t index = 0; index < cluster->controllerCount(); ++index)
       for (const auto& member : leader.membership())
-        if (!member.voter && cluster->controller(place)->raftNode().self().id == member.id)
-          found.insert(place);
+        if (!member.voter && cluster->controller(index)->raftNode().self().id == member.id)
+          found.insert(index);
     return found;
   }
-  void lose(std::size_t place) {
-    lost.insert(place);
-    cluster->loseDisk(place);
+  void lose(std::size_t index) {
+    lost.insert(index);
+    cluster->loseDisk(index);
   }
   // Who goes: the leader; one of `preferred`; any other.
   std::size_t victim(std::uint64_t draw, const std::set<std::size_t>& preferred) const {
     const auto leader = cluster->leader();
     if (draw % 3 == 0 && leader)
       return *leader;
-    for (const auto place : draw % 3 == 1 ? preferred : voters())
-      if (!lost.count(place) && (!leader || place != *leader))
-        return place;
+    for (const auto index : draw % 3 == 1 ? preferred : voters())
+      if (!lost.count(index) && (!leader || index != *leader))
+        return index;
     return *voters().begin();
   }
   std::int64_t untilReplaced(std::int64_t within) {
@@ -96,15 +96,15 @@
     return voting == wanted && there == voting;
   }
   bool isThere(const ControllerId& id) const {
-    for (std::size_t place = 0; place < cluster->controllerCount(); ++place)
-      if (const auto* controller = cluster->controller(place))
+    for (std::size_t index = 0; index < cluster->controllerCount(); ++index)
+      if (const auto* controller = cluster->controller(index))
         if (controller->raftNode().self().id == id)
           return true;
     return false;
   }
   void bringBack() {
-    for (const auto place : std::exchange(lost, {}))
-      cluster->restartController(place);
+    for (const auto index : std::exchange(lost, {}))
+      cluster->restartController(index);
   }
   void end() {
     submitting = false;
@@ -134,9 +134,9 @@
   const std::int64_t took = run.untilReplaced(10'000);
   CHECK(took <= site.replacedWithin);
   std::set<std::size_t> successors;
-  for (const auto place : run.voters())
-    if (!before.count(place))
-      successors.insert(place);
+  for (const auto index : run.voters())
+    if (!before.count(index))
+      successors.insert(index);
   run.advance(std::int64_t(seed % 41));
   for (std::size_t count = 0; count < bearable; ++count)
     run.lose(run.victim(seed / 3 + count, successors));
@@ -177,8 +177,8 @@
   LONGS_EQUAL(1, victims.size());
   victims.insert(run.victim(seed, before));
   run.cluster->recordFault("losses", false);
-  for (const auto place : victims)
-    run.lose(place);
+  for (const auto index : victims)
+    run.lose(index);
   const std::int64_t took = run.untilReplaced(10'000);
   run.end();
   return took;
@@ -257,13 +257,13 @@
     Replacement run(site, seed);
     run.cluster->recordFault("losses", false);
     for (const std::size_t wanted : {5, 3}) {
-      for (std::size_t place = 0; place < site.controllers; ++place) {
-        run.cluster->killController(place, true);
-        run.cluster->setVoters(place, wanted);
+      for (std::size_t index = 0; index < site.controllers; ++index) {
+        run.cluster->killController(index, true);
+        run.cluster->setVoters(index, wanted);
         run.advance(300);
-        run.cluster->restartController(place);
+        run.cluster->restartController(index);
         run.advance(1500);
-        const RaftNode& raft = run.cluster->controller(place)->raftNode();
+        const RaftNode& raft = run.cluster->controller(index)->raftNode();
         const auto voting = std::count_if(raft.membership().begin(), raft.membership().end(),
                                           [](const Member& member) { return member.voter; });
         CHECK(raft.isBlank() || (voting >= 3 && voting <= 6));
--- a/tests/simulator/voters_tests.cpp
+++ b/tests/simulator/voters_tests.cpp
@@ -23,8 +23,8 @@
     };
   }
   const RaftNode& raftNode() const { return cluster->controller(*cluster->leader())->raftNode(); }
-  std::string identity(std::size_t place) const {
-    return cluster->controller(place)->raftNode().self().id.value;
+  std::string identity(std::size_t index) const {
+    return cluster->controller(index)->raftNode().self().id.value;
   }
   std::size_t membersThat(bool vote) const {
     if (!cluster->leader())
@@ -34,8 +34,8 @@
   }
   std::size_t blanks() const {
     std::size_t count = 0;
-    for (std::size_t place = 0; place < cluster->controllerCount(); ++place)
-      count += cluster->controller(place) && cluster->controller(place)->raftNode().isBlank();
+    for (std::size_t index = 0; index < cluster->controllerCount(); ++index)
+      count += cluster->controller(index) && cluster->controller(index)->raftNode().isBlank();
     return count;
   }
   std::size_t mostInAnZone() const {
@@ -50,9 +50,9 @@
   // Voters, the leader first.
   std::vector<std::size_t> voters() const {
     std::vector<std::size_t> found{*cluster->leader()};
-    for (std::size_t place = 0; place < cluster->controllerCount(); ++place)
-      if (place != found[0] && cluster->isVoter(place))
-        found.push_back(place);
+    for (std::size_t index = 0; index < cluster->controllerCount(); ++index)
+      if (index != found[0] && cluster->isVoter(index))
+        found.push_back(index);
     return found;
   }
   void serves(const std::string& id, std::int64_t within) {
@@ -95,8 +95,8 @@
   const std::vector<std::size_t> lost{voters[0], voters[1]};
   const std::vector<std::string> before{centre.identity(lost[0]), centre.identity(lost[1])};
   centre.cluster->recordFault("two lost", false);
-  for (const auto place : lost)
-    centre.cluster->killController(place, true);
+  for (const auto index : lost)
+    centre.cluster->killController(index, true);
   const std::int64_t begun = centre.cluster->now;
   centre.serves("a", 4000);
   // 5 s until they count as dead, after the new leader's beginning; then the two that stand by come
@@ -105,12 +105,12 @@
       [&] { return centre.cluster->voterCount() == 5 && centre.membersThat(true) == 5; },
       begun + 10'000 - centre.cluster->now));
   centre.serves("b", 4000);
-  for (const auto place : lost)
-    centre.cluster->restartController(place);
+  for (const auto index : lost)
+    centre.cluster->restartController(index);
   centre.untilWhole(8000);
-  for (const auto place : {0, 1}) {
-    CHECK(centre.identity(lost[std::size_t(place)]) != before[std::size_t(place)]);
-    CHECK(!centre.cluster->isVoter(lost[std::size_t(place)]));
+  for (const auto index : {0, 1}) {
+    CHECK(centre.identity(lost[std::size_t(index)]) != before[std::size_t(index)]);
+    CHECK(!centre.cluster->isVoter(lost[std::size_t(index)]));
   }
   centre.cluster->recordFault("two lost", true);
   centre.advance(10'000);
@@ -132,15 +132,15 @@
       centre.cluster->scheduleAfter(delay, [&] {
         const auto voters = centre.voters();
         lost = {voters[0], voters[1]};
-        for (const auto place : lost)
-          centre.cluster->loseDisk(place);
+        for (const auto index : lost)
+          centre.cluster->loseDisk(index);
       });
     };
     centre.cluster->submit(parseJob(jobJson("a", 300)));
     CHECK(centre.cluster->runUntilTrue([&] { return !lost.empty(); }, 2000));
     centre.advance(1500);
-    for (const auto place : lost)
-      centre.cluster->restartController(place);
+    for (const auto index : lost)
+      centre.cluster->restartController(index);
     centre.waitForFinished("a");
     centre.untilWhole(12'000);
     centre.cluster->recordFault("two disks lost", true);
@@ -185,8 +185,8 @@
   Centre centre(30'000);
   const auto voters = centre.voters();
   std::vector<std::string> before;
-  for (const auto place : voters)
-    before.push_back(centre.identity(place));
+  for (const auto index : voters)
+    before.push_back(centre.identity(index));
   centre.cluster->submit(parseJob(jobJson("a", 8000, "plates")));
   CHECK(
       centre.cluster->runUntilTrue([&] { return centre.cluster->countStartsOf("a") == 1; }, 3000));
@@ -208,9 +208,9 @@
   centre.advance(10'000);
   CHECK(centre.whole());
   LONGS_EQUAL(0, centre.changes.size());
-  for (std::size_t place = 0; place < voters.size(); ++place) {
-    CHECK(centre.cluster->isVoter(voters[place]));
-    STRCMP_EQUAL(before[place].c_str(), centre.identity(voters[place]).c_str());
+  for (std::size_t index = 0; index < voters.size(); ++index) {
+    CHECK(centre.cluster->isVoter(voters[index]));
+    STRCMP_EQUAL(before[index].c_str(), centre.identity(voters[index]).c_str());
   }
   centre.nothingBroken();
 }
@@ -224,13 +224,13 @@
     CHECK(centre.cluster->runUntilTrue([&] { return centre.cluster->countStartsOf("j19") == 1; },
                                        5000));
     centre.cluster->recordFault("all power lost", false);
-    for (std::size_t place = 0; place < centre.cluster->controllerCount(); ++place)
-      centre.cluster->killController(place, true);
+    for (std::size_t index = 0; index < centre.cluster->controllerCount(); ++index)
+      centre.cluster->killController(index, true);
     centre.cluster->loseDisk(voters[leaderToo ? 0 : 1]);
     centre.cluster->loseDisk(voters[2]);
     centre.advance(1000);
-    for (std::size_t place = 0; place < centre.cluster->controllerCount(); ++place)
-      centre.cluster->restartController(place);
+    for (std::size_t index = 0; index < centre.cluster->controllerCount(); ++index)
+      centre.cluster->restartController(index);
     for (int count = 0; count < 20; ++count)
       centre.waitForFinished("j" + std::to_string(count), 15'000);
     centre.untilWhole(15'000);
@@ -245,13 +245,13 @@
 TEST(Voters, votersSpreadAgainWhenAnZoneIsBack) {
   for (std::size_t zone = 0; zone < 3; ++zone) {
     Centre centre;
-    for (std::size_t place = zone; place < centre.cluster->controllerCount(); place += 3)
-      centre.cluster->killController(place, true);
+    for (std::size_t index = zone; index < centre.cluster->controllerCount(); index += 3)
+      centre.cluster->killController(index, true);
     CHECK(centre.cluster->runUntilTrue(
         [&] { return centre.membersThat(true) == 5 && !centre.changes.empty(); }, 12'000));
     centre.advance(8000);
-    for (std::size_t place = zone; place < centre.cluster->controllerCount(); place += 3)
-      centre.cluster->restartController(place);
+    for (std::size_t index = zone; index < centre.cluster->controllerCount(); index += 3)
+      centre.cluster->restartController(index);
     centre.advance(15'000);
     CHECK(centre.whole());
     CHECK(centre.mostInAnZone() <= 2);
