--- a/source/daemons/cluster_discovery.hpp
+++ b/source/daemons/cluster_discovery.hpp
@@ -55,7 +55,7 @@
   Hooks hooks;
   RpcClientPool searchClients{loop};
   RpcClientPool routeClients{loop};
-  LeaderRoute discovered;                // while blank: the newest route that others told
+  LeaderRoute discovered;              // while blank: the newest route that others told
   std::set<Address> visitors;          // while blank: controllers that asked this one
   std::set<Address> routeQueriesSent;  // whose answer is awaited
   // Without a disk: the controller that this one named to bootstrap, once and for all.
--- a/source/net/options.cpp
+++ b/source/net/options.cpp
@@ -202,8 +202,10 @@
     width = std::max(width, lines.back().first.size());
   }
   std::string text;
-  for (const auto& [left, right] : lines)
-    text += "  " + left + std::string(width + 2 - left.size(), ' ') + right + "\n";
+  for (const auto& [left, right] : lines) {
+    text.append("  ").append(left).append(width + 2 - left.size(), ' ');
+    text.append(right).append("\n");
+  }
   return text;
 }
 
@@ -255,7 +257,8 @@
   if (!root.is<picojson::object>())
     return errors.push_back(file + ": must be an object");
   for (const auto& [name, value] : root.get<picojson::object>()) {
-    const std::string where = file + ": " + name;
+    std::string where = file;
+    where.append(": ").append(name);
     if (Entry* entry = findEntry(name))
       readFileField(where, value, *entry);
     else
