--- a/source/controller/request_handlers.cpp
+++ b/source/controller/request_handlers.cpp
@@ -55,11 +55,11 @@
   const ClusterConfig& config = speculative().config();
   if (!config.version.value)
     return ApiResponse::notApplied("there is no config yet");
-  const auto* entrance = config.findIngressRoute(request.host, request.path);
-  if (!entrance)
+  const auto* route = config.findIngressRoute(request.host, request.path);
+  if (!route)
     return ApiResponse::error(404, "no_queue", "no queue is entered there");
-  request.targetId = request.path.substr(entrance->pathPrefix.size());
-  request.job.queue = entrance->queue;
+  request.targetId = request.path.substr(route->pathPrefix.size());
+  request.job.queue = route->queue;
   request.job.id = JobId{request.targetId};
   if (request.kind == RequestKind::showPhase && request.targetId.empty())
     request.kind = RequestKind::countOpenJobs;
--- a/source/controller/sync_responder.cpp
+++ b/source/controller/sync_responder.cpp
@@ -21,10 +21,10 @@
 std::vector<AttemptNumber> confirmedResults(const SyncReport& report,
                                             const ClusterState& committed) {
   std::vector<AttemptNumber> confirmed;
-  for (const auto& ending : report.results) {
-    auto attempt = committed.attempts().find(ending.attempt);
+  for (const auto& result : report.results) {
+    auto attempt = committed.attempts().find(result.attempt);
     if (attempt == committed.attempts().end() || attempt->second.worker != report.id)
-      confirmed.push_back(ending.attempt);
+      confirmed.push_back(result.attempt);
   }
   return confirmed;
 }
@@ -32,8 +32,8 @@
 // How many of an agent's reported results are final, counted from the first on.
 std::uint32_t countFinalResults(const SyncReport& report, const ClusterState& committed) {
   std::uint32_t count = 0;
-  for (const auto& ending : report.runResults) {
-    if (committed.findAttempt(report.id, ending.runId).value)
+  for (const auto& result : report.runResults) {
+    if (committed.findAttempt(report.id, result.runId).value)
       break;
     ++count;
   }
--- a/source/controller/worker_handlers.cpp
+++ b/source/controller/worker_handlers.cpp
@@ -127,17 +127,17 @@
   const ClusterState& state = speculative();
   const Worker& worker = state.workers().at(report.id);
   WorkerSynced synced{report.id, std::min(report.lastAppliedOrder, worker.lastIssuedOrder), {}};
-  for (const auto& ending : report.results) {
-    auto attempt = state.attempts().find(ending.attempt);
+  for (const auto& result : report.results) {
+    auto attempt = state.attempts().find(result.attempt);
     if (attempt != state.attempts().end() && attempt->second.worker == report.id)
-      synced.results.push_back(ending);
+      synced.results.push_back(result);
   }
-  for (const auto& ending : report.runResults)
-    if (auto number = state.findAttempt(report.id, ending.runId); number.value)
-      synced.results.push_back({number, ending.outcome, ending.checkpoint});
-  for (const auto& save : report.checkpoints)
-    if (auto number = state.findAttempt(report.id, save.runId); number.value)
-      synced.checkpoints.emplace_back(number, save.checkpoint);
+  for (const auto& result : report.runResults)
+    if (auto number = state.findAttempt(report.id, result.runId); number.value)
+      synced.results.push_back({number, result.outcome, result.checkpoint});
+  for (const auto& checkpoint : report.checkpoints)
+    if (auto number = state.findAttempt(report.id, checkpoint.runId); number.value)
+      synced.checkpoints.emplace_back(number, checkpoint.checkpoint);
   planning.recordPace(synced, state, clusterNow(), now);
   if (synced.lastAppliedOrder > worker.lastAppliedOrder || !synced.results.empty() ||
       !synced.checkpoints.empty())
--- a/source/controller/worker_pace_estimator.cpp
+++ b/source/controller/worker_pace_estimator.cpp
@@ -18,9 +18,9 @@
 
 void WorkerPaceEstimator::record(const WorkerSynced& synced, const ClusterState& state,
                                  ClusterTime clusterNow, MonotonicTime now) {
-  for (const auto& ending : synced.results) {
-    auto attempt = state.attempts().find(ending.attempt);
-    if (ending.outcome != AttemptOutcome::succeeded || attempt == state.attempts().end() ||
+  for (const auto& result : synced.results) {
+    auto attempt = state.attempts().find(result.attempt);
+    if (result.outcome != AttemptOutcome::succeeded || attempt == state.attempts().end() ||
         attempt->second.isTrial())
       continue;
     const auto requested =
--- a/tests/controller/long_poll_tests.cpp
+++ b/tests/controller/long_poll_tests.cpp
@@ -9,8 +9,8 @@
 
 // One controller of a cluster of one, random workers and jobs; each open sync is weighed anew after
 // each step, by a walk.
-struct PollWorld {
-  struct Hollow {
+struct LongPollModel {
+  struct ModelWorker {
     WorkerId id;
     Incarnation incarnation{1};
     bool packed = false, seen = false;
@@ -19,21 +19,21 @@
     std::vector<TaskRunResult> named;
     std::vector<AttemptResult> endings;
   };
-  struct Open {
+  struct OpenSync {
     SyncReport report;
     std::size_t worker = 0;
     MonotonicTime at, until;
   };
   Random random;
   std::unique_ptr<Controller> core;
-  std::vector<Hollow> workers;
-  std::map<RequestNumber, Open> open;
+  std::vector<ModelWorker> workers;
+  std::map<RequestNumber, OpenSync> open;
   std::map<WorkerId, std::pair<OrderNumber, MonotonicTime>> sent;
   MonotonicTime now{0};
   std::uint64_t lastRequest = 0, jobs = 0, incarnations = 1;
   std::uint64_t withOrders = 0, inTime = 0, gone = 0, replaced = 0, heldBack = 0;
 
-  explicit PollWorld(std::uint64_t seed) : random(seed) {
+  explicit LongPollModel(std::uint64_t seed) : random(seed) {
     const Member self{ControllerId{"r"}, Address{"r:1"}, ZoneName{"x"}, true};
     ClusterState clusterState;
     auto config =
@@ -48,17 +48,17 @@
     record.firstIndex = LogIndex{2};
     core = std::make_unique<Controller>(self, ControllerOptions{}, seed,
                                         std::vector<WriteAheadRecord>{record}, now);
-    for (int place = 0; place < 6; ++place) {
-      Hollow worker;
-      worker.id = WorkerId{"worker" + std::to_string(place)};
-      worker.packed = place % 3 != 0;
+    for (int workerIndex = 0; workerIndex < 6; ++workerIndex) {
+      ModelWorker worker;
+      worker.id = WorkerId{"worker" + std::to_string(workerIndex)};
+      worker.packed = workerIndex % 3 != 0;
       workers.push_back(worker);
     }
     while (!core->raftNode().canServe())
       step();
   }
-  ApiRequest syncOf(std::size_t place) {
-    Hollow& worker = workers[place];
+  ApiRequest syncOf(std::size_t workerIndex) {
+    ModelWorker& worker = workers[workerIndex];
     ApiRequest request;
     request.kind = RequestKind::syncWorker;
     request.targetId = worker.id.value;
@@ -77,26 +77,27 @@
     report.unresponsive = worker.packed && random.chance(0.03);
     return request;
   }
-  void sync(std::size_t place) {
-    Hollow& worker = workers[place];
+  void sync(std::size_t workerIndex) {
+    ModelWorker& worker = workers[workerIndex];
     if (std::count_if(open.begin(), open.end(),
-                      [&](const auto& other) { return other.second.worker == place; }) >= 3)
+                      [&](const auto& other) { return other.second.worker == workerIndex; }) >= 3)
       return;
-    ApiRequest request = syncOf(place);
+    ApiRequest request = syncOf(workerIndex);
     const SyncReport& report = request.report;
     const bool prompt = !worker.seen || !report.results.empty() || !report.runResults.empty();
     worker.seen = true;
     const MonotonicTime taken = now + Duration{5};  // the next step
     if (!report.wantsPackedResponse || report.longPollTimeout.milliseconds)
       for (auto& [number, other] : open)
-        if (other.worker == place) {
+        if (other.worker == workerIndex) {
           replaced += other.until > taken;
           other.until = std::min(other.until, taken);
         }
     const RequestNumber number{++lastRequest};
-    open.emplace(number,
-                 Open{report, place, taken,
-                      prompt ? taken : taken + std::min(report.longPollTimeout, Duration{1000})});
+    open.emplace(
+        number,
+        OpenSync{report, workerIndex, taken,
+                 prompt ? taken : taken + std::min(report.longPollTimeout, Duration{1000})});
     core->submitRequest(number, std::move(request), now);
   }
   void ask(RequestKind kind, const std::string& id) {
@@ -118,8 +119,8 @@
                                   TaskRequest{500, 64, Duration{random.between(50, 3000)}, ""})}};
     core->submitRequest(RequestNumber{++lastRequest}, std::move(request), now);
   }
-  // Is there any order past what this sync, or an agent's other one of late, was told of?
-  bool hasOrders(const Open& sync, bool withSent) const {
+  // Whether there is an order that neither this sync nor, lately, another one of its agent has got.
+  bool hasOrders(const OpenSync& sync, bool withSent) const {
     const auto& report = sync.report;
     OrderNumber known = report.wantsPackedResponse
                             ? std::max(report.lastAppliedOrder, report.lastReceivedOrder)
@@ -132,7 +133,7 @@
     return std::any_of(orders.begin(), orders.end(),
                        [&](const Order& order) { return order.number > known; });
   }
-  bool due(const Open& sync) const {
+  bool isDue(const OpenSync& sync) const {
     if (now - sync.at >= Duration{3000})
       return true;
     auto found = core->committed().workers().find(sync.report.id);
@@ -141,30 +142,30 @@
     return found->second.incarnation != sync.report.incarnation || now >= sync.until ||
            hasOrders(sync, true);
   }
-  void heard(const Open& sync, const ApiResponse& answer) {
-    Hollow& worker = workers[sync.worker];
+  void onResponse(const OpenSync& sync, const ApiResponse& answer) {
+    ModelWorker& worker = workers[sync.worker];
     if (answer.status == 410) {
       ++gone;
       return;
     }
     LONGS_EQUAL(200, answer.status);
-    auto told = sync.report.wantsPackedResponse ? unpack<SyncResponse>(answer.body)
-                                                : SyncResponse::parse(answer.body);
-    CHECK(told.has_value());
-    ++(told.value().orders.empty() ? inTime : withOrders);
-    if (sync.report.wantsPackedResponse && !told.value().orders.empty())
-      sent[sync.report.id] = {told.value().orders.back().number, now};
+    auto response = sync.report.wantsPackedResponse ? unpack<SyncResponse>(answer.body)
+                                                    : SyncResponse::parse(answer.body);
+    CHECK(response.has_value());
+    ++(response.value().orders.empty() ? inTime : withOrders);
+    if (sync.report.wantsPackedResponse && !response.value().orders.empty())
+      sent[sync.report.id] = {response.value().orders.back().number, now};
     if (sync.report.incarnation != worker.incarnation || random.chance(0.1))
       return;  // or the answer is lost
-    for (std::uint32_t closed = 0; closed < told.value().finalResultCount; ++closed)
+    for (std::uint32_t closed = 0; closed < response.value().finalResultCount; ++closed)
       std::erase_if(worker.named, [&](const auto& ending) {
         return ending.runId == sync.report.runResults[closed].runId;
       });
     std::erase_if(worker.endings, [&](const auto& ending) {
-      return std::count(told.value().confirmedAttempts.begin(),
-                        told.value().confirmedAttempts.end(), ending.attempt);
+      return std::count(response.value().confirmedAttempts.begin(),
+                        response.value().confirmedAttempts.end(), ending.attempt);
     });
-    for (const auto& order : told.value().orders) {
+    for (const auto& order : response.value().orders) {
       if (order.number <= worker.received)
         continue;
       worker.received = order.number;
@@ -176,7 +177,7 @@
     if (random.chance(0.7))
       worker.applied = worker.received;
   }
-  void finish(Hollow& worker, AttemptNumber attempt, AttemptOutcome kind) {
+  void finish(ModelWorker& worker, AttemptNumber attempt, AttemptOutcome kind) {
     auto found = std::find_if(worker.running.begin(), worker.running.end(),
                               [&](const Order& order) { return order.attempt == attempt; });
     if (found == worker.running.end())
@@ -194,16 +195,16 @@
       auto found = open.find(number);
       if (found == open.end())
         continue;
-      CHECK_TEXT(due(found->second), "answered too early");
-      const Open sync = found->second;
+      CHECK_TEXT(isDue(found->second), "answered too early");
+      const OpenSync sync = found->second;
       open.erase(found);
-      heard(sync, answer);
+      onResponse(sync, answer);
     }
     const bool settled = core->raftNode().commitIndex() == core->raftNode().lastIndex();
     for (const auto& [number, sync] : open) {
       if (!settled || now - sync.at < Duration{20})
         continue;
-      CHECK_TEXT(!due(sync), "not answered, though it could be");
+      CHECK_TEXT(!isDue(sync), "not answered, though it could be");
       heldBack += hasOrders(sync, false);
     }
     auto write = core->takeWrite();
@@ -218,13 +219,13 @@
   }
   std::optional<DiskVersion> late;
   void turn() {
-    for (std::size_t place = 0; place < workers.size(); ++place) {
-      Hollow& worker = workers[place];
+    for (std::size_t workerIndex = 0; workerIndex < workers.size(); ++workerIndex) {
+      ModelWorker& worker = workers[workerIndex];
       if (!worker.running.empty() && random.chance(0.03))
         finish(worker, worker.running.front().attempt,
                random.chance(0.8) ? AttemptOutcome::succeeded : AttemptOutcome::failed);
       if (random.chance(0.04))
-        sync(place);
+        sync(workerIndex);
     }
     if (random.chance(0.05))
       submit();
@@ -232,7 +233,8 @@
       ask(RequestKind::cancelJob,
           "job" + std::to_string(random.between(1, std::int64_t(jobs) + 1)));
     if (random.chance(0.008)) {
-      Hollow& worker = workers[std::size_t(random.between(0, std::int64_t(workers.size()) - 1))];
+      ModelWorker& worker =
+          workers[std::size_t(random.between(0, std::int64_t(workers.size()) - 1))];
       ask(RequestKind::removeWorker, worker.id.value);
       step();
       worker.incarnation = Incarnation{++incarnations};
@@ -253,11 +255,11 @@
 TEST(ControllerPolls, areAnsweredWhenThereIsAnAnswer) {
   std::uint64_t withOrders = 0, inTime = 0, gone = 0, replaced = 0, heldBack = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    PollWorld world(seed);
+    LongPollModel model(seed);
     for (int turn = 0; turn < 3000; ++turn)
-      world.turn();
-    withOrders += world.withOrders, inTime += world.inTime, gone += world.gone,
-        replaced += world.replaced, heldBack += world.heldBack;
+      model.turn();
+    withOrders += model.withOrders, inTime += model.inTime, gone += model.gone,
+        replaced += model.replaced, heldBack += model.heldBack;
   }
   CHECK(withOrders > 200);
   CHECK(inTime > 200);
