--- a/source/controller/membership_manager.cpp
+++ b/source/controller/membership_manager.cpp
@@ -150,7 +150,7 @@
 ControllerId MembershipReview::surplusVoter() const {
   if (voterCount <= options.voterCount)
     return {};
-  const ControllerId unheardVoter = longestUnheardVoter();
+  ControllerId unheardVoter = longestUnheardVoter();
   if (!unheardVoter.value.empty() || !leaderIsSettled())
     return unheardVoter;
   return mostRedundantVoter();
