--- a/tests/scheduling/reference_planner.cpp
+++ b/tests/scheduling/reference_planner.cpp
@@ -4,13 +4,15 @@
 
 namespace {
 
-constexpr Duration maxContactAge{2000};  // an unheard worker gets no new work, docs/design.md 5.6
-constexpr Duration orderApplyTimeout{1500};  // nor one that is slow to apply its orders
+// A worker gets no new work when it was not heard from for this long, or has not applied an order
+// for longer than that. docs/design.md 5.6.
+constexpr Duration maxContactAge{2000};
+constexpr Duration orderApplyTimeout{1500};
 constexpr Duration stagingTimeout{5000};
-constexpr Duration startConfirmationTimeout{
-    2500};  // launched, but not reported as running: the others run alone, docs/design.md 7.3
-constexpr Duration trialStopGrace{
-    2000};  // past its quantum a trial is stopped by order, docs/design.md 7.5
+// A part that was launched and is not reported as running may be missing. docs/design.md 7.3.
+constexpr Duration startConfirmationTimeout{2500};
+// Past its quantum a trial is stopped by order. docs/design.md 7.5.
+constexpr Duration trialStopGrace{2000};
 constexpr std::int64_t failureScoreLimit = 500;
 
 // One attempt as the plan sees it: what it takes and when it is expected to end.
@@ -31,9 +33,9 @@
   int penalty = 0;
   std::set<JobId> overdueJobs;  // jobs whose attempts here take far longer than requested
   std::vector<Allocation> allocations;
-  std::map<std::pair<JobId, std::uint32_t>, std::uint32_t>
-      tasksByStep;  // tasks here of the steps that are kept apart
-  // Sums over the projections, kept as these come and go.
+  // Tasks here of steps that limit their tasks per worker.
+  std::map<std::pair<JobId, std::uint32_t>, std::uint32_t> tasksByStep;
+  // Sums over the allocations, kept as these come and go.
   std::int64_t usedCores = 0, usedMemory = 0, usedAccelerators = 0, suspendedCores = 0,
                victimTrialCores = 0;
 
@@ -67,13 +69,12 @@
     return accelerators - used;
   }
   // Cores that stay free when every suspended task has resumed, whether or not anything ends as
-  // expected.
-  // docs/design.md 7.4.
+  // expected. docs/design.md 7.4.
   std::int64_t guaranteedFreeCores() const {
     return std::min(freeCores(), freeCores() + victimTrialCores - suspendedCores);
   }
-  // Cores and memory free from the given time on, by expected endings; later resumptions are
-  // counted in.
+  // Cores and memory free from the given time on, if all ends as expected; suspended
+  // attempts count as resumed.
   std::pair<std::int64_t, std::int64_t> expectedFreeAt(ClusterTime time) const {
     std::int64_t usedCores = 0, usedMemory = 0;
     for (const auto& allocation : allocations)
@@ -92,8 +93,7 @@
   return wanted > worker.memory - trialMemory && wanted <= free;  // else it could never start
 }
 
-// Shapes that found no worker in this plan; whatever needs at least as much need not be tried
-// again.
+// Requests that found no worker in this plan; whatever requests at least as much need not be tried.
 struct FailedRequests {
   struct RequestShape {
     std::int64_t cores, memory, runtime;
@@ -302,8 +302,8 @@
         workers[workerIndex].penalty = std::max(workers[workerIndex].penalty, 1);
     }
   }
-  // Of redundant steps a copy is begun elsewhere when a run is overdue or its worker is out of
-  // touch. docs/paper.md 5.
+  // Of redundant steps a copy is started elsewhere when an attempt is overdue or its worker is
+  // out of contact. docs/paper.md 5.
   void startRedundantCopies() {
     std::size_t copyCount = 0;
     for (const auto& [number, attempt] : clusterState.attempts()) {
@@ -320,7 +320,7 @@
         continue;
       const QueueOptions& queue = queueOptionsOf(attempt.job);
       if (queue.maxFailures && job.tasks[attempt.taskIndex].failureCount + 1 >= queue.maxFailures)
-        continue;  // the one that runs is the last try
+        continue;  // the one that runs is the last that may fail
       auto contactAge = contactAges.find(attempt.worker);
       const bool outOfContact =
           contactAge == contactAges.end() || contactAge->second > maxContactAge;
@@ -403,7 +403,7 @@
         most = cores, found->second = rack;
     return found->second;
   }
-  // Away from its data or from the rest of its step a task takes `far` times as long.
+  // Away from its data or from the rest of its step a task takes `remoteSlowdown` times as long.
   // docs/paper.md 2.
   bool isRemote(const PlacementUnit& unit, const WorkerView& worker) {
     if (!unit.requirements->preferredRack.empty() &&
@@ -692,8 +692,8 @@
       for (std::size_t workerIndex = 0; workerIndex < workers.size(); ++workerIndex) {
         free[workerIndex] = workers[workerIndex].expectedFreeAt(time);
         accelerators[workerIndex] = workers[workerIndex].expectedAcceleratorsAt(time);
-        // Tasks to be kept apart are counted as if none of them ended: what waits for that holds no
-        // reservation.
+        // Tasks limited per worker are counted as if none of them ended: what waits for that gets
+        // no reservation.
         if (auto found = workers[workerIndex].tasksByStep.find({unit.job, unit.step});
             found != workers[workerIndex].tasksByStep.end())
           tasksByWorker[workerIndex] = found->second;
@@ -881,7 +881,8 @@
     return true;
   }
 
-  // Gangs that are wholly staged go; those that cannot be are taken back. docs/design.md 7.3.
+  // Gangs that are staged on all workers are launched; those that can't be are stopped.
+  // docs/design.md 7.3.
   void advanceGangs() {
     std::map<std::pair<JobId, std::uint32_t>, std::vector<const Attempt*>> gangs;
     for (const auto& [number, attempt] : clusterState.attempts())
@@ -946,8 +947,8 @@
     }
   }
 
-  // Where urgency goes first, long work that has time leaves free what the most urgent queues have
-  // wanted lately: on workers that can't pause, the paper's immediate service has no victims that
+  // With strict priority, work that has time leaves free what the most urgent queues have wanted
+  // lately: on workers that can't suspend, the paper's immediate service has no victims that
   // cost nothing. docs/paper.md 5.
   struct PoolDemand {
     std::int64_t cores = 0, free = 0, urgentCoresInUse = 0, urgentCoresPending = 0;
@@ -979,7 +980,7 @@
       return true;
     auto demand = hints.urgentDemand.find(unit.pool);
     const PoolDemand& pool = poolDemands[unit.pool];
-    // Never so that work stands while half of the pool is idle.
+    // Work never waits for this while more than two fifths of the pool's cores are free.
     if (demand == hints.urgentDemand.end() || 5 * pool.free > 2 * pool.cores)
       return true;
     std::int64_t cores = 0;
