--- a/tests/net/serialization_tests.cpp
+++ b/tests/net/serialization_tests.cpp
@@ -1,5 +1,5 @@
-// What is packed comes back as it was, in every kind; what is cut or damaged is an error and no
-// crash. docs/design.md 9.3.
+// What is packed comes back as it was, in every kind; what is truncated or damaged is an error and
+// no crash. docs/design.md 9.3.
 #include "net/wire.hpp"
 #include "state/cluster_state_fixture.hpp"
 #include <boost/mpl/size.hpp>
@@ -8,18 +8,18 @@
 
 namespace {
 
-// Comes back with all its parts: packed anew it is the same bytes. Cut off at any place it is an
+// Comes back with all its parts: packed anew it is the same bytes. Cut off at any position it is an
 // error.
 template <class Value>
-void checkPacking(const Value& value) {
+void checkRoundTrip(const Value& value) {
   const std::string bytes = pack(value);
   auto read = unpack<Value>(bytes);
   CHECK_TEXT(read.has_value(), read ? "" : read.error().text().c_str());
   CHECK(pack(read.value()) == bytes);
   for (std::size_t length = 0; length<bytes.size(); length += bytes.size()> 20'000 ? 97 : 1) {
-    auto cut = unpack<Value>(std::string_view(bytes).substr(0, length));
-    CHECK(!cut.has_value());
-    CHECK(cut.error().kind == CoreError::Kind::invalid);
+    auto truncated = unpack<Value>(std::string_view(bytes).substr(0, length));
+    CHECK(!truncated.has_value());
+    CHECK(truncated.error().kind == CoreError::Kind::invalid);
   }
 }
 
@@ -28,10 +28,10 @@
 template <class Value>
 void checkDamage(const Value& value) {
   const std::string bytes = pack(value);
-  for (std::size_t place = 0; place < bytes.size(); ++place)
-    for (const int flip : {0x01, 0x80, 0xff}) {
+  for (std::size_t position = 0; position < bytes.size(); ++position)
+    for (const int mask : {0x01, 0x80, 0xff}) {
       std::string damaged = bytes;
-      damaged[place] = char(damaged[place] ^ flip);
+      damaged[position] = char(damaged[position] ^ mask);
       if (auto read = unpack<Value>(damaged))
         CHECK(pack(read.value()).size() > 0);
       else
@@ -40,7 +40,7 @@
 }
 
 template <class Variant>
-void checkEachKindIsThere(const std::vector<Variant>& values) {
+void checkAllKindsCovered(const std::vector<Variant>& values) {
   std::set<int> kinds;
   for (const auto& value : values)
     kinds.insert(value.which());
@@ -55,33 +55,33 @@
 }
 
 JobSubmission submission() {
-  JobSubmission made;
-  made.id = JobId{"job"};
-  made.queue = QueueName{"q"};
+  JobSubmission value;
+  value.id = JobId{"job"};
+  value.queue = QueueName{"q"};
   StepRequirements needs;
   needs.requiredLabel = "fast";
   needs.preferredRack = "rack";
   needs.maxPerWorker = 2;
   needs.longRunning = true;
-  made.steps = {ClusterStateFixture::step(3), ClusterStateFixture::gang(2, 500, needs)};
-  made.steps[0].tasks[1].payload = everyByte();
-  made.steps[1].dependencies = {"0"};
-  made.timetable = Timetable{ClusterTime{5}, Duration{6}, 7};
-  made.payload = "for all";
-  return made;
+  value.steps = {ClusterStateFixture::step(3), ClusterStateFixture::gang(2, 500, needs)};
+  value.steps[0].tasks[1].payload = everyByte();
+  value.steps[1].dependencies = {"0"};
+  value.timetable = Timetable{ClusterTime{5}, Duration{6}, 7};
+  value.payload = "for all";
+  return value;
 }
 
 Capacity capacity() {
-  Capacity made;
-  made.cores = 4000;
-  made.memory = 1024;
-  made.zone = ZoneName{"zone"};
-  made.rack = "rack";
-  made.labels = {"fast", ""};
-  made.host = "host";
-  made.supportsSuspend = false;
-  made.selfAssemblingGangs = true;
-  return made;
+  Capacity value;
+  value.cores = 4000;
+  value.memory = 1024;
+  value.zone = ZoneName{"zone"};
+  value.rack = "rack";
+  value.labels = {"fast", ""};
+  value.host = "host";
+  value.supportsSuspend = false;
+  value.selfAssemblingGangs = true;
+  return value;
 }
 
 std::vector<Event> eventOfEachKind() {
@@ -147,14 +147,14 @@
 }
 
 SyncReport report() {
-  SyncReport made;
-  made.id = WorkerId{"a"};
-  made.capacity = capacity();
-  made.results = {{AttemptNumber{1}, AttemptOutcome::rejected, ""}};
-  made.wantsPackedResponse = true;
-  made.runResults = {{TaskRunId{JobId{"j"}, 1, 2, 3, 4}, AttemptOutcome::quantumExpired, "saved"}};
-  made.checkpoints = {{TaskRunId{JobId{"k"}, 5, 6, 7, 8}, everyByte()}};
-  return made;
+  SyncReport value;
+  value.id = WorkerId{"a"};
+  value.capacity = capacity();
+  value.results = {{AttemptNumber{1}, AttemptOutcome::rejected, ""}};
+  value.wantsPackedResponse = true;
+  value.runResults = {{TaskRunId{JobId{"j"}, 1, 2, 3, 4}, AttemptOutcome::quantumExpired, "saved"}};
+  value.checkpoints = {{TaskRunId{JobId{"k"}, 5, 6, 7, 8}, everyByte()}};
+  return value;
 }
 
 std::vector<WireBody> wireBodyOfEachKind() {
@@ -193,53 +193,53 @@
 
 }  // namespace
 
-TEST_GROUP(Packing){};
+TEST_GROUP(Serialization){};
 
-TEST(Packing, aRecordOfEachKindComesBackOrIsRefusedWhenCut) {
+TEST(Serialization, aRecordOfEachKindComesBackOrIsRefusedWhenCut) {
   const auto events = eventOfEachKind();
-  checkEachKindIsThere(events);
+  checkAllKindsCovered(events);
   for (const auto& event : events) {
     const LogRecord record{ClusterTime{1234567}, event};
-    checkPacking(record);
+    checkRoundTrip(record);
     LONGS_EQUAL(event.which(), unpack<LogRecord>(pack(record)).value().event.which());
   }
 }
 
-TEST(Packing, aMessageOfEachKindComesBackOrIsRefusedWhenCut) {
+TEST(Serialization, aMessageOfEachKindComesBackOrIsRefusedWhenCut) {
   const auto peers = peerBodyOfEachKind();
-  checkEachKindIsThere(peers);
+  checkAllKindsCovered(peers);
   for (const auto& body : peers)
-    checkPacking(WireMessage{7, PeerMessage{ControllerId{"a"}, ControllerId{"b"}, Address{"b:1"},
-                                            body, Address{"a:1"}}});
+    checkRoundTrip(WireMessage{7, PeerMessage{ControllerId{"a"}, ControllerId{"b"}, Address{"b:1"},
+                                              body, Address{"a:1"}}});
   const auto bodies = wireBodyOfEachKind();
-  checkEachKindIsThere(bodies);
+  checkAllKindsCovered(bodies);
   for (const auto& body : bodies)
-    checkPacking(WireMessage{8, body});
+    checkRoundTrip(WireMessage{8, body});
 }
 
-TEST(Packing, clusterStatesAndDiskRecordsComeBackOrAreRefusedWhenCut) {
-  ClusterStateFixture bench;
+TEST(Serialization, clusterStatesAndDiskRecordsComeBackOrAreRefusedWhenCut) {
+  ClusterStateFixture cluster;
   for (const char* worker : {"a", "b", "c"})
-    bench.registerWorker(worker);
+    cluster.registerWorker(worker);
   for (int job = 0; job < 12; ++job) {
-    bench.submit("job" + std::to_string(job),
-                 {ClusterStateFixture::step(1 + job % 5, 300, {}, job % 4 == 0),
-                  ClusterStateFixture::step(2)});
-    bench.now += 70;
+    cluster.submit("job" + std::to_string(job),
+                   {ClusterStateFixture::step(1 + job % 5, 300, {}, job % 4 == 0),
+                    ClusterStateFixture::step(2)});
+    cluster.now += 70;
     if (job % 3 == 0)
-      bench.planAndRun();
+      cluster.planAndRun();
   }
-  bench.endAttempt("job0", AttemptOutcome::failed, 0, everyByte());
-  checkPacking(bench.clusterState);
+  cluster.endAttempt("job0", AttemptOutcome::failed, 0, everyByte());
+  checkRoundTrip(cluster.clusterState);
   WriteAheadRecord record;
   record.version = DiskVersion{5};
   record.holdsSnapshot = true;
-  record.snapshot = Snapshot{LogIndex{8}, Term{2}, {}, pack(bench.clusterState)};
+  record.snapshot = Snapshot{LogIndex{8}, Term{2}, {}, pack(cluster.clusterState)};
   record.entries = {LogEntry{Term{3}, false, "entry"}};
-  checkPacking(record);
+  checkRoundTrip(record);
 }
 
-TEST(Packing, damageGivesAValueOrAnError) {
+TEST(Serialization, damageGivesAValueOrAnError) {
   for (const auto& event : eventOfEachKind())
     checkDamage(LogRecord{ClusterTime{1}, event});
   for (const auto& body : peerBodyOfEachKind())
@@ -248,9 +248,9 @@
     checkDamage(WireMessage{9, body});
 }
 
-// The bytes hold values only. Other bytes are another format: the numbers in edge/disk.cpp and
-// edge/wire.hpp step with them.
-TEST(Packing, bytesAreTheValuesAndNothingElse) {
+// The bytes hold values only. Other bytes are another format: the numbers in
+// net/data_folder.cpp and net/wire.hpp step with them.
+TEST(Serialization, bytesAreTheValuesAndNothingElse) {
   using namespace std::string_literals;
   CHECK(pack(LogRecord{ClusterTime{7}, JobCancelled{JobId{"ab"}}}) ==
         "\7\0\0\0\0\0\0\0"
