--- a/programs/core_benchmark.cpp
+++ b/programs/core_benchmark.cpp
@@ -729,11 +729,12 @@
                                    clusterState.findAttempt(workerNamed(0), closed);
                                }) /
                                20;
-  values["attempts_of_job_us"] = timed([&] {
-                                   for (int round = 0; round < 20; ++round)
-                                     clusterState.attemptsOf(JobId{"running-0"}, false);
-                                 }) /
-                                 20;
+  values["attempts_of_job_us"] =
+      timed([&] {
+        for (int round = 0; round < 20; ++round)
+          clusterState.attemptsOf(JobId{"running-0"}, AttemptScope::withoutAbandoned);
+      }) /
+      20;
   return values;
 }
 
--- a/source/base/json.hpp
+++ b/source/base/json.hpp
@@ -1,4 +1,5 @@
-// JSON from outside: any text is a value or a fault, never an exception. docs/design.md 9.4.
+// JSON from outside is a value or a fault, never an exception; and values of
+// JSON made from our own types. docs/design.md 9.4.
 #ifndef ANISELINE_BASE_JSON_HPP
 #define ANISELINE_BASE_JSON_HPP
 #include "base/types.hpp"
@@ -7,9 +8,9 @@
 
 namespace aniseline {
 
-// Reads the text as picojson::parse does; the fault, or nothing. Where `whole` is wanted nothing
-// but blanks may follow the value. picojson itself throws at a number that no double holds, as
-// 1e999.
+/// Reads the text as picojson::parse does. Returns the fault, or an empty text.
+/// With `whole` only white space may follow the value. picojson itself throws
+/// at a number that no double holds, such as 1e999.
 inline std::string parseJson(picojson::value& root, const std::string& text, bool whole = false) {
   if (nestedTooDeep(text))
     return "is nested too deep";
@@ -20,20 +21,43 @@
   } catch (const std::overflow_error&) {
     return "a number is too large";
   }
-  const bool more = std::any_of(end, text.end(),
-                                [](char letter) { return !std::isspace((unsigned char)letter); });
+  const bool more = std::any_of(
+      end, text.end(), [](char character) { return !std::isspace((unsigned char)character); });
   if (fault.empty() && whole && more)
     return "more follows the value";
   return fault;
 }
 
-// A number of JSON as a whole one, held within what its type and a double's whole numbers reach.
-template <class Whole>
-Whole clampToInteger(double number) {
-  constexpr double counted = 9007199254740992.0;  // 2^53
-  const double least = std::max(-counted, double(std::numeric_limits<Whole>::min()));
-  const double most = std::min(counted, double(std::numeric_limits<Whole>::max()));
-  return Whole(std::clamp(number, least, most));
+/// A JSON number as an integer, limited to what its type holds and a double
+/// holds exactly.
+template <class Integer>
+Integer clampToInteger(double number) {
+  constexpr double maxExactInteger = 9007199254740992.0;  // 2^53
+  const double lowest = std::max(-maxExactInteger, double(std::numeric_limits<Integer>::min()));
+  const double highest = std::min(maxExactInteger, double(std::numeric_limits<Integer>::max()));
+  return Integer(std::clamp(number, lowest, highest));
+}
+
+inline picojson::value json(const std::string& text) {
+  return picojson::value(text);
+}
+inline picojson::value json(const char* text) {
+  return picojson::value(std::string(text));
+}
+inline picojson::value json(bool flag) {
+  return picojson::value(flag);
+}
+/// 64-bit numbers that must be exact are written as text instead.
+template <class Number>
+requires(std::is_arithmetic_v<Number> && !std::is_same_v<Number, bool>) picojson::value
+    json(Number number) {
+  return picojson::value(double(number));
+}
+inline picojson::value json(picojson::object object) {
+  return picojson::value(std::move(object));
+}
+inline picojson::value json(picojson::array array) {
+  return picojson::value(std::move(array));
 }
 
 }  // namespace aniseline
--- a/source/controller/admission.cpp
+++ b/source/controller/admission.cpp
@@ -1,5 +1,6 @@
 // Admission of jobs: limits, reserves and turning away what would come too late. docs/design.md 10.
 #include "controller/controller.hpp"
+#include "scheduling/feasibility.hpp"
 
 namespace aniseline {
 
@@ -85,7 +86,7 @@
                                              "the config has no queue " + job.queue.value)),
         false);
   for (std::size_t step = 0; step < job.steps.size() && !record.request.viaIngress(); ++step)
-    if (auto never = speculative().infeasibilityReason(job, job.steps[step]))
+    if (auto never = infeasibilityReason(speculative(), job, job.steps[step]))
       return respondWhenCommitted(
           record,
           ApiResponse::fromError(
--- a/source/controller/controller.cpp
+++ b/source/controller/controller.cpp
@@ -113,7 +113,7 @@
     workerDeadlinesStale = true;
     nextTimetableFiring = ClusterTime{};
     clearProposals();
-    committedState.updatedWorkers.clear();
+    committedState.takeUpdatedWorkers();
     for (const auto& [worker, places] : pollsByWorker)
       pollsToCheck.insert(places.begin(), places.end());
     append(LeaderStarted{});
--- a/source/controller/job_lifecycle.cpp
+++ b/source/controller/job_lifecycle.cpp
@@ -1,5 +1,6 @@
 // Jobs after their admission: cancels, timetables, hopeless jobs, expiry. docs/design.md 4.
 #include "controller/controller.hpp"
+#include "scheduling/feasibility.hpp"
 
 namespace aniseline {
 
@@ -58,7 +59,7 @@
     if (!waits)
       continue;
     for (const auto& step : job.submission.steps)
-      if (auto never = speculative().infeasibilityReason(job.submission, step)) {
+      if (auto never = infeasibilityReason(speculative(), job.submission, step)) {
         hopeless.push_back({id, *never});
         break;
       }
--- a/source/controller/responses.cpp
+++ b/source/controller/responses.cpp
@@ -32,7 +32,7 @@
 // their worker given orders.
 void Controller::respondToPolls() {
   const RoundNumber confirmed = raft.confirmedRound();
-  for (const auto& id : std::exchange(committedState.updatedWorkers, {}))
+  for (const auto& id : committedState.takeUpdatedWorkers())
     if (auto found = pollsByWorker.find(id); found != pollsByWorker.end())
       pollsToCheck.insert(found->second.begin(), found->second.end());
   for (; !pollCheckTimes.empty() && pollCheckTimes.begin()->first <= now;
--- /dev/null
+++ b/source/scheduling/feasibility.cpp
@@ -0,0 +1,76 @@
+#include "scheduling/feasibility.hpp"
+
+namespace aniseline {
+
+namespace {
+
+/// The resources of a worker that runs nothing but the gang in question.
+struct EmptyWorker {
+  std::uint32_t cores;   // thousandths of a core
+  std::uint64_t memory;  // MB
+  std::uint32_t accelerators;
+  std::uint32_t members = 0;  // of the gang
+
+  bool fits(const TaskRequest& task) const {
+    return cores >= task.cores && memory >= task.memory && accelerators >= task.accelerators;
+  }
+  void place(const TaskRequest& task) {
+    cores -= task.cores;
+    memory -= task.memory;
+    accelerators -= task.accelerators;
+    ++members;
+  }
+};
+
+std::vector<EmptyWorker> eligibleWorkers(const ClusterState& clusterState, const JobSubmission& job,
+                                         const StepRequest& step) {
+  std::vector<EmptyWorker> eligible;
+  const auto* queue = clusterState.config().findQueue(job.queue);
+  if (!queue)
+    return eligible;
+  for (const auto& [id, worker] : clusterState.workers()) {
+    const Capacity& capacity = worker.capacity;
+    if (capacity.pool == queue->pool && capacity.hasLabel(step.requirements.requiredLabel))
+      eligible.push_back({capacity.cores, capacity.memory, capacity.accelerators});
+  }
+  return eligible;
+}
+
+/// The worker with the fewest cores that the task fits; null if it fits none.
+EmptyWorker* bestFit(std::vector<EmptyWorker>& workers, const TaskRequest& task,
+                     const StepRequest& step) {
+  const std::uint32_t maxPerWorker = step.gang ? step.requirements.maxPerWorker : 0;
+  EmptyWorker* best = nullptr;
+  for (auto& worker : workers) {
+    const bool isFull = maxPerWorker && worker.members >= maxPerWorker;
+    if (worker.fits(task) && !isFull && (!best || worker.cores < best->cores))
+      best = &worker;
+  }
+  return best;
+}
+
+}  // namespace
+
+std::optional<std::string> infeasibilityReason(const ClusterState& clusterState,
+                                               const JobSubmission& job, const StepRequest& step) {
+  const Duration settled = clusterState.now() - clusterState.capacityChangedAt();
+  if (clusterState.workers().empty() || settled < clusterState.config().planner.capacitySettleTime)
+    return std::nullopt;
+  auto workers = eligibleWorkers(clusterState, job, step);
+  // The largest tasks first, each on the smallest worker that it fits.
+  auto tasks = step.tasks;
+  std::sort(tasks.begin(), tasks.end(), [](const TaskRequest& left, const TaskRequest& right) {
+    return std::tie(left.cores, left.memory) > std::tie(right.cores, right.memory);
+  });
+  for (const auto& task : tasks) {
+    EmptyWorker* worker = bestFit(workers, task, step);
+    if (!worker)
+      return step.gang ? "no set of known workers could ever hold this gang together"
+                       : "no known worker could ever hold a task of this step";
+    if (step.gang)
+      worker->place(task);
+  }
+  return std::nullopt;
+}
+
+}  // namespace aniseline
--- /dev/null
+++ b/source/state/api_response.hpp
@@ -0,0 +1,35 @@
+// What a request is answered with, and the errors of the public interface.
+// docs/api.md.
+#ifndef ANISELINE_STATE_API_RESPONSE_HPP
+#define ANISELINE_STATE_API_RESPONSE_HPP
+#include "base/types.hpp"
+#include <picojson.h>
+
+namespace aniseline {
+
+struct ApiResponse {
+  int status = 200;  // of HTTP
+  std::string body;  // JSON
+  Duration retryAfter{0};
+  std::string errorKind;  // as in the body; empty: no error
+  std::string phase;      // of a job, for those who read no JSON
+  std::uint64_t openJobCount = 0;
+  bool notLeader = false;  // nothing was done; ask the leader named here
+  Address leader;
+  template <class Archive>
+  void serialize(Archive& archive, unsigned) {
+    archive& status& body& retryAfter& errorKind& phase& openJobCount& notLeader& leader;
+  }
+  static ApiResponse of(int status, const picojson::object& body);
+  static ApiResponse error(int status, const std::string& errorKind, const std::string& text,
+                           Duration retryAfter = Duration{0});
+  static ApiResponse fromError(const CoreError& error);
+  /// Whether the request was applied is not known.
+  static ApiResponse outcomeUnknown(const std::string& text);
+  /// Nothing was applied: the request can be sent again.
+  static ApiResponse notApplied(const std::string& text);
+};
+
+}  // namespace aniseline
+
+#endif  // ANISELINE_STATE_API_RESPONSE_HPP
--- /dev/null
+++ b/source/state/attempt_results.cpp
@@ -0,0 +1,224 @@
+#include "state/attempt_results.hpp"
+
+namespace aniseline {
+
+namespace {
+
+// Failure scores, docs/design.md 5.6: a worker's standing among those that
+// could take a task.
+constexpr std::int64_t maxFailureScore = 1000;
+constexpr std::int64_t firstFailurePenalty = 250;
+// A task that failed before, here or elsewhere, says little about the worker.
+constexpr std::int64_t repeatedFailurePenalty = 50;
+// Far over the requested run time: once may be the submitter's mistake,
+// repeatedly it is a slow worker.
+constexpr std::int64_t overrunPenalty = 125;
+// The worker lacks capacity that it was taken to have, or is unhealthy.
+constexpr std::int64_t rejectionPenalty = 100;
+
+// An attempt has overrun when it took more than twice its requested run time
+// and this much.
+constexpr std::int64_t overrunTolerance = 1000;  // milliseconds
+
+// A task that failed is retried after a pause that doubles with each failure.
+constexpr std::int64_t firstRetryPause = 100;  // milliseconds
+constexpr std::int64_t maxRetryPause = 2000;   // milliseconds
+constexpr std::uint32_t maxDoublings = 6;      // reaches past the longest pause
+
+bool hasOverrun(const Attempt& attempt, ClusterTime now) {
+  return attempt.runtimeAt(now).milliseconds > 2 * attempt.runtime.milliseconds + overrunTolerance;
+}
+
+bool hasNotStarted(AttemptOutcome outcome) {
+  return outcome == AttemptOutcome::neverStarted || outcome == AttemptOutcome::rejected;
+}
+
+}  // namespace
+
+void AttemptResults::close(AttemptNumber number, AttemptOutcome outcome) {
+  auto found = tables.attempts.find(number);
+  if (found == tables.attempts.end())
+    return;
+  const Attempt attempt = found->second;
+  outcome = effectiveOutcome(attempt, outcome);
+  if (outcome == AttemptOutcome::succeeded && stopReplacement(attempt))
+    return;
+  attempts.remove(number);
+  auto foundJob = tables.jobs.find(attempt.job);
+  if (foundJob == tables.jobs.end())
+    return;
+  Job& job = foundJob->second;
+  Task& task = job.tasks[attempt.taskIndex];
+  updateWorkerStanding(task, attempt, outcome);
+  if (outcome == AttemptOutcome::failed)
+    jobs.countFailure(job, attempt);
+  if (hasNotStarted(outcome) && attempt.countsAsStart && task.countedStarts > 0)
+    --task.countedStarts;
+  if (continueWithOtherCopy(job, task, attempt, outcome))
+    return jobs.updatePhase(job);
+  if (outcome == AttemptOutcome::succeeded)
+    onSucceeded(job, task, attempt);
+  else if (task.currentAttempt == number && outcome == AttemptOutcome::quantumExpired)
+    onQuantumExpired(job, task);
+  else if (task.currentAttempt == number)
+    onUnsuccessful(job, task, attempt, outcome);
+  jobs.updatePhase(job);
+}
+
+const StepRequirements* AttemptResults::requirementsOf(const Attempt& attempt) const {
+  auto found = tables.jobs.find(attempt.job);
+  if (found == tables.jobs.end() || found->second.tasks.empty())
+    return nullptr;
+  return &found->second.submission.steps[attempt.stepIndex].requirements;
+}
+
+AttemptOutcome AttemptResults::effectiveOutcome(const Attempt& attempt,
+                                                AttemptOutcome outcome) const {
+  // docs/design.md 5.5: what a worker that kills on lease expiry reports of the
+  // time before is void once its attempt was abandoned.
+  if (attempt.abandoned && !hasNotStarted(outcome) &&
+      tables.workers[attempt.worker].capacity.killsOnLeaseExpiry)
+    return AttemptOutcome::stopped;
+  // A long-running task is started again however it ends.
+  const auto* requirements = requirementsOf(attempt);
+  if (outcome == AttemptOutcome::succeeded && requirements && requirements->longRunning)
+    return AttemptOutcome::stopped;
+  return outcome;
+}
+
+// docs/design.md 5.5: a success that is reported late wins over whatever took
+// the task's place. That is stopped first, and the success stays unconfirmed
+// until it has: nothing of the task starts or resumes after the confirmation.
+// Returns whether there is anything to stop.
+bool AttemptResults::stopReplacement(const Attempt& attempt) {
+  auto foundJob = tables.jobs.find(attempt.job);
+  const auto* requirements = requirementsOf(attempt);
+  if (foundJob == tables.jobs.end() || (requirements && requirements->redundant))
+    return false;
+  Job& job = foundJob->second;
+  Task& task = job.tasks[attempt.taskIndex];
+  auto replacement = tables.attempts.find(task.currentAttempt);
+  if (task.currentAttempt == attempt.number || replacement == tables.attempts.end())
+    return false;
+  task.succeededEarlier = true;
+  attempts.forceStop(replacement->second, RetryAccounting::exempt);
+  if (attempt.selfAssembling)
+    jobs.completeGang(job, attempt);
+  return true;
+}
+
+void AttemptResults::updateWorkerStanding(const Task& task, const Attempt& attempt,
+                                          AttemptOutcome outcome) {
+  Worker& worker = tables.workers[attempt.worker];
+  std::int64_t score = worker.failureScoreAt(tables.now);
+  if (outcome == AttemptOutcome::failed)
+    score += task.failureCount ? repeatedFailurePenalty : firstFailurePenalty;
+  else if (outcome == AttemptOutcome::rejected)
+    score += rejectionPenalty;
+  else if (outcome != AttemptOutcome::succeeded)
+    return;
+  else if (!attempt.isTrial() && hasOverrun(attempt, tables.now))
+    score += overrunPenalty;
+  else
+    score = score * 7 / 8;
+  worker.failureScore = std::min(score, maxFailureScore);
+  worker.failureScoredAt = tables.now;
+}
+
+// Of two redundant copies the first success counts; one that ends otherwise
+// leaves the task to the other. Returns whether the attempt's result has no
+// further effect on its task.
+bool AttemptResults::continueWithOtherCopy(Job& job, Task& task, const Attempt& attempt,
+                                           AttemptOutcome outcome) {
+  const bool redundant = job.stepOf(task).requirements.redundant;
+  const bool isCurrent = task.currentAttempt == attempt.number;
+  const bool isOtherCopy = task.redundantAttempt == attempt.number;
+  if (redundant && outcome == AttemptOutcome::succeeded) {
+    attempts.stopOtherCopies(task, attempt.number);
+    return false;
+  }
+  // The retry limit is the task's, however many copies use it: the other copy
+  // is stopped with the job.
+  if (redundant && outcome == AttemptOutcome::failed && jobs.retriesExhausted(job, task) &&
+      (isCurrent || isOtherCopy)) {
+    task.redundantAttempt = AttemptNumber{};
+    jobs.failTask(job, task);
+    return true;
+  }
+  if (isOtherCopy) {
+    task.redundantAttempt = AttemptNumber{};
+    return false;
+  }
+  if (isCurrent && tables.attempts.count(task.redundantAttempt)) {
+    task.currentAttempt = std::exchange(task.redundantAttempt, AttemptNumber{});
+    return true;
+  }
+  return false;
+}
+
+void AttemptResults::onSucceeded(Job& job, Task& task, const Attempt& attempt) {
+  const bool isCurrent = task.currentAttempt == attempt.number;
+  const bool redundant = job.stepOf(task).requirements.redundant;
+  if (attempt.isTrial() && isCurrent)
+    ++tables.counters.trialsSucceeded;
+  if (isCurrent || task.state == TaskState::pending ||
+      (redundant && task.state == TaskState::placed))
+    jobs.completeTask(job, task);
+  if (attempt.selfAssembling)
+    jobs.completeGang(job, attempt);
+}
+
+void AttemptResults::onQuantumExpired(Job& job, Task& task) {
+  ++tables.counters.trialsExpired;
+  if (task.countedStarts > 0)
+    --task.countedStarts;
+  task.trialExpired = true;
+  jobs.requeueTask(job, task, WorkerId{}, Duration{0});
+}
+
+void AttemptResults::onUnsuccessful(Job& job, Task& task, const Attempt& attempt,
+                                    AttemptOutcome outcome) {
+  const bool failed = outcome == AttemptOutcome::failed;
+  const bool endedByItself = attempt.selfAssembling && attempt.state != AttemptState::stopping;
+  if ((failed && attempt.gang) || endedByItself)
+    attempts.abortGang(job, attempt.stepIndex, attempt.number);
+  const bool avoidsWorker = failed || outcome == AttemptOutcome::rejected;
+  const Duration pause =
+      failed && !attempt.exemptFromRetryLimit ? retryPause(job, task) : Duration{0};
+  jobs.requeueTask(job, task, avoidsWorker ? attempt.worker : WorkerId{}, pause);
+}
+
+Duration AttemptResults::retryPause(const Job& job, const Task& task) const {
+  // Where failures are limited there is no need to wait: the retry goes to
+  // another worker, and there are only so many.
+  const auto* queue = tables.config.findQueue(job.submission.queue);
+  if (queue && queue->maxFailures)
+    return Duration{0};
+  const auto doublings = std::clamp<std::uint32_t>(task.failureCount, 1, maxDoublings);
+  return Duration{std::min(maxRetryPause, firstRetryPause << doublings)};
+}
+
+void AttemptResults::abandon(AttemptNumber number) {
+  Attempt& attempt = tables.attempts.at(number);
+  if (attempt.abandoned)
+    return;
+  attempt.abandoned = true;
+  ++tables.counters.abandoned;
+  auto foundJob = tables.jobs.find(attempt.job);
+  if (foundJob == tables.jobs.end())
+    return;
+  Job& job = foundJob->second;
+  Task& task = job.tasks[attempt.taskIndex];
+  if (task.redundantAttempt == number) {
+    task.redundantAttempt = AttemptNumber{};
+  } else if (task.currentAttempt == number && tables.attempts.count(task.redundantAttempt)) {
+    task.currentAttempt = std::exchange(task.redundantAttempt, AttemptNumber{});
+  } else if (task.currentAttempt == number) {
+    if (attempt.gang)
+      attempts.abortGang(job, attempt.stepIndex, number);
+    jobs.requeueTask(job, task, attempt.worker, Duration{0});
+  }
+  jobs.updatePhase(job);
+}
+
+}  // namespace aniseline
--- a/source/state/cluster_config.cpp
+++ b/source/state/cluster_config.cpp
@@ -1,66 +1,23 @@
 #include "state/cluster_config.hpp"
+#include "base/json_reader.hpp"
 #include "state/config_history.hpp"
-#include "base/json.hpp"
-#include <muParser.h>
-#include <cmath>
 
 namespace aniseline {
 
-struct PolicyProgram::Implementation {
-  mutable Inputs inputs;
-  mu::Parser parser;
-};
-
-// docs/design.md 6.3: programs are short expressions over numbers, so their cost is bounded by
-// their length.
-PolicyProgram::PolicyProgram(const std::string& text)
-    : implementation(std::make_unique<Implementation>()) {
-  auto& parser = implementation->parser;
-  auto& inputs = implementation->inputs;
-  parser.DefineVar("wait", &inputs.wait);
-  parser.DefineVar("runtime", &inputs.runtime);
-  parser.DefineVar("expansion", &inputs.expansion);
-  parser.DefineVar("cores", &inputs.cores);
-  parser.DefineVar("memory", &inputs.memory);
-  parser.DefineVar("urgency", &inputs.priority);
-  parser.DefineVar("slowdown", &inputs.slowdown);
-  parser.DefineVar("running", &inputs.running);
-  parser.DefineVar("weight_wait", &inputs.weightWait);
-  parser.DefineVar("weight_expansion", &inputs.weightExpansion);
-  parser.SetExpr(text);
-}
-PolicyProgram::PolicyProgram(PolicyProgram&&) noexcept = default;
-PolicyProgram::~PolicyProgram() = default;
-
-double PolicyProgram::evaluate(const Inputs& inputs) const {
-  implementation->inputs = inputs;
-  try {
-    const double value = implementation->parser.Eval();
-    return std::isfinite(value) ? value : 0.0;
-  } catch (const mu::Parser::exception_type&) {
-    return 0.0;
-  }
+const QueueOptions* ClusterConfig::findQueue(const QueueName& name) const {
+  auto found = queues.find(name);
+  return found == queues.end() ? nullptr : &found->second;
 }
 
-std::optional<std::string> PolicyProgram::check(const std::string& text) {
-  if (text.size() > 400)
-    return "a policy program may hold at most 400 characters";
-  if (text.find('=') != std::string::npos && text.find("==") == std::string::npos &&
-      text.find("<=") == std::string::npos && text.find(">=") == std::string::npos &&
-      text.find("!=") == std::string::npos)
-    return "a policy program may not assign";
-  try {
-    PolicyProgram program(text);
-    Inputs inputs{0.1, 0.2, 1.5, 1, 1024, 1, 1.5, 0.1, 0.0167, 1};
-    const double value = program.implementation->parser.Eval();
-    program.implementation->inputs = inputs;
-    const double second = program.implementation->parser.Eval();
-    if (!std::isfinite(second) && !std::isfinite(value))
-      return "gives no finite number";
-  } catch (const mu::Parser::exception_type& error) {
-    return error.GetMsg();
+const IngressRoute* ClusterConfig::findIngressRoute(const std::string& host,
+                                                    const std::string& path) const {
+  const IngressRoute* best = nullptr;
+  for (const auto& route : ingressRoutes) {
+    const bool matches = route.host == host && path.starts_with(route.pathPrefix);
+    if (matches && (!best || route.pathPrefix.size() > best->pathPrefix.size()))
+      best = &route;
   }
-  return std::nullopt;
+  return best;
 }
 
 std::string configDigest(const std::string& text) {
@@ -70,106 +27,168 @@
   return TextDigest::of(root.serialize()).text();
 }
 
-const QueueOptions* ClusterConfig::findQueue(const QueueName& name) const {
-  auto found = queues.find(name);
-  return found == queues.end() ? nullptr : &found->second;
-}
-
-const IngressRoute* ClusterConfig::findIngressRoute(const std::string& host,
-                                                    const std::string& path) const {
-  const IngressRoute* best = nullptr;
-  for (const auto& entrance : ingressRoutes)
-    if (entrance.host == host && path.starts_with(entrance.pathPrefix) &&
-        (!best || entrance.pathPrefix.size() > best->pathPrefix.size()))
-      best = &entrance;
-  return best;
-}
-
 namespace {
 
-// Reads one JSON object, onLogEvent each fault by path and each field nobody asked for.
-class Reader {
+constexpr std::size_t maxConfigBytes = 256 * 1024;
+constexpr std::size_t maxQueueNameLength = 64;
+constexpr double maxJsonInteger = 9007199254740991.0;  // 2^53 - 1: exact in a double
+constexpr double oneHour = 3'600'000;                  // milliseconds
+constexpr double oneDay = 86'400'000;                  // milliseconds
+constexpr double oneYear = 366 * oneDay;
+
+/// Reads the sections of a configuration, each after those that it refers to.
+class ConfigReader {
  public:
-  Reader(const picojson::value& value, std::string path, std::vector<ErrorDetail>& faults)
-      : path(std::move(path)), faults(faults) {
-    if (value.is<picojson::object>())
-      object = &value.get<picojson::object>();
-    else
-      fault("", "must be an object");
-  }
-  ~Reader() {
-    if (!object)
-      return;
-    for (const auto& field : *object)
-      if (!asked.count(field.first))
-        fault(field.first, "is not a known field");
-  }
-  void fault(const std::string& field, const std::string& text) {
-    faults.push_back({field.empty() ? path : path + "/" + field, text});
-  }
-  const picojson::value* find(const std::string& field) {
-    asked.insert(field);
-    if (!object)
-      return nullptr;
-    auto found = object->find(field);
-    return found == object->end() ? nullptr : &found->second;
-  }
-  template <class Number>
-  void whole(const std::string& field, Number& target, double low, double high) {
-    const auto* value = find(field);
-    if (!value)
-      return;
-    if (!value->is<double>() || value->get<double>() != std::floor(value->get<double>()))
-      return fault(field, "must be a whole number");
-    if (value->get<double>() < low || value->get<double>() > high)
-      return fault(field, "must be from " + std::to_string((long long)low) + " to " +
-                              std::to_string((long long)high));
-    target = Number(value->get<double>());
+  Result<ClusterConfig> read(const picojson::value& root) {
+    {
+      JsonObjectReader reader(root, "", faults);
+      readPolicies(reader);
+      readPlanner(reader);
+      reader.readInteger("version", config.version.value, 1, maxJsonInteger);
+      readPools(reader);
+      readQueues(reader);
+      readIngressRoutes(reader);
+    }
+    if (!faults.empty())
+      return CoreError{CoreError::Kind::invalid, std::move(faults)};
+    return std::move(config);
   }
-  void real(const std::string& field, double& target, double low, double high) {
-    const auto* value = find(field);
-    if (!value)
-      return;
-    if (!value->is<double>() || value->get<double>() < low || value->get<double>() > high)
-      return fault(field,
-                   "must be a number from " + std::to_string(low) + " to " + std::to_string(high));
-    target = value->get<double>();
+
+ private:
+  void readPolicies(JsonObjectReader& reader);
+  void readPlanner(JsonObjectReader& reader);
+  void readPools(JsonObjectReader& reader);
+  void readQueues(JsonObjectReader& reader);
+  QueueOptions readQueue(const std::string& name, const picojson::value& value);
+  void readIngressRoutes(JsonObjectReader& reader);
+  IngressRoute readIngressRoute(const picojson::value& value, const std::string& path);
+
+  ClusterConfig config;
+  std::vector<ErrorDetail> faults;
+};
+
+void checkExpression(JsonObjectReader& policy, const std::string& field,
+                     const std::string& expression) {
+  if (auto fault = PolicyProgram::check(expression))
+    policy.fault(field, *fault);
+}
+
+void ConfigReader::readPolicies(JsonObjectReader& reader) {
+  if (const auto* policies = reader.object("policies")) {
+    for (const auto& [name, value] : *policies) {
+      JsonObjectReader policy(value, "/policies/" + name, faults);
+      PolicyOptions options;
+      policy.readText("rank", options.rankExpression);
+      policy.readText("may_hold", options.suspendExpression);
+      checkExpression(policy, "rank", options.rankExpression);
+      checkExpression(policy, "may_hold", options.suspendExpression);
+      config.policies[name] = options;
+    }
   }
-  void span(const std::string& field, Duration& target, double low, double high) {
-    whole(field, target.milliseconds, low, high);
+  config.policies.emplace("default", PolicyOptions{});
+}
+
+void ConfigReader::readPlanner(JsonObjectReader& reader) {
+  const auto* value = reader.find("planner");
+  if (!value)
+    return;
+  JsonObjectReader planner(*value, "/planner", faults);
+  PlannerOptions& options = config.planner;
+  planner.readDuration("period_ms", options.period, 5, 10'000);
+  planner.readReal("weight_wait", options.weightWait, 0, 1e6);
+  planner.readReal("weight_expansion", options.weightExpansion, 0, 1e6);
+  planner.readFlag("trials", options.trialsEnabled);
+  planner.readInteger("trial_room_mb", options.reservedTrialMemory, 0, 1e9);
+  planner.readInteger("open_limit", options.maxOpenJobs, 1, 100'000);
+  planner.readDuration("keep_finished_ms", options.finishedJobRetention, 10'000, oneDay);
+  planner.readInteger("keep_limit", options.maxRetainedJobs, 100, 2'000'000);
+  planner.readFlag("urgency_first", options.strictPriority);
+  planner.readReal("far", options.remoteSlowdown, 1, 1000);
+  planner.readDuration("known_after_ms", options.capacitySettleTime, 0, oneDay);
+}
+
+void ConfigReader::readPools(JsonObjectReader& reader) {
+  const auto* pools = reader.object("pools");
+  if (!pools)
+    return;
+  for (const auto& [name, value] : *pools) {
+    JsonObjectReader pool(value, "/pools/" + name, faults);
+    pool.readFlag("guards_room", config.pools[name].enforcesCapacity);
   }
-  void flag(const std::string& field, bool& target) {
-    const auto* value = find(field);
-    if (!value)
-      return;
-    if (!value->is<bool>())
-      return fault(field, "must be true or false");
-    target = value->get<bool>();
+}
+
+void ConfigReader::readQueues(JsonObjectReader& reader) {
+  const auto* queues = reader.find("queues");
+  if (!queues || !queues->is<picojson::object>() || queues->get<picojson::object>().empty())
+    return reader.fault("queues", "must name at least one queue");
+  std::uint64_t reserved = 0;
+  for (const auto& [name, value] : queues->get<picojson::object>()) {
+    QueueOptions options = readQueue(name, value);
+    reserved += options.reservedOpenJobs;
+    config.queues[options.name] = std::move(options);
   }
-  void words(const std::string& field, std::string& target) {
-    const auto* value = find(field);
-    if (!value)
-      return;
-    if (!value->is<std::string>())
-      return fault(field, "must be a string");
-    target = value->get<std::string>();
+  if (reserved >= config.planner.maxOpenJobs)
+    reader.fault("queues", "reserve together all of planner/open_limit");
+}
+
+QueueOptions ConfigReader::readQueue(const std::string& name, const picojson::value& value) {
+  JsonObjectReader queue(value, "/queues/" + name, faults);
+  if (name.empty() || name.size() > maxQueueNameLength)
+    queue.fault("", "a queue's name holds 1 to 64 characters");
+  QueueOptions options;
+  options.name = QueueName{name};
+  queue.readInteger("urgency", options.priority, -1000, 1000);
+  queue.readInteger("retries", options.maxRetries, 0, 100);
+  queue.readInteger("open_limit", options.maxOpenJobs, 1, 100'000);
+  queue.readInteger("reserved", options.reservedOpenJobs, 0, 100'000);
+  queue.readDuration("hard_limit_ms", options.hardRuntimeLimit, 0, oneYear);
+  queue.readDuration("replace_after_ms", options.reassignAfter, 0, oneDay);
+  queue.readText("pool", options.pool);
+  if (!options.pool.empty() && !config.pools.count(options.pool))
+    queue.fault("pool", "names no pool of this config");
+  queue.readInteger("tries", options.maxFailures, 1, 1000);
+  queue.readReal("extend", options.latencyTargetFactor, 0, 1e6);
+  queue.readDuration("target_ms", options.latencyTargetBase, 0, oneDay);
+  queue.readText("policy", options.policy);
+  if (!config.policies.count(options.policy))
+    queue.fault("policy", "names no policy of this config");
+  if (const auto* trialValue = queue.find("trial")) {
+    JsonObjectReader trial(*trialValue, queue.pathOf("trial"), faults);
+    trial.readDuration("quantum_ms", options.trial.quantum, 10, oneHour);
+    trial.readInteger("memory_mb", options.trial.memory, 1, 1e6);
+    trial.readDuration("minimum_run_ms", options.trial.minimumRuntime, 0, oneDay);
   }
-  const picojson::object* object = nullptr;
-  std::string path;
+  return options;
+}
 
- private:
-  std::vector<ErrorDetail>& faults;
-  std::set<std::string> asked;
-};
+void ConfigReader::readIngressRoutes(JsonObjectReader& reader) {
+  const auto* routes = reader.list("entrances");
+  if (!routes)
+    return;
+  for (std::size_t index = 0; index < routes->size(); ++index)
+    config.ingressRoutes.push_back(
+        readIngressRoute((*routes)[index], "/entrances/" + std::to_string(index)));
+}
 
-constexpr double dayMilliseconds = 86'400'000.0;
+IngressRoute ConfigReader::readIngressRoute(const picojson::value& value, const std::string& path) {
+  JsonObjectReader reader(value, path, faults);
+  IngressRoute route;
+  reader.readText("host", route.host);
+  reader.readText("prefix", route.pathPrefix);
+  reader.readText("queue", route.queue.value);
+  if (!config.queues.count(route.queue))
+    reader.fault("queue", "names no queue of this config");
+  for (const auto& other : config.ingressRoutes) {
+    if (other.host == route.host && other.pathPrefix == route.pathPrefix)
+      reader.fault("prefix", "stands twice for this host");
+  }
+  return route;
+}
 
 }  // namespace
 
 Result<ClusterConfig> ClusterConfig::parse(const std::string& text) {
-  ClusterConfig config;
-  std::vector<ErrorDetail> faults;
-  if (text.size() > 256 * 1024)
+  if (text.size() > maxConfigBytes)
     return CoreError::at(CoreError::Kind::invalid, "", "a config may hold at most 262144 bytes");
   if (nestedTooDeep(text))
     return CoreError::at(CoreError::Kind::invalid, "", "is nested too deep");
@@ -177,111 +196,9 @@
   const std::string parseError = parseJson(root, text);
   if (!parseError.empty())
     return CoreError::at(CoreError::Kind::invalid, "", "is not JSON: " + parseError);
-  {
-    Reader reader(root, "", faults);
-    if (const auto* policies = reader.find("policies")) {
-      if (!policies->is<picojson::object>())
-        reader.fault("policies", "must be an object");
-      else
-        for (const auto& [name, value] : policies->get<picojson::object>()) {
-          Reader policy(value, "/policies/" + name, faults);
-          PolicyOptions options;
-          policy.words("rank", options.rankExpression);
-          policy.words("may_hold", options.suspendExpression);
-          if (auto fault = PolicyProgram::check(options.rankExpression))
-            policy.fault("rank", *fault);
-          if (auto fault = PolicyProgram::check(options.suspendExpression))
-            policy.fault("may_hold", *fault);
-          config.policies[name] = options;
-        }
-    }
-    config.policies.emplace("default", PolicyOptions{});
-    if (const auto* value = reader.find("planner")) {
-      Reader planner(*value, "/planner", faults);
-      planner.span("period_ms", config.planner.period, 5, 10'000);
-      planner.real("weight_wait", config.planner.weightWait, 0, 1e6);
-      planner.real("weight_expansion", config.planner.weightExpansion, 0, 1e6);
-      planner.flag("trials", config.planner.trialsEnabled);
-      planner.whole("trial_room_mb", config.planner.reservedTrialMemory, 0, 1e9);
-      planner.whole("open_limit", config.planner.maxOpenJobs, 1, 100'000);
-      planner.span("keep_finished_ms", config.planner.finishedJobRetention, 10'000,
-                   dayMilliseconds);
-      planner.whole("keep_limit", config.planner.maxRetainedJobs, 100, 2'000'000);
-      planner.flag("urgency_first", config.planner.strictPriority);
-      planner.real("far", config.planner.remoteSlowdown, 1, 1000);
-      planner.span("known_after_ms", config.planner.capacitySettleTime, 0, dayMilliseconds);
-    }
-    reader.whole("version", config.version.value, 1, 9007199254740991.0);
-    if (const auto* pools = reader.find("pools")) {
-      if (!pools->is<picojson::object>())
-        reader.fault("pools", "must be an object");
-      else
-        for (const auto& [name, value] : pools->get<picojson::object>()) {
-          Reader pool(value, "/pools/" + name, faults);
-          pool.flag("guards_room", config.pools[name].enforcesCapacity);
-        }
-    }
-    const auto* queues = reader.find("queues");
-    if (!queues || !queues->is<picojson::object>() || queues->get<picojson::object>().empty())
-      reader.fault("queues", "must name at least one queue");
-    else {
-      std::uint64_t reserved = 0;
-      for (const auto& [name, value] : queues->get<picojson::object>()) {
-        Reader queue(value, "/queues/" + name, faults);
-        if (name.empty() || name.size() > 64)
-          queue.fault("", "a queue's name holds 1 to 64 characters");
-        QueueOptions options;
-        options.name = QueueName{name};
-        queue.whole("urgency", options.priority, -1000, 1000);
-        queue.whole("retries", options.maxRetries, 0, 100);
-        queue.whole("open_limit", options.maxOpenJobs, 1, 100'000);
-        queue.whole("reserved", options.reservedOpenJobs, 0, 100'000);
-        queue.span("hard_limit_ms", options.hardRuntimeLimit, 0, 366 * dayMilliseconds);
-        queue.span("replace_after_ms", options.reassignAfter, 0, dayMilliseconds);
-        queue.words("pool", options.pool);
-        if (!options.pool.empty() && !config.pools.count(options.pool))
-          queue.fault("pool", "names no pool of this config");
-        queue.whole("tries", options.maxFailures, 1, 1000);
-        queue.real("extend", options.latencyTargetFactor, 0, 1e6);
-        queue.span("target_ms", options.latencyTargetBase, 0, dayMilliseconds);
-        queue.words("policy", options.policy);
-        if (!config.policies.count(options.policy))
-          queue.fault("policy", "names no policy of this config");
-        if (const auto* trialValue = queue.find("trial")) {
-          Reader trial(*trialValue, queue.path + "/trial", faults);
-          trial.span("quantum_ms", options.trial.quantum, 10, 3'600'000);
-          trial.whole("memory_mb", options.trial.memory, 1, 1e6);
-          trial.span("minimum_run_ms", options.trial.minimumRuntime, 0, dayMilliseconds);
-        }
-        reserved += options.reservedOpenJobs;
-        config.queues[options.name] = options;
-      }
-      if (reserved >= config.planner.maxOpenJobs)
-        reader.fault("queues", "reserve together all of planner/open_limit");
-    }
-    if (const auto* entrances = reader.find("entrances")) {
-      if (!entrances->is<picojson::array>())
-        reader.fault("entrances", "must be a list");
-      else
-        for (std::size_t place = 0; place < entrances->get<picojson::array>().size(); ++place) {
-          Reader shown(entrances->get<picojson::array>()[place],
-                       "/entrances/" + std::to_string(place), faults);
-          IngressRoute entrance;
-          shown.words("host", entrance.host);
-          shown.words("prefix", entrance.pathPrefix);
-          shown.words("queue", entrance.queue.value);
-          if (!config.queues.count(entrance.queue))
-            shown.fault("queue", "names no queue of this config");
-          for (const auto& other : config.ingressRoutes)
-            if (other.host == entrance.host && other.pathPrefix == entrance.pathPrefix)
-              shown.fault("prefix", "stands twice for this host");
-          config.ingressRoutes.push_back(std::move(entrance));
-        }
-    }
-  }
-  if (!faults.empty())
-    return CoreError{CoreError::Kind::invalid, std::move(faults)};
-  config.text = text;
+  auto config = ConfigReader().read(root);
+  if (config)
+    config.value().text = text;
   return config;
 }
 
--- a/source/state/cluster_config.hpp
+++ b/source/state/cluster_config.hpp
@@ -1,12 +1,15 @@
-// The config aggregate: the operators' whole description of queues, policies and planner options.
-// docs/design.md 6.
+// The configuration: the operators' whole description of queues, policies,
+// pools, ingress routes and planner options. Replicated through the log; every
+// part is replaced at once. docs/design.md 6.
 #ifndef ANISELINE_STATE_CLUSTER_CONFIG_HPP
 #define ANISELINE_STATE_CLUSTER_CONFIG_HPP
 #include "base/types.hpp"
-#include <picojson.h>
+#include "state/policy_program.hpp"
 
 namespace aniseline {
 
+/// Short first runs of tasks, by which jobs that fail early are found out.
+/// docs/paper.md.
 struct TrialOptions {
   Duration quantum{60'000};          // paper section 3: one minute
   std::uint64_t memory = 1024;       // MB, paper section 3: one gigabyte
@@ -20,22 +23,26 @@
 struct QueueOptions {
   QueueName name;
   std::int64_t priority = 0;
-  std::uint32_t maxRetries = 0;
-  std::uint64_t maxOpenJobs = 1000;    // open jobs past which a submission is rejected
-  std::uint64_t reservedOpenJobs = 0;  // open jobs of the whole that only this queue may use
+  std::uint32_t maxRetries = 0;  // starts of a task beyond the first, unless `maxFailures` is set
+  std::uint64_t maxOpenJobs = 1000;    // beyond it a submission is rejected
+  std::uint64_t reservedOpenJobs = 0;  // of PlannerOptions::maxOpenJobs, for this queue only
   TrialOptions trial;
-  Duration hardRuntimeLimit{0};  // 0: an overrunning task stays in place
-  Duration reassignAfter{
-      0};  // waited beyond lease and margin before a silent worker's tasks are started elsewhere
+  Duration hardRuntimeLimit{0};  // 0: a task that overruns its request goes on
+  // How long beyond lease and margin an unreachable worker's tasks wait before
+  // they are started elsewhere.
+  Duration reassignAfter{0};
   std::string policy = "default";
-  std::string pool;  // the workers its tasks run on; empty: those of no pool
-  std::uint32_t maxFailures =
-      0;  // not 0: a task may end as failed this often, and nothing else counts. docs/design.md 4.4
-  double latencyTargetFactor =
-      1.0;  // the aim of a job is this times its longest chain of work, and the target
+  std::string pool;  // of the workers its tasks run on; empty: the default pool
+  // Not 0: how often a task may fail; nothing else counts against it.
+  // docs/design.md 4.4.
+  std::uint32_t maxFailures = 0;
+  // The latency target of a job: the factor times its critical path, plus the
+  // base.
+  double latencyTargetFactor = 1.0;
   Duration latencyTargetBase{0};
-  bool closedToSubmissions =
-      false;  // removed from the config while jobs were open: runs on, takes nothing new
+  // Removed from the configuration while it had open jobs: completes them and
+  // admits no new ones.
+  bool closedToSubmissions = false;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& name& priority& maxRetries& maxOpenJobs& reservedOpenJobs& trial& hardRuntimeLimit&
@@ -45,16 +52,18 @@
 };
 
 struct PoolOptions {
-  bool enforcesCapacity = false;  // its workers themselves reject what they can't hold
+  bool enforcesCapacity = false;  // its workers reject starts that exceed their free capacity
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& enforcesCapacity;
   }
 };
 
-// Where callers that speak of hosts and paths reach a queue: the longest prefix of the path wins.
+/// Maps requests by host and path to a queue: the longest matching prefix of
+/// the path wins.
 struct IngressRoute {
-  std::string host, pathPrefix;
+  std::string host;
+  std::string pathPrefix;
   QueueName queue;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -63,7 +72,9 @@
 };
 
 struct PolicyOptions {
+  // The rank of a job that waits: the highest goes first.
   std::string rankExpression = "weight_wait * wait + weight_expansion * expansion";
+  // Not 0: a running attempt may be suspended for a trial.
   std::string suspendExpression = "1";
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -72,22 +83,26 @@
 };
 
 struct PlannerOptions {
-  Duration period{50};
+  Duration period{50};         // between plans
   double weightWait = 0.0167;  // paper table 3, LXF&W-backfill
   double weightExpansion = 1.0;
   bool trialsEnabled = true;
-  std::uint64_t reservedTrialMemory =
-      0;  // MB of each worker that only trials may use; 0 is the paper's design
+  // MB of each worker that only trials may use; 0 is the paper's design.
+  std::uint64_t reservedTrialMemory = 0;
   std::uint64_t maxOpenJobs = 20'000;
   Duration finishedJobRetention{3'600'000};
-  std::uint64_t maxRetainedJobs =
-      300'000;  // jobs kept; past it the earliest ended go first, docs/design.md 4.5
-  bool strictPriority =
-      false;  // a more urgent queue's work goes before all less urgent work, whatever its rank
-  double remoteSlowdown =
-      1.0;  // what a task away from its data, or from its step's rack, takes of its time
-  Duration capacitySettleTime{
-      30'000};  // how long workers must have been as they are before a job is rejected as too large
+  // Jobs that are kept; beyond it the earliest ended go first.
+  // docs/design.md 4.5.
+  std::uint64_t maxRetainedJobs = 300'000;
+  // The work of a queue of higher priority goes before all of lower priority,
+  // whatever its rank.
+  bool strictPriority = false;
+  // Factor on the run time of a task away from its data, or from the rack of
+  // its step.
+  double remoteSlowdown = 1.0;
+  // How long the workers' capacities must have been as they are before a job is
+  // rejected as too large.
+  Duration capacitySettleTime{30'000};
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& period& weightWait& weightExpansion& trialsEnabled& reservedTrialMemory& maxOpenJobs&
@@ -104,10 +119,12 @@
   std::vector<IngressRoute> ingressRoutes;
   std::string text;  // as the operator wrote it
 
+  /// Null if there is no such queue.
   const QueueOptions* findQueue(const QueueName& name) const;
-  // The queue behind a host and path, and how much of the path is its prefix.
+  /// The route of a request; null if there is none.
   const IngressRoute* findIngressRoute(const std::string& host, const std::string& path) const;
-  // Every fault is named by its path; nothing is taken from a faulty text.
+  /// Reads a configuration in JSON. Either it is valid as a whole, or the error
+  /// names each fault by its path.
   static Result<ClusterConfig> parse(const std::string& text);
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -115,28 +132,11 @@
   }
 };
 
-// Of the content of a config's text, however it is spaced: the TextDigest that orders are known by.
+/// The TextDigest, as text, of a configuration's JSON without regard to white
+/// space; empty if the text is not JSON. Configuration updates are identified
+/// by it.
 std::string configDigest(const std::string& text);
 
-// A compiled policy program (muParser). Not for threads to share.
-class PolicyProgram {
- public:
-  struct Inputs {
-    double wait = 0, runtime = 0, expansion = 0, cores = 0, memory = 0, priority = 0, slowdown = 0,
-           running = 0;
-    double weightWait = 0, weightExpansion = 0;
-  };
-  explicit PolicyProgram(const std::string& text);
-  PolicyProgram(PolicyProgram&&) noexcept;
-  ~PolicyProgram();
-  double evaluate(const Inputs& inputs) const;
-  static std::optional<std::string> check(const std::string& text);
-
- private:
-  struct Implementation;
-  std::unique_ptr<Implementation> implementation;
-};
-
 }  // namespace aniseline
 
 #endif  // ANISELINE_STATE_CLUSTER_CONFIG_HPP
--- /dev/null
+++ b/source/state/cluster_tables.hpp
@@ -0,0 +1,79 @@
+// The tables of the replicated cluster state, as plain data. Owned by
+// ClusterState, which lets others read them; changed only by the functions that
+// apply events (event_appliers.hpp). docs/design.md 3.2.
+#ifndef ANISELINE_STATE_CLUSTER_TABLES_HPP
+#define ANISELINE_STATE_CLUSTER_TABLES_HPP
+#include "state/attempt_index.hpp"
+#include "state/event.hpp"
+
+namespace aniseline {
+
+/// Totals since the cluster was founded, for operators.
+struct Counters {
+  std::uint64_t admitted = 0;  // jobs, as are the next three
+  std::uint64_t cancelled = 0;
+  std::uint64_t succeeded = 0;
+  std::uint64_t failed = 0;
+  std::uint64_t starts = 0;
+  std::uint64_t trials = 0;
+  std::uint64_t trialsExpired = 0;
+  std::uint64_t trialsSucceeded = 0;
+  std::uint64_t suspends = 0;
+  std::uint64_t retries = 0;
+  std::uint64_t abandoned = 0;  // attempts
+  std::uint64_t plans = 0;
+  std::uint64_t reservationsMoved = 0;
+  template <class Archive>
+  void serialize(Archive& archive, unsigned) {
+    archive& admitted& cancelled& succeeded& failed& starts& trials& trialsExpired& trialsSucceeded&
+        suspends& retries& abandoned& plans& reservationsMoved;
+  }
+};
+
+struct ClusterTables {
+  ClusterTime now;  // of the latest record; never goes back
+  ClusterConfig config;
+  ConfigHistory configHistory;
+  std::map<JobId, Job> jobs;
+  std::set<JobId> openJobs;  // that are not in a terminal state, timetables included
+  std::map<QueueName, std::uint64_t> openJobsByQueue;
+  std::map<WorkerId, Worker> workers;
+  std::map<AttemptNumber, Attempt> attempts;
+  AttemptNumber lastAttempt;
+  PlanNumber lastPlan;
+  Reservation reservation;
+  Counters counters;
+  std::set<ControllerId> controllersToReplace;  // as requested by operators
+  // Controllers that were replaced on request, the earliest first, so that a
+  // repeated request is recognised.
+  std::deque<ControllerId> replacedControllers;
+  // When a worker of a capacity not yet known registered.
+  ClusterTime capacityChangedAt;
+
+  // Derived from the tables above, and not serialized.
+  std::set<std::pair<ClusterTime, JobId>> jobsByEndTime;  // that are in a terminal state
+  AttemptIndex attemptIndex;
+  // Workers that registered or were issued an order since the reader emptied
+  // it; not serialized.
+  std::set<WorkerId> updatedWorkers;
+
+  /// Adds an attempt, or replaces the one of the same number.
+  void addAttempt(const Attempt& attempt);
+  /// Removes an attempt that there is, without any other effect.
+  void eraseAttempt(AttemptNumber number);
+  /// Fills the derived tables of a state that was read.
+  void rebuildIndexes();
+
+  template <class Archive>
+  void serialize(Archive& archive, unsigned) {
+    archive& now& config& configHistory& jobs& openJobs& openJobsByQueue& workers& attempts&
+        lastAttempt& lastPlan& reservation& counters& controllersToReplace& replacedControllers&
+            capacityChangedAt;
+    if constexpr (Archive::is_loading::value)
+      rebuildIndexes();
+  }
+};
+
+}  // namespace aniseline
+
+#endif  // ANISELINE_STATE_CLUSTER_TABLES_HPP
--- a/source/state/config_history.cpp
+++ b/source/state/config_history.cpp
@@ -1,5 +1,4 @@
 #include "state/config_history.hpp"
-#include <algorithm>
 #include <boost/endian/conversion.hpp>
 #include <boost/uuid/name_generator_sha1.hpp>
 
@@ -12,28 +11,30 @@
   return TextDigest{boost::endian::load_big_u64(id.data), boost::endian::load_big_u64(id.data + 8)};
 }
 
-void ConfigHistory::record(const ConfigUpdate& order) {
-  recentUpdates.push_back(order);
+void ConfigHistory::record(const ConfigUpdate& update) {
+  recentUpdates.push_back(update);
   if (recentUpdates.size() > maxUpdates)
     recentUpdates.pop_front();
 }
 
-ConfigHistory::LookupResult ConfigHistory::find(const ConfigUpdate& order) const {
-  // One that names its version is found by that, whatever it builds on: the text under a version
-  // is the config. One that names none is found by its base, on which one order at most was taken.
-  const bool named = order.version.value > 0;
-  const auto key = named ? &ConfigUpdate::version : &ConfigUpdate::baseVersion;
-  const auto found = std::lower_bound(recentUpdates.begin(), recentUpdates.end(), order,
+ConfigHistory::LookupResult ConfigHistory::find(const ConfigUpdate& update) const {
+  // One that names its version is found by that, whatever it builds on: the
+  // text under a version is the configuration. One that names none is found by
+  // its base version, on which one update at most was applied.
+  const bool namesVersion = update.version.value > 0;
+  const auto key = namesVersion ? &ConfigUpdate::version : &ConfigUpdate::baseVersion;
+  const auto found = std::lower_bound(recentUpdates.begin(), recentUpdates.end(), update,
                                       [key](const ConfigUpdate& left, const ConfigUpdate& right) {
                                         return left.*key < right.*key;
                                       });
-  if (found != recentUpdates.end() && (*found).*key == order.*key)
-    return found->digest == order.digest ? LookupResult{Outcome::applied, found->version}
-                                         : LookupResult{Outcome::notApplied, ConfigVersion{}};
-  // What was dropped had both a lower version and a lower base than the earliest that is kept.
+  if (found != recentUpdates.end() && (*found).*key == update.*key)
+    return found->digest == update.digest ? LookupResult{Outcome::applied, found->version}
+                                          : LookupResult{Outcome::notApplied, ConfigVersion{}};
+  // What was dropped had both a lower version and a lower base version than the
+  // earliest kept.
   const bool older = !recentUpdates.empty() &&
-                     order.baseVersion < recentUpdates.front().baseVersion &&
-                     (!named || order.version < recentUpdates.front().version);
+                     update.baseVersion < recentUpdates.front().baseVersion &&
+                     (!namesVersion || update.version < recentUpdates.front().version);
   return LookupResult{older ? Outcome::tooOld : Outcome::notApplied, ConfigVersion{}};
 }
 
--- a/source/state/event.hpp
+++ b/source/state/event.hpp
@@ -1,15 +1,20 @@
-// What the replicated log holds; views are folds of these. docs/design.md 3.2.
+// The events of the replicated log. All state is a fold of them:
+// ClusterState::apply. A record's bytes are the event's number in `Event` and
+// its fields in their order; neither may change. docs/design.md 3.2.
 #ifndef ANISELINE_STATE_EVENT_HPP
 #define ANISELINE_STATE_EVENT_HPP
 #include "state/config_history.hpp"
+#include "state/job.hpp"
 #include "state/worker.hpp"
 
 namespace aniseline {
 
-struct LeaderStarted {  // a new leader's first entry
+/// The first entry of a new leader.
+struct LeaderStarted {
   template <class Archive>
   void serialize(Archive&, unsigned) {}
 };
+
 struct ConfigCommitted {
   ClusterConfig config;
   TextDigest digest;  // of its text
@@ -21,6 +26,7 @@
     archive& config& digest;
   }
 };
+
 struct JobAccepted {
   JobSubmission submission;
   template <class Archive>
@@ -28,6 +34,8 @@
     archive& submission;
   }
 };
+
+/// Requested by its submitter or an operator.
 struct JobCancelled {
   JobId job;
   template <class Archive>
@@ -35,23 +43,29 @@
     archive& job;
   }
 };
+
+/// The next start of a timetable has come.
 struct OccurrenceFired {
-  JobId job;
+  JobId job;  // the timetable
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& job;
   }
 };
+
+/// What ended some time ago is dropped or compacted. docs/design.md 4.5.
 struct JobsExpired {
   std::vector<JobId> jobs;
-  std::vector<JobId> compacted;   // over for a while: only what a resend and a look need is kept
-  std::vector<WorkerId> workers;  // gone as long ago
+  std::vector<JobId> compacted;  // only what answers a repeated submission or a look is kept
+  std::vector<WorkerId> workers;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& jobs& compacted& workers;
   }
 };
-struct WorkerRegistered {  // a new worker, a new incarnation, or a changed word about itself
+
+/// A new worker, a new incarnation of one, or a changed capacity.
+struct WorkerRegistered {
   WorkerId worker;
   Incarnation incarnation;
   Capacity capacity;
@@ -60,47 +74,57 @@
     archive& worker& incarnation& capacity;
   }
 };
+
+/// What a worker's sync brought that is new.
 struct WorkerSynced {
   WorkerId worker;
   OrderNumber lastAppliedOrder;
   std::vector<AttemptResult> results;
-  std::vector<std::pair<AttemptNumber, std::string>> checkpoints{};  // checkpoints of what runs on
+  std::vector<std::pair<AttemptNumber, std::string>> checkpoints{};  // of attempts that go on
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& worker& lastAppliedOrder& results& checkpoints;
   }
 };
+
+/// The worker is to get no new work and to be empty at the end of the timeout.
 struct WorkerDrainStarted {
   WorkerId worker;
   Duration timeout;
-  bool byOperator = false;
+  bool byOperator = false;  // false: the worker shuts down
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& worker& timeout& byOperator;
   }
 };
-struct WorkerDrainDeadlinePassed {  // the deadline of its leaving passed
+
+struct WorkerDrainDeadlinePassed {
   WorkerId worker;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& worker;
   }
 };
-struct WorkerReconnected {  // back from silence, or undrained
+
+/// It was unreachable and is heard again, or an operator ended its drain.
+struct WorkerReconnected {
   WorkerId worker;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& worker;
   }
 };
+
 struct WorkerUnreachable {
   WorkerId worker;
-  std::vector<AttemptNumber> abandoned;  // those whose queues wait no longer
+  std::vector<AttemptNumber> abandoned;  // whose queues do not wait for it any longer
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& worker& abandoned;
   }
 };
+
+/// It will not come back.
 struct WorkerRemoved {
   WorkerId worker;
   std::string reason;
@@ -110,7 +134,8 @@
   }
 };
 
-struct JobFailed {  // it can never be done
+/// The job can never succeed.
+struct JobFailed {
   JobId job;
   std::string reason;
   template <class Archive>
@@ -119,8 +144,9 @@
   }
 };
 
-struct ControllerReplacementRequested {  // an operator's word that a learner may take its place; or
-                                         // that this is over
+/// An operator requested that a learner take the controller's place; or this
+/// has been done.
+struct ControllerReplacementRequested {
   ControllerId controller;
   bool completed = false;
   template <class Archive>
@@ -130,38 +156,45 @@
 };
 
 struct Placement {
-  std::uint32_t taskIndex = 0;
+  std::uint32_t taskIndex = 0;  // in Job::tasks
   WorkerId worker;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& taskIndex& worker;
   }
 };
-struct Reservation {  // the ONE reserved start, docs/paper.md 3
-  JobId job;
+
+/// The reserved start of one step; there is at most one at a time.
+/// docs/paper.md 3.
+struct Reservation {
+  JobId job;  // empty: none
   std::uint32_t stepIndex = 0;
   ClusterTime start;
   std::vector<Placement> placements;
-  std::uint32_t timesMoved = 0;  // how often an overrun has moved it
+  std::uint32_t timesMoved = 0;  // by tasks that overran their requests
   bool isActive() const { return !job.value.empty(); }
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& job& stepIndex& start& placements& timesMoved;
   }
 };
+
 enum class ActionKind : std::uint8_t { start, stage, launch, suspend, stop };
+
+/// One decision of a plan. The fields from `job` to `memory` are set for starts
+/// and stages.
 struct Action {
   ActionKind kind = ActionKind::start;
   AttemptNumber attempt;
   JobId job;
-  std::uint32_t taskIndex = 0;
+  std::uint32_t taskIndex = 0;  // in Job::tasks
   WorkerId worker;
   bool trial = false;
   Duration quantum;
-  std::uint64_t memory = 0;
-  AttemptNumber suspendedForTrial;  // of a hold: the trial it makes way for
+  std::uint64_t memory = 0;         // MB
+  AttemptNumber suspendedForTrial;  // of a suspend: the trial that it makes way for
   std::uint32_t runNumber = 0;      // of a start
-  bool redundantCopy = false;       // of a start: a copy beside the one that runs
+  bool redundantCopy = false;       // of a start: a copy beside the current attempt
   std::string reason;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -169,6 +202,7 @@
         runNumber& redundantCopy& reason;
   }
 };
+
 struct PlanMade {
   PlanNumber number;
   std::vector<Action> actions;
--- a/source/state/job.hpp
+++ b/source/state/job.hpp
@@ -1,4 +1,5 @@
-// The job aggregate: steps, tasks, and the plain machine of a job's states. docs/design.md 4.
+// Jobs: what is submitted, and the states that a job and its tasks go through.
+// docs/design.md 4.
 #ifndef ANISELINE_STATE_JOB_HPP
 #define ANISELINE_STATE_JOB_HPP
 #include "state/cluster_config.hpp"
@@ -8,8 +9,8 @@
 struct TaskRequest {
   std::uint32_t cores = 1;   // thousandths of a core
   std::uint64_t memory = 1;  // MB
-  Duration runtime{1000};
-  std::string payload;
+  Duration runtime{1000};    // estimated by the submitter
+  std::string payload;       // empty: the job's
   std::uint32_t accelerators = 0;
   bool operator==(const TaskRequest&) const = default;
   template <class Archive>
@@ -18,17 +19,19 @@
   }
 };
 
-// What a step asks of the places its tasks run on, and how they run. docs/design.md 4.6.
+/// Where the tasks of a step may or should run, and how. docs/design.md 4.6.
 struct StepRequirements {
-  std::string requiredLabel;  // the worker must have it
-  std::string
-      preferredRack;  // the rack that holds the data: elsewhere a task takes `far` times as long
-  std::uint32_t maxPerWorker = 0;  // not 0: the most tasks of the step that may be on one worker
-  bool sameRack = false;   // the tasks take `far` times as long when they are on more than one rack
-  bool redundant = false;  // copies of a task may run side by side; the first clean ending counts
-  bool longRunning =
-      false;  // runs until the job is cancelled, and is started again however it ends
-  bool checkpointed = false;  // keeps its progress as checkpoints
+  std::string requiredLabel;  // empty: any worker
+  // The rack that holds the data: elsewhere a task takes `remoteSlowdown` times
+  // as long.
+  std::string preferredRack;
+  std::uint32_t maxPerWorker = 0;  // tasks of the step on one worker at a time; 0: no limit
+  // The tasks take `remoteSlowdown` times as long when they are on more than
+  // one rack.
+  bool sameRack = false;
+  bool redundant = false;     // copies of a task may run side by side; the first success counts
+  bool longRunning = false;   // runs until the job is cancelled; restarted however it ends
+  bool checkpointed = false;  // saves its progress as checkpoints
   bool operator==(const StepRequirements&) const = default;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -38,37 +41,40 @@
 };
 
 struct StepRequest {
+  // Tasks of a step that are read at most for one run of equal ones: far past
+  // what is valid.
+  static constexpr std::uint32_t maxEqualTasks = 100'000;
+
   std::string name;
-  std::vector<std::string> dependencies;
-  bool gang = false;
+  std::vector<std::string> dependencies;  // names of steps that must succeed first
+  bool gang = false;                      // its tasks run at the same time or not at all
   std::vector<TaskRequest> tasks;
   StepRequirements requirements{};
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& name& dependencies& gang& requirements;
-    // Tasks that are alike stand once, with their count: a step of a thousand is as short as one of
-    // two.
+    // Equal tasks in a row are written once, with their count: a step of a
+    // thousand is as short as one of two.
     std::vector<std::pair<std::uint32_t, TaskRequest>> runs;
     if constexpr (Archive::is_saving::value)
-      for (const auto& task : tasks) {
-        if (!runs.empty() && runs.back().second == task)
-          ++runs.back().first;
-        else
-          runs.emplace_back(1, task);
-      }
+      runs = runsOfEqualTasks();
     archive& runs;
     if constexpr (Archive::is_loading::value) {
       tasks.clear();
       for (const auto& [count, task] : runs)
-        tasks.insert(tasks.end(), std::min<std::uint32_t>(count, 100'000), task);
+        tasks.insert(tasks.end(), std::min(count, maxEqualTasks), task);
     }
   }
+
+ private:
+  std::vector<std::pair<std::uint32_t, TaskRequest>> runsOfEqualTasks() const;
 };
 
+/// Fires a job again and again. Calendar time.
 struct Timetable {
-  ClusterTime firstStart;  // milliseconds of calendar time; 0: not timed
+  ClusterTime firstStart;  // 0: no timetable
   Duration interval{0};
-  std::uint32_t count = 1;
+  std::uint32_t count = 1;  // occurrences
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& firstStart& interval& count;
@@ -80,11 +86,15 @@
   QueueName queue;
   std::vector<StepRequest> steps;
   Timetable timetable;
-  std::string payload;  // for every task, where the task brings none of its own
+  std::string payload;  // of every task that has none of its own
   bool hasTimetable() const { return timetable.firstStart.milliseconds > 0; }
-  Duration criticalPath() const;  // of requested run times, through steps that wait on each other
+  /// The longest sum of requested run times along steps that depend on each
+  /// other.
+  Duration criticalPath() const;
+  /// Tells apart submissions of the same id.
   std::uint32_t digest() const { return checksum(pack(*this)); }
-  // The rules that need no state: shape, sizes, cycles, unknown steps.
+  /// Violations of the rules that need no state: shape, sizes, cycles, unknown
+  /// steps.
   std::vector<ErrorDetail> validate() const;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -99,25 +109,26 @@
 
 struct Task {
   std::uint32_t stepIndex = 0;
-  std::uint32_t indexInStep = 0;  // place in the step
+  std::uint32_t indexInStep = 0;
   TaskState state = TaskState::blocked;
-  std::uint32_t countedStarts = 0;  // that count against the allowance, docs/design.md 4.4
+  std::uint32_t countedStarts = 0;  // against the retry limit. docs/design.md 4.4
   bool trialStarted = false;
-  bool trialExpired = false;     // a trial ran out: it waits for a full allocation
-  AttemptNumber currentAttempt;  // the current one, 0 if none
+  bool trialExpired = false;     // its trial was not enough: it waits for a full allocation
+  AttemptNumber currentAttempt;  // 0: none
   ClusterTime readyAt;
   ClusterTime notBefore;
-  WorkerId avoidedWorker;  // where it last failed
-  bool succeededEarlier =
-      false;  // an earlier attempt turned out to have ended well, docs/design.md 5.5
-  std::uint32_t runNumber =
-      0;  // starts of any kind so far: the number that workers know a start by. docs/design.md 4.7
-  std::uint32_t failureCount =
-      0;  // runs that ended as failed; of a gang its first task counts them
+  WorkerId avoidedWorker;  // where it failed last
+  // An earlier attempt turned out to have succeeded. docs/design.md 5.5.
+  bool succeededEarlier = false;
+  // Starts of any kind so far; workers know a start by this number.
+  // docs/design.md 4.7.
+  std::uint32_t runNumber = 0;
+  std::uint32_t failureCount = 0;   // runs that failed; a gang's are counted by its first task
   std::uint32_t lastFailedRun = 0;  // the last run that was counted among them
-  AttemptNumber redundantAttempt;   // of a redundant step: a copy beside the current attempt
-  std::string checkpoint;           // the latest checkpoint known, and the run it came from
-  std::uint32_t checkpointRun = 0;
+  AttemptNumber redundantAttempt;   // of a redundant step: a copy beside the
+                                    // current attempt
+  std::string checkpoint;           // the latest one
+  std::uint32_t checkpointRun = 0;  // the run that it came from
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& stepIndex& indexInStep& state& countedStarts& trialStarted& trialExpired&
@@ -128,17 +139,18 @@
 
 struct Job {
   JobSubmission submission;
-  std::uint32_t digest = 0;
+  std::uint32_t digest = 0;  // of the submission
   JobState state = JobState::active;
-  std::string reason;
-  bool terminating = false;  // failed or cancelled, but a task is still open
+  std::string reason;        // why it failed or was cancelled
+  bool terminating = false;  // it will fail or be cancelled, but an attempt of it is still open
   ClusterTime admittedAt;
   ClusterTime endedAt;
-  std::vector<Task> tasks;
-  std::uint32_t firedOccurrences = 0;  // occurrences of a timetable so far
-  std::uint32_t openOccurrences = 0;   // of those, the ones not over yet
-  std::uint32_t compactedTaskCount =
-      0;  // not 0: over, and its steps and tasks are no longer kept. docs/design.md 4.5
+  std::vector<Task> tasks;  // of all steps, in the order of the submission
+  std::uint32_t firedOccurrences = 0;
+  std::uint32_t openOccurrences = 0;  // of those fired
+  // Not 0: the job is in a terminal state, and its steps and tasks are no
+  // longer kept. docs/design.md 4.5.
+  std::uint32_t compactedTaskCount = 0;
 
   bool isTerminal() const {
     return state == JobState::succeeded || state == JobState::failed ||
@@ -151,10 +163,13 @@
   const std::string& payloadOf(const Task& task) const {
     return requestOf(task).payload.empty() ? submission.payload : requestOf(task).payload;
   }
-  // The place in `tasks` of a step's task; past the end if there is none such.
-  std::size_t taskIndexOf(std::uint32_t step, std::uint32_t within) const;
-  bool isStepComplete(std::uint32_t step) const;
-  // Tasks whose steps before them are done become ready.
+  /// The index in `tasks` of a step's task; the size of `tasks` if there is
+  /// none.
+  std::size_t taskIndexOf(std::uint32_t stepIndex, std::uint32_t indexInStep) const;
+  bool isStepComplete(std::uint32_t stepIndex) const;
+  /// Fills `tasks` from the submission; to be called once.
+  void addTasks();
+  /// Tasks whose step's dependencies have succeeded become pending.
   void releaseReadyTasks(ClusterTime now);
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
--- /dev/null
+++ b/source/state/leader_route.cpp
@@ -0,0 +1,45 @@
+#include "state/leader_route.hpp"
+#include "state/api_request.hpp"
+
+namespace aniseline {
+
+std::vector<Address> orderedByZonePreference(const std::vector<GatewayEndpoint>& endpoints,
+                                             const ZoneName& zone, std::uint64_t spread) {
+  std::vector<Address> sameZone;
+  std::vector<Address> otherZones;
+  for (const auto& endpoint : endpoints)
+    (endpoint.zone == zone ? sameZone : otherZones).push_back(endpoint.address);
+  for (auto* addresses : {&sameZone, &otherZones}) {
+    if (!addresses->empty())
+      std::rotate(addresses->begin(),
+                  addresses->begin() + std::ptrdiff_t(spread % addresses->size()),
+                  addresses->end());
+  }
+  sameZone.insert(sameZone.end(), otherZones.begin(), otherZones.end());
+  return sameZone;
+}
+
+bool LeaderRoute::mergeNewer(LeaderRoute other) {
+  if (other.term < term)
+    return false;
+  other.config = std::max(other.config, config);
+  if (other.leader.value.empty() && other.term == term)
+    other.leader = leader;
+  *this = std::move(other);
+  return true;
+}
+
+bool LeaderRoute::admits(const ApiRequest& request, std::size_t inFlight, std::size_t limit) const {
+  const bool plain = request.kind == RequestKind::submitJob &&
+                     !std::count(priorityQueues.begin(), priorityQueues.end(), request.job.queue);
+  return admitsRequest(request.kind, plain, inFlight, limit);
+}
+
+bool admitsRequest(RequestKind kind, bool plain, std::size_t inFlight, std::size_t limit) {
+  // There are as many syncs as workers, and without them nothing completes.
+  if (kind == RequestKind::syncWorker)
+    return true;
+  return inFlight < (plain ? limit - limit / 5 : limit);
+}
+
+}  // namespace aniseline
--- a/tests/scheduling/planner_reference_tests.cpp
+++ b/tests/scheduling/planner_reference_tests.cpp
@@ -216,8 +216,8 @@
     std::advance(found, random.between(0, std::int64_t(clusterState.jobs().size()) - 1));
     const JobId id = found->first;
     if (found->second.isTerminal()) {
-      const auto open =
-          clusterState.attemptsOf(id, false);  // one that was given up may outlive its job
+      const auto open = clusterState.attemptsOf(
+          id, AttemptScope::withoutAbandoned);  // one that was given up may outlive its job
       if (open.empty())
         apply(random.chance(0.5) ? JobsExpired{{id}, {}, {}} : JobsExpired{{}, {id}, {}});
     } else if (found->second.state == JobState::scheduled)
--- a/tests/state/cluster_state_fixture.hpp
+++ b/tests/state/cluster_state_fixture.hpp
@@ -147,7 +147,7 @@
            clusterState.attempts().at(number).state == AttemptState::stopping;
   }
   std::size_t openAttempts(const std::string& id) const {
-    return clusterState.attemptsOf(JobId{id}, true).size();
+    return clusterState.attemptsOf(JobId{id}, AttemptScope::all).size();
   }
 };
 
--- a/tests/state/cluster_state_index_tests.cpp
+++ b/tests/state/cluster_state_index_tests.cpp
@@ -197,10 +197,9 @@
   }
   void check(const ClusterState& clusterState) const {
     for (const auto& id : jobs)
-      for (bool withLost : {false, true})
-        CHECK(clusterState.attemptsOf(id, withLost) ==
-              walk(clusterState, [&](const Attempt& attempt) {
-                return attempt.job == id && (withLost || !attempt.abandoned);
+      for (auto scope : {AttemptScope::withoutAbandoned, AttemptScope::all})
+        CHECK(clusterState.attemptsOf(id, scope) == walk(clusterState, [&](const Attempt& attempt) {
+                return attempt.job == id && (scope == AttemptScope::all || !attempt.abandoned);
               }));
     for (int place = 0; place < 5; ++place)
       CHECK(clusterState.attemptsOn(WorkerId{worker(place)}) ==
--- a/tests/state/cluster_state_tests.cpp
+++ b/tests/state/cluster_state_tests.cpp
@@ -1,5 +1,6 @@
 // The fold of the log: gangs that assemble themselves, tries, what lasts, timetables, checkpoints,
 // lives. docs/design.md 4, 5.
+#include "scheduling/feasibility.hpp"
 #include "state/cluster_state_fixture.hpp"
 
 using namespace aniseline;
@@ -57,7 +58,7 @@
   STRCMP_EQUAL("open", bench.state("gang").c_str());  // the others still take their room
   LONGS_EQUAL(2, bench.openAttempts("gang"));
   CHECK_FALSE(bench.stopOrdered(other));
-  for (auto number : bench.clusterState.attemptsOf(JobId{"gang"}, true))
+  for (auto number : bench.clusterState.attemptsOf(JobId{"gang"}, AttemptScope::all))
     bench.endAttempt(number, AttemptOutcome::succeeded);
   STRCMP_EQUAL("finished", bench.state("gang").c_str());
   LONGS_EQUAL(1, bench.clusterState.counters().succeeded);
@@ -69,7 +70,7 @@
   bench.submit("gang", {ClusterStateFixture::gang(3)});
   bench.planAndRun();
   bench.endAttempt("gang", AttemptOutcome::succeeded, 0);
-  const auto left = bench.clusterState.attemptsOf(JobId{"gang"}, true);
+  const auto left = bench.clusterState.attemptsOf(JobId{"gang"}, AttemptScope::all);
   bench.endAttempt(left.at(0), AttemptOutcome::stopped);
   bench.endAttempt(left.at(1), AttemptOutcome::failed);
   STRCMP_EQUAL("finished", bench.state("gang").c_str());
@@ -97,7 +98,7 @@
   for (int count = 2; count <= 3; ++count) {
     STRCMP_EQUAL("open", bench.state("gang").c_str());
     bench.endAttempt("gang", AttemptOutcome::failed, 2);
-    for (auto number : bench.clusterState.attemptsOf(JobId{"gang"}, true))
+    for (auto number : bench.clusterState.attemptsOf(JobId{"gang"}, AttemptScope::all))
       bench.endAttempt(number, AttemptOutcome::stopped);
     bench.now += 60'000;
     bench.planAndRun();
@@ -357,10 +358,10 @@
   bench.registerWorker("a");
   bench.submit("big", {ClusterStateFixture::step(1, 9000)});
   const auto& big = bench.job("big").submission;
-  CHECK(!bench.clusterState.infeasibilityReason(big, big.steps[0]));
+  CHECK(!infeasibilityReason(bench.clusterState, big, big.steps[0]));
   bench.now += 3000;
   bench.apply(LeaderStarted{});
-  CHECK(bench.clusterState.infeasibilityReason(big, big.steps[0]).has_value());
+  CHECK(infeasibilityReason(bench.clusterState, big, big.steps[0]).has_value());
   bench.apply(JobFailed{JobId{"big"}, "no known worker could ever hold it"});
   STRCMP_EQUAL("failed", bench.state("big").c_str());
   STRCMP_EQUAL("no known worker could ever hold it", bench.job("big").reason.c_str());
@@ -378,7 +379,7 @@
     JobSubmission job;
     job.queue = QueueName{queue};
     job.steps = {step};
-    return bench.clusterState.infeasibilityReason(job, job.steps[0]).has_value();
+    return infeasibilityReason(bench.clusterState, job, job.steps[0]).has_value();
   };
   auto labelled = [](const std::string& label) {
     StepRequirements needs;
