--- a/source/agent/called_worker_session.cpp
+++ b/source/agent/called_worker_session.cpp
@@ -4,76 +4,88 @@
 
 namespace {
 
-WorkerReply reply(WorkerReply::Status kind, WorkerTime now) {
-  WorkerReply made;
-  made.status = kind;
-  made.clockReading = now;
-  return made;
+WorkerReply replyWith(WorkerReply::Status status, WorkerTime now) {
+  WorkerReply reply;
+  reply.status = status;
+  reply.clockReading = now;
+  return reply;
+}
+
+TaskRunId taskOf(const TaskRunId& runId) {
+  TaskRunId task = runId;
+  task.runNumber = 0;
+  return task;
 }
 
 }  // namespace
 
 WorkerReply CalledWorkerSession::onCall(const WorkerCall& call, WorkerTime now) {
   if (call.workerInstance != workerInstance)
-    return reply(WorkerReply::Status::instanceMismatch, now);
+    return replyWith(WorkerReply::Status::instanceMismatch, now);
   if (call.fencingTerm < fencingTerm)
-    return reply(WorkerReply::Status::fenced, now);
+    return replyWith(WorkerReply::Status::fenced, now);
   fencingTerm = call.fencingTerm;
   tick(now);
-  auto made = call.kind == WorkerCall::Kind::start  ? start(call, now)
-              : call.kind == WorkerCall::Kind::stop ? stop(call)
-                                                    : poll(call, now);
-  made.clockReading = now;
-  return made;
+  switch (call.kind) {
+    case WorkerCall::Kind::start:
+      return start(call, now);
+    case WorkerCall::Kind::stop:
+      return stop(call, now);
+    case WorkerCall::Kind::poll:
+      return poll(call, now);
+  }
+  return replyWith(WorkerReply::Status::invalidRequest, now);
 }
 
 WorkerReply CalledWorkerSession::start(const WorkerCall& call, WorkerTime now) {
-  TaskRunId task = call.runId;
-  task.runNumber = 0;
-  if (auto found = latestRuns.find(task);
-      found != latestRuns.end() && found->second >= call.runId.runNumber)
-    return reply(WorkerReply::Status::staleRun, now);
+  if (isStale(call.runId))
+    return replyWith(WorkerReply::Status::staleRun, now);
   if (!call.leaseDeadline || *call.leaseDeadline <= now)
-    return reply(WorkerReply::Status::deadlineExceeded, now);
+    return replyWith(WorkerReply::Status::deadlineExceeded, now);
   if (draining || !fits(call.order))
-    return reply(WorkerReply::Status::insufficientCapacity, now);
+    return replyWith(WorkerReply::Status::insufficientCapacity, now);
   rememberRun(call.runId);
   extendLease(call.leaseDeadline, now);
   running[call.order.attempt] = RunningTask{call.runId, call.order, now};
   commands.push_back({TaskCommand::Kind::start, call.order.attempt, call.order});
-  return reply(WorkerReply::Status::ok, now);
+  return replyWith(WorkerReply::Status::ok, now);
 }
 
-// A stop of what is not there is remembered: a start of it that comes late is turned away.
-WorkerReply CalledWorkerSession::stop(const WorkerCall& call) {
+// A stop of a run that is not there is remembered, so that a start of it that comes late is
+// rejected.
+WorkerReply CalledWorkerSession::stop(const WorkerCall& call, WorkerTime now) {
   rememberRun(call.runId);
-  for (auto task = running.begin(); task != running.end(); ++task)
-    if (task->second.runId == call.runId) {
-      finishTask(task, AttemptOutcome::stopped, false);
-      break;
-    }
-  return reply(WorkerReply::Status::ok, WorkerTime{});
+  const auto task = std::find_if(running.begin(), running.end(), [&](const auto& entry) {
+    return entry.second.runId == call.runId;
+  });
+  if (task != running.end())
+    stopTask(task, AttemptOutcome::stopped);
+  return replyWith(WorkerReply::Status::ok, now);
 }
 
 WorkerReply CalledWorkerSession::poll(const WorkerCall& call, WorkerTime now) {
-  while (!unconfirmedResults.empty() &&
-         unconfirmedResults.front().sequenceNumber <= call.confirmedUpTo) {
-    confirmedResults.emplace_back(unconfirmedResults.front().order,
-                                  unconfirmedResults.front().outcome);
-    unconfirmedResults.pop_front();
-  }
+  confirmResultsUpTo(call.confirmedUpTo);
   extendLease(call.leaseDeadline, now);
-  auto made = reply(WorkerReply::Status::ok, now);
+  auto reply = replyWith(WorkerReply::Status::ok, now);
   for (const auto& [attempt, task] : running)
-    made.runningTasks.push_back({task.runId, ""});
-  for (const auto& ended : unconfirmedResults) {
-    if (made.results.size() >= options.maxResultsPerPoll) {
-      made.complete = false;
+    reply.runningTasks.push_back({task.runId, ""});
+  for (const auto& result : unconfirmedResults) {
+    if (reply.results.size() >= options.maxResultsPerPoll) {
+      reply.complete = false;
       break;
     }
-    made.results.push_back({ended.sequenceNumber, ended.runId, ended.outcome, ""});
+    reply.results.push_back({result.sequenceNumber, result.runId, result.outcome, ""});
+  }
+  return reply;
+}
+
+void CalledWorkerSession::confirmResultsUpTo(std::uint64_t sequenceNumber) {
+  while (!unconfirmedResults.empty() &&
+         unconfirmedResults.front().sequenceNumber <= sequenceNumber) {
+    const TaskResult& result = unconfirmedResults.front();
+    confirmedResults.push_back({result.order, result.outcome});
+    unconfirmedResults.pop_front();
   }
-  return made;
 }
 
 void CalledWorkerSession::extendLease(const std::optional<WorkerTime>& deadline, WorkerTime now) {
@@ -83,69 +95,79 @@
 
 void CalledWorkerSession::tick(WorkerTime now) {
   if (now >= leaseUntil) {
-    // What had ended well and was not confirmed may be started elsewhere from now on: it is void.
+    // A success that was not confirmed may be started elsewhere from now on: it is void.
     // docs/design.md 5.5.
-    for (auto& ended : unconfirmedResults)
-      if (ended.outcome == AttemptOutcome::succeeded)
-        ended.outcome = AttemptOutcome::stopped;
-    while (!running.empty())
-      finishTask(running.begin(), AttemptOutcome::stopped, false);
+    for (auto& result : unconfirmedResults) {
+      if (result.outcome == AttemptOutcome::succeeded)
+        result.outcome = AttemptOutcome::stopped;
+    }
+    stopAllTasks();
   }
   for (auto task = running.begin(); task != running.end();) {
-    const auto present = task++;
-    const Duration quantum = present->second.order.quantum;
-    if (quantum.milliseconds > 0 && now - present->second.startedAt >= quantum)
-      finishTask(present, AttemptOutcome::quantumExpired, false);
+    const auto current = task++;
+    const Duration quantum = current->second.order.quantum;
+    if (quantum.milliseconds > 0 && now - current->second.startedAt >= quantum)
+      stopTask(current, AttemptOutcome::quantumExpired);
   }
 }
 
-void CalledWorkerSession::onTaskEnded(AttemptNumber attempt, bool well, WorkerTime now) {
+void CalledWorkerSession::onTaskEnded(AttemptNumber attempt, bool succeeded, WorkerTime now) {
   tick(now);
   if (auto task = running.find(attempt); task != running.end())
-    finishTask(task, well ? AttemptOutcome::succeeded : AttemptOutcome::failed, true);
+    finishTask(task, succeeded ? AttemptOutcome::succeeded : AttemptOutcome::failed);
 }
 
-void CalledWorkerSession::finishTask(std::map<AttemptNumber, RunningTask>::iterator task,
-                                     AttemptOutcome kind, bool byItself) {
-  if (!byItself)
-    commands.push_back({TaskCommand::Kind::stop, task->first, task->second.order});
+void CalledWorkerSession::finishTask(RunningTasks::iterator task, AttemptOutcome outcome) {
   unconfirmedResults.push_back(
-      {++lastSequenceNumber, task->second.runId, task->second.order, kind});
+      {++lastSequenceNumber, task->second.runId, task->second.order, outcome});
   running.erase(task);
 }
 
-void CalledWorkerSession::onReplaced(WorkerId next) {
+void CalledWorkerSession::stopTask(RunningTasks::iterator task, AttemptOutcome outcome) {
+  commands.push_back({TaskCommand::Kind::stop, task->first, task->second.order});
+  finishTask(task, outcome);
+}
+
+void CalledWorkerSession::stopAllTasks() {
   while (!running.empty())
-    finishTask(running.begin(), AttemptOutcome::stopped, false);
-  const auto stops = std::move(commands);
+    stopTask(running.begin(), AttemptOutcome::stopped);
+}
+
+void CalledWorkerSession::onReplaced(WorkerId next) {
+  stopAllTasks();
+  auto stops = std::move(commands);
   *this = CalledWorkerSession(options, std::move(next));
-  commands = stops;
+  commands = std::move(stops);
 }
 
 bool CalledWorkerSession::fits(const Order& order) const {
   if (!options.capacity.enforcesCapacity)
     return true;
-  std::uint64_t cores = order.cores, memory = order.memory;
-  for (const auto& [attempt, task] : running)
-    cores += task.order.cores, memory += task.order.memory;
+  std::uint64_t cores = order.cores;
+  std::uint64_t memory = order.memory;
+  for (const auto& [attempt, task] : running) {
+    cores += task.order.cores;
+    memory += task.order.memory;
+  }
   return cores <= options.capacity.cores && memory <= options.capacity.memory;
 }
 
-bool CalledWorkerSession::rememberRun(const TaskRunId& name) {
-  TaskRunId task = name;
-  task.runNumber = 0;
-  auto [found, isNew] = latestRuns.try_emplace(task, name.runNumber);
-  if (!isNew && found->second >= name.runNumber)
-    return false;
-  found->second = name.runNumber;
+bool CalledWorkerSession::isStale(const TaskRunId& runId) const {
+  auto found = latestRuns.find(taskOf(runId));
+  return found != latestRuns.end() && found->second >= runId.runNumber;
+}
+
+void CalledWorkerSession::rememberRun(const TaskRunId& runId) {
+  const TaskRunId task = taskOf(runId);
+  auto [found, isNew] = latestRuns.try_emplace(task, runId.runNumber);
+  found->second = std::max(found->second, runId.runNumber);
   if (!isNew)
-    return true;
+    return;
   rememberedTasks.push_back(task);
   if (rememberedTasks.size() > options.maxRememberedTasks) {
     latestRuns.erase(rememberedTasks.front());
     rememberedTasks.pop_front();
   }
-  return true;
 }
 
 }  // namespace aniseline
--- /dev/null
+++ b/source/agent/instance_tracker.cpp
@@ -0,0 +1,154 @@
+#include "agent/instance_tracker.hpp"
+
+namespace aniseline {
+
+namespace {
+
+// So many drain notices of instances that are not known otherwise are remembered.
+constexpr std::size_t maxEarlyDrainNotices = 16;
+// Between unanswered polls for an instance that is known by its registration only.
+constexpr Duration probeInterval{100};
+
+bool provesInstance(WorkerReply::Status status) {
+  // A fenced call has reached the instance that it names: it has seen a newer leader.
+  return status == WorkerReply::Status::ok || status == WorkerReply::Status::fenced;
+}
+
+}  // namespace
+
+InstanceTracker InstanceTracker::withCurrent(const WorkerRegistration& given, bool confirmed) && {
+  InstanceTracker next(options);
+  next.formerInstances = std::move(formerInstances);
+  if (known())
+    next.formerInstances.insert(registration.workerInstance);
+  next.earlyDrainNotices = std::move(earlyDrainNotices);
+  next.registration = given;
+  auto notice = next.earlyDrainNotices.find(given.workerInstance);
+  if (notice != next.earlyDrainNotices.end()) {
+    if (!given.draining)
+      next.registration.drainTimeout = notice->second;
+    next.registration.draining = true;
+    next.earlyDrainNotices.erase(notice);
+  }
+  next.instanceConfirmed = confirmed;
+  next.probesLeft = options.maxInstanceProbes;
+  return next;
+}
+
+bool InstanceTracker::update(const WorkerRegistration& given) {
+  if (given.sequence && given.sequence <= registration.sequence)
+    return false;
+  probesLeft = options.maxInstanceProbes;
+  const WorkerRegistration before = std::exchange(registration, given);
+  if (before.draining && !given.draining) {
+    registration.draining = true;
+    registration.drainTimeout = before.drainTimeout;
+  }
+  if (!registration.clockReading)
+    registration.clockReading = before.clockReading;
+  endIfRetiredAndDraining();
+  return true;
+}
+
+void InstanceTracker::considerCandidate(const WorkerRegistration& given, MonotonicTime now) {
+  if (!candidate || candidate->registration.workerInstance != given.workerInstance) {
+    candidate = Candidate{given, 0, now, false};
+  } else if (!given.sequence || given.sequence > candidate->registration.sequence) {
+    const bool draining = candidate->registration.draining || given.draining;
+    candidate->registration = given;
+    candidate->registration.draining = draining;
+  }
+  candidate->probesLeft = options.maxInstanceProbes;
+}
+
+InstanceTracker::Standing InstanceTracker::onDrainNotice(const WorkerId& instance,
+                                                         Duration drainTimeout) {
+  if (isFormer(instance))
+    return Standing::former;
+  const bool isCurrent = instance == registration.workerInstance;
+  const bool isCandidate =
+      !isCurrent && candidate && instance == candidate->registration.workerInstance;
+  if (!isCurrent && !isCandidate) {
+    rememberEarlyNotice(instance, drainTimeout);
+    return Standing::unknown;
+  }
+  WorkerRegistration& known = isCurrent ? registration : candidate->registration;
+  if (!known.draining) {
+    known.draining = true;
+    known.drainTimeout = drainTimeout;
+  }
+  if (isCandidate) {
+    candidate->probesLeft = options.maxInstanceProbes;
+    return Standing::candidate;
+  }
+  endIfRetiredAndDraining();
+  return Standing::current;
+}
+
+void InstanceTracker::rememberEarlyNotice(const WorkerId& instance, Duration drainTimeout) {
+  if (earlyDrainNotices.size() >= maxEarlyDrainNotices)
+    earlyDrainNotices.erase(earlyDrainNotices.begin());
+  earlyDrainNotices[instance] = drainTimeout;
+}
+
+std::optional<WorkerCall> InstanceTracker::takeCandidateProbe(MonotonicTime now) {
+  if (!candidate || candidate->probeInFlight || !candidate->probesLeft ||
+      now < candidate->nextProbeAt)
+    return std::nullopt;
+  candidate->probeInFlight = true;
+  --candidate->probesLeft;
+  WorkerCall call;
+  call.kind = WorkerCall::Kind::poll;
+  call.workerInstance = candidate->registration.workerInstance;
+  return call;
+}
+
+std::optional<WorkerRegistration> InstanceTracker::onCandidateReply(const WorkerCall& call,
+                                                                    WorkerReply::Status status,
+                                                                    MonotonicTime now) {
+  if (!candidate || call.workerInstance != candidate->registration.workerInstance)
+    return std::nullopt;
+  candidate->probeInFlight = false;
+  candidate->nextProbeAt = now + probeInterval;
+  if (status == WorkerReply::Status::instanceMismatch) {
+    candidate.reset();  // its registration came late: the instance is over
+    return std::nullopt;
+  }
+  if (!provesInstance(status))
+    return std::nullopt;
+  return candidate->registration;
+}
+
+void InstanceTracker::onCurrentReply(const WorkerCall& call, WorkerReply::Status status) {
+  if (status == WorkerReply::Status::instanceMismatch) {
+    instanceConfirmed = false;
+    probesLeft = 0;  // until the next registration of this instance
+  } else if (call.kind == WorkerCall::Kind::poll && provesInstance(status)) {
+    instanceConfirmed = true;
+  }
+}
+
+std::optional<MonotonicTime> InstanceTracker::nextCandidateProbeAt() const {
+  if (!candidate || !candidate->probesLeft || candidate->probeInFlight)
+    return std::nullopt;
+  return candidate->nextProbeAt;
+}
+
+bool InstanceTracker::confirmationProbeDue(Duration sinceLastPoll) const {
+  return probesLeft && sinceLastPoll >= probeInterval;
+}
+
+void InstanceTracker::retireUntil(MonotonicTime until) {
+  currentIncarnation = currentIncarnation.next();
+  retired = true;
+  endIfRetiredAndDraining();
+  retirementEnd = until;
+}
+
+bool InstanceTracker::drainAcknowledged(const WorkerId& instance) const {
+  if (isFormer(instance))
+    return true;
+  return instance == registration.workerInstance && (ended || drainKnownToLeader());
+}
+
+}  // namespace aniseline
--- a/source/agent/node_agent.cpp
+++ b/source/agent/node_agent.cpp
@@ -3,755 +3,369 @@
 namespace aniseline {
 
 namespace {
-// So many lives that said that they leave, and were not heard of otherwise, are remembered.
-constexpr std::size_t announcedAtMost = 16;
-// Between unanswered looks for a life that is only known by its account.
-constexpr Duration lookForLifeAgain{100};
-// What an answer takes on its way at most, in reckoning how far the worker's clock may be.
-constexpr Duration answerTakes{50};
+
+// Between polls while it is uncertain what became of a run and no result waits to be confirmed.
+constexpr Duration shortPollInterval{20};
+// A poll after an unanswered call waits this long: the worker may be overloaded.
+constexpr Duration unansweredPollInterval{250};
+// Polls that repeat unconfirmed results are not made more often.
+constexpr Duration minUnconfirmedPollInterval{500};
+// What a poll's reply may take beyond the time that the worker may wait for a result.
+constexpr Duration pollReplyTimeout{400};
+// The host wakes up the agent no sooner than this, and no later than that.
+constexpr Duration minWakeUpDelay{5};
+constexpr Duration maxWakeUpDelay{60'000};
+// When a poll may be due soon and no message need come before it.
+constexpr Duration pollWakeUpDelay{25};
+// A worker that the leader declared gone is used again after its longest lease, with a margin for a
+// slow clock.
+constexpr std::int64_t retirementPercent = 110;
+constexpr Duration retirementMargin{500};
+
 }  // namespace
 
+NodeAgent::NodeAgent(NodeAgentOptions options)
+    : options(options), instances(options), lease(options), contact(options), runs(options) {}
+
 bool NodeAgent::onRegistration(const WorkerRegistration& given, MonotonicTime now) {
-  if (formerInstances.count(given.workerInstance))
+  if (instances.isFormer(given.workerInstance))
     return false;
-  if (given.workerInstance == registration.workerInstance)
-    updateRegistration(given, now);
-  else if (registration.workerInstance.value.empty())
+  if (!instances.known()) {
     adoptInstance(given, false, now);
-  else
-    considerCandidate(given, now);
+  } else if (given.workerInstance != workerInstance()) {
+    instances.considerCandidate(given, now);
+  } else if (instances.update(given)) {
+    contact.noteContact(now);
+    observeWorkerClock(given.clockReading, WorkerLease::ClockSource::registration, now);
+  }
   return true;
 }
 
-// Another life: nothing of the former one runs or will. docs/design.md 5.8.
-void NodeAgent::adoptInstance(const WorkerRegistration& given, bool shown, MonotonicTime now) {
+// Nothing of the former instance runs on, so of its state only the fencing term counts for the
+// next.
+void NodeAgent::adoptInstance(const WorkerRegistration& given, bool confirmed, MonotonicTime now) {
   NodeAgent next(options);
-  next.formerInstances = std::move(formerInstances);
-  if (!registration.workerInstance.value.empty())
-    next.formerInstances.insert(registration.workerInstance);
-  next.earlyDrainNotices = std::move(earlyDrainNotices);
+  next.instances = std::move(instances).withCurrent(given, confirmed);
   next.term = term;
   *this = std::move(next);
-  registration = given;
-  if (auto announced = earlyDrainNotices.find(given.workerInstance);
-      announced != earlyDrainNotices.end()) {
-    registration.drainTimeout = given.draining ? given.drainTimeout : announced->second;
-    registration.draining = true;
-    earlyDrainNotices.erase(announced);
-  }
-  instanceConfirmed = shown;
-  probesLeft = options.maxInstanceProbes;
-  lastContactAt = now;
-  observeWorkerClock(given.clockReading, ClockSource::registration, now);
-}
-
-// A newer account of the life that is known. That it leaves is never taken back.
-// docs/design.md 5.7.
-void NodeAgent::updateRegistration(const WorkerRegistration& given, MonotonicTime now) {
-  if (given.sequence && given.sequence <= registration.sequence)
-    return;  // overtaken
-  lastContactAt = now;
-  probesLeft = options.maxInstanceProbes;
-  const WorkerRegistration before = std::exchange(registration, given);
-  if (before.draining && !given.draining) {
-    registration.draining = true;
-    registration.drainTimeout = before.drainTimeout;
-  }
-  if (!registration.clockReading)
-    registration.clockReading = before.clockReading;
-  retireIfDraining();
-  observeWorkerClock(given.clockReading, ClockSource::registration, now);
-}
-
-void NodeAgent::considerCandidate(const WorkerRegistration& given, MonotonicTime now) {
-  const bool isNew = !candidate || candidate->registration.workerInstance != given.workerInstance;
-  if (isNew)
-    candidate = CandidateInstance{given, 0, now, false};
-  else if (!given.sequence || given.sequence > candidate->registration.sequence) {
-    const bool leaving = candidate->registration.draining || given.draining;
-    candidate->registration = given;
-    candidate->registration.draining = leaving;
-  }
-  candidate->probesLeft = options.maxInstanceProbes;
-}
-
-std::optional<WorkerCall> NodeAgent::probeCandidate(MonotonicTime now) {
-  if (!candidate || candidate->probeInFlight || !candidate->probesLeft ||
-      now < candidate->nextProbeAt)
-    return std::nullopt;
-  candidate->probeInFlight = true;
-  --candidate->probesLeft;
-  WorkerCall call;
-  call.kind = WorkerCall::Kind::poll;
-  call.callId = nextCallId++;
-  call.workerInstance = candidate->registration.workerInstance;
-  call.fencingTerm = term;
-  return call;
+  contact.noteContact(now);
+  observeWorkerClock(given.clockReading, WorkerLease::ClockSource::registration, now);
 }
 
-void NodeAgent::onCandidateReply(const WorkerCall& call, const WorkerReply& reply,
-                                 MonotonicTime now) {
-  if (!candidate || call.workerInstance != candidate->registration.workerInstance)
-    return;
-  candidate->probeInFlight = false;
-  candidate->nextProbeAt = now + lookForLifeAgain;
-  if (reply.status == WorkerReply::Status::instanceMismatch)
-    candidate.reset();  // an account that came late, of a life that is over
-  else if (reply.status == WorkerReply::Status::ok || reply.status == WorkerReply::Status::fenced)
-    adoptInstance(WorkerRegistration(candidate->registration), true, now);
+bool NodeAgent::onDrainNotice(const WorkerId& instance, Duration drainTimeout, MonotonicTime now) {
+  const auto standing = instances.onDrainNotice(instance, drainTimeout);
+  if (standing == InstanceTracker::Standing::current)
+    contact.noteContact(now);
+  return standing != InstanceTracker::Standing::unknown;
 }
 
-// What stands at the address is told by answers only: each names the life that it is meant for.
-void NodeAgent::updateInstanceConfirmation(const WorkerCall& call, const WorkerReply& reply) {
-  if (reply.status == WorkerReply::Status::instanceMismatch) {
-    instanceConfirmed = false;
-    probesLeft = 0;  // until the next account of this life
-  } else if (call.kind == WorkerCall::Kind::poll && (reply.status == WorkerReply::Status::ok ||
-                                                     reply.status == WorkerReply::Status::fenced))
-    instanceConfirmed = true;
+void NodeAgent::observeWorkerClock(const std::optional<WorkerTime>& reading,
+                                   WorkerLease::ClockSource source, MonotonicTime now) {
+  if (lease.observeClock(reading, source, now))
+    recordLeaseExpiry(now);
 }
 
-bool NodeAgent::onDrainNotice(const WorkerId& life, Duration within, MonotonicTime now) {
-  if (formerInstances.count(life))
-    return true;
-  WorkerRegistration* known = nullptr;
-  if (life == registration.workerInstance)
-    known = &registration;
-  else if (candidate && life == candidate->registration.workerInstance)
-    known = &candidate->registration;
-  if (!known) {
-    if (earlyDrainNotices.size() >= announcedAtMost)
-      earlyDrainNotices.erase(earlyDrainNotices.begin());
-    earlyDrainNotices[life] = within;
-    return false;
-  }
-  if (!known->draining) {
-    known->draining = true;
-    known->drainTimeout = within;
-  }
-  if (known != &registration) {
-    candidate->probesLeft = options.maxInstanceProbes;
-    return true;
-  }
-  lastContactAt = std::max(lastContactAt, now);
-  retireIfDraining();
-  return true;
-}
-
-// The leader holds this life for gone, and it is not reported anew when it leaves.
-void NodeAgent::retireIfDraining() {
-  instanceEnded = instanceEnded || (retired && registration.draining);
-}
-
-bool NodeAgent::drainAcknowledged(const WorkerId& life) const {
-  if (formerInstances.count(life))
-    return true;
-  return life == registration.workerInstance &&
-         (instanceEnded || (registration.draining && drainReported));
-}
-
-void NodeAgent::observeWorkerClock(const std::optional<WorkerTime>& told, ClockSource source,
-                                   MonotonicTime now) {
-  if (!told)
-    return;
-  // An account may be seconds old: it tells what the clock shows at least, never at most.
-  if (source == ClockSource::reply && (!repliedClock || *told > *repliedClock)) {
-    repliedClock = told;
-    repliedClockAt = now;
-  }
-  if (workerClock && *told <= *workerClock)
-    return;
-  workerClock = told;
-  workerClockAt = now;
-  recordLeaseExpiry(now);
-}
-
-// What had ended when the hold ran out, and was not confirmed, is void. docs/design.md 5.5. Its
-// clock may be slow: before the hold has surely run out nothing is called void, and while it may
-// have nothing renews it. docs/design.md 5.8.
+// Successes that were not confirmed when the lease expired are void. The worker's clock may be
+// slow: nothing is called void before the lease has surely expired. docs/design.md 5.5, 5.8.
 void NodeAgent::recordLeaseExpiry(MonotonicTime now) {
-  if (!grantedDeadline || !workerClock || expiryRecorded ||
-      earliestWorkerClock(now) < *grantedDeadline)
+  if (!lease.recordExpiry(now) || (runs.empty() && results.empty()))
     return;
-  expiryRecorded = true;
-  if (runs.empty() && pendingResults.empty())
-    return;
-  leaseExpired = true;
-  firstPollAfterExpiry = pollsBegun + 1;
-  for (auto& ending : pendingResults)
-    if (ending.result.outcome == AttemptOutcome::succeeded && ending.sequenceNumber)
-      ending.result.outcome = AttemptOutcome::stopped;
-}
-
-// What a clock that may be slow surely shows by now; and whether a true one may show the end of the
-// hold already.
-WorkerTime NodeAgent::earliestWorkerClock(MonotonicTime now) const {
-  return *workerClock +
-         Duration{std::int64_t(double((now - workerClockAt).milliseconds) * options.minClockRate)};
-}
-bool NodeAgent::leaseMayHaveExpired(MonotonicTime now) const {
-  if (!grantedDeadline || !workerClock || expiryRecorded)
-    return false;
-  return !repliedClock || *repliedClock + (now - repliedClockAt) + answerTakes > *grantedDeadline;
-}
-
-// The lease as a time on the worker's clock. Counted as if that clock were slow, it is never later
-// than the lease.
-std::optional<WorkerTime> NodeAgent::nextLeaseDeadline(MonotonicTime now) const {
-  if (!workerClock || leaderLeaseUntil <= now)
-    return std::nullopt;
-  const Duration left =
-      std::min({leaderLeaseUntil - now, options.maxWorkerLease, options.workerLease});
-  return *workerClock +
-         Duration{std::int64_t(double((now - workerClockAt).milliseconds + left.milliseconds) *
-                               options.minClockRate)};
-}
-
-// How long its tasks may yet run if it can't be reached, on a true clock.
-Duration NodeAgent::remainingWorkerLease(MonotonicTime now) const {
-  if (!grantedDeadline || !workerClock)
-    return options.maxWorkerLease;
-  const double read = double(workerClock->milliseconds) +
-                      double((now - workerClockAt).milliseconds) * options.minClockRate;
-  return Duration{std::max<std::int64_t>(
-      0, std::int64_t((double(grantedDeadline->milliseconds) - read) / options.minClockRate) + 1)};
-}
-
-OrderNumber NodeAgent::lastAppliedOrder() const {
-  return openOrders.empty() ? received
-                            : std::min(received, OrderNumber{openOrders.begin()->value - 1});
+  polls.noteLeaseExpired();
+  results.voidSuccesses();
 }
 
 SyncReport NodeAgent::makeSyncReport(MonotonicTime now) {
   recordLeaseExpiry(now);
+  const WorkerRegistration& registration = instances.current();
   SyncReport report;
   report.id = registration.workerInstance;
-  report.incarnation = incarnation;
+  report.incarnation = instances.incarnation();
   report.capacity = registration.capacity;
   report.wantsPackedResponse = true;
-  report.lastReceivedOrder = received;
-  report.lastAppliedOrder = reportedApplied = lastAppliedOrder();
-  reportedAppliedAt = now;
-  for (auto& ending : pendingResults) {
-    report.runResults.push_back(ending.result);
-    ending.reported = true;
-    if (report.runResults.size() >= 500)
-      break;
-  }
-  for (const auto& [name, saved] : pendingCheckpoints)
-    report.checkpoints.push_back({name, saved});
+  report.lastReceivedOrder = orders.received();
+  report.lastAppliedOrder = lastAppliedOrder();
+  orders.noteReported(report.lastAppliedOrder, now);
+  results.fillReport(report);
   report.reportedAt = now;
-  report.unresponsive = reportedUnresponsive = isUnresponsive(now);
-  if (report.unresponsive) {
-    report.remainingLease = remainingWorkerLease(now);
-    startsBlocked = true;
-    reportedUnresponsiveAt = now;
-  }
+  report.unresponsive = contact.makeReport(now);
+  if (report.unresponsive)
+    report.remainingLease = lease.remaining(now);
   report.draining = registration.draining;
   report.drainTimeout = registration.drainTimeout;
   return report;
 }
 
-bool NodeAgent::isUnresponsive(MonotonicTime now) const {
-  return callUnanswered && now - lastContactAt > options.unresponsiveAfter;
-}
-
 bool NodeAgent::hasUrgentReport(MonotonicTime now) const {
-  if (!mayReport() || now < retiredUntil)
+  if (!mayReport() || !instances.retirementOver(now))
     return false;
-  if ((registration.draining && !drainReported) || isUnresponsive(now) != reportedUnresponsive)
-    return true;
-  if (std::any_of(pendingResults.begin(), pendingResults.end(),
-                  [](const PendingResult& ending) { return !ending.reported; }))
+  if (instances.drainUnreported() || contact.reportOutdated(now) || results.hasUnreported())
     return true;
-  return lastAppliedOrder() != reportedApplied && now - reportedAppliedAt > Duration{400};
+  return !orders.isReported(lastAppliedOrder()) && now >= orders.nextReportAt();
 }
 
-void NodeAgent::onSyncResponse(const SyncReport& asked, const SyncResponse& answer,
+void NodeAgent::onSyncResponse(const SyncReport& report, const SyncResponse& response,
                                MonotonicTime sentAt, MonotonicTime now) {
-  if (asked.id != registration.workerInstance || asked.incarnation != incarnation ||
-      answer.term < term)
+  if (report.id != workerInstance() || report.incarnation != instances.incarnation() ||
+      response.term < term)
     return;
-  term = answer.term;
-  const Duration leaseGranted = std::min(answer.lease, options.maxWorkerLease);
-  if (!asked.unresponsive) {
-    // Only a word given after the last one of its unresponsiveness: until a leader has heard that,
-    // what it was told still stands.
-    if (!isUnresponsive(now) && asked.reportedAt > reportedUnresponsiveAt)
-      startsBlocked = false;
-    lastKnownOrder = std::max(lastKnownOrder, answer.ordersAfter);
-    leaderLease = leaseGranted;
-    leaderLeaseUntil = std::max(leaderLeaseUntil, sentAt + leaseGranted);
+  term = response.term;
+  if (!report.unresponsive) {
+    contact.onReportAcknowledged(report.reportedAt, now);
+    orders.noteIssuedUpTo(response.ordersAfter);
+    lease.extendLeaderLease(std::min(response.lease, options.maxWorkerLease), sentAt);
   }
-  if (asked.draining)
-    drainReported = true;
-  for (const auto& save : asked.checkpoints)
-    if (auto found = pendingCheckpoints.find(save.runId);
-        found != pendingCheckpoints.end() && found->second == save.checkpoint)
-      pendingCheckpoints.erase(found);
-  for (std::size_t place = 0; place < answer.finalResultCount && place < asked.runResults.size();
-       ++place) {
-    const auto& name = asked.runResults[place].runId;
-    for (auto ending = pendingResults.begin(); ending != pendingResults.end(); ++ending)
-      if (ending->result.runId == name) {
-        // Endings are final in the order of their numbers only: the worker forgets all up to one.
-        if (ending->sequenceNumber && ending != pendingResults.begin())
-          break;
-        confirmedUpTo = std::max(confirmedUpTo, ending->sequenceNumber);
-        pendingResults.erase(ending);
-        break;
-      }
+  if (report.draining)
+    instances.noteDrainReported();
+  results.confirm(report, response.finalResultCount);
+  // Orders under a lease that is over are not followed. docs/design.md 5.3.
+  if (lease.leaderLeaseValid(now))
+    receiveOrders(response, now);
+}
+
+void NodeAgent::receiveOrders(const SyncResponse& response, MonotonicTime now) {
+  const auto received = orders.receive(response);
+  for (const Order* order : received.orders) {
+    applyOrder(*order, now);
+    if (received.firstResponse)
+      runs.assumeMaybeStarted(TaskRunId::of(*order));
   }
-  if (now >= leaderLeaseUntil)
-    return;  // too late to be followed, docs/design.md 5.3
-  receiveOrders(answer, now);
 }
 
-// Answers overtake each other, so orders may come with a gap before them; each is carried out when
-// it comes. A new process begins where the leader does, and an earlier one may have begun to carry
-// out what comes first. docs/design.md 5.8.
-void NodeAgent::receiveOrders(const SyncResponse& answer, MonotonicTime now) {
-  auto has = [&](OrderNumber number) {
-    return number <= received ||
-           std::any_of(receivedSpans.begin(), receivedSpans.end(), [&](const auto& span) {
-             return number > span.first && number <= span.second;
-           });
-  };
-  const bool first = !syncedOnce;
-  syncedOnce = true;
-  if (answer.orders.empty())
-    return;
-  const OrderNumber before{answer.orders.front().number.value - 1};
-  if (received == OrderNumber{}) {
-    if (answer.ordersAfter > received)
-      return;  // earlier ones were in an answer that did not come: all come again
-    received = before;
-  }
-  for (const auto& order : answer.orders) {
-    if (has(order.number))
-      continue;
-    applyOrder(order, now);
-    if (auto work = runs.find(TaskRunId::of(order)); first && work != runs.end())
-      work->second.maybeStarted = true;
-  }
-  auto& upTo = receivedSpans[before];
-  upTo = std::max(upTo, answer.orders.back().number);
-  while (!receivedSpans.empty() && receivedSpans.begin()->first <= received) {
-    received = std::max(received, receivedSpans.begin()->second);
-    receivedSpans.erase(receivedSpans.begin());
+void NodeAgent::applyOrder(const Order& order, MonotonicTime now) {
+  const TaskRunId runId = TaskRunId::of(order);
+  const bool known = runs.contains(runId);
+  if (!known && results.contains(runId))
+    return;  // it is over
+  switch (order.kind) {
+    case OrderKind::start:
+    case OrderKind::stage:
+      return runs.start(runId, order, now);
+    case OrderKind::launch:
+      // A gang's part is staged here and not at the worker, which knows starts only: one that an
+      // earlier process of this agent has staged was never started. docs/design.md 7.3.
+      if (!known)
+        return recordResult(0, {runId, AttemptOutcome::neverStarted, ""});
+      return runs.launch(runId, order, now);
+    case OrderKind::stop:
+      return runs.stop(runId, order, now);
+    case OrderKind::suspend:
+    case OrderKind::resume:
+      return;  // workers that are called can't suspend a run
   }
 }
 
 void NodeAgent::onDeclaredGone(MonotonicTime now) {
-  // Whatever still runs there dies with its hold; only then may this worker be used under another
-  // incarnation.
   runs.clear();
-  pendingResults.clear();
-  pendingCheckpoints.clear();
-  openOrders.clear();
-  receivedSpans.clear();
-  received = reportedApplied = lastKnownOrder = OrderNumber{};
-  incarnation = incarnation.next();
-  leaderLeaseUntil = MonotonicTime{0};
-  retired = true;
-  retireIfDraining();  // such a one is never used again, under whatever incarnation
-  retiredUntil = now + Duration{options.maxWorkerLease.milliseconds * 11 / 10 + 500};
+  results.clear();
+  orders.reset();
+  lease.revokeLeaderLease();
+  const std::int64_t longest = options.maxWorkerLease.milliseconds * retirementPercent / 100;
+  instances.retireUntil(now + Duration{longest} + retirementMargin);
 }
 
-void NodeAgent::applyOrder(const Order& order, MonotonicTime now) {
-  const TaskRunId name = TaskRunId::of(order);
-  auto found = runs.find(name);
-  if (order.kind == OrderKind::start || order.kind == OrderKind::stage) {
-    if (found != runs.end())
-      return;
-    if (hasPendingResult(name))
-      return;
-    TrackedRun work;
-    work.order = order;
-    work.notBefore = now;
-    work.staged = order.kind == OrderKind::stage;
-    if (!work.staged) {
-      work.openOrders.push_back(order.number);
-      openOrders.insert(order.number);
-    }
-    runs.emplace(name, std::move(work));
-    return;
-  }
-  if (order.kind == OrderKind::launch)
-    return releaseStagedRun(order, name, now);
-  if (order.kind != OrderKind::stop)
-    return;
-  if (found == runs.end()) {
-    if (hasPendingResult(name))
-      return;
-    // Of a start that this process never saw: it is fenced all the same, and a look tells what
-    // became of it.
-    TrackedRun work;
-    work.order = order;
-    work.maybeStarted = true;
-    found = runs.emplace(name, std::move(work)).first;
+std::vector<WorkerCall> NodeAgent::takeCalls(MonotonicTime now) {
+  std::vector<WorkerCall> calls;
+  recordLeaseExpiry(now);
+  instances.tick(now);
+  if (auto probe = instances.takeCandidateProbe(now)) {
+    probe->callId = nextCallId++;
+    probe->fencingTerm = term;
+    calls.push_back(std::move(*probe));
   }
-  found->second.wanted = false;
-  found->second.openOrders.push_back(order.number);
-  openOrders.insert(order.number);
-  found->second.notBefore = now;
+  if (!instances.usable(now))
+    return calls;
+  addRunCalls(calls, now);
+  if (pollDue(now) && !mustLetLeaseExpire(now))
+    calls.push_back(makePoll(now));
+  return calls;
 }
 
-// A gang's part is staged here, not at the worker, which knows starts only. docs/design.md 7.3.
-void NodeAgent::releaseStagedRun(const Order& order, const TaskRunId& name, MonotonicTime now) {
-  auto found = runs.find(name);
-  if (found == runs.end()) {
-    // Staged by an earlier process of this agent: it was never begun.
-    if (!hasPendingResult(name))
-      recordResult(name, AttemptOutcome::neverStarted, 0, "");
-    return;
-  }
-  if (!found->second.staged)
-    return;
-  found->second.staged = false;
-  found->second.notBefore = now;
-  found->second.openOrders.push_back(order.number);
-  openOrders.insert(order.number);
+void NodeAgent::addRunCalls(std::vector<WorkerCall>& calls, MonotonicTime now) {
+  using NextStep = TrackedRun::NextStep;
+  std::vector<TaskRunResult> neverStarted;
+  runs.visitCallable(now, [&](const TaskRunId& runId, TrackedRun& run) {
+    switch (run.nextStep(instances.current().draining)) {
+      case NextStep::none:
+        return;
+      case NextStep::start:
+        // Each call may grant a later deadline, so this is asked anew for each.
+        if (!startsBlocked(now))
+          calls.push_back(makeRunCall(WorkerCall::Kind::start, runId, run, now));
+        return;
+      case NextStep::stop:
+        calls.push_back(makeRunCall(WorkerCall::Kind::stop, runId, run, now));
+        return;
+      case NextStep::reportNeverStarted:
+        neverStarted.push_back({runId, run.outcomeWithoutRun(), ""});
+        return;
+    }
+  });
+  for (auto& result : neverStarted)
+    recordResult(0, std::move(result));
 }
 
-void NodeAgent::markOrdersApplied(TrackedRun& work) {
-  for (auto number : work.openOrders)
-    openOrders.erase(number);
-  work.openOrders.clear();
+bool NodeAgent::startsBlocked(MonotonicTime now) const {
+  return polls.leaseExpired() || contact.startsBlocked() || orders.hasGap() ||
+         contact.unresponsive(now) || !lease.leaderLeaseValid(now) || !lease.clockKnown() ||
+         mustLetLeaseExpire(now);
 }
 
-void NodeAgent::recordResult(const TaskRunId& name, AttemptOutcome kind, std::uint64_t number,
-                             std::string saved) {
-  auto found = runs.find(name);
-  if (found != runs.end()) {
-    markOrdersApplied(found->second);
-    runs.erase(found);
-  }
-  pendingCheckpoints.erase(name);
-  latestCheckpoints.erase(name);
-  PendingResult ending{number, TaskRunResult{name, kind, std::move(saved)}, false};
-  if (!number)
-    pendingResults.push_back(std::move(ending));
-  else {
-    auto place =
-        std::find_if(pendingResults.begin(), pendingResults.end(), [&](const PendingResult& other) {
-          return other.sequenceNumber == 0 || other.sequenceNumber > number;
-        });
-    pendingResults.insert(place, std::move(ending));
-  }
+// While the lease may have expired nothing renews it if there are unconfirmed results: they may be
+// void at the worker, and are to be found so here. docs/design.md 5.8.
+bool NodeAgent::mustLetLeaseExpire(MonotonicTime now) const {
+  return lease.mayHaveExpired(now) && !results.empty();
 }
 
-void NodeAgent::requireNewPoll(TrackedRun& work) {
-  work.stateKnown = false;
-  work.decidingPoll = pollsBegun + 1;
+WorkerCall NodeAgent::makeCall(WorkerCall::Kind kind, MonotonicTime now) {
+  WorkerCall call;
+  call.kind = kind;
+  call.callId = nextCallId++;
+  call.workerInstance = workerInstance();
+  call.fencingTerm = term;
+  // A stop extends no lease. Nor does any call while the leader may take the worker for
+  // unresponsive, so that the remaining lease which was reported stays true.
+  if (kind != WorkerCall::Kind::stop) {
+    const bool keepLease = contact.unresponsive(now) || contact.startsBlocked();
+    call.leaseDeadline = keepLease ? lease.granted() : lease.nextDeadline(now);
+  }
+  lease.grant(call.leaseDeadline);
+  return call;
 }
 
-Duration NodeAgent::leaseRenewalInterval() const {
-  return std::clamp(Duration{std::min(leaderLease, options.workerLease).milliseconds / 4},
-                    Duration{100}, options.maxLongPollTimeout);
-}
-// A look that is lost with its whole wait leaves a second of the hold that it asks for, in which
-// others are made. What is left of the lease is what counts: the leader renews that once a sync
-// only.
-Duration NodeAgent::longPollTimeout(MonotonicTime now) const {
-  const std::int64_t left = std::min(leaderLeaseUntil - now, options.workerLease).milliseconds;
-  return std::min(std::max(leaseRenewalInterval(), Duration{std::min(left / 2, left - 1000)}),
-                  options.maxLongPollTimeout);
+WorkerCall NodeAgent::makeRunCall(WorkerCall::Kind kind, const TaskRunId& runId, TrackedRun& run,
+                                  MonotonicTime now) {
+  WorkerCall call = makeCall(kind, now);
+  call.runId = runId;
+  if (kind == WorkerCall::Kind::start) {
+    call.payload = run.order().payload;
+    call.checkpoint = run.order().checkpoint;
+    call.order = run.order();
+  }
+  runs.beginCall(run);
+  return call;
 }
 
-// What surely runs is not among it: when a stop of it has done its work a look that waits comes
-// back with the ending.
-bool NodeAgent::hasUncertainRuns() const {
-  return std::any_of(runs.begin(), runs.end(), [](const auto& entry) {
-    return !entry.second.stateKnown && !entry.second.running;
-  });
-}
-bool NodeAgent::hasUnconfirmedResults() const {
-  return std::any_of(pendingResults.begin(), pendingResults.end(),
-                     [](const PendingResult& ending) { return ending.sequenceNumber != 0; });
+WorkerCall NodeAgent::makePoll(MonotonicTime now) {
+  WorkerCall call = makeCall(WorkerCall::Kind::poll, now);
+  call.confirmedUpTo = results.confirmedUpTo();
+  call.longPollTimeout = pollAnswersAtOnce() ? Duration{0} : lease.longPollTimeout(now);
+  call.timeout = call.longPollTimeout + pollReplyTimeout;
+  if (!instances.confirmed())
+    instances.useConfirmationProbe();
+  call.callId = polls.begin(now);
+  return call;
 }
-bool NodeAgent::hasPendingResult(const TaskRunId& name) const {
-  return std::any_of(pendingResults.begin(), pendingResults.end(),
-                     [&](const PendingResult& ending) { return ending.result.runId == name; });
+
+// A poll that is to show something that is known to be there, or whether the worker answers at all,
+// waits for no result.
+bool NodeAgent::pollAnswersAtOnce() const {
+  return !instances.confirmed() || !polls.everCompleted() || polls.leaseExpired() ||
+         contact.lastCallUnanswered() || runs.anyUncertain() || results.hasWorkerResults() ||
+         polls.moreResults();
 }
 
 bool NodeAgent::pollDue(MonotonicTime now) const {
-  if (pollInFlight || registration.workerInstance.value.empty() || instanceEnded ||
-      now < retiredUntil)
+  if (polls.inFlight())
     return false;
-  if (!instanceConfirmed)
-    return probesLeft && now - lastPollAt >= lookForLifeAgain;
-  if (term == Term{} || leaderLeaseUntil <= now)
+  const Duration sinceLast = polls.sinceLast(now);
+  if (!instances.confirmed())
+    return instances.confirmationProbeDue(sinceLast);
+  if (term == Term{} || !lease.leaderLeaseValid(now))
     return false;
-  if (!everPolled || leaseExpired)
+  if (!polls.everCompleted() || polls.leaseExpired())
     return true;
-  if (hasUncertainRuns())
-    return now - lastPollAt >=
-           (pendingResults.empty() ? Duration{20} : options.uncertainPollInterval);
-  if (callUnanswered && now - lastPollAt < Duration{250})
-    return false;
-  const bool running =
-      callUnanswered ||
-      std::any_of(runs.begin(), runs.end(), [](const auto& entry) { return entry.second.running; });
-  if (!running && !moreResults)  // one that leaves is looked at until it answers no more
-    return registration.draining && drainReported &&
-           now - lastPollAt >= options.drainingPollInterval;
-  // While endings wait to be confirmed a look would only tell them again; it is due all the same to
-  // keep the hold up.
-  return !hasUnconfirmedResults() ||
-         now - lastPollAt >= std::max(leaseRenewalInterval(), Duration{500});
+  if (runs.anyUncertain())
+    return sinceLast >= (results.empty() ? shortPollInterval : options.uncertainPollInterval);
+  return routinePollDue(now);
 }
 
-std::vector<WorkerCall> NodeAgent::takeCalls(MonotonicTime now) {
-  std::vector<WorkerCall> calls;
-  recordLeaseExpiry(now);
-  retired = retired && now < retiredUntil;
-  if (auto call = probeCandidate(now))
-    calls.push_back(std::move(*call));
-  if (registration.workerInstance.value.empty() || instanceEnded || now < retiredUntil)
-    return calls;
-  auto make = [&](WorkerCall::Kind kind) {
-    WorkerCall call;
-    call.kind = kind;
-    call.callId = nextCallId++;
-    call.workerInstance = registration.workerInstance;
-    call.fencingTerm = term;
-    // A stop extends no hold; and what the leader was told of a unresponsive worker stays true.
-    if (kind != WorkerCall::Kind::stop)
-      call.leaseDeadline =
-          isUnresponsive(now) || startsBlocked ? grantedDeadline : nextLeaseDeadline(now);
-    if (call.leaseDeadline && (!grantedDeadline || *grantedDeadline < *call.leaseDeadline)) {
-      grantedDeadline = call.leaseDeadline;
-      expiryRecorded = false;
-    }
-    return call;
-  };
-  std::vector<TaskRunId> never;
-  for (auto& [name, work] : runs) {
-    if (work.callInFlight || work.notBefore > now || callsInFlight >= options.maxConcurrentCalls)
-      continue;
-    if (work.staged && work.wanted && !registration.draining)
-      continue;
-    if (work.wanted && !work.running && work.stateKnown && !work.startAbandoned) {
-      if (registration.draining &&
-          !work.maybeStarted) {  // docs/design.md 5.7: nothing starts once the word is given
-        never.push_back(name);
-        continue;
-      }
-      if (registration.draining)
-        work.startAbandoned = true;
-      else {
-        if (leaseExpired || startsBlocked || lastKnownOrder > received || isUnresponsive(now) ||
-            leaderLeaseUntil <= now || !workerClock ||
-            (leaseMayHaveExpired(now) && !pendingResults.empty()))
-          continue;
-        auto call = make(WorkerCall::Kind::start);
-        call.runId = name;
-        call.payload = work.order.payload;
-        call.checkpoint = work.order.checkpoint;
-        call.order = work.order;
-        calls.push_back(std::move(call));
-        work.callInFlight = true;
-        ++callsInFlight;
-        continue;
-      }
-    }
-    if ((!work.wanted || work.startAbandoned) && !work.stopAcknowledged) {
-      // What was never sent needs no stop: no call of it can be on its way.
-      if (!work.running && !work.maybeStarted) {
-        never.push_back(name);
-        continue;
-      }
-      auto call = make(WorkerCall::Kind::stop);
-      call.runId = name;
-      calls.push_back(std::move(call));
-      work.callInFlight = true;
-      ++callsInFlight;
-    }
-  }
-  for (const auto& name : never)
-    recordResult(
-        name, runs[name].rejected ? AttemptOutcome::rejected : AttemptOutcome::neverStarted, 0, "");
-  if (pollDue(now) && !(leaseMayHaveExpired(now) && !pendingResults.empty())) {
-    auto call = make(WorkerCall::Kind::poll);
-    call.confirmedUpTo = confirmedUpTo;
-    call.longPollTimeout = !instanceConfirmed || !everPolled || leaseExpired || callUnanswered ||
-                                   hasUncertainRuns() || hasUnconfirmedResults() || moreResults
-                               ? Duration{0}
-                               : longPollTimeout(now);
-    call.timeout = call.longPollTimeout + Duration{400};
-    if (!instanceConfirmed)
-      --probesLeft;
-    pollInFlight = true;
-    ++pollsBegun;
-    call.callId = pollsBegun;
-    lastPollAt = now;
-    calls.push_back(std::move(call));
-  }
-  return calls;
+// Polls that follow what runs, and keep the worker's lease up.
+bool NodeAgent::routinePollDue(MonotonicTime now) const {
+  const Duration sinceLast = polls.sinceLast(now);
+  if (contact.lastCallUnanswered() && sinceLast < unansweredPollInterval)
+    return false;
+  // A draining worker is polled until it replies no more.
+  if (!contact.lastCallUnanswered() && !runs.anyRunning() && !polls.moreResults())
+    return instances.drainKnownToLeader() && sinceLast >= options.drainingPollInterval;
+  // While results wait to be confirmed a poll would only repeat them; one is due all the same to
+  // renew the lease.
+  return !results.hasWorkerResults() ||
+         sinceLast >= std::max(lease.renewalInterval(), minUnconfirmedPollInterval);
 }
 
 void NodeAgent::onWorkerReply(const WorkerCall& call, const WorkerReply& reply, MonotonicTime now) {
-  if (call.workerInstance != registration.workerInstance)
+  if (call.workerInstance != workerInstance())
     return onCandidateReply(call, reply, now);
-  const bool look = call.kind == WorkerCall::Kind::poll;
-  if (look && (!pollInFlight || call.callId != pollsBegun))
-    return;  // of one that was given up: a newer one tells, or has told
-  if (look)
-    pollInFlight = false;
-  else if (callsInFlight > 0)
-    --callsInFlight;
-  observeWorkerClock(reply.clockReading, ClockSource::reply, now);
-  updateInstanceConfirmation(call, reply);
-  if (reply.status == WorkerReply::Status::noResponse)
-    callUnanswered = true;
-  else {
-    callUnanswered = false;
-    lastContactAt = now;
-  }
-  if (call.kind == WorkerCall::Kind::poll) {
-    if (reply.status == WorkerReply::Status::ok)
-      onPollReply(call, reply, now);
+  const bool isPoll = call.kind == WorkerCall::Kind::poll;
+  // A poll that was given up says nothing: a newer one says it, or has said it.
+  if (isPoll && !polls.finish(call))
     return;
-  }
-  auto found = runs.find(call.runId);
-  if (found == runs.end())
-    return;  // its ending was seen meanwhile
-  TrackedRun& work = found->second;
-  work.callInFlight = false;
-  const bool start = call.kind == WorkerCall::Kind::start;
-  switch (reply.status) {
-    case WorkerReply::Status::ok:
-      if (start) {
-        work.running = true;
-        if (work.wanted)
-          markOrdersApplied(work);
-      } else {
-        work.stopAcknowledged = true;
-        requireNewPoll(work);
-      }
-      return;
-    case WorkerReply::Status::noResponse:
-      work.maybeStarted = true;
-      work.notBefore = now + Duration{20};
-      return;
-    case WorkerReply::Status::staleRun:
-      work.maybeStarted = true;  // it was there before, or a later one is: a look tells
-      if (start)
-        requireNewPoll(work);
-      else
-        work.notBefore = now + Duration{100};
-      return;
-    case WorkerReply::Status::deadlineExceeded:
-      work.notBefore = now + Duration{50};  // with the next lease
-      return;
-    case WorkerReply::Status::unavailable:
-      if (++work.unavailableReplies < 3 || !start) {
-        work.notBefore = now + Duration{std::int64_t(50) << std::min(work.unavailableReplies, 4u)};
-        return;
-      }
-      [[fallthrough]];
-    case WorkerReply::Status::insufficientCapacity:
-      if (start)
-        work.startAbandoned = work.rejected = true;
-      else
-        work.notBefore = now + Duration{100};
-      return;
-    case WorkerReply::Status::fenced:
-      work.notBefore = now + Duration{200};  // a newer leader has been here: its sync tells
-      return;
-    case WorkerReply::Status::invalidRequest:
-      if (start)
-        work.startAbandoned = true;
-      else {
-        work.stopAcknowledged = true;
-        requireNewPoll(work);
-      }
-      return;
-    case WorkerReply::Status::instanceMismatch:
-      work.notBefore = now + Duration{300};  // the next account of itself will tell
-      return;
-  }
+  observeWorkerClock(reply.clockReading, WorkerLease::ClockSource::reply, now);
+  instances.onCurrentReply(call, reply.status);
+  if (reply.status == WorkerReply::Status::noResponse)
+    contact.noteUnanswered();
+  else
+    contact.noteReply(now);
+  if (!isPoll)
+    runs.onReply(call, reply.status, now, polls.nextNumber());
+  else if (reply.status == WorkerReply::Status::ok)
+    onPollReply(call, reply, now);
+}
+
+void NodeAgent::onCandidateReply(const WorkerCall& call, const WorkerReply& reply,
+                                 MonotonicTime now) {
+  if (const auto proven = instances.onCandidateReply(call, reply.status, now))
+    adoptInstance(*proven, true, now);
 }
 
 void NodeAgent::onPollReply(const WorkerCall& call, const WorkerReply& reply, MonotonicTime now) {
-  everPolled = true;
-  lastPollAt = now;
+  polls.onReply(reply, now);
   std::set<TaskRunId> seen;
-  for (const auto& active : reply.runningTasks) {
-    seen.insert(active.runId);
-    if (!active.checkpoint.empty() && latestCheckpoints[active.runId] != active.checkpoint) {
-      latestCheckpoints[active.runId] = active.checkpoint;
-      pendingCheckpoints[active.runId] = active.checkpoint;
-    }
-    auto [found, isNew] = runs.try_emplace(active.runId);
-    TrackedRun& work = found->second;
-    if (isNew)
-      work.wanted = true;  // begun by an earlier process: it is watched, never begun or stopped of
-                           // our own accord
-    work.running = true;
-    if (work.wanted && !work.callInFlight) {
-      work.stateKnown = true;
-      markOrdersApplied(work);
-    }
+  for (const auto& task : reply.runningTasks) {
+    seen.insert(task.runId);
+    results.noteCheckpoint(task.runId, task.checkpoint);
+    runs.seenRunning(task.runId);
   }
-  for (const auto& ended : reply.results) {
-    seen.insert(ended.runId);
-    if (ended.sequenceNumber <= confirmedUpTo || ended.sequenceNumber <= highestResult)
+  for (const auto& result : reply.results) {
+    seen.insert(result.runId);
+    if (!results.isNew(result.sequenceNumber))
       continue;
-    highestResult = ended.sequenceNumber;
-    recordResult(ended.runId,
-                 leaseExpired && ended.outcome == AttemptOutcome::succeeded
-                     ? AttemptOutcome::stopped
-                     : ended.outcome,
-                 ended.sequenceNumber, ended.checkpoint);
+    const bool isVoid = polls.leaseExpired() && result.outcome == AttemptOutcome::succeeded;
+    recordResult(
+        result.sequenceNumber,
+        {result.runId, isVoid ? AttemptOutcome::stopped : result.outcome, result.checkpoint});
   }
-  if (leaseExpired && call.callId >= firstPollAfterExpiry)
-    leaseExpired = false;
-  moreResults = !reply.complete;
-  // docs/design.md 5.8: what a look begun after the last call for it does not show was never begun.
+  polls.onReplyHandled(call);
+  // A list that leaves results out proves no absence.
   if (!reply.complete)
     return;
-  std::vector<TaskRunId> absent;
-  for (auto& [name, work] : runs) {
-    if (seen.count(name) || work.callInFlight)
-      continue;
-    if (!work.stateKnown && call.callId >= work.decidingPoll) {
-      if (work.stopAcknowledged || work.wanted)
-        absent.push_back(name);
-    }
-  }
-  for (const auto& name : absent) {
-    TrackedRun& work = runs[name];
-    if (work.stopAcknowledged)
-      recordResult(name, work.rejected ? AttemptOutcome::rejected : AttemptOutcome::neverStarted, 0,
-                   "");
-    else {  // `old`, yet not to be seen: what is there is another run; it is fenced before it is
-            // given up
-      work.startAbandoned = work.stateKnown = true;
-      work.maybeStarted = true;
-    }
-  }
+  for (auto& result : runs.notSeen(seen, call.callId))
+    recordResult(0, std::move(result));
+}
+
+void NodeAgent::recordResult(std::uint64_t sequenceNumber, TaskRunResult result) {
+  runs.erase(result.runId);
+  results.add(sequenceNumber, std::move(result));
 }
 
 MonotonicTime NodeAgent::nextWakeUp(MonotonicTime now) const {
-  MonotonicTime due = now + Duration{60'000};
-  if (candidate && candidate->probesLeft && !candidate->probeInFlight)
-    due = std::max(candidate->nextProbeAt, now + Duration{5});
-  if (registration.workerInstance.value.empty() || instanceEnded)
-    return due;
-  if (callUnanswered && !reportedUnresponsive)
-    due = std::min(
-        due, std::max(lastContactAt + options.unresponsiveAfter + Duration{1}, now + Duration{5}));
-  for (const auto& [name, work] : runs)
-    if (!work.callInFlight && (!work.running || !work.wanted) && !work.stopAcknowledged &&
-        !(work.staged && work.wanted))
-      due = std::min(due, std::max(work.notBefore, now + Duration{5}));
-  if (!pollInFlight && (!runs.empty() || !everPolled || callUnanswered))
-    due = std::min(due, now + Duration{25});
-  if (lastAppliedOrder() != reportedApplied)
-    due = std::min(due, std::max(reportedAppliedAt + Duration{401}, now + Duration{5}));
-  return due;
+  const MonotonicTime soonest = now + minWakeUpDelay;
+  MonotonicTime earliest = now + maxWakeUpDelay;
+  const auto wakeUpAt = [&](std::optional<MonotonicTime> time) {
+    if (time)
+      earliest = std::min(earliest, std::max(*time, soonest));
+  };
+  wakeUpAt(instances.nextCandidateProbeAt());
+  if (!instances.known() || instances.hasEnded())
+    return earliest;
+  wakeUpAt(contact.becomesUnresponsiveAt());
+  wakeUpAt(runs.nextCallAt());
+  if (!polls.inFlight() &&
+      (!runs.empty() || !polls.everCompleted() || contact.lastCallUnanswered()))
+    wakeUpAt(now + pollWakeUpDelay);
+  if (!orders.isReported(lastAppliedOrder()))
+    wakeUpAt(orders.nextReportAt());
+  return earliest;
 }
 
 }  // namespace aniseline
--- /dev/null
+++ b/source/agent/order_stream.cpp
@@ -0,0 +1,67 @@
+#include "agent/order_stream.hpp"
+
+namespace aniseline {
+
+namespace {
+
+// Applied orders are worth a sync of their own after this long; until then the ordinary syncs,
+// about one a second, carry most of them.
+constexpr Duration appliedReportDelay{400};
+
+}  // namespace
+
+OrderStream::Received OrderStream::receive(const SyncResponse& response) {
+  Received received;
+  received.firstResponse = !std::exchange(syncedOnce, true);
+  if (response.orders.empty())
+    return received;
+  const OrderNumber before{response.orders.front().number.value - 1};
+  // A new process begins where the leader does.
+  if (lastReceived == OrderNumber{}) {
+    if (response.ordersAfter > lastReceived)
+      return received;  // earlier ones were in a response that did not come: all come again
+    lastReceived = before;
+  }
+  for (const auto& order : response.orders) {
+    if (!has(order.number))
+      received.orders.push_back(&order);
+  }
+  addSpan(before, response.orders.back().number);
+  return received;
+}
+
+bool OrderStream::has(OrderNumber number) const {
+  return number <= lastReceived ||
+         std::any_of(spansBeyondGap.begin(), spansBeyondGap.end(), [&](const auto& span) {
+           return number > span.first && number <= span.second;
+         });
+}
+
+void OrderStream::addSpan(OrderNumber after, OrderNumber upTo) {
+  auto& end = spansBeyondGap[after];
+  end = std::max(end, upTo);
+  while (!spansBeyondGap.empty() && spansBeyondGap.begin()->first <= lastReceived) {
+    lastReceived = std::max(lastReceived, spansBeyondGap.begin()->second);
+    spansBeyondGap.erase(spansBeyondGap.begin());
+  }
+}
+
+OrderNumber OrderStream::applied(std::optional<OrderNumber> oldestOpen) const {
+  return oldestOpen ? std::min(lastReceived, OrderNumber{oldestOpen->value - 1}) : lastReceived;
+}
+
+void OrderStream::noteReported(OrderNumber applied, MonotonicTime now) {
+  reportedApplied = applied;
+  reportedAppliedAt = now;
+}
+
+MonotonicTime OrderStream::nextReportAt() const {
+  return reportedAppliedAt + appliedReportDelay + Duration{1};
+}
+
+void OrderStream::reset() {
+  spansBeyondGap.clear();
+  lastReceived = reportedApplied = lastIssued = OrderNumber{};
+}
+
+}  // namespace aniseline
--- /dev/null
+++ b/source/agent/poll_state.cpp
@@ -0,0 +1,34 @@
+#include "agent/poll_state.hpp"
+
+namespace aniseline {
+
+std::uint64_t PollState::begin(MonotonicTime now) {
+  pollInFlight = true;
+  lastPollAt = now;
+  return ++begun;
+}
+
+bool PollState::finish(const WorkerCall& call) {
+  if (!pollInFlight || call.callId != begun)
+    return false;
+  pollInFlight = false;
+  return true;
+}
+
+void PollState::onReply(const WorkerReply& reply, MonotonicTime now) {
+  completedOnce = true;
+  lastPollAt = now;
+  resultsLeftOut = !reply.complete;
+}
+
+void PollState::onReplyHandled(const WorkerCall& call) {
+  if (expired && call.callId >= firstPollAfterExpiry)
+    expired = false;
+}
+
+void PollState::noteLeaseExpired() {
+  expired = true;
+  firstPollAfterExpiry = nextNumber();
+}
+
+}  // namespace aniseline
--- /dev/null
+++ b/source/agent/worker_lease.cpp
@@ -0,0 +1,95 @@
+#include "agent/worker_lease.hpp"
+
+namespace aniseline {
+
+namespace {
+
+// A reply takes this long on its way at most, in bounding how far the worker's clock may be.
+constexpr Duration maxReplyLatency{50};
+// A poll that is lost with its whole wait leaves this much of the lease for further ones.
+constexpr Duration reservedForRetries{1000};
+// However short the lease is, polls that only renew it are not made more often than this.
+constexpr Duration minRenewalInterval{100};
+
+}  // namespace
+
+void WorkerLease::extendLeaderLease(Duration granted, MonotonicTime sentAt) {
+  leaderLease = granted;
+  leaderLeaseUntil = std::max(leaderLeaseUntil, sentAt + granted);
+}
+
+bool WorkerLease::observeClock(const std::optional<WorkerTime>& reading, ClockSource source,
+                               MonotonicTime now) {
+  if (!reading)
+    return false;
+  if (source == ClockSource::reply && (!repliedClock || *reading > *repliedClock)) {
+    repliedClock = reading;
+    repliedClockAt = now;
+  }
+  if (clock && *reading <= *clock)
+    return false;
+  clock = reading;
+  clockAt = now;
+  return true;
+}
+
+std::optional<WorkerTime> WorkerLease::nextDeadline(MonotonicTime now) const {
+  if (!clock || leaderLeaseUntil <= now)
+    return std::nullopt;
+  const Duration left =
+      std::min({leaderLeaseUntil - now, options.maxWorkerLease, options.workerLease});
+  return *clock + Duration{std::int64_t(double((now - clockAt).milliseconds + left.milliseconds) *
+                                        options.minClockRate)};
+}
+
+void WorkerLease::grant(const std::optional<WorkerTime>& deadline) {
+  if (!deadline || (grantedDeadline && *deadline <= *grantedDeadline))
+    return;
+  grantedDeadline = deadline;
+  expiryRecorded = false;
+}
+
+bool WorkerLease::recordExpiry(MonotonicTime now) {
+  if (!grantedDeadline || !clock || expiryRecorded || earliestReading(now) < *grantedDeadline)
+    return false;
+  expiryRecorded = true;
+  return true;
+}
+
+// What the worker's clock shows by now at least, however slow it is.
+WorkerTime WorkerLease::earliestReading(MonotonicTime now) const {
+  return *clock +
+         Duration{std::int64_t(double((now - clockAt).milliseconds) * options.minClockRate)};
+}
+
+// By a clock that runs true, which is the fastest.
+bool WorkerLease::mayHaveExpired(MonotonicTime now) const {
+  if (!grantedDeadline || !clock || expiryRecorded)
+    return false;
+  return !repliedClock ||
+         *repliedClock + (now - repliedClockAt) + maxReplyLatency > *grantedDeadline;
+}
+
+Duration WorkerLease::remaining(MonotonicTime now) const {
+  if (!grantedDeadline || !clock)
+    return options.maxWorkerLease;
+  const double reading =
+      double(clock->milliseconds) + double((now - clockAt).milliseconds) * options.minClockRate;
+  const double left = (double(grantedDeadline->milliseconds) - reading) / options.minClockRate;
+  return Duration{std::max<std::int64_t>(0, std::int64_t(left) + 1)};
+}
+
+Duration WorkerLease::renewalInterval() const {
+  const Duration lease = std::min(leaderLease, options.workerLease);
+  return std::clamp(Duration{lease.milliseconds / 4}, minRenewalInterval,
+                    options.maxLongPollTimeout);
+}
+
+// What is left of the leader's lease counts, for the leader renews that once a sync only.
+Duration WorkerLease::longPollTimeout(MonotonicTime now) const {
+  const Duration left = std::min(leaderLeaseUntil - now, options.workerLease);
+  const Duration affordable = std::min(Duration{left.milliseconds / 2}, left - reservedForRetries);
+  return std::min(std::max(renewalInterval(), affordable), options.maxLongPollTimeout);
+}
+
+}  // namespace aniseline
--- a/source/agent/worker_session.cpp
+++ b/source/agent/worker_session.cpp
@@ -9,55 +9,60 @@
   report.incarnation = incarnation;
   report.capacity = options.capacity;
   report.lastAppliedOrder = lastAppliedOrder;
-  for (const auto& [attempt, ended] : unconfirmedResults)
-    report.results.push_back({attempt, ended.outcome});
+  for (const auto& [attempt, result] : unconfirmedResults)
+    report.results.push_back({attempt, result.outcome});
   report.draining = draining;
   report.drainTimeout = drainTimeout;
-  report.longPollTimeout = hasUrgentReport() ? Duration{0} : options.longPollTimeout;
-  // Applied orders are told at once, but such a sync may then wait for new ones.
-  if (unconfirmedResults.empty() && draining == reportedDraining)
-    report.longPollTimeout = options.longPollTimeout;
+  // Applied orders are reported at once, but such a sync may then wait for new ones.
+  report.longPollTimeout = resultsOrDrainUnreported() ? Duration{0} : options.longPollTimeout;
   reportedAppliedOrder = lastAppliedOrder;
   reportedDraining = draining;
   return report;
 }
 
-bool WorkerSession::onSyncResponse(Incarnation asked, const SyncResponse& answer,
+bool WorkerSession::onSyncResponse(Incarnation reported, const SyncResponse& response,
                                    MonotonicTime sentAt, MonotonicTime now) {
   tick(now);
   // Orders are counted anew for each incarnation: another's would be taken for this one's.
-  if (asked != incarnation)
+  if (reported != incarnation)
     return false;
-  // docs/design.md 5.3: an order from a superseded leader, or under a lease that is over, is not
-  // followed.
-  if (answer.term < highestTerm || now >= sentAt + answer.lease)
+  // An order from a superseded leader, or under a lease that is over, is not followed.
+  // docs/design.md 5.3.
+  if (response.term < highestTerm || now >= sentAt + response.lease)
     return false;
-  highestTerm = answer.term;
-  for (const auto& attempt : answer.confirmedAttempts)
-    if (auto found = unconfirmedResults.find(attempt); found != unconfirmedResults.end()) {
-      if (found->second.order.attempt.value)
-        confirmedResults.emplace_back(found->second.order, found->second.outcome);
-      unconfirmedResults.erase(found);
-    }
-  if (!answer.gateways.empty())
-    knownGateways = answer.gateways;
-  leaseUntil = std::max(leaseUntil, sentAt + answer.lease);
-  const bool wasHolding = std::exchange(withoutLease, false);
-  for (const auto& order : answer.orders)
-    if (order.number == lastAppliedOrder.next()) {
-      lastAppliedOrder = order.number;
-      applyOrder(order, now);
-    }
-  if (wasHolding)
-    for (auto& [number, task] : tasks)
-      setSuspendedByLease(task, false, now);
+  highestTerm = response.term;
+  for (const auto attempt : response.confirmedAttempts)
+    confirmResult(attempt);
+  if (!response.gateways.empty())
+    knownGateways = response.gateways;
+  leaseUntil = std::max(leaseUntil, sentAt + response.lease);
+  const bool wasWithoutLease = std::exchange(withoutLease, false);
+  for (const auto& order : response.orders) {
+    if (order.number != lastAppliedOrder.next())
+      continue;
+    lastAppliedOrder = order.number;
+    applyOrder(order, now);
+  }
+  if (wasWithoutLease)
+    setAllSuspendedByLease(false, now);
   return true;
 }
 
+void WorkerSession::confirmResult(AttemptNumber attempt) {
+  auto found = unconfirmedResults.find(attempt);
+  if (found == unconfirmedResults.end())
+    return;
+  // A result without an order is of a task that never started here.
+  if (found->second.order.attempt.value)
+    confirmedResults.push_back({found->second.order, found->second.outcome});
+  unconfirmedResults.erase(found);
+}
+
 void WorkerSession::onReplaced(Incarnation next) {
-  for (auto& [attempt, task] : tasks)
+  for (const auto& [attempt, task] : tasks) {
     if (task.started)
-      commands.push_back({TaskCommand::Kind::stop, attempt, {}});
+      addCommand(TaskCommand::Kind::stop, attempt);
+  }
   tasks.clear();
   unconfirmedResults.clear();
   incarnation = next;
@@ -65,124 +70,132 @@
   withoutLease = true;
 }
 
-void WorkerSession::setSuspendedByLease(RunningTask& task, bool pause, MonotonicTime now) {
-  if (task.suspendedByLease == pause)
+void WorkerSession::setSuspended(RunningTask& task, bool RunningTask::*reason, bool suspended,
+                                 MonotonicTime now) {
+  const bool wasActive = task.isActive();
+  task.*reason = suspended;
+  if (task.isActive() == wasActive)
     return;
-  const bool before = isActive(task);
-  task.suspendedByLease = pause;
-  const bool after = isActive(task);
-  if (before && !after) {
+  if (wasActive) {
     task.timeUsed = task.timeUsed + (now - task.activeSince);
-    commands.push_back({TaskCommand::Kind::suspend, task.order.attempt, {}});
-  } else if (!before && after) {
+    addCommand(TaskCommand::Kind::suspend, task.order.attempt);
+  } else {
     task.activeSince = now;
-    commands.push_back({TaskCommand::Kind::resume, task.order.attempt, {}});
+    addCommand(TaskCommand::Kind::resume, task.order.attempt);
   }
 }
 
+void WorkerSession::setAllSuspendedByLease(bool suspended, MonotonicTime now) {
+  for (auto& [attempt, task] : tasks)
+    setSuspended(task, &RunningTask::suspendedByLease, suspended, now);
+}
+
 void WorkerSession::tick(MonotonicTime now) {
   if (!withoutLease && now >= leaseUntil && options.capacity.honoursLeases) {
     withoutLease = true;
-    for (auto& [attempt, task] : tasks)
-      setSuspendedByLease(task, true, now);
+    setAllSuspendedByLease(true, now);
   }
-  std::vector<AttemptNumber> spent;
-  for (const auto& [attempt, task] : tasks)
-    if (task.order.quantum.milliseconds > 0 && isActive(task) &&
+  std::vector<AttemptNumber> overdue;
+  for (const auto& [attempt, task] : tasks) {
+    if (task.isTrial() && task.isActive() &&
         task.timeUsed + (now - task.activeSince) >= task.order.quantum)
-      spent.push_back(attempt);
-  for (auto attempt : spent) {
-    commands.push_back({TaskCommand::Kind::stop, attempt, {}});
+      overdue.push_back(attempt);
+  }
+  for (const auto attempt : overdue) {
+    addCommand(TaskCommand::Kind::stop, attempt);
     finishTask(attempt, AttemptOutcome::quantumExpired);
   }
 }
 
 MonotonicTime WorkerSession::nextWakeUp() const {
-  MonotonicTime due{std::numeric_limits<std::int64_t>::max()};
+  MonotonicTime earliest{std::numeric_limits<std::int64_t>::max()};
   if (!withoutLease && options.capacity.honoursLeases)
-    due = leaseUntil;
-  for (const auto& [attempt, task] : tasks)
-    if (task.order.quantum.milliseconds > 0 && isActive(task))
-      due = std::min(due, task.activeSince + (task.order.quantum - task.timeUsed));
-  return due;
+    earliest = leaseUntil;
+  for (const auto& [attempt, task] : tasks) {
+    if (task.isTrial() && task.isActive())
+      earliest = std::min(earliest, task.activeSince + (task.order.quantum - task.timeUsed));
+  }
+  return earliest;
 }
 
-void WorkerSession::finishTask(AttemptNumber attempt, AttemptOutcome kind) {
-  unconfirmedResults[attempt] = TaskResult{tasks[attempt].order, kind};
+void WorkerSession::finishTask(AttemptNumber attempt, AttemptOutcome outcome) {
+  unconfirmedResults[attempt] = TaskResult{tasks[attempt].order, outcome};
   tasks.erase(attempt);
 }
 
-void WorkerSession::onTaskEnded(AttemptNumber attempt, bool well, MonotonicTime) {
+void WorkerSession::reportNeverStarted(AttemptNumber attempt) {
+  unconfirmedResults[attempt] = TaskResult{{}, AttemptOutcome::neverStarted};
+}
+
+void WorkerSession::onTaskEnded(AttemptNumber attempt, bool succeeded, MonotonicTime) {
   if (tasks.count(attempt))
-    finishTask(attempt, well ? AttemptOutcome::succeeded : AttemptOutcome::failed);
+    finishTask(attempt, succeeded ? AttemptOutcome::succeeded : AttemptOutcome::failed);
 }
 
-void WorkerSession::startDraining(Duration within) {
+void WorkerSession::startDraining(Duration timeout) {
   draining = true;
-  drainTimeout = within;
+  drainTimeout = timeout;
 }
 
 void WorkerSession::applyOrder(const Order& order, MonotonicTime now) {
-  auto found = tasks.find(order.attempt);
   switch (order.kind) {
     case OrderKind::start:
-    case OrderKind::stage: {
-      if (found != tasks.end() || unconfirmedResults.count(order.attempt))
-        return;
-      if (draining) {  // docs/design.md 5.7: nothing starts once the word is given
-        unconfirmedResults[order.attempt] = TaskResult{{}, AttemptOutcome::neverStarted};
-        return;
-      }
-      RunningTask task;
-      task.order = order;
-      task.staged = order.kind == OrderKind::stage;
-      task.activeSince = now;
-      task.started = !task.staged;
-      if (task.started)
-        commands.push_back({TaskCommand::Kind::start, order.attempt, order});
-      tasks[order.attempt] = std::move(task);
-      return;
-    }
+    case OrderKind::stage:
+      return startOrStage(order, now);
     case OrderKind::launch:
-      if (found == tasks.end() || !found->second.staged)
-        return;
-      if (draining)
-        return finishTask(order.attempt, AttemptOutcome::neverStarted);
-      found->second.staged = false;
-      found->second.started = true;
-      found->second.suspendedByLease = false;
-      found->second.activeSince = now;
-      commands.push_back({TaskCommand::Kind::start, order.attempt, found->second.order});
-      return;
+      return launch(order.attempt, now);
     case OrderKind::suspend:
-    case OrderKind::resume: {
-      if (found == tasks.end())
-        return;
-      RunningTask& task = found->second;
-      const bool before = isActive(task);
-      task.suspendedByOrder = order.kind == OrderKind::suspend;
-      const bool after = isActive(task);
-      if (before && !after) {
-        task.timeUsed = task.timeUsed + (now - task.activeSince);
-        commands.push_back({TaskCommand::Kind::suspend, order.attempt, {}});
-      } else if (!before && after) {
-        task.activeSince = now;
-        commands.push_back({TaskCommand::Kind::resume, order.attempt, {}});
-      }
+    case OrderKind::resume:
+      if (auto found = tasks.find(order.attempt); found != tasks.end())
+        setSuspended(found->second, &RunningTask::suspendedByOrder,
+                     order.kind == OrderKind::suspend, now);
       return;
-    }
     case OrderKind::stop:
-      if (found == tasks.end()) {
-        if (!unconfirmedResults.count(order.attempt))
-          unconfirmedResults[order.attempt] = TaskResult{{}, AttemptOutcome::neverStarted};
-        return;
-      }
-      const bool started = found->second.started;
-      if (started)
-        commands.push_back({TaskCommand::Kind::stop, order.attempt, {}});
-      finishTask(order.attempt, started ? AttemptOutcome::stopped : AttemptOutcome::neverStarted);
-      return;
+      return stop(order.attempt);
+  }
+}
+
+void WorkerSession::startOrStage(const Order& order, MonotonicTime now) {
+  if (tasks.count(order.attempt) || unconfirmedResults.count(order.attempt))
+    return;
+  // Nothing starts once the worker drains. docs/design.md 5.7.
+  if (draining)
+    return reportNeverStarted(order.attempt);
+  RunningTask task;
+  task.order = order;
+  task.staged = order.kind == OrderKind::stage;
+  task.activeSince = now;
+  task.started = !task.staged;
+  if (task.started)
+    commands.push_back({TaskCommand::Kind::start, order.attempt, order});
+  tasks[order.attempt] = std::move(task);
+}
+
+void WorkerSession::launch(AttemptNumber attempt, MonotonicTime now) {
+  auto found = tasks.find(attempt);
+  if (found == tasks.end() || !found->second.staged)
+    return;
+  if (draining)
+    return finishTask(attempt, AttemptOutcome::neverStarted);
+  RunningTask& task = found->second;
+  task.staged = false;
+  task.started = true;
+  task.suspendedByLease = false;
+  task.activeSince = now;
+  commands.push_back({TaskCommand::Kind::start, attempt, task.order});
+}
+
+void WorkerSession::stop(AttemptNumber attempt) {
+  auto found = tasks.find(attempt);
+  if (found == tasks.end()) {
+    if (!unconfirmedResults.count(attempt))
+      reportNeverStarted(attempt);
+    return;
   }
+  const bool started = found->second.started;
+  if (started)
+    addCommand(TaskCommand::Kind::stop, attempt);
+  finishTask(attempt, started ? AttemptOutcome::stopped : AttemptOutcome::neverStarted);
 }
 
 }  // namespace aniseline
--- a/source/agent/worker_session.hpp
+++ b/source/agent/worker_session.hpp
@@ -1,16 +1,26 @@
-// The worker library's core: orders, leases, holds and endings, for anything that can run tasks.
-// Sans-IO. docs/design.md 5, docs/api.md 3.
+// The core of a worker that syncs with the leader by itself: it applies the leader's numbered
+// orders, suspends tasks when the lease expires, ends trials, and reports results until they are
+// confirmed. Without sockets, clocks and threads: net/client and the simulator pass in responses
+// and times on one thread, and carry out the commands that come out. docs/design.md 5,
+// docs/api.md 3. CalledWorkerSession is its counterpart for workers that are called by an agent.
 #ifndef ANISELINE_AGENT_WORKER_SESSION_HPP
 #define ANISELINE_AGENT_WORKER_SESSION_HPP
 #include "state/api_request.hpp"
 
 namespace aniseline {
 
-// What the hand asks of the program that runs tasks.
+// What a session asks of the program that runs the tasks.
 struct TaskCommand {
   enum class Kind : std::uint8_t { start, suspend, resume, stop } kind = Kind::start;
   AttemptNumber attempt;
-  Order order;  // of a start
+  // Of a start.
+  Order order;
+};
+
+// A result that is final: the leader's log holds it. docs/design.md 5.5.
+struct ConfirmedResult {
+  Order order;
+  AttemptOutcome outcome;
 };
 
 class WorkerSession {
@@ -18,37 +28,45 @@
   struct Options {
     WorkerId id;
     Capacity capacity;
+    // How long a sync may wait for orders, in milliseconds.
     Duration longPollTimeout{1000};
   };
   WorkerSession(Options options, Incarnation incarnation)
       : options(std::move(options)), incarnation(incarnation) {}
 
-  // The next sync's report; a lease granted in its answer counts from this moment.
+  // The next sync's report. A lease that its response grants counts from now on.
   SyncReport makeSyncReport(MonotonicTime now);
-  // The answer to a report of the incarnation named. False: it came too late, from a leader that is
-  // superseded or for an incarnation that has been replaced, and was not followed.
-  bool onSyncResponse(Incarnation asked, const SyncResponse& answer, MonotonicTime sentAt,
+  // The response to a report that was made by incarnation `reported` and sent at `sentAt`. False:
+  // it was not followed, because it came too late, from a superseded leader, or for an incarnation
+  // that has been replaced.
+  bool onSyncResponse(Incarnation reported, const SyncResponse& response, MonotonicTime sentAt,
                       MonotonicTime now);
-  // The centre says this incarnation is replaced: all stops, and a new one begins.
+  // The leader says that this incarnation is replaced: everything stops, and the next one begins.
   void onReplaced(Incarnation next);
-  // Lapses the lease when it is due: every running task is held in place.
+  // Suspends all tasks when the lease has expired, and ends trials that have used their time.
   void tick(MonotonicTime now);
-  void onTaskEnded(AttemptNumber attempt, bool well, MonotonicTime now);
-  void startDraining(Duration within);
+  // A task has ended by itself.
+  void onTaskEnded(AttemptNumber attempt, bool succeeded, MonotonicTime now);
+  // Nothing starts from now on. What runs may go on for that many milliseconds.
+  void startDraining(Duration timeout);
 
-  // Endings that the centre has confirmed: from then on they are final. docs/design.md 5.5.
-  std::vector<std::pair<Order, AttemptOutcome>> takeConfirmedResults() {
+  // Results that the leader has confirmed since the last call.
+  std::vector<ConfirmedResult> takeConfirmedResults() {
     return std::exchange(confirmedResults, {});
   }
+  // What is to be done with tasks, in order.
   std::vector<TaskCommand> takeCommands() { return std::exchange(commands, {}); }
+  // There is something that the leader should hear at once.
   bool hasUrgentReport() const {
-    return !unconfirmedResults.empty() || lastAppliedOrder != reportedAppliedOrder ||
-           draining != reportedDraining;
+    return resultsOrDrainUnreported() || lastAppliedOrder != reportedAppliedOrder;
   }
+  // No lease has been granted, or the last one has expired.
   bool leaseExpired() const { return withoutLease; }
   bool empty() const { return tasks.empty() && unconfirmedResults.empty(); }
+  // The highest term of a leader that was followed.
   Term term() const { return highestTerm; }
   Incarnation currentIncarnation() const { return incarnation; }
+  // The earliest time at which tick has something to do.
   MonotonicTime nextWakeUp() const;
   const std::vector<Address>& gateways() const { return knownGateways; }
   std::size_t taskCount() const { return tasks.size(); }
@@ -56,35 +74,55 @@
  private:
   struct RunningTask {
     Order order;
-    bool staged = false;            // a gang's part that has not been told to go
-    bool suspendedByOrder = false;  // by order
-    bool suspendedByLease = false;  // by a lapsed lease
+    // Part of a gang that has not been launched.
+    bool staged = false;
+    bool suspendedByOrder = false;
+    bool suspendedByLease = false;
     bool started = false;
     MonotonicTime activeSince;
+    // The run time before `activeSince`; a trial's quantum limits it.
     Duration timeUsed;
+
+    bool isActive() const { return started && !suspendedByOrder && !suspendedByLease; }
+    bool isTrial() const { return order.quantum.milliseconds > 0; }
+  };
+  struct TaskResult {
+    Order order;
+    AttemptOutcome outcome;
   };
+
   void applyOrder(const Order& order, MonotonicTime now);
-  void setSuspendedByLease(RunningTask& task, bool pause, MonotonicTime now);
-  void finishTask(AttemptNumber attempt, AttemptOutcome kind);
-  bool isActive(const RunningTask& task) const {
-    return task.started && !task.suspendedByOrder && !task.suspendedByLease;
+  void startOrStage(const Order& order, MonotonicTime now);
+  void launch(AttemptNumber attempt, MonotonicTime now);
+  void stop(AttemptNumber attempt);
+  // Sets one of the reasons for which a task is suspended.
+  void setSuspended(RunningTask& task, bool RunningTask::*reason, bool suspended,
+                    MonotonicTime now);
+  void setAllSuspendedByLease(bool suspended, MonotonicTime now);
+  void finishTask(AttemptNumber attempt, AttemptOutcome outcome);
+  void reportNeverStarted(AttemptNumber attempt);
+  void confirmResult(AttemptNumber attempt);
+  void addCommand(TaskCommand::Kind kind, AttemptNumber attempt) {
+    commands.push_back({kind, attempt, {}});
+  }
+  bool resultsOrDrainUnreported() const {
+    return !unconfirmedResults.empty() || draining != reportedDraining;
   }
 
   Options options;
   Incarnation incarnation;
-  OrderNumber lastAppliedOrder, reportedAppliedOrder;
+  OrderNumber lastAppliedOrder;
+  OrderNumber reportedAppliedOrder;
   Term highestTerm;
   MonotonicTime leaseUntil{0};
-  bool withoutLease = true;  // until the first lease is granted
-  bool draining = false, reportedDraining = false;
+  bool withoutLease = true;
+  bool draining = false;
+  bool reportedDraining = false;
   Duration drainTimeout{0};
   std::map<AttemptNumber, RunningTask> tasks;
-  struct TaskResult {
-    Order order;
-    AttemptOutcome outcome;
-  };
-  std::map<AttemptNumber, TaskResult> unconfirmedResults;  // said until confirmed
-  std::vector<std::pair<Order, AttemptOutcome>> confirmedResults;
+  // Reported until the leader confirms them.
+  std::map<AttemptNumber, TaskResult> unconfirmedResults;
+  std::vector<ConfirmedResult> confirmedResults;
   std::vector<TaskCommand> commands;
   std::vector<Address> knownGateways;
 };
--- a/tests/agent/called_worker_session_tests.cpp
+++ b/tests/agent/called_worker_session_tests.cpp
@@ -8,57 +8,58 @@
 
 namespace {
 
-TaskRunId runOf(const std::string& job, std::uint32_t run = 1, std::uint32_t within = 0) {
-  return TaskRunId{JobId{job}, 0, 0, within, run};
+TaskRunId runIdOf(const std::string& job, std::uint32_t runNumber = 1) {
+  return TaskRunId{JobId{job}, 0, 0, 0, runNumber};
 }
 
-WorkerCall startCall(const std::string& job, std::uint32_t run = 1, std::int64_t deadline = 3000) {
+WorkerCall startCall(const std::string& job, std::uint32_t runNumber = 1,
+                     std::int64_t deadline = 3000) {
   WorkerCall call;
   call.kind = WorkerCall::Kind::start;
   call.workerInstance = WorkerId{"m.1"};
   call.fencingTerm = Term{2};
-  call.runId = runOf(job, run);
+  call.runId = runIdOf(job, runNumber);
   call.leaseDeadline = WorkerTime{deadline};
   call.order.job = JobId{job};
-  call.order.attempt = AttemptNumber{run * 100 + job.size()};
+  call.order.attempt = AttemptNumber{runNumber * 100 + job.size()};
   call.order.cores = 500;
   call.order.memory = 100;
   call.order.runtime = Duration{1000};
-  call.order.runNumber = run;
+  call.order.runNumber = runNumber;
   call.order.payload = call.payload = "run=250";
   return call;
 }
-WorkerCall stopCall(const std::string& job, std::uint32_t run = 1) {
-  WorkerCall call = startCall(job, run);
+WorkerCall stopCall(const std::string& job, std::uint32_t runNumber = 1) {
+  WorkerCall call = startCall(job, runNumber);
   call.kind = WorkerCall::Kind::stop;
   return call;
 }
-WorkerCall lookCall(std::uint64_t lastSeen = 0, std::int64_t deadline = 0) {
+WorkerCall pollCall(std::uint64_t confirmedUpTo = 0, std::int64_t deadline = 0) {
   WorkerCall call;
   call.workerInstance = WorkerId{"m.1"};
   call.fencingTerm = Term{2};
-  call.confirmedUpTo = lastSeen;
+  call.confirmedUpTo = confirmedUpTo;
   if (deadline)
     call.leaseDeadline = WorkerTime{deadline};
   return call;
 }
-CalledWorkerSession handOf(std::uint32_t cores = 1000) {
+CalledWorkerSession sessionWithCores(std::uint32_t cores = 1000) {
   CalledWorkerSession::Options options;
   options.capacity.cores = cores;
   options.capacity.memory = 1000;
   options.capacity.enforcesCapacity = true;
   return CalledWorkerSession(options, WorkerId{"m.1"});
 }
-int kindOf(const WorkerReply& reply) {
+int statusOf(const WorkerReply& reply) {
   return int(reply.status);
 }
-using K = WorkerReply::Status;
+using Status = WorkerReply::Status;
 
 }  // namespace
 
 TEST_GROUP(CalledWorkerSessionTests){};
 
-TEST(CalledWorkerSessionTests, CallsAndRepliesSurviveTheWords) {
+TEST(CalledWorkerSessionTests, callsAndRepliesAreTheSameAfterEncodingAndDecoding) {
   const auto words = jsonWorkerProtocol();
   auto call = startCall("job@0", 7);
   call.order.taskIndex = 3;
@@ -73,40 +74,42 @@
   LONGS_EQUAL(705, long(read.value().order.attempt.value));
   CHECK(read.value().order.cores == 500 && read.value().order.taskIndex == 3 &&
         read.value().order.quantum == Duration{50} && read.value().order.checkpoint == "place");
-  auto look = lookCall(9, 4000);
-  look.longPollTimeout = Duration{600};
-  read = decodeWorkerCall(words.encodeCall(look));
+  auto poll = pollCall(9, 4000);
+  poll.longPollTimeout = Duration{600};
+  read = decodeWorkerCall(words.encodeCall(poll));
   CHECK(read.has_value() && read.value().kind == WorkerCall::Kind::poll &&
         read.value().confirmedUpTo == 9 && read.value().longPollTimeout == Duration{600});
 
   WorkerReply reply;
-  reply.status = K::ok;
+  reply.status = Status::ok;
   reply.clockReading = WorkerTime{77};
-  reply.runningTasks.push_back({runOf("a"), "here"});
-  reply.results.push_back({12, runOf("b", 2), AttemptOutcome::quantumExpired, ""});
+  reply.runningTasks.push_back({runIdOf("a"), "here"});
+  reply.results.push_back({12, runIdOf("b", 2), AttemptOutcome::quantumExpired, ""});
   reply.complete = false;
   auto answered = [&](const WorkerCall& asked, const WorkerReply& given) {
     const ApiResponse answer = encodeWorkerReply(asked, given);
     return words.decodeReply(asked, HttpResponse{answer.status, answer.body, Duration{0}});
   };
-  const auto back = answered(look, reply);
-  CHECK(back.status == K::ok && back.clockReading == WorkerTime{77} && !back.complete &&
+  const auto back = answered(poll, reply);
+  CHECK(back.status == Status::ok && back.clockReading == WorkerTime{77} && !back.complete &&
         back.runningTasks.size() == 1 && back.results.size() == 1);
-  CHECK(back.runningTasks[0].runId == runOf("a") && back.runningTasks[0].checkpoint == "here");
-  CHECK(back.results[0].sequenceNumber == 12 && back.results[0].runId == runOf("b", 2) &&
+  CHECK(back.runningTasks[0].runId == runIdOf("a") && back.runningTasks[0].checkpoint == "here");
+  CHECK(back.results[0].sequenceNumber == 12 && back.results[0].runId == runIdOf("b", 2) &&
         back.results[0].outcome == AttemptOutcome::quantumExpired);
-  for (auto kind : {K::fenced, K::staleRun, K::deadlineExceeded, K::insufficientCapacity,
-                    K::unavailable, K::invalidRequest, K::instanceMismatch}) {
+  for (auto kind :
+       {Status::fenced, Status::staleRun, Status::deadlineExceeded, Status::insufficientCapacity,
+        Status::unavailable, Status::invalidRequest, Status::instanceMismatch}) {
     WorkerReply refused;
     refused.status = kind;
     refused.clockReading = WorkerTime{5};
-    LONGS_EQUAL(int(kind), kindOf(answered(call, refused)));
+    LONGS_EQUAL(int(kind), statusOf(answered(call, refused)));
   }
-  LONGS_EQUAL(int(K::noResponse),
-              kindOf(words.decodeReply(look, HttpError{HttpError::Kind::timedOut, "late"})));
+  LONGS_EQUAL(int(Status::noResponse),
+              statusOf(words.decodeReply(poll, HttpError{HttpError::Kind::timedOut, "late"})));
 }
 
-TEST(CalledWorkerSessionTests, AnAccountSurvivesTheWordsAndOthersAreNotHeard) {
+TEST(CalledWorkerSessionTests,
+     registrationsAreTheSameAfterEncodingAndDecodingAndOtherRequestsAreRejected) {
   const auto words = jsonWorkerProtocol();
   WorkerRegistration account{WorkerId{"m.1"}, {}, true, Duration{2000}, WorkerTime{55}};
   account.capacity.cores = 1500;
@@ -132,7 +135,7 @@
     CHECK(!words.decodeNotice(other));
 }
 
-TEST(CalledWorkerSessionTests, WrongCallsAreNamedByPathAndUnreadableLooksTellNothing) {
+TEST(CalledWorkerSessionTests, wrongCallsAreRejectedByPathAndUnreadablePollRepliesCountAsNone) {
   const auto words = jsonWorkerProtocol();
   struct Case {
     const char *target, *body, *path;
@@ -157,147 +160,106 @@
       {"no", "{}", R"({"now_ms":1e999,"active":[],"ended":[]})",
        R"({"active":[],"ended":[{"number":1}]})", R"({"active":[7],"ended":[]})",
        R"({"active":[],"ended":[{"number":1,"kind":"sung","name":{"job":"a","step":0,"within":0,"run":1}}]})"})
-    LONGS_EQUAL_TEXT(int(K::noResponse),
-                     kindOf(words.decodeReply(lookCall(), HttpResponse{200, body, Duration{0}})),
+    LONGS_EQUAL_TEXT(int(Status::noResponse),
+                     statusOf(words.decodeReply(pollCall(), HttpResponse{200, body, Duration{0}})),
                      body);
 }
 
-TEST(CalledWorkerSessionTests, AStartIsCarriedOutOnceAndRefusedWithItsReason) {
-  auto hand = handOf();
-  LONGS_EQUAL(int(K::deadlineExceeded), kindOf(hand.onCall(startCall("a", 1, 10), WorkerTime{10})));
-  LONGS_EQUAL(int(K::ok), kindOf(hand.onCall(startCall("a"), WorkerTime{10})));
-  LONGS_EQUAL(int(K::staleRun), kindOf(hand.onCall(startCall("a"), WorkerTime{11})));
-  LONGS_EQUAL(int(K::ok), kindOf(hand.onCall(startCall("bb"), WorkerTime{12})));
-  LONGS_EQUAL(int(K::insufficientCapacity), kindOf(hand.onCall(startCall("ccc"), WorkerTime{13})));
+TEST(CalledWorkerSessionTests, startIsCarriedOutOnceAndRejectedWithItsReason) {
+  auto session = sessionWithCores();
+  LONGS_EQUAL(int(Status::deadlineExceeded),
+              statusOf(session.onCall(startCall("a", 1, 10), WorkerTime{10})));
+  LONGS_EQUAL(int(Status::ok), statusOf(session.onCall(startCall("a"), WorkerTime{10})));
+  LONGS_EQUAL(int(Status::staleRun), statusOf(session.onCall(startCall("a"), WorkerTime{11})));
+  LONGS_EQUAL(int(Status::ok), statusOf(session.onCall(startCall("bb"), WorkerTime{12})));
+  LONGS_EQUAL(int(Status::insufficientCapacity),
+              statusOf(session.onCall(startCall("ccc"), WorkerTime{13})));
   auto older = startCall("ccc");
   older.fencingTerm = Term{1};
-  LONGS_EQUAL(int(K::fenced), kindOf(hand.onCall(older, WorkerTime{14})));
+  LONGS_EQUAL(int(Status::fenced), statusOf(session.onCall(older, WorkerTime{14})));
   older.workerInstance = WorkerId{"m.0"};
-  LONGS_EQUAL(int(K::instanceMismatch), kindOf(hand.onCall(older, WorkerTime{14})));
-  LONGS_EQUAL(2, long(hand.takeCommands().size()));
-  // A stop that overtakes its start turns the start away, and a later run is let in.
-  LONGS_EQUAL(int(K::ok), kindOf(hand.onCall(stopCall("a"), WorkerTime{15})));
-  LONGS_EQUAL(int(K::ok), kindOf(hand.onCall(stopCall("dddd", 2), WorkerTime{16})));
-  LONGS_EQUAL(int(K::staleRun), kindOf(hand.onCall(startCall("dddd", 2), WorkerTime{17})));
-  LONGS_EQUAL(int(K::ok), kindOf(hand.onCall(startCall("dddd", 3), WorkerTime{18})));
-  hand.startDraining();
-  LONGS_EQUAL(int(K::insufficientCapacity), kindOf(hand.onCall(startCall("a", 9), WorkerTime{19})));
+  LONGS_EQUAL(int(Status::instanceMismatch), statusOf(session.onCall(older, WorkerTime{14})));
+  LONGS_EQUAL(2, long(session.takeCommands().size()));
+  // A stop that overtakes its start has the start rejected, and a later run is accepted.
+  LONGS_EQUAL(int(Status::ok), statusOf(session.onCall(stopCall("a"), WorkerTime{15})));
+  LONGS_EQUAL(int(Status::ok), statusOf(session.onCall(stopCall("dddd", 2), WorkerTime{16})));
+  LONGS_EQUAL(int(Status::staleRun),
+              statusOf(session.onCall(startCall("dddd", 2), WorkerTime{17})));
+  LONGS_EQUAL(int(Status::ok), statusOf(session.onCall(startCall("dddd", 3), WorkerTime{18})));
+  session.startDraining();
+  LONGS_EQUAL(int(Status::insufficientCapacity),
+              statusOf(session.onCall(startCall("a", 9), WorkerTime{19})));
 }
 
-TEST(CalledWorkerSessionTests, EndingsAreNumberedToldAgainAndFinalWhenSeen) {
-  auto hand = handOf();
-  hand.onCall(startCall("a"), WorkerTime{10});
-  hand.onCall(startCall("bb"), WorkerTime{10});
-  hand.onTaskEnded(AttemptNumber{101}, true, WorkerTime{20});
-  hand.onTaskEnded(AttemptNumber{102}, false, WorkerTime{30});
+TEST(CalledWorkerSessionTests, resultsAreNumberedAndListedUntilAPollConfirmsThem) {
+  auto session = sessionWithCores();
+  session.onCall(startCall("a"), WorkerTime{10});
+  session.onCall(startCall("bb"), WorkerTime{10});
+  session.onTaskEnded(AttemptNumber{101}, true, WorkerTime{20});
+  session.onTaskEnded(AttemptNumber{102}, false, WorkerTime{30});
   for (int twice = 0; twice < 2; ++twice) {
-    const auto reply = hand.onCall(lookCall(), WorkerTime{40});
+    const auto reply = session.onCall(pollCall(), WorkerTime{40});
     LONGS_EQUAL(2, long(reply.results.size()));
     CHECK(reply.results[0].sequenceNumber == 1 &&
           reply.results[0].outcome == AttemptOutcome::succeeded &&
           reply.results[1].sequenceNumber == 2 &&
           reply.results[1].outcome == AttemptOutcome::failed);
   }
-  CHECK(hand.takeConfirmedResults().empty());
-  LONGS_EQUAL(1, long(hand.onCall(lookCall(1), WorkerTime{50}).results.size()));
-  const auto confirmed = hand.takeConfirmedResults();
-  CHECK(confirmed.size() == 1 && confirmed[0].second == AttemptOutcome::succeeded);
+  CHECK(session.takeConfirmedResults().empty());
+  LONGS_EQUAL(1, long(session.onCall(pollCall(1), WorkerTime{50}).results.size()));
+  const auto confirmed = session.takeConfirmedResults();
+  CHECK(confirmed.size() == 1 && confirmed[0].outcome == AttemptOutcome::succeeded);
 }
 
-TEST(CalledWorkerSessionTests, WhenTheHoldIsOverAllIsKilledAndUnconfirmedEndsAreVoid) {
-  auto hand = handOf();
-  hand.onCall(startCall("a", 1, 3000), WorkerTime{10});
-  hand.onCall(startCall("bb", 1, 3000), WorkerTime{10});
-  hand.onTaskEnded(AttemptNumber{101}, true, WorkerTime{20});
-  hand.onCall(lookCall(0, 4000), WorkerTime{100});
-  hand.takeCommands();
-  hand.tick(WorkerTime{3999});
-  CHECK(hand.takeCommands().empty());
-  hand.tick(WorkerTime{4000});
-  const auto effects = hand.takeCommands();
+TEST(CalledWorkerSessionTests, expiredLeaseStopsAllTasksAndVoidsUnconfirmedSuccesses) {
+  auto session = sessionWithCores();
+  session.onCall(startCall("a", 1, 3000), WorkerTime{10});
+  session.onCall(startCall("bb", 1, 3000), WorkerTime{10});
+  session.onTaskEnded(AttemptNumber{101}, true, WorkerTime{20});
+  session.onCall(pollCall(0, 4000), WorkerTime{100});
+  session.takeCommands();
+  session.tick(WorkerTime{3999});
+  CHECK(session.takeCommands().empty());
+  session.tick(WorkerTime{4000});
+  const auto effects = session.takeCommands();
   CHECK(effects.size() == 1 && effects[0].kind == TaskCommand::Kind::stop &&
         effects[0].attempt == AttemptNumber{102});
-  const auto reply = hand.onCall(lookCall(), WorkerTime{4001});
+  const auto reply = session.onCall(pollCall(), WorkerTime{4001});
   CHECK(reply.results.size() == 2 && reply.results[0].outcome == AttemptOutcome::stopped &&
         reply.results[1].outcome == AttemptOutcome::stopped);
-  // A task whose timer rings after the hold was over did not end well.
-  hand.onCall(startCall("ccc", 1, 5000), WorkerTime{4500});
-  hand.onTaskEnded(AttemptNumber{103}, true, WorkerTime{5000});
-  CHECK(hand.onCall(lookCall(2), WorkerTime{5001}).results.at(0).outcome ==
+  // A task that ends after the lease expired did not succeed.
+  session.onCall(startCall("ccc", 1, 5000), WorkerTime{4500});
+  session.onTaskEnded(AttemptNumber{103}, true, WorkerTime{5000});
+  CHECK(session.onCall(pollCall(2), WorkerTime{5001}).results.at(0).outcome ==
         AttemptOutcome::stopped);
-  // However long a deadline, the worker grants no more than its own longest.
-  hand.onCall(startCall("dddd", 1, 900'000), WorkerTime{6000});
-  hand.tick(WorkerTime{12'000});
-  CHECK(hand.idle());
+  // However late a deadline, the worker grants no more than its own longest lease.
+  session.onCall(startCall("dddd", 1, 900'000), WorkerTime{6000});
+  session.tick(WorkerTime{12'000});
+  CHECK(session.idle());
 }
 
-TEST(CalledWorkerSessionTests, ATrialEndsByItself) {
-  auto hand = handOf();
+TEST(CalledWorkerSessionTests, trialEndsByItself) {
+  auto session = sessionWithCores();
   auto call = startCall("a");
   call.order.quantum = Duration{100};
-  hand.onCall(call, WorkerTime{10});
-  hand.tick(WorkerTime{109});
-  CHECK(!hand.idle());
-  hand.tick(WorkerTime{110});
-  CHECK(hand.onCall(lookCall(), WorkerTime{111}).results.at(0).outcome ==
+  session.onCall(call, WorkerTime{10});
+  session.tick(WorkerTime{109});
+  CHECK(!session.idle());
+  session.tick(WorkerTime{110});
+  CHECK(session.onCall(pollCall(), WorkerTime{111}).results.at(0).outcome ==
         AttemptOutcome::quantumExpired);
 }
 
-TEST(CalledWorkerSessionTests, AnotherLifeBeginsWithNothing) {
-  auto hand = handOf();
-  hand.onCall(startCall("a"), WorkerTime{10});
-  hand.takeCommands();
-  hand.onReplaced(WorkerId{"m.2"});
-  CHECK(hand.empty());
-  const auto effects = hand.takeCommands();
+TEST(CalledWorkerSessionTests, newInstanceBeginsWithNothing) {
+  auto session = sessionWithCores();
+  session.onCall(startCall("a"), WorkerTime{10});
+  session.takeCommands();
+  session.onReplaced(WorkerId{"m.2"});
+  CHECK(session.empty());
+  const auto effects = session.takeCommands();
   CHECK(effects.size() == 1 && effects[0].kind == TaskCommand::Kind::stop);
   auto call = startCall("a");
-  LONGS_EQUAL(int(K::instanceMismatch), kindOf(hand.onCall(call, WorkerTime{11})));
+  LONGS_EQUAL(int(Status::instanceMismatch), statusOf(session.onCall(call, WorkerTime{11})));
   call.workerInstance = WorkerId{"m.2"};
-  LONGS_EQUAL(int(K::ok), kindOf(hand.onCall(call, WorkerTime{12})));
-}
-
-TEST(CalledWorkerSessionTests, AGangsPartIsStagedInTheAgentAndStartedWhenToldToGo) {
-  NodeAgent agent{NodeAgentOptions{}};
-  WorkerRegistration account{WorkerId{"m.1"}, {}, false, Duration{0}, WorkerTime{1000}};
-  CHECK(agent.onRegistration(account, MonotonicTime{0}));
-  auto tell = [&](std::uint64_t number, OrderKind kind, const std::string& job, MonotonicTime now) {
-    SyncResponse answer;
-    answer.term = Term{2};
-    Order order;
-    order.number = OrderNumber{number};
-    order.kind = kind;
-    order.job = JobId{job};
-    order.runNumber = 1;
-    answer.orders.push_back(order);
-    agent.onSyncResponse(agent.makeSyncReport(now), answer, now, now);
-  };
-  auto starts = [&](MonotonicTime now) {
-    std::size_t count = 0;
-    for (const auto& call : agent.takeCalls(now)) {
-      count += call.kind == WorkerCall::Kind::start;
-      WorkerReply reply;
-      reply.status = K::ok;
-      reply.clockReading = WorkerTime{1000 + now.milliseconds};
-      agent.onWorkerReply(call, reply, now);
-    }
-    return long(count);
-  };
-  tell(1, OrderKind::stage, "gang", MonotonicTime{10});
-  LONGS_EQUAL(0, starts(MonotonicTime{20}));
-  LONGS_EQUAL(1, long(agent.makeSyncReport(MonotonicTime{21}).lastAppliedOrder.value));
-  tell(2, OrderKind::launch, "gang", MonotonicTime{30});
-  LONGS_EQUAL(1, long(agent.makeSyncReport(MonotonicTime{31}).lastAppliedOrder.value));
-  LONGS_EQUAL(1, starts(MonotonicTime{40}));
-  LONGS_EQUAL(2, long(agent.makeSyncReport(MonotonicTime{41}).lastAppliedOrder.value));
-  // Taken back before it was told to go, and told to go by what an earlier process staged: never
-  // begun.
-  tell(3, OrderKind::stage, "taken", MonotonicTime{50});
-  tell(4, OrderKind::stop, "taken", MonotonicTime{60});
-  tell(5, OrderKind::launch, "unknown", MonotonicTime{70});
-  LONGS_EQUAL(0, starts(MonotonicTime{80}));
-  const auto endings = agent.makeSyncReport(MonotonicTime{90}).runResults;
-  LONGS_EQUAL(2, long(endings.size()));
-  for (const auto& ending : endings)
-    CHECK(ending.outcome == AttemptOutcome::neverStarted);
+  LONGS_EQUAL(int(Status::ok), statusOf(session.onCall(call, WorkerTime{12})));
 }
--- a/tests/agent/node_agent_model_tests.cpp
+++ b/tests/agent/node_agent_model_tests.cpp
@@ -1,6 +1,6 @@
-// An agent, a worker that keeps the platform's promises and breaks none, and a leader, in virtual
-// time with one seed: calls are lost, late and done all the same, the leader goes away, the agent
-// is killed. docs/design.md 5.5, 5.8.
+// A node agent between models of a worker, which keeps all rules of the platform, and of a leader,
+// in virtual time drawn from one seed: calls are lost, or carried out late, the leader goes away,
+// the agent is killed. docs/design.md 5.5, 5.8.
 #include "agent/node_agent.hpp"
 #include <CppUTest/TestHarness.h>
 
@@ -9,169 +9,188 @@
 namespace {
 
 using CallKind = WorkerCall::Kind;
-using ReplyKind = WorkerReply::Status;
+using ReplyStatus = WorkerReply::Status;
 
-struct Broken {
+// The first rule that was broken.
+struct Violation {
   std::string text;
-  void note(std::int64_t now, const std::string& what, const TaskRunId& name) {
+  void note(std::int64_t now, const std::string& what, const TaskRunId& runId) {
     if (text.empty())
-      text = what + ": " + name.job.value + "/" + std::to_string(name.runNumber) + " at " +
+      text = what + ": " + runId.job.value + "/" + std::to_string(runId.runNumber) + " at " +
              std::to_string(now);
   }
 };
 
-// What the platform says of its workers: fences, holds, runs that rise, endings that come until
-// they are passed.
+// A worker by the platform's rules: fencing, leases, rising run numbers, and results that are
+// listed until a poll confirms them.
 struct WorkerModel {
   Random& random;
-  Broken& broken;
+  Violation& violation;
   double rate;
   std::int64_t now = 0;
-  std::uint64_t fence = 0, lastNumber = 0;
+  std::uint64_t fencingTerm = 0, lastSequenceNumber = 0;
   std::int64_t deadline = 0;
-  struct Active {
+  struct RunningTask {
     std::int64_t endAt;
-    AttemptOutcome kind;
+    AttemptOutcome outcome;
   };
-  struct Over {
-    std::uint64_t number;
-    TaskRunId name;
-    AttemptOutcome kind;
+  struct Result {
+    std::uint64_t sequenceNumber;
+    TaskRunId runId;
+    AttemptOutcome outcome;
     bool isVoid;
   };
-  std::map<TaskRunId, Active> active;
-  std::vector<Over> over;
-  std::map<JobId, std::uint32_t> highest;       // a run that is not above it is turned away
-  std::map<JobId, std::uint32_t> noted;         // the run whose clean ending was taken note of
-  std::map<TaskRunId, AttemptOutcome> endings;  // all that ever ended
-  std::set<TaskRunId> begun;
+  std::map<TaskRunId, RunningTask> running;
+  std::vector<Result> results;
+  std::map<JobId, std::uint32_t> highestRun;     // a run that is not above it is rejected
+  std::map<JobId, std::uint32_t> confirmedRun;   // the run whose success was confirmed
+  std::map<TaskRunId, AttemptOutcome> outcomes;  // of all runs that are over
+  std::set<TaskRunId> started;
 
-  WorkerModel(Random& random, Broken& broken, double rate)
-      : random(random), broken(broken), rate(rate) {}
+  WorkerModel(Random& random, Violation& violation, double rate)
+      : random(random), violation(violation), rate(rate) {}
   std::int64_t clock() const { return 1'000'000 + std::int64_t(double(now) * rate); }
-  void end(const TaskRunId& name, AttemptOutcome kind) {
-    highest[name.job] = std::max(highest[name.job], name.runNumber);
-    over.push_back({++lastNumber, name, kind, false});
-    endings[name] = kind;
+  void end(const TaskRunId& runId, AttemptOutcome outcome) {
+    highestRun[runId.job] = std::max(highestRun[runId.job], runId.runNumber);
+    results.push_back({++lastSequenceNumber, runId, outcome, false});
+    outcomes[runId] = outcome;
   }
   void step(std::int64_t time) {
     now = time;
     if (clock() >= deadline) {
-      for (const auto& [name, run] : active)
-        end(name, AttemptOutcome::stopped);
-      active.clear();
-      for (auto& row : over)
-        row.isVoid = true;
+      for (const auto& [runId, run] : running)
+        end(runId, AttemptOutcome::stopped);
+      running.clear();
+      for (auto& result : results)
+        result.isVoid = true;
     }
-    for (auto run = active.begin(); run != active.end();)
+    for (auto run = running.begin(); run != running.end();)
       if (run->second.endAt <= now) {
-        end(run->first, run->second.kind);
-        run = active.erase(run);
+        end(run->first, run->second.outcome);
+        run = running.erase(run);
       } else
         ++run;
   }
-  WorkerReply take(const WorkerCall& call) {
+  WorkerReply onCall(const WorkerCall& call) {
     WorkerReply reply;
     if (random.chance(0.03)) {
-      reply.status = ReplyKind::unavailable;
+      reply.status = ReplyStatus::unavailable;
       return reply;
     }
     reply.clockReading = WorkerTime{clock()};
-    if (call.fencingTerm.value < fence) {
-      reply.status = ReplyKind::fenced;
+    if (call.fencingTerm.value < fencingTerm) {
+      reply.status = ReplyStatus::fenced;
       return reply;
     }
-    fence = call.fencingTerm.value;
+    fencingTerm = call.fencingTerm.value;
     if (call.leaseDeadline && call.kind != CallKind::stop)
-      deadline = std::max(deadline, std::min(call.leaseDeadline->milliseconds, clock() + 6000));
-    reply.status = ReplyKind::ok;
-    if (call.kind == CallKind::start) {
-      if (active.count(call.runId))
-        return reply;
-      const bool another = std::any_of(active.begin(), active.end(), [&](const auto& run) {
-        return run.first.job == call.runId.job;
-      });
-      if (another || call.runId.runNumber <= highest[call.runId.job])
-        reply.status = ReplyKind::staleRun;
-      else if (!call.leaseDeadline || call.leaseDeadline->milliseconds <= clock())
-        reply.status = ReplyKind::deadlineExceeded;
-      else if (active.size() >= 6)
-        reply.status = ReplyKind::insufficientCapacity;
-      else {
-        if (noted.count(call.runId.job))
-          broken.note(now, "started after a clean ending was noted", call.runId);
-        begun.insert(call.runId);
-        active[call.runId] = {now + random.between(50, 4000), random.chance(0.8)
-                                                                  ? AttemptOutcome::succeeded
-                                                                  : AttemptOutcome::failed};
-      }
-    } else if (call.kind == CallKind::stop) {
-      if (auto run = active.find(call.runId); run != active.end())
-        run->second = {std::min(run->second.endAt, now + random.between(1, 400)),
-                       run->second.endAt <= now ? run->second.kind : AttemptOutcome::stopped};
-      else
-        highest[call.runId.job] = std::max(highest[call.runId.job], call.runId.runNumber);
-    } else {
-      std::erase_if(over, [&](const Over& row) {
-        if (row.number > call.confirmedUpTo)
-          return false;
-        if (row.kind == AttemptOutcome::succeeded && !row.isVoid) {
-          noted[row.name.job] = row.name.runNumber;
-          for (const auto& name : begun)
-            if (name.job == row.name.job && name.runNumber > row.name.runNumber)
-              broken.note(now, "noted though started again", row.name);
-        }
-        return true;
-      });
-      for (const auto& [name, run] : active)
-        reply.runningTasks.push_back({name, ""});
-      for (const auto& row : over)
-        reply.results.push_back({row.number, row.name, row.kind, ""});
-    }
+      deadline =
+          std::max(deadline, std::min(call.leaseDeadline->milliseconds, clock() + longestLease));
+    reply.status = ReplyStatus::ok;
+    if (call.kind == CallKind::start)
+      reply.status = start(call);
+    else if (call.kind == CallKind::stop)
+      stop(call.runId);
+    else
+      poll(call, reply);
     return reply;
   }
+
+ private:
+  static constexpr std::int64_t longestLease = 6000;
+  static constexpr std::size_t capacity = 6;
+
+  ReplyStatus start(const WorkerCall& call) {
+    const TaskRunId& runId = call.runId;
+    if (running.count(runId))
+      return ReplyStatus::ok;
+    const bool another = std::any_of(running.begin(), running.end(),
+                                     [&](const auto& run) { return run.first.job == runId.job; });
+    if (another || runId.runNumber <= highestRun[runId.job])
+      return ReplyStatus::staleRun;
+    if (!call.leaseDeadline || call.leaseDeadline->milliseconds <= clock())
+      return ReplyStatus::deadlineExceeded;
+    if (running.size() >= capacity)
+      return ReplyStatus::insufficientCapacity;
+    if (confirmedRun.count(runId.job))
+      violation.note(now, "started after a success was confirmed", runId);
+    started.insert(runId);
+    running[runId] = {now + random.between(50, 4000),
+                      random.chance(0.8) ? AttemptOutcome::succeeded : AttemptOutcome::failed};
+    return ReplyStatus::ok;
+  }
+  // A stop takes some time, in which the run may end by itself.
+  void stop(const TaskRunId& runId) {
+    auto run = running.find(runId);
+    if (run == running.end()) {
+      highestRun[runId.job] = std::max(highestRun[runId.job], runId.runNumber);
+      return;
+    }
+    run->second = {std::min(run->second.endAt, now + random.between(1, 400)),
+                   run->second.endAt <= now ? run->second.outcome : AttemptOutcome::stopped};
+  }
+  void poll(const WorkerCall& call, WorkerReply& reply) {
+    std::erase_if(results, [&](const Result& result) {
+      if (result.sequenceNumber > call.confirmedUpTo)
+        return false;
+      if (result.outcome == AttemptOutcome::succeeded && !result.isVoid)
+        confirm(result.runId);
+      return true;
+    });
+    for (const auto& [runId, run] : running)
+      reply.runningTasks.push_back({runId, ""});
+    for (const auto& result : results)
+      reply.results.push_back({result.sequenceNumber, result.runId, result.outcome, ""});
+  }
+  void confirm(const TaskRunId& confirmed) {
+    confirmedRun[confirmed.job] = confirmed.runNumber;
+    for (const auto& runId : started) {
+      if (runId.job == confirmed.job && runId.runNumber > confirmed.runNumber)
+        violation.note(now, "confirmed though started again", confirmed);
+    }
+  }
 };
 
-struct World {
+struct AgentModel {
   Random random;
-  Broken broken;
+  Violation violation;
   std::int64_t now = 1000;
   WorkerModel worker;
   NodeAgent agent{NodeAgentOptions{}};
-  // The leader: each job one task, ordered again until a run of it ended well.
+  // The leader: each job is one task, which is ordered again until a run of it succeeds.
   std::uint64_t term = 1, lastOrder = 0, applied = 0;
   std::deque<Order> orders;
   std::map<JobId, std::uint32_t> running;  // the run that is open
-  std::set<TaskRunId> stopped, closed;
-  std::set<JobId> finished;
+  std::set<TaskRunId> stopped, confirmed;
+  std::set<JobId> succeeded;
   std::int64_t awayUntil = 0;
-  struct Flight {
+  struct Message {
     std::int64_t at;
     std::function<void()> then;
   };
-  std::vector<Flight> flights;
-  std::uint64_t process = 0;  // an answer to a killed process goes nowhere
+  std::vector<Message> inFlight;
+  std::uint64_t process = 0;  // a message to a killed process is lost
   bool syncing = false;
 
-  World(std::uint64_t seed, double rate) : random(seed), worker(random, broken, rate) {}
+  AgentModel(std::uint64_t seed, double rate) : random(seed), worker(random, violation, rate) {}
 
   void later(std::int64_t span, std::function<void()> then) {
-    flights.push_back({now + span, std::move(then)});
+    inFlight.push_back({now + span, std::move(then)});
   }
-  void order(OrderKind kind, const TaskRunId& name) {
+  void order(OrderKind kind, const TaskRunId& runId) {
     Order made;
     made.number = OrderNumber{++lastOrder};
     made.kind = kind;
-    made.job = name.job;
-    made.runNumber = name.runNumber;
+    made.job = runId.job;
+    made.runNumber = runId.runNumber;
     orders.push_back(made);
   }
   void begin(const JobId& job, std::uint32_t run) {
     running[job] = run;
     order(OrderKind::start, TaskRunId{job, 0, 0, 0, run});
   }
-  // What the leader folds of a report, and what it answers.
-  SyncResponse hear(const SyncReport& report) {
+  // What the leader takes over from a report, and its response.
+  SyncResponse onReport(const SyncReport& report) {
     if (report.lastAppliedOrder.value > applied)
       applied = std::min(report.lastAppliedOrder.value, lastOrder);
     while (!orders.empty() && orders.front().number.value <= applied)
@@ -179,31 +198,32 @@
     SyncResponse answer;
     answer.term = Term{term};
     answer.lease = Duration{6000};
-    for (const auto& ending : report.runResults) {
+    for (const auto& result : report.runResults) {
       ++answer.finalResultCount;
-      const TaskRunId& name = ending.runId;
-      for (auto& order : orders)  // what ended is not started when a new process gets it again
-        if (TaskRunId::of(order) == name)
+      const TaskRunId& runId = result.runId;
+      for (auto& order :
+           orders)  // what is over is not started when a new process gets the order again
+        if (TaskRunId::of(order) == runId)
           order.kind = OrderKind::stop;
-      if (!closed.insert(name).second)
+      if (!confirmed.insert(runId).second)
         continue;
-      const bool never = ending.outcome == AttemptOutcome::neverStarted ||
-                         ending.outcome == AttemptOutcome::rejected;
-      if (never && worker.begun.count(name))
-        broken.note(now, "told as never begun, but it had", name);
-      if (!never && !worker.endings.count(name))
-        broken.note(now, "told as ended, but it had not", name);
-      if (ending.outcome == AttemptOutcome::succeeded &&
-          worker.endings[name] != AttemptOutcome::succeeded)
-        broken.note(now, "told as clean, but it was not", name);
-      auto open = running.find(name.job);
-      if (open == running.end() || open->second != name.runNumber)
+      const bool neverStarted = result.outcome == AttemptOutcome::neverStarted ||
+                                result.outcome == AttemptOutcome::rejected;
+      if (neverStarted && worker.started.count(runId))
+        violation.note(now, "reported as never started, but it had", runId);
+      if (!neverStarted && !worker.outcomes.count(runId))
+        violation.note(now, "reported as over, but it was not", runId);
+      if (result.outcome == AttemptOutcome::succeeded &&
+          worker.outcomes[runId] != AttemptOutcome::succeeded)
+        violation.note(now, "reported as succeeded, but it had not", runId);
+      auto open = running.find(runId.job);
+      if (open == running.end() || open->second != runId.runNumber)
         continue;
       running.erase(open);
-      if (ending.outcome == AttemptOutcome::succeeded)
-        finished.insert(name.job);
+      if (result.outcome == AttemptOutcome::succeeded)
+        succeeded.insert(runId.job);
       else
-        begin(name.job, name.runNumber + 1);
+        begin(runId.job, runId.runNumber + 1);
     }
     for (const auto& order : orders)
       if (order.number.value >
@@ -211,25 +231,25 @@
         answer.orders.push_back(order);
     return answer;
   }
-  void sync(bool calm) {
+  void sync(bool faultFree) {
     if (!agent.mayReport() || syncing)
       return;
     syncing = true;
     const auto report = agent.makeSyncReport(MonotonicTime{now});
     const std::int64_t sentAt = now;
-    const auto asker = process;
-    const bool lost = !calm && random.chance(0.1);
+    const auto sender = process;
+    const bool lost = !faultFree && random.chance(0.1);
     later(random.between(1, 30), [=, this] {
       if (now < awayUntil) {
         later(200, [=, this] {
-          if (asker == process)
+          if (sender == process)
             syncing = false;
         });
         return;
       }
-      const auto answer = hear(report);
+      const auto answer = onReport(report);
       later(random.between(1, 30), [=, this] {
-        if (asker != process)
+        if (sender != process)
           return;
         syncing = false;
         if (!lost)
@@ -237,106 +257,123 @@
       });
     });
   }
-  void call(const WorkerCall& call, bool calm) {
-    const auto asker = process;
-    auto reply = [this, asker, call](const WorkerReply& reply) {
-      if (asker == process)
+  void sendCall(const WorkerCall& call, bool faultFree) {
+    const auto sender = process;
+    auto reply = [this, sender, call](const WorkerReply& reply) {
+      if (sender == process)
         agent.onWorkerReply(call, reply, MonotonicTime{now});
     };
-    if (!calm &&
-        random.chance(0.15)) {  // no answer: it is never done, or done, or done seconds later
+    if (!faultFree &&
+        random.chance(0.15)) {  // no reply: it is never carried out, or it is, or seconds later
       if (random.chance(0.6))
         later(random.between(1, random.chance(0.5) ? 100 : 4000),
-              [this, call] { worker.take(call); });
+              [this, call] { worker.onCall(call); });
       later(500, [reply] { reply(WorkerReply{}); });
       return;
     }
     later(random.between(1, 20), [this, call, reply] {
-      const auto made = worker.take(call);
+      const auto made = worker.onCall(call);
       later(random.between(1, 20), [reply, made] { reply(made); });
     });
   }
-  void beat() {
-    WorkerRegistration account;
-    account.workerInstance = WorkerId{"life"};
-    account.clockReading = WorkerTime{worker.clock()};
-    agent.onRegistration(account, MonotonicTime{now});
+  void heartbeat() {
+    WorkerRegistration registration;
+    registration.workerInstance = WorkerId{"instance"};
+    registration.clockReading = WorkerTime{worker.clock()};
+    agent.onRegistration(registration, MonotonicTime{now});
   }
-  std::string run(std::int64_t trouble) {
-    beat();
+  // Faults for so many milliseconds, then time for all to end. What was broken, or nothing.
+  std::string run(std::int64_t faultyTime) {
+    heartbeat();
     for (int count = 0; count < 5; ++count)
       begin(JobId{"job" + std::to_string(count)}, 1);
-    std::int64_t nextBeat = now + 1500;
-    const std::int64_t until = now + trouble, last = until + 40'000;
+    std::int64_t nextHeartbeat = now + heartbeatInterval;
+    const std::int64_t until = now + faultyTime;
+    const std::int64_t last = until + 40'000;
     while (now < last) {
       now += 5;
-      const bool calm = now >= until;
+      const bool faultFree = now >= until;
       worker.step(now);
-      if (!calm) {
-        if (random.chance(0.0004))
-          awayUntil = now + random.between(100, 9000);
-        if (random.chance(0.0004))
-          ++term;
-        if (random.chance(0.0006)) {  // killed; a new one knows nothing
-          ++process;
-          syncing = false;
-          agent = NodeAgent{NodeAgentOptions{}};
-          beat();
-        }
-        if (random.chance(0.003) && !running.empty()) {
-          auto open = std::next(running.begin(), std::ptrdiff_t(random.next() % running.size()));
-          const TaskRunId name{open->first, 0, 0, 0, open->second};
-          if (stopped.insert(name).second)
-            order(OrderKind::stop, name);
-        }
-        if (random.chance(0.004))
-          begin(JobId{"more" + std::to_string(now)}, 1);
+      if (!faultFree)
+        drawFaults();
+      deliverMessages();
+      if (now >= nextHeartbeat) {
+        heartbeat();
+        nextHeartbeat += heartbeatInterval;
       }
-      for (std::size_t place = 0; place < flights.size();) {
-        if (flights[place].at > now) {
-          ++place;
-          continue;
-        }
-        auto then = std::move(flights[place].then);
-        flights.erase(flights.begin() + std::ptrdiff_t(place));
-        then();
-      }
-      if (now >= nextBeat) {
-        beat();
-        nextBeat += 1500;
-      }
-      for (const auto& made : agent.takeCalls(MonotonicTime{now}))
-        call(made, calm);
+      for (const auto& call : agent.takeCalls(MonotonicTime{now}))
+        sendCall(call, faultFree);
       if (agent.hasUrgentReport(MonotonicTime{now}) || random.chance(0.02))
-        sync(calm);
-      if (!broken.text.empty())
-        return broken.text;
+        sync(faultFree);
+      if (!violation.text.empty())
+        return violation.text;
+    }
+    return unfinishedWork();
+  }
+
+ private:
+  static constexpr std::int64_t heartbeatInterval = 1500;
+
+  void drawFaults() {
+    if (random.chance(0.0004))
+      awayUntil = now + random.between(100, 9000);
+    if (random.chance(0.0004))
+      ++term;
+    if (random.chance(0.0006))
+      restartAgent();
+    if (random.chance(0.003) && !running.empty()) {
+      auto open = std::next(running.begin(), std::ptrdiff_t(random.next() % running.size()));
+      const TaskRunId runId{open->first, 0, 0, 0, open->second};
+      if (stopped.insert(runId).second)
+        order(OrderKind::stop, runId);
+    }
+    if (random.chance(0.004))
+      begin(JobId{"more" + std::to_string(now)}, 1);
+  }
+  // The agent is killed; its next process knows nothing.
+  void restartAgent() {
+    ++process;
+    syncing = false;
+    agent = NodeAgent{NodeAgentOptions{}};
+    heartbeat();
+  }
+  void deliverMessages() {
+    for (std::size_t index = 0; index < inFlight.size();) {
+      if (inFlight[index].at > now) {
+        ++index;
+        continue;
+      }
+      auto then = std::move(inFlight[index].then);
+      inFlight.erase(inFlight.begin() + std::ptrdiff_t(index));
+      then();
+    }
+  }
+  std::string unfinishedWork() const {
+    for (const auto& runId : worker.started) {
+      if (!confirmed.count(runId))
+        return "started and was never reported as over: " + runId.job.value + "/" +
+               std::to_string(runId.runNumber);
     }
-    for (const auto& name : worker.begun)
-      if (!closed.count(name))
-        return "began and was never told to have ended: " + name.job.value + "/" +
-               std::to_string(name.runNumber);
     if (!running.empty())
-      return "never ended well: " + running.begin()->first.value + "/" +
+      return "never succeeded: " + running.begin()->first.value + "/" +
              std::to_string(running.begin()->second);
-    for (const auto& name : closed)
-      if (!worker.begun.count(name))
-        continue;
-      else if (!worker.endings.count(name))
-        return "closed, yet not ended: " + name.job.value;
+    for (const auto& runId : confirmed) {
+      if (worker.started.count(runId) && !worker.outcomes.count(runId))
+        return "confirmed, yet not over: " + runId.job.value;
+    }
     return "";
   }
 };
 
 }  // namespace
 
-TEST_GROUP(AgentWorld){};
+TEST_GROUP(NodeAgentModelTests){};
 
-TEST(AgentWorld, keepsItsPromisesUnderFaults) {
+TEST(NodeAgentModelTests, noRuleIsBrokenUnderFaults) {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-    World world(seed, 1.0);
-    const std::string broken = world.run(30'000);
-    CHECK_TEXT(broken.empty(), ("seed " + std::to_string(seed) + ": " + broken).c_str());
-    CHECK(world.finished.size() > 5);
+    AgentModel model(seed, 1.0);
+    const std::string violation = model.run(30'000);
+    CHECK_TEXT(violation.empty(), ("seed " + std::to_string(seed) + ": " + violation).c_str());
+    CHECK(model.succeeded.size() > 5);
   }
 }
--- /dev/null
+++ b/tests/state/called_worker_state_tests.cpp
@@ -0,0 +1,112 @@
+// What the cluster state makes of results and drains of workers that are called.
+// docs/design.md 5.7, 5.8, 7.4.
+#include "state/cluster_state.hpp"
+#include <CppUTest/TestHarness.h>
+
+using namespace aniseline;
+
+namespace {
+
+Capacity calledWorkerCapacity() {
+  Capacity capacity;
+  capacity.cores = 4000;
+  capacity.memory = 1000;
+  capacity.honoursLeases = true;
+  capacity.killsOnLeaseExpiry = true;
+  capacity.selfAssemblingGangs = true;
+  return capacity;
+}
+
+// A cluster state with two workers at which gangs assemble themselves, and one job: a gang of two.
+struct GangFixture {
+  ClusterState clusterState;
+  std::int64_t now = 0;
+  std::uint64_t lastAttempt = 0;
+  GangFixture() {
+    auto config = ClusterConfig::parse(R"({"queues":{"q":{"tries":2}}})");
+    config.value().version = ConfigVersion{1};
+    apply(ConfigCommitted{config.value()});
+    for (const char* id : {"v", "w"})
+      apply(WorkerRegistered{WorkerId{id}, Incarnation{1}, calledWorkerCapacity()});
+    JobSubmission job;
+    job.id = JobId{"a"};
+    job.queue = QueueName{"q"};
+    job.steps = {{"only", {}, true, {TaskRequest{}, TaskRequest{}}}};
+    apply(JobAccepted{job});
+  }
+  void apply(Event event) { clusterState.apply(LogRecord{ClusterTime{++now}, std::move(event)}); }
+  // Starts of one run, of task 0 on v and of task 1 on w.
+  void place(std::uint32_t run, std::vector<std::uint32_t> tasks) {
+    PlanMade plan;
+    for (auto task : tasks) {
+      Action action;
+      action.attempt = AttemptNumber{++lastAttempt};
+      action.job = JobId{"a"};
+      action.taskIndex = task;
+      action.worker = WorkerId{task ? "w" : "v"};
+      action.memory = 1;
+      action.runNumber = run;
+      plan.actions.push_back(action);
+    }
+    apply(plan);
+    for (const char* id : {"v", "w"})
+      apply(
+          WorkerSynced{WorkerId{id}, clusterState.workers().at(WorkerId{id}).lastIssuedOrder, {}});
+  }
+  void end(const char* worker, std::uint64_t attempt, AttemptOutcome kind) {
+    apply(WorkerSynced{
+        WorkerId{worker}, OrderNumber{}, {AttemptResult{AttemptNumber{attempt}, kind}}});
+  }
+  JobState state() const { return clusterState.jobs().at(JobId{"a"}).state; }
+};
+
+}  // namespace
+
+TEST_GROUP(CalledWorkerStateTests){};
+
+// Also when another member's success was void: else that member would wait alone for ever.
+TEST(CalledWorkerStateTests, oneSuccessCountsForTheWholeGang) {
+  GangFixture given;
+  given.place(1, {0, 1});
+  given.end("v", 1, AttemptOutcome::stopped);
+  given.end("w", 2, AttemptOutcome::succeeded);
+  CHECK(given.state() == JobState::succeeded);
+}
+TEST(CalledWorkerStateTests, lateSuccessOfAGangStopsItsReplacement) {
+  GangFixture given;
+  given.place(1, {0, 1});
+  given.end("v", 1, AttemptOutcome::stopped);
+  given.place(2, {0});
+  given.end("w", 2, AttemptOutcome::succeeded);
+  CHECK(given.clusterState.attempts().at(AttemptNumber{3}).state == AttemptState::stopping);
+  given.end("v", 3, AttemptOutcome::stopped);
+  CHECK(given.state() == JobState::succeeded);
+}
+
+// docs/design.md 5.7.
+TEST(CalledWorkerStateTests, drainingWorkerIsStillDrainingAfterItReconnects) {
+  ClusterState clusterState;
+  std::int64_t now = 1000;
+  auto apply = [&](Event event) {
+    clusterState.apply(LogRecord{ClusterTime{++now}, std::move(event)});
+  };
+  const WorkerId id{"v"};
+  apply(WorkerRegistered{id, Incarnation{1}, calledWorkerCapacity()});
+  const Worker& worker = clusterState.workers().at(id);
+  apply(WorkerDrainStarted{id, Duration{2000}, false});
+  apply(WorkerUnreachable{id, {}});
+  apply(WorkerReconnected{id});
+  CHECK(worker.state == WorkerState::draining);
+  // Also when the drain began while it was unreachable.
+  apply(WorkerRegistered{id, Incarnation{2}, calledWorkerCapacity()});
+  apply(WorkerUnreachable{id, {}});
+  apply(WorkerDrainStarted{id, Duration{2000}, false});
+  apply(WorkerReconnected{id});
+  CHECK(worker.state == WorkerState::draining);
+  // An operator ends the drain, and an unreachable time does not bring it back.
+  apply(WorkerReconnected{id});
+  CHECK(worker.state == WorkerState::available);
+  apply(WorkerUnreachable{id, {}});
+  apply(WorkerReconnected{id});
+  CHECK(worker.state == WorkerState::available);
+}
--- a/tests/support/scenario.hpp
+++ b/tests/support/scenario.hpp
@@ -1,5 +1,5 @@
-// A world in which a test asks, waits, breaks and heals, and writes down what is to be approved.
-// docs/design.md 12.2.
+// A simulated cluster on which a test sends requests, waits, and injects faults, with a transcript
+// that is compared with an approved text. docs/design.md 12.2.
 #ifndef ANISELINE_TESTS_SUPPORT_SCENARIO_HPP
 #define ANISELINE_TESTS_SUPPORT_SCENARIO_HPP
 #include "simulator/campaign.hpp"
@@ -8,78 +8,83 @@
 
 namespace aniseline {
 
+// Begins with all voters up and the standard configuration in force. All times are in milliseconds.
 struct Scenario {
   std::string transcript;
   std::unique_ptr<SimulatedCluster> cluster;
   std::int64_t startedAt = 0;
-  explicit Scenario(SimulatedClusterOptions options = {}, std::int64_t replaceAfter = 5000) {
-    options.controller.deadMemberTimeout = Duration{replaceAfter};
+  explicit Scenario(SimulatedClusterOptions options = {}, std::int64_t deadMemberTimeout = 5000) {
+    options.controller.deadMemberTimeout = Duration{deadMemberTimeout};
     cluster = std::make_unique<SimulatedCluster>(options);
     CHECK(cluster->runUntilTrue(
         [&] { return cluster->voterCount() == cluster->configuredVoters(); }, 20'000));
-    bool taken = false;
+    bool accepted = false;
     cluster->applyConfig(standardConfig(), 0,
-                         [&](int status, const std::string&) { taken = status == 200; });
-    CHECK(cluster->runUntilTrue([&] { return taken; }, 5000));
+                         [&](int status, const std::string&) { accepted = status == 200; });
+    CHECK(cluster->runUntilTrue([&] { return accepted; }, 5000));
     startedAt = cluster->now;
   }
   void appendLine(const std::string& line) { transcript += line + "\n"; }
+  // Sends a request through a gateway, waits for its answer and writes both down.
   void request(const std::string& method, const std::string& target, const std::string& body = "",
                std::size_t gateway = 0) {
-    bool over = false;
+    bool answered = false;
     cluster->sendRequest(
         gateway, method, target, body,
         [&, method, target](int status, const std::string& answer) {
           appendLine(method + " " + target + " " + body + "\n  -> " + std::to_string(status) + " " +
                      answer);
-          over = true;
+          answered = true;
         },
         5000);
-    CHECK(cluster->runUntilTrue([&] { return over; }, 6000));
+    CHECK(cluster->runUntilTrue([&] { return answered; }, 6000));
   }
+  // Sends a request and returns at once; `onStatus` is called with the answer's status.
   void requestWithoutTranscript(const std::string& method, const std::string& target,
-                                const std::string& body, std::function<void(int)> told) {
+                                const std::string& body, std::function<void(int)> onStatus) {
     cluster->sendRequest(1, method, target, body,
-                         [told](int status, const std::string&) { told(status); });
+                         [onStatus](int status, const std::string&) { onStatus(status); });
   }
-  // The worker that a job's task was started on last.
+  // The worker on which a task of the job was started last.
   std::string lastWorkerOf(const std::string& job) const {
     std::string found;
-    for (const auto& given : cluster->history)
-      if (given.kind == HistoryEvent::Kind::started && given.job == job)
-        found = given.worker;
+    for (const auto& event : cluster->history)
+      if (event.kind == HistoryEvent::Kind::started && event.job == job)
+        found = event.worker;
     return found;
   }
-  void waitForVoters(std::size_t wanted, std::int64_t within) {
+  void waitForVoters(std::size_t wanted, std::int64_t timeout) {
     CHECK(cluster->runUntilTrue(
-        [&] { return cluster->allReplicasIntact() && cluster->voterCount() == wanted; }, within));
+        [&] { return cluster->allReplicasIntact() && cluster->voterCount() == wanted; }, timeout));
   }
-  void waitForFinished(const std::string& job, std::int64_t within = 10'000) {
+  void waitForFinished(const std::string& job, std::int64_t timeout = 10'000) {
     CHECK(cluster->runUntilTrue([&] { return cluster->lastObservedState[job] == "finished"; },
-                                within));
+                                timeout));
   }
   void advance(std::int64_t span) { cluster->runUntil(cluster->now + span); }
-  // How often a caller asks is decided by draws too.
+  // How often a client sends requests is drawn, so that these events are not part of a transcript.
   static bool isClientRequest(HistoryEvent::Kind kind) {
     using Kind = HistoryEvent::Kind;
     return kind == Kind::submitted || kind == Kind::outcomeUnknown ||
            kind == Kind::stateUnchanged || kind == Kind::cancelSubmitted;
   }
-  // What the caller and then what the workers witnessed of one job, without times and places, which
-  // draws decide.
+  // The events of one job, first those of its client and then those of the workers, without times
+  // and workers, which are drawn.
   void appendHistory(const std::string& job) {
     for (const bool workers : {false, true})
-      for (const auto& given : cluster->history)
-        if (given.job == job && given.worker.empty() != workers && !isClientRequest(given.kind))
-          appendLine(std::string(workers ? "  worker: " : "  caller: ") + name(given.kind) +
-                     (given.detail.empty() ? "" : " " + given.detail));
+      for (const auto& event : cluster->history)
+        if (event.job == job && event.worker.empty() != workers && !isClientRequest(event.kind))
+          appendLine(std::string(workers ? "  worker: " : "  caller: ") + name(event.kind) +
+                     (event.detail.empty() ? "" : " " + event.detail));
   }
+  // Adds the violations that the history shows, and compares the transcript with the approved one.
+  // With ANISELINE_APPROVE in the environment the transcript becomes the approved one.
   void compareWithApproved(const std::string& name) {
     const auto findings = cluster->checkHistory();
     for (const auto& limit : findings.unavoidableViolations)
       appendLine("limit of rule " + std::to_string(limit.rule) + ": " + limit.description);
-    for (const auto& promise : findings.violations)
-      appendLine("BROKEN rule " + std::to_string(promise.rule) + ": " + promise.description);
+    for (const auto& violation : findings.violations)
+      appendLine("BROKEN rule " + std::to_string(violation.rule) + ": " + violation.description);
     const std::string file = std::string(ANISELINE_SOURCE) + "/tests/approved/" + name + ".txt";
     if (std::getenv("ANISELINE_APPROVE"))
       std::ofstream(file) << transcript;
@@ -89,11 +94,12 @@
   }
 };
 
-inline std::string jobJson(const std::string& id, std::int64_t run,
+// A submission of one task that runs for `runtime` milliseconds.
+inline std::string jobJson(const std::string& id, std::int64_t runtime,
                            const std::string& queue = "proofs", std::uint32_t cores = 1) {
   return "{\"id\":\"" + id + "\",\"queue\":\"" + queue +
          "\",\"steps\":[{\"name\":\"s\",\"tasks\":[{\"cores\":" + std::to_string(cores) +
-         ",\"memory_mb\":512,\"runtime_ms\":1000,\"payload\":\"run=" + std::to_string(run) +
+         ",\"memory_mb\":512,\"runtime_ms\":1000,\"payload\":\"run=" + std::to_string(runtime) +
          "\"}]}]}";
 }
 inline JobSubmission parseJob(const std::string& text) {
