--- /dev/null
+++ b/benchmarks/benchmark_runner.cpp
@@ -0,0 +1,242 @@
+#include "benchmarks/benchmark_runner.hpp"
+#include <iostream>
+
+namespace aniseline::benchmarks {
+
+namespace {
+
+// Values of five digits and more are printed whole.
+std::string formatted(double value) {
+  char text[40];
+  std::snprintf(text, sizeof text, "%.*g", std::abs(value) >= 10'000 ? 8 : 4, value);
+  return text;
+}
+
+void appendValue(std::string& json, const std::string& name, double value) {
+  json += (json.empty() ? "\"" : ",\"") + name + "\":" + formatted(value);
+}
+
+}  // namespace
+
+void BenchmarkRunner::measurePoint(const char* part, const char* varied, const Sizes& sizes,
+                                   const Measurement& measure) {
+  if (!options.only.empty() && options.only != part)
+    return;
+  ++pointCount;
+  picojson::object shown{
+      {"part", json(part)}, {"grows", json(varied)}, {"sizes", json(sizes.shown())}};
+  if (processorMicros() > double(options.budgetSeconds) * 1e6) {
+    shown["skipped"] = json("the budget of processor time is used up");
+    std::cout << json(shown).serialize() << "\n";
+    return;
+  }
+  const double begun = processorMicros();
+  Samples samples;
+  std::int64_t failed = 0;
+  for (std::int64_t round = 0; round < options.repeats; ++round) {
+    const Values values = measure(sizes, std::uint64_t(options.seed + round));
+    failed += values.empty();
+    for (const auto& [name, value] : values) {
+      samples[name].push_back(value);
+    }
+  }
+  std::string median, spread;
+  for (auto& [name, values] : samples) {
+    std::sort(values.begin(), values.end());
+    appendValue(median, name, values[values.size() / 2]);
+    appendValue(spread, name, values.back() - values.front());
+  }
+  shown["repeats"] = json(options.repeats);
+  shown["took_ms"] = json(std::round((processorMicros() - begun) / 1000));
+  if (failed)
+    shown["runs_without_a_steady_leader"] = json(failed);
+  std::string line = json(shown).serialize();
+  line.pop_back();  // the closing brace
+  std::cout << line << ",\"median\":{" << median << "},\"spread\":{" << spread << "}}" << std::endl;
+}
+
+void BenchmarkRunner::measurePoint(const char* part, const char* varied, const ChangeSizes& change,
+                                   const Measurement& measure) {
+  Sizes sizes;
+  change(sizes);
+  measurePoint(part, varied, sizes, measure);
+}
+
+BenchmarkRunner::Measurement BenchmarkRunner::flow() const {
+  FlowLengths lengths;
+  lengths.tickMs = options.tickMs;
+  lengths.measuredMs = options.measuredMs;
+  return [lengths](const Sizes& sizes, std::uint64_t seed) {
+    return measureFlow(sizes, seed, lengths);
+  };
+}
+
+void BenchmarkRunner::measureOneFlow(const Sizes& sizes) {
+  options.only.clear();
+  measurePoint("flow", "nothing", sizes, flow());
+}
+
+void BenchmarkRunner::measureAll() {
+  measureFlows();
+  measureIdleFlows();
+  measurePlans();
+  measureGangs();
+  measureStates();
+  measureConfigs();
+  measureRoutes();
+  measurePoint("gateway", "nothing", Sizes{}, measureGateway);
+  measureAgents();
+}
+
+void BenchmarkRunner::measureFlows() {
+  for (const double starts : {50, 150, 500, 1500}) {
+    measurePoint(
+        "flow", "starts", [&](Sizes& sizes) { sizes.starts = starts; }, flow());
+  }
+  for (const std::size_t workers : {11, 60, 250, 1000, 2000}) {
+    measurePoint(
+        "flow", "workers", [&](Sizes& sizes) { sizes.workers = workers; }, flow());
+  }
+  for (const std::size_t running : {100, 1000, 10'000}) {
+    measurePoint(
+        "flow", "running", [&](Sizes& sizes) { sizes.running = running; }, flow());
+  }
+  for (const std::size_t waiting : {100, 1000, 10'000}) {
+    measurePoint(
+        "flow", "waiting", [&](Sizes& sizes) { sizes.waiting = waiting; }, flow());
+  }
+  for (const std::size_t kept : {1000, 5000, 20'000}) {
+    measurePoint(
+        "flow", "kept", [&](Sizes& sizes) { sizes.kept = kept; }, flow());
+  }
+  for (const std::size_t queues : {10, 100, 830}) {
+    measurePoint(
+        "flow", "queues", [&](Sizes& sizes) { sizes.queues = queues; }, flow());
+  }
+}
+
+void BenchmarkRunner::measureIdleFlows() {
+  for (const std::size_t workers : {11, 250, 2000}) {
+    measurePoint(
+        "idle", "workers",
+        [&](Sizes& sizes) {
+          sizes.workers = workers;
+          sizes.starts = 0;
+        },
+        flow());
+  }
+  for (const std::size_t running : {100, 1000, 10'000}) {
+    measurePoint(
+        "idle", "running",
+        [&](Sizes& sizes) {
+          sizes.running = running;
+          sizes.starts = 0;
+        },
+        flow());
+  }
+}
+
+void BenchmarkRunner::measurePlans() {
+  for (const std::size_t workers : {11, 60, 250, 1000, 2000}) {
+    measurePoint(
+        "plan", "workers",
+        [&](Sizes& sizes) {
+          sizes.workers = workers;
+          sizes.waiting = 100;
+        },
+        measurePlan);
+  }
+  for (const std::size_t waiting : {100, 1000, 10'000}) {
+    measurePoint(
+        "plan", "waiting", [&](Sizes& sizes) { sizes.waiting = waiting; }, measurePlan);
+  }
+  for (const std::size_t running : {100, 1000, 10'000}) {
+    measurePoint(
+        "plan", "running", [&](Sizes& sizes) { sizes.running = running; }, measurePlan);
+  }
+  for (const std::size_t running : {100, 1000, 10'000}) {
+    measurePoint(
+        "plan", "running, one waits",
+        [&](Sizes& sizes) {
+          sizes.running = running;
+          sizes.waiting = 1;
+        },
+        measurePlan);
+  }
+}
+
+void BenchmarkRunner::measureGangs() {
+  for (const std::size_t gang : {14, 46, 128}) {
+    measurePoint(
+        "gang", "gang",
+        [&](Sizes& sizes) {
+          sizes.workers = 1800;
+          sizes.gang = gang;
+        },
+        measureGang);
+  }
+  for (const std::size_t workers : {60, 250, 1000}) {
+    measurePoint(
+        "gang", "workers",
+        [&](Sizes& sizes) {
+          sizes.workers = workers;
+          sizes.gang = 128;
+        },
+        measureGang);
+  }
+}
+
+void BenchmarkRunner::measureStates() {
+  for (const std::size_t kept : {1000, 10'000, 50'000}) {
+    measurePoint(
+        "state", "kept", [&](Sizes& sizes) { sizes.kept = kept; }, measureState);
+  }
+  for (const std::size_t running : {1000, 10'000, 100'000}) {
+    measurePoint(
+        "state", "running", [&](Sizes& sizes) { sizes.running = running; }, measureState);
+  }
+  for (const std::size_t waiting : {100, 1000, 10'000}) {
+    measurePoint(
+        "state", "waiting", [&](Sizes& sizes) { sizes.waiting = waiting; }, measureState);
+  }
+  for (const std::size_t workers : {60, 1000, 18'000}) {
+    measurePoint(
+        "state", "workers", [&](Sizes& sizes) { sizes.workers = workers; }, measureState);
+  }
+}
+
+void BenchmarkRunner::measureConfigs() {
+  for (const std::size_t queues : {10, 100, 830}) {
+    measurePoint(
+        "config", "queues", [&](Sizes& sizes) { sizes.queues = queues; }, measureConfig);
+  }
+}
+
+void BenchmarkRunner::measureRoutes() {
+  for (const std::size_t gateways : {7, 40, 160}) {
+    measurePoint(
+        "route", "gateways", [&](Sizes& sizes) { sizes.gateways = gateways; }, measureRoute);
+  }
+  for (const std::size_t queues : {10, 100, 830}) {
+    measurePoint(
+        "route", "queues", [&](Sizes& sizes) { sizes.queues = queues; }, measureRoute);
+  }
+}
+
+void BenchmarkRunner::measureAgents() {
+  for (const std::size_t running : {8, 26, 128}) {
+    measurePoint(
+        "agent", "running", [&](Sizes& sizes) { sizes.running = running; }, measureAgent);
+  }
+  for (const std::size_t running : {8, 26, 128}) {
+    measurePoint(
+        "agent", "running, none ends",
+        [&](Sizes& sizes) {
+          sizes.running = running;
+          sizes.starts = 0;
+        },
+        measureAgent);
+  }
+}
+
+}  // namespace aniseline::benchmarks
--- /dev/null
+++ b/benchmarks/gateway_benchmark.cpp
@@ -0,0 +1,56 @@
+// The requests that pass a gateway.
+#include "benchmarks/benchmarks.hpp"
+#include "net/wire.hpp"
+#include <numeric>
+
+namespace aniseline::benchmarks {
+
+// What a gateway does with a request besides HTTP: reads the caller's JSON, packs it, unpacks the
+// answer.
+Values measureGateway(const Sizes&, std::uint64_t seed) {
+  Values values;
+  Random random(seed);
+  constexpr int rounds = 300;
+  std::vector<std::string> bodies, packed;
+  for (int round = 0; round < rounds; ++round)
+    bodies.push_back(
+        renderJobSubmission(drawJob(random, "job-" + std::to_string(round), queueName(0))));
+  std::vector<ApiRequest> requests;
+  values["parse_submission_us"] =
+      timed([&] {
+        for (const auto& body : bodies)
+          requests.push_back(ApiRequest::parse("POST", "/v1/jobs", body).value());
+      }) /
+      rounds;
+  values["pack_submission_us"] = timed([&] {
+                                   for (const auto& request : requests)
+                                     packed.push_back(encode(WireMessage{1, request}));
+                                 }) /
+                                 rounds;
+  values["submission_bytes"] =
+      std::accumulate(packed.begin(), packed.end(), 0.0,
+                      [](double sum, const auto& bytes) { return sum + double(bytes.size()); }) /
+      rounds;
+  ApiRequest look;
+  look.kind = RequestKind::showPhase;
+  look.host = "jobs.example";
+  look.path = "/team-0/job-0123456789-1";
+  std::string bytes;
+  values["pack_look_us"] = timed([&] {
+                             for (int round = 0; round < rounds; ++round)
+                               bytes = encode(WireMessage{1, look});
+                           }) /
+                           rounds;
+  values["look_bytes"] = double(bytes.size());
+  const std::string answer = encode(WireMessage{
+      1, ApiResponse::of(202, {{"id", json("job-0123456789-1")}, {"accepted", json(true)}})});
+  values["unpack_answer_us"] = timed([&] {
+                                 for (int round = 0; round < rounds; ++round)
+                                   unpack<WireMessage>(answer.substr(16)).value();
+                               }) /
+                               rounds;
+  values["answer_bytes"] = double(answer.size());
+  return values;
+}
+
+}  // namespace aniseline::benchmarks
--- a/tests/layout.sh
+++ b/tests/layout.sh
@@ -7,7 +7,7 @@
 fail() { echo "layout: $1"; failed=1; }
 
 # No include and no name of the platform's outside it; tests speak of it in one file, fuzzers in one.
-outside=(source programs library examples)
+outside=(source programs benchmarks library examples)
 if grep -rnE '#\s*include\s*[<"][^>"]*platform/|aniseline::platform' "${outside[@]}"; then fail "platform/ is used outside it"; fi
 if grep -rnE 'ANISELINE_BOOT|Minions\.(Heartbeat|Leave)|Config\.(Replace|Read)|Expect-Minion|/api/(run-start|run-stop|hold)' "${outside[@]}"; then fail "the platform's names stand outside platform/"; fi
 if grep -rlE '#\s*include\s*[<"][^>"]*platform/' tests | grep -vE '^tests/(platform_tests|fuzz/platform)\.cpp$'; then fail "other tests than platform_tests.cpp and fuzz/platform.cpp use platform/"; fi
--- a/tests/lint.sh
+++ b/tests/lint.sh
@@ -30,7 +30,7 @@
 export -f lint_one
 export results
 
-mapfile -t linted < <(git ls-files 'source/*.cpp' 'platform/*.cpp' 'programs/*.cpp' 'library/*.cpp')
+mapfile -t linted < <(git ls-files 'source/*.cpp' 'platform/*.cpp' 'programs/*.cpp' 'benchmarks/*.cpp' 'library/*.cpp')
 printf '%s\n' "${linted[@]}" |
   xargs -P "${LINT_JOBS:-$(nproc)}" -I{} bash -c 'lint_one "$1"' lint_one {}
 
