--- a/source/checker/history_operations.hpp
+++ b/source/checker/history_operations.hpp
@@ -25,7 +25,7 @@
 
 // What a history in the order of its times holds of operations. Of a job only those asked for
 // before it could have been forgotten, counted from the first of them; of its starts the first. A
-// job of which no submission was witnessed, and a configuration of which no order was, can't be
+// job of which no submission was observed, and a configuration of which no order was, can't be
 // judged and have none.
 HistoryOperations extractOperations(const std::vector<HistoryEvent>& history,
                                     const HistoryOperationsOptions& options);
--- a/source/checker/invariant_checker.hpp
+++ b/source/checker/invariant_checker.hpp
@@ -7,7 +7,7 @@
 
 namespace aniseline {
 
-// One run of a task on one worker, as its worker witnessed it.
+// One run of a task on one worker, as its worker observed it.
 struct ObservedRun {
   std::string worker, attempt;
   std::int64_t startedAt = 0;
--- a/source/simulator/fault_injector.cpp
+++ b/source/simulator/fault_injector.cpp
@@ -6,8 +6,10 @@
 namespace {
 
 constexpr std::size_t mostGone = 4;  // workers; the others must be able to do all that is left
-constexpr std::int64_t strikeLastsMs = 6000;  // until what a strike caused is over
-constexpr std::int64_t strikeDelays = 4;      // a strike comes 0 to 3 ms after the answer
+// Until the consequences of a fault on an acknowledgement are over.
+constexpr std::int64_t acknowledgementFaultMs = 6000;
+// Such a fault comes 0 to 3 ms after the answer.
+constexpr std::int64_t acknowledgementFaultDelays = 4;
 
 std::string workerName(std::size_t index) {
   return "m" + std::to_string(index + 1);
@@ -98,18 +100,19 @@
   removed.erase(workerName(worker));
 }
 
-// Arms a strike at the very next answer of its kind: the acknowledgement leaves, and the machine
+// Waits for the very next answer of its kind: the acknowledgement leaves, and the machine
 // with it.
 void FaultInjector::faultOnAcknowledgement(Fault& fault, const FaultTargets& targets,
                                            Matches matches, ControllerAction strike) {
   auto took = std::make_shared<bool>(false);
   fault.tookEffect = took;
-  const std::int64_t delay = std::abs(targets.clockJump % strikeDelays);
+  const std::int64_t delay = std::abs(targets.clockJump % acknowledgementFaultDelays);
   auto atAnswer = [this, strike = std::move(strike), took, delay](std::size_t index) {
     *took = true;
     cluster.recordFault("aimed strike", false);
     cluster.scheduleAfter(delay, [strike, index] { strike(index); });
-    cluster.scheduleAfter(strikeLastsMs, [this] { cluster.recordFault("aimed strike", true); });
+    cluster.scheduleAfter(acknowledgementFaultMs,
+                          [this] { cluster.recordFault("aimed strike", true); });
   };
   fault.begin = [this, matches = std::move(matches), atAnswer = std::move(atAnswer)] {
     armedFaults.push_back({matches, atAnswer});
--- a/source/simulator/fault_kinds.hpp
+++ b/source/simulator/fault_kinds.hpp
@@ -38,7 +38,7 @@
 FaultTable callerFaults();
 FaultTable acknowledgementFaults();              // aimed at the moment after an acknowledgement
 FaultTable calledWorkerAcknowledgementFaults();  // the same, of what agents report
-FaultTable calledWorkerFaults();                 // need workers that are called; with their strikes
+FaultTable calledWorkerFaults();                 // need workers that are called
 FaultTable severalControllerFaults();            // need more voters than three
 
 // --- what the tables share ---
--- a/source/simulator/simulated_cluster.hpp
+++ b/source/simulator/simulated_cluster.hpp
@@ -81,18 +81,19 @@
   std::size_t calledWorkerCount() const { return calledWorkers.size(); }
   void partitionZones(std::size_t from, std::size_t to, bool cut);  // one way
   void healAll();
-  // The keeper's word in the history that a fault begins or ends.
+  // Records in the history that a fault begins or ends.
   void recordFault(const std::string& fault, bool ends);
   // What each process acts on, for the rules of configs.
   void observeConfigs();
   void traceControllers() const;  // what each believes, for whoever looks into a run
 
-  // Callers and operators. The follower is told of the one answer, or of status 0 when there was
-  // none.
+  // Callers and operators. The handler is called once, with the answer, or with status 0 if there
+  // was none.
   using ResponseHandler = std::function<void(int status, const std::string& body)>;
   void sendRequest(std::size_t gateway, const std::string& method, const std::string& target,
                    const std::string& body, ResponseHandler follower, std::int64_t within = 3000);
-  // A caller that resends after silence, asks until its job is over, and witnesses all it sees.
+  // A caller that resends after silence, polls until its job has ended, and records all it
+  // observes.
   void submit(const JobSubmission& job, std::int64_t cancelAfter = -1);
   void resubmit(const JobSubmission& job);
   void applyConfig(const std::string& text, std::uint64_t baseVersion, ResponseHandler follower,
--- a/source/simulator/simulated_nodes.hpp
+++ b/source/simulator/simulated_nodes.hpp
@@ -37,7 +37,7 @@
   bool stepScheduled = false, diskFull = false;
   std::int64_t nextJoinAttemptAt = 0;
   std::optional<std::size_t> votersOverride;  // its own setting, if another than the others'
-  std::map<std::uint64_t, std::function<void()>> onExit;  // who is told when the process ends
+  std::map<std::uint64_t, std::function<void()>> onExit;  // called when the process ends
 };
 
 // A process that asks the leader and holds the way to it.
