--- a/source/controller/replicated_state_machine.hpp
+++ b/source/controller/replicated_state_machine.hpp
@@ -22,9 +22,7 @@
   const ClusterState& committed() const { return committedState; }
   // The workers that the committed state has addressed since the last call:
   // given an order, or registered.
-  std::set<WorkerId> takeAddressedWorkers() {
-    return committedState.takeUpdatedWorkers();
-  }
+  std::set<WorkerId> takeAddressedWorkers() { return committedState.takeUpdatedWorkers(); }
   // An entry or a snapshot that can't be decoded: going on without it would
   // make a state other than the other controllers', so the process must end.
   bool hasUnreadableState() const { return unreadableState; }
