--- a/source/agent/pending_results.hpp
+++ b/source/agent/pending_results.hpp
@@ -4,6 +4,7 @@
 #ifndef ANISELINE_AGENT_PENDING_RESULTS_HPP
 #define ANISELINE_AGENT_PENDING_RESULTS_HPP
 #include "agent/worker_messages.hpp"
+#include "state/sync_report.hpp"
 
 namespace aniseline {
 
--- a/source/controller/lease_manager.hpp
+++ b/source/controller/lease_manager.hpp
@@ -7,6 +7,7 @@
 #define ANISELINE_CONTROLLER_LEASE_MANAGER_HPP
 #include "controller/options.hpp"
 #include "scheduling/planner.hpp"
+#include "state/sync_report.hpp"
 
 namespace aniseline {
 
--- a/source/controller/log_event.hpp
+++ b/source/controller/log_event.hpp
@@ -6,6 +6,7 @@
 #define ANISELINE_CONTROLLER_LOG_EVENT_HPP
 #include "raft/membership_change.hpp"
 #include "state/event.hpp"
+#include "base/json.hpp"
 #include <variant>
 
 namespace aniseline {
--- a/tests/controller/lease_manager_tests.cpp
+++ b/tests/controller/lease_manager_tests.cpp
@@ -1,5 +1,6 @@
 // When a leader takes a worker for unreachable or gone. docs/design.md 5.4, 5.7, 5.8.
 #include "controller/lease_manager.hpp"
+#include "state/sync_report.hpp"
 #include <CppUTest/TestHarness.h>
 
 using namespace aniseline;
