--- a/benchmarks/flow_benchmark.cpp
+++ b/benchmarks/flow_benchmark.cpp
@@ -128,8 +128,8 @@
     ask(request, {});
     request.kind = RequestKind::showPhase;
     request.job = {};
-    for (std::int64_t look = 1; look <= 4; ++look)
-      looks.emplace(now + look * 700, request);
+    for (std::int64_t poll = 1; poll <= 4; ++poll)
+      looks.emplace(now + poll * 700, request);
   }
   void load() {
     owed += sizes.starts * double(tick) / 1000.0 / tasksPerJob;
@@ -267,8 +267,8 @@
         ++counts["sync_status_" + std::to_string(answer.status)];
         continue;
       }
-      if (auto told = unpack<SyncResponse>(answer.body)) {
-        worker.onResponse(asker.report, told.value(), jobById, random, now);
+      if (auto notified = unpack<SyncResponse>(answer.body)) {
+        worker.onResponse(asker.report, notified.value(), jobById, random, now);
         if (asker.patient)
           sync(worker, true);
       }
--- a/benchmarks/gateway_benchmark.cpp
+++ b/benchmarks/gateway_benchmark.cpp
@@ -31,14 +31,14 @@
       std::accumulate(packed.begin(), packed.end(), 0.0,
                       [](double sum, const auto& bytes) { return sum + double(bytes.size()); }) /
       rounds;
-  ApiRequest look;
-  look.kind = RequestKind::showPhase;
-  look.host = "jobs.example";
-  look.path = "/team-0/job-0123456789-1";
+  ApiRequest poll;
+  poll.kind = RequestKind::showPhase;
+  poll.host = "jobs.example";
+  poll.path = "/team-0/job-0123456789-1";
   std::string bytes;
   values["pack_look_us"] = timed([&] {
                              for (int round = 0; round < rounds; ++round)
-                               bytes = encode(WireMessage{1, look});
+                               bytes = encode(WireMessage{1, poll});
                            }) /
                            rounds;
   values["look_bytes"] = double(bytes.size());
--- a/benchmarks/route_benchmark.cpp
+++ b/benchmarks/route_benchmark.cpp
@@ -28,9 +28,9 @@
   constexpr int rounds = 200;
   values["tell_us"] = timed([&] {
                         for (int round = 0; round < rounds; ++round) {
-                          RouteReply told;
-                          told.view = core.route(MonotonicTime{100});
-                          bytes = encode(WireMessage{1, told});
+                          RouteReply notified;
+                          notified.view = core.route(MonotonicTime{100});
+                          bytes = encode(WireMessage{1, notified});
                         }
                       }) /
                       rounds;
--- a/benchmarks/workload.cpp
+++ b/benchmarks/workload.cpp
@@ -179,13 +179,13 @@
 
   // Each is larger than what any worker has left.
   void submitWaitingTasks() {
-    const std::uint32_t room = std::uint32_t(shortTasksPerWorker(sizes)) * taskCores;
+    const std::uint32_t worker = std::uint32_t(shortTasksPerWorker(sizes)) * taskCores;
     for (std::size_t begun = 0; begun < sizes.waiting;) {
       JobSubmission job;
       job.id = JobId{"waiting-" + std::to_string(begun)};
       job.queue = QueueName{"patient"};
       job.steps = {{"wide", {}, false, {}}};
-      const TaskRequest request{room + std::uint32_t(random.between(2000, 16'000)), 64,
+      const TaskRequest request{worker + std::uint32_t(random.between(2000, 16'000)), 64,
                                 Duration{random.between(200, 600'000)}, ""};
       job.steps[0].tasks.assign(std::min(longTasksPerJob, sizes.waiting - begun), request);
       begun += job.steps[0].tasks.size();
--- a/programs/history_check.cpp
+++ b/programs/history_check.cpp
@@ -42,8 +42,8 @@
       promises.retriesByQueue[name.value] = queue.maxRetries;
   }
   std::size_t starts = 0;
-  for (const auto& witness : history)
-    starts += witness.kind == HistoryEvent::Kind::started;
+  for (const auto& event : history)
+    starts += event.kind == HistoryEvent::Kind::started;
   const auto findings = checkInvariants(history, submissions, promises);
   for (const auto& promise : findings.unavoidableViolations)
     std::cout << "limit of rule " << number(promise.rule) << " at " << promise.timestamp << ": "
--- a/programs/loadgen.cpp
+++ b/programs/loadgen.cpp
@@ -83,17 +83,17 @@
           "long", 0, {{"long", {}, false, {task(4, 1024, 600'000, settings.seconds * 1000)}}}});
     const auto kinds = kindsOf(settings.deployment);
     std::vector<double> next(kinds.size());
-    for (std::size_t place = 0; place < kinds.size(); ++place)
-      next[place] =
-          double(random.between(0, std::int64_t(kinds[place].everyMilliseconds / settings.rate)));
+    for (std::size_t index = 0; index < kinds.size(); ++index)
+      next[index] =
+          double(random.between(0, std::int64_t(kinds[index].everyMilliseconds / settings.rate)));
     while (!stop.requested() && monotonicNow() - begun < Duration{settings.seconds * 1000}) {
       const double elapsed = double((monotonicNow() - begun).milliseconds);
-      for (std::size_t place = 0; place < kinds.size(); ++place)
-        while (next[place] <= elapsed) {
-          begin(kinds[place]);
+      for (std::size_t index = 0; index < kinds.size(); ++index)
+        while (next[index] <= elapsed) {
+          begin(kinds[index]);
           // Exponential gaps: callers know nothing of each other.
-          next[place] += -std::log(1.0 - double(random.next() >> 11) / 9007199254740992.0) *
-                         kinds[place].everyMilliseconds / settings.rate;
+          next[index] += -std::log(1.0 - double(random.next() >> 11) / 9007199254740992.0) *
+                         kinds[index].everyMilliseconds / settings.rate;
         }
       sleepFor(Duration{2});
     }
@@ -123,11 +123,11 @@
 
  private:
   void write(HistoryEvent::Kind kind, const JobId& job, std::string detail = {}) {
-    HistoryEvent witness;
-    witness.kind = kind;
-    witness.job = job.value;
-    witness.detail = std::move(detail);
-    history.write(std::move(witness));
+    HistoryEvent event;
+    event.kind = kind;
+    event.job = job.value;
+    event.detail = std::move(detail);
+    history.write(std::move(event));
   }
   void begin(const Kind& kind) {
     JobSubmission job;
--- a/programs/local_cluster.cpp
+++ b/programs/local_cluster.cpp
@@ -98,61 +98,61 @@
     });
   }
   void addControllers() {
-    for (int place = 1; place <= 3; ++place)
-      add("controller" + std::to_string(place),
-          {"controller", "--peer", real(place, place), "--advertise", peer(place), "--http",
-           real(place, 10 + place), "--zone", "zone" + std::to_string(place), "--data",
-           settings.folder + "/data" + std::to_string(place), "--found"},
-          zone(place), true);
+    for (int index = 1; index <= 3; ++index)
+      add("controller" + std::to_string(index),
+          {"controller", "--peer", real(index, index), "--advertise", peer(index), "--http",
+           real(index, 10 + index), "--zone", "zone" + std::to_string(index), "--data",
+           settings.folder + "/data" + std::to_string(index), "--found"},
+          zone(index), true);
   }
   void addGateways() {
-    for (int place = 1; place <= settings.gateways; ++place)
-      add("gateway" + std::to_string(place),
-          {"gateway", "--http", real(place, 20 + place), "--advertise", outer(place), "--zone",
-           zone(place)},
-          zone(place), true);
+    for (int index = 1; index <= settings.gateways; ++index)
+      add("gateway" + std::to_string(index),
+          {"gateway", "--http", real(index, 20 + index), "--advertise", outer(index), "--zone",
+           zone(index)},
+          zone(index), true);
   }
   void addWorkers() {
-    for (int place = 1; place <= settings.workers; ++place)
-      addWorker(place);
+    for (int index = 1; index <= settings.workers; ++index)
+      addWorker(index);
   }
-  void addWorker(int place) {
-    std::vector<std::string> words = workerWords(place);
+  void addWorker(int index) {
+    std::vector<std::string> words = workerWords(index);
     if (settings.called) {
-      words.insert(words.end(), {"--called", "--listen", real(place, calledOffset(place)),
-                                 "--agent", real(place, agentOffset(place))});
-      addAgent(place);
+      words.insert(words.end(), {"--called", "--listen", real(index, calledOffset(index)),
+                                 "--agent", real(index, agentOffset(index))});
+      addAgent(index);
     }
     for (int gateway = 0; !settings.called && gateway < 3; ++gateway)
       words.insert(words.end(),
-                   {"--gateways", outer((place + gateway) % int(settings.gateways) + 1)});
-    if (place <= 4)
+                   {"--gateways", outer((index + gateway) % int(settings.gateways) + 1)});
+    if (index <= 4)
       words.push_back("--unguarded");
-    add("worker_stub" + std::to_string(place), std::move(words), zone(place), false);
+    add("worker_stub" + std::to_string(index), std::move(words), zone(index), false);
   }
-  std::vector<std::string> workerWords(int place) const {
+  std::vector<std::string> workerWords(int index) const {
     const bool cedarmark = settings.deployment == "cedarmark";
     return {"worker_stub",
             "--id",
-            "m" + std::to_string(place),
+            "m" + std::to_string(index),
             "--zone",
-            zone(place),
+            zone(index),
             "--from",
-            sourceIpOf(Address{real(place, 0)}),
+            sourceIpOf(Address{real(index, 0)}),
             "--rack",
-            "rack" + std::to_string((place + 2) / 3),
+            "rack" + std::to_string((index + 2) / 3),
             "--cores",
             cedarmark ? "16" : "64",
             "--memory-mb",
             cedarmark ? "32768" : "131072",
             "--witness",
-            settings.folder + "/m" + std::to_string(place) + ".witness"};
+            settings.folder + "/m" + std::to_string(index) + ".witness"};
   }
-  void addAgent(int place) {
-    add("agent" + std::to_string(place),
-        {"agent", "--listen", real(place, agentOffset(place)), "--worker",
-         real(place, calledOffset(place)), "--zone", zone(place)},
-        zone(place), true);
+  void addAgent(int index) {
+    add("agent" + std::to_string(index),
+        {"agent", "--listen", real(index, agentOffset(index)), "--worker",
+         real(index, calledOffset(index)), "--zone", zone(index)},
+        zone(index), true);
   }
   bool startAll() {
     for (auto& child : children)
@@ -247,32 +247,32 @@
   std::string at(std::int64_t offset) const {
     return "127.0.0.1:" + std::to_string(settings.port + offset);
   }
-  std::string real(int place, std::int64_t offset) const {
-    return "127.1." + zone(place).substr(4) + ".1:" + std::to_string(settings.port + offset);
+  std::string real(int index, std::int64_t offset) const {
+    return "127.1." + zone(index).substr(4) + ".1:" + std::to_string(settings.port + offset);
   }
-  std::string shown(int place, std::int64_t offset) const {
-    return "127.2." + zone(place).substr(4) + ".1:" + std::to_string(settings.port + offset);
+  std::string shown(int index, std::int64_t offset) const {
+    return "127.2." + zone(index).substr(4) + ".1:" + std::to_string(settings.port + offset);
   }
-  std::string peer(int place) const { return shown(place, place); }
-  static std::int64_t agentOffset(int place) { return 100 + place; }
-  static std::int64_t calledOffset(int place) { return 300 + place; }
-  std::string outer(int place) const { return shown(place, 20 + place); }
+  std::string peer(int index) const { return shown(index, index); }
+  static std::int64_t agentOffset(int index) { return 100 + index; }
+  static std::int64_t calledOffset(int index) { return 300 + index; }
+  std::string outer(int index) const { return shown(index, 20 + index); }
   static std::string zoneOfIp(const std::string& ip) {
     return ip.starts_with("127.1.") ? "zone" + ip.substr(6, ip.find('.', 6) - 6) : std::string();
   }
   bool openRelays() {
-    auto open = [this](int place, std::int64_t offset) {
+    auto open = [this](int index, std::int64_t offset) {
       auto opened =
-          linkProxy.open(Address{shown(place, offset)}, Address{real(place, offset)}, zone(place));
+          linkProxy.open(Address{shown(index, offset)}, Address{real(index, offset)}, zone(index));
       if (!opened)
         say(opened.error().text());
       return opened.has_value();
     };
-    for (int place = 1; place <= 3; ++place)
-      if (!open(place, place))
+    for (int index = 1; index <= 3; ++index)
+      if (!open(index, index))
         return false;
-    for (int place = 1; place <= settings.gateways; ++place)
-      if (!open(place, 20 + place))
+    for (int index = 1; index <= settings.gateways; ++index)
+      if (!open(index, 20 + index))
         return false;
     if (auto error = control.listen(Address{at(0)})) {
       say(error->text());
@@ -280,13 +280,13 @@
     }
     return true;
   }
-  static std::string zone(int place) { return "zone" + std::to_string((place - 1) % 3 + 1); }
+  static std::string zone(int index) { return "zone" + std::to_string((index - 1) % 3 + 1); }
   void say(const std::string& text) { std::cout << "local_cluster: " << text << std::endl; }
 
   void add(std::string name, std::vector<std::string> words, std::string zone, bool seeded) {
     if (seeded)
-      for (int place = 1; place <= 3; ++place)
-        words.insert(words.end(), {"--seeds", peer(place)});
+      for (int index = 1; index <= 3; ++index)
+        words.insert(words.end(), {"--seeds", peer(index)});
     children.push_back(Child{std::move(name), std::move(words), 0, std::move(zone)});
   }
   bool start(Child& child, bool outputHere = false) {
@@ -378,8 +378,8 @@
   std::vector<Address> gatewayAddresses() const {
     std::vector<Address> addresses;
     addresses.reserve(std::size_t(settings.gateways));
-    for (int place = 1; place <= settings.gateways; ++place)
-      addresses.push_back(Address{outer(place)});
+    for (int index = 1; index <= settings.gateways; ++index)
+      addresses.push_back(Address{outer(index)});
     return addresses;
   }
 
@@ -444,9 +444,9 @@
     picojson::object byZone;
     for (auto& [name, list] : zones) {
       picojson::array outers;
-      for (int place = 1; place <= settings.gateways; ++place)
-        if (zone(place) == name)
-          outers.push_back(json(outer(place)));
+      for (int index = 1; index <= settings.gateways; ++index)
+        if (zone(index) == name)
+          outers.push_back(json(outer(index)));
       byZone[name] = json(picojson::object{{"processes", json(list)}, {"gateways", json(outers)}});
     }
     return {{"whole", json(whole())}, {"folder", json(settings.folder)}, {"zones", json(byZone)}};
@@ -459,9 +459,9 @@
       return nullptr;
     for (const auto& member : cluster->get("controllers").get<picojson::array>())
       if (member.get("leads").get<bool>())
-        for (int place = 1; place <= 3; ++place)
-          if (member.get("address").to_str() == peer(place))
-            return named("controller" + std::to_string(place));
+        for (int index = 1; index <= 3; ++index)
+          if (member.get("address").to_str() == peer(index))
+            return named("controller" + std::to_string(index));
     return nullptr;
   }
   // A step: VERB:NAME[:SECONDS]; the name may be "leader". Verbs: kill, freeze, stop, empty.
--- a/programs/simulate.cpp
+++ b/programs/simulate.cpp
@@ -39,10 +39,10 @@
   }
   for (bool smaller = true; smaller;) {
     smaller = false;
-    for (std::size_t place = 0; place < options.keptFaults.size() && options.keptFaults.size() > 1;
-         ++place) {
+    for (std::size_t index = 0; index < options.keptFaults.size() && options.keptFaults.size() > 1;
+         ++index) {
       auto fewer = options;
-      fewer.keptFaults.erase(fewer.keptFaults.begin() + std::ptrdiff_t(place));
+      fewer.keptFaults.erase(fewer.keptFaults.begin() + std::ptrdiff_t(index));
       if (runCampaign(fewer).passed())
         continue;
       options = fewer;
@@ -135,10 +135,10 @@
   std::vector<CampaignResult> results{std::size_t(options.seeds)};
   std::atomic<std::int64_t> next{0};
   auto work = [&] {
-    for (std::int64_t place; (place = next++) < options.seeds;) {
+    for (std::int64_t index; (index = next++) < options.seeds;) {
       auto own = base;
-      own.seed = std::uint64_t(options.from + place);
-      results[std::size_t(place)] = runCampaign(own);
+      own.seed = std::uint64_t(options.from + index);
+      results[std::size_t(index)] = runCampaign(own);
     }
   };
   std::vector<std::thread> workers;
@@ -241,8 +241,8 @@
 bool simulate(const SimulateOptions& options) {
   Summary summary(options);
   const auto results = runSeeds(options);
-  for (std::size_t place = 0; place < results.size(); ++place)
-    summary.add(std::uint64_t(options.from) + place, results[place]);
+  for (std::size_t index = 0; index < results.size(); ++index)
+    summary.add(std::uint64_t(options.from) + index, results[index]);
   if (options.shrinks && summary.firstFailed)
     showShrunk(options, *summary.firstFailed);
   std::cout << json(summary.shown(options.seeds)).serialize() << "\n";
--- a/programs/worker_stub.cpp
+++ b/programs/worker_stub.cpp
@@ -41,15 +41,15 @@
       : settings(settings), random(std::uint64_t(settings.seed)), history(settings.witness) {
     // What an earlier process of this name ran ended with it.
     write(HistoryEvent::Kind::workerLost, {});
-    HistoryEvent witness;
-    witness.kind = HistoryEvent::Kind::capacityReported;
-    witness.worker = settings.id;
-    witness.cores = std::uint32_t(settings.cores * 1000);
-    witness.memory = std::uint64_t(settings.memory);
-    witness.enforcesCapacity = !settings.unguarded;
+    HistoryEvent event;
+    event.kind = HistoryEvent::Kind::capacityReported;
+    event.worker = settings.id;
+    event.cores = std::uint32_t(settings.cores * 1000);
+    event.memory = std::uint64_t(settings.memory);
+    event.enforcesCapacity = !settings.unguarded;
     if (settings.leaseless)
-      witness.detail = "leaseless";
-    history.write(std::move(witness));
+      event.detail = "leaseless";
+    history.write(std::move(event));
   }
   Capacity capacity() const {
     return Capacity{std::uint32_t(settings.cores * 1000),
@@ -60,19 +60,19 @@
                     !settings.unguarded};
   }
   void write(HistoryEvent::Kind kind, const Order& order, std::string detail = {}) {
-    HistoryEvent witness;
-    witness.kind = kind;
-    witness.worker = settings.id;
+    HistoryEvent event;
+    event.kind = kind;
+    event.worker = settings.id;
     if (order.attempt.value) {
-      witness.job = order.job.value;
-      witness.task = order.taskIndex;
-      witness.attempt = std::to_string(order.attempt.value);
-      witness.cores = order.cores;
-      witness.memory = order.memory;
-      witness.trial = order.quantum.milliseconds > 0;
+      event.job = order.job.value;
+      event.task = order.taskIndex;
+      event.attempt = std::to_string(order.attempt.value);
+      event.cores = order.cores;
+      event.memory = order.memory;
+      event.trial = order.quantum.milliseconds > 0;
     }
-    witness.detail = std::move(detail);
-    history.write(std::move(witness));
+    event.detail = std::move(detail);
+    history.write(std::move(event));
   }
   void follow(const TaskCommand& command) {
     auto found = tasks.find(command.attempt);
--- a/programs/zone_drill.cpp
+++ b/programs/zone_drill.cpp
@@ -130,30 +130,30 @@
   }
 
   void note(HistoryEvent::Kind kind, const JobId& job, std::string detail = {}) {
-    HistoryEvent witness;
-    witness.kind = kind;
-    witness.job = job.value;
-    witness.detail = std::move(detail);
-    history.write(std::move(witness));
+    HistoryEvent event;
+    event.kind = kind;
+    event.job = job.value;
+    event.detail = std::move(detail);
+    history.write(std::move(event));
   }
   void probeOn(const std::vector<Address>& gateways) {
     for (std::size_t count = 0; probing; ++count) {
       auto turned = gateways;
       std::rotate(turned.begin(), turned.begin() + std::ptrdiff_t(count % turned.size()),
                   turned.end());
-      const std::size_t place = probes.size();
+      const std::size_t index = probes.size();
       probes.push_back(Probe{now(), -1, -1});
       ++under;
-      spawn([this, place, turned] {
-        follow(place, turned);
+      spawn([this, index, turned] {
+        follow(index, turned);
         --under;
       });
       sleepFor(Duration{settings.everyMilliseconds});
     }
   }
-  void follow(std::size_t place, const std::vector<Address>& gateways) {
+  void follow(std::size_t index, const std::vector<Address>& gateways) {
     JobSubmission job;
-    job.id = JobId{"drill-" + std::to_string(wallNow().milliseconds) + "-" + std::to_string(place)};
+    job.id = JobId{"drill-" + std::to_string(wallNow().milliseconds) + "-" + std::to_string(index)};
     job.queue = QueueName{settings.queue};
     job.steps = {{"probe", {}, false, {TaskRequest{1000, 128, Duration{500}, "run=60"}}}};
     jobs << renderJobSubmission(job) << "\n" << std::flush;
@@ -171,7 +171,7 @@
     };
     if (!caller.submitJob(job, Duration{20'000}))
       return;
-    probes[place].acceptedAfter = now() - probes[place].begunAt;
+    probes[index].acceptedAfter = now() - probes[index].begunAt;
     for (const MonotonicTime until = monotonicNow() + Duration{30'000}; monotonicNow() < until;
          sleepFor(Duration{20})) {
       auto shown = caller.showJob(job.id, Duration{5000});
@@ -180,7 +180,7 @@
           root.get("state").to_str() != "finished")
         continue;
       note(HistoryEvent::Kind::stateObserved, job.id, "finished");
-      probes[place].finishedAfter = now() - probes[place].begunAt;
+      probes[index].finishedAfter = now() - probes[index].begunAt;
       return;
     }
   }
--- a/source/base/types.hpp
+++ b/source/base/types.hpp
@@ -167,11 +167,11 @@
 inline bool nestedTooDeep(std::string_view text, int most = 32) {
   int depth = 0;
   bool inString = false;
-  for (std::size_t place = 0; place < text.size(); ++place) {
-    const char letter = text[place];
+  for (std::size_t index = 0; index < text.size(); ++index) {
+    const char letter = text[index];
     if (inString) {
       if (letter == '\\')
-        ++place;
+        ++index;
       else if (letter == '"')
         inString = false;
     } else if (letter == '"')
--- a/source/checker/history.cpp
+++ b/source/checker/history.cpp
@@ -88,12 +88,12 @@
   };
   HistoryEvent event;
   const std::string kind = words("kind");
-  std::size_t place = 0;
-  while (place < std::size(kindNames) && kind != kindNames[place])
-    ++place;
-  if (place == std::size(kindNames))
+  std::size_t index = 0;
+  while (index < std::size(kindNames) && kind != kindNames[index])
+    ++index;
+  if (index == std::size(kindNames))
     return std::nullopt;
-  event.kind = Kind(place);
+  event.kind = Kind(index);
   event.timestamp = std::int64_t(number("at"));
   event.job = words("job");
   event.task = std::uint32_t(number("task"));
--- a/source/checker/history_operations.cpp
+++ b/source/checker/history_operations.cpp
@@ -142,8 +142,8 @@
   void cancelled(const HistoryEvent& event, JobPhase otherwise) {
     cancels[event.job].answer(event);
     JobModel::Operation made = answeredJob(event, JobInput::Kind::cancel);
-    const JobPhase told = phaseNamed(event.detail).value_or(otherwise);
-    made.output = JobOutput{JobOutput::Kind::acknowledged, told};
+    const JobPhase notified = phaseNamed(event.detail).value_or(otherwise);
+    made.output = JobOutput{JobOutput::Kind::acknowledged, notified};
     found.jobOperations.push_back(std::move(made));
   }
 
--- a/source/checker/invariant_checker.hpp
+++ b/source/checker/invariant_checker.hpp
@@ -151,11 +151,11 @@
                                        const StepRequest& request, std::uint32_t step);
   void onCheckpointed(const HistoryEvent& event);
   void checkOutcomes(const std::string& id, JobHistory& job);
-  void checkSuccesses(const std::string& id, JobHistory& job, std::uint32_t place,
+  void checkSuccesses(const std::string& id, JobHistory& job, std::uint32_t index,
                       const StepRequest& step);
   void checkNoRunAfterSuccess(const std::string& what, const TaskHistory& task,
                               const ObservedRun& done, std::int64_t noted, bool redundant);
-  void checkAttemptLimit(const std::string& id, const JobHistory& job, std::uint32_t place,
+  void checkAttemptLimit(const std::string& id, const JobHistory& job, std::uint32_t index,
                          const StepRequest& step);
   std::size_t countFailuresBefore(const JobHistory& job, std::uint32_t first, std::uint32_t after,
                                   const ObservedRun& run, bool redundant) const;
--- a/source/checker/invariants_failures.cpp
+++ b/source/checker/invariants_failures.cpp
@@ -20,19 +20,19 @@
   }
 }
 
-void InvariantChecker::checkSuccesses(const std::string& id, JobHistory& job, std::uint32_t place,
+void InvariantChecker::checkSuccesses(const std::string& id, JobHistory& job, std::uint32_t index,
                                       const StepRequest& step) {
-  const TaskHistory& task = job.tasks.at(place);
+  const TaskHistory& task = job.tasks.at(index);
   for (const auto& done : task.runs) {
     if (!done.onCalledWorker || done.outcome != "finished")
       continue;
     std::optional<std::int64_t> noted;
-    forEachGangMember(id, job, place, done.attempt, [&](TaskHistory&, const ObservedRun& member) {
+    forEachGangMember(id, job, index, done.attempt, [&](TaskHistory&, const ObservedRun& member) {
       if (member.outcome == "finished" && member.confirmedAt)
         noted = std::min(noted.value_or(*member.confirmedAt), *member.confirmedAt);
     });
     if (noted)
-      checkNoRunAfterSuccess(describeTask(id, place), task, done, *noted,
+      checkNoRunAfterSuccess(describeTask(id, index), task, done, *noted,
                              step.requirements.redundant);
   }
 }
@@ -54,18 +54,18 @@
 }
 
 void InvariantChecker::checkAttemptLimit(const std::string& id, const JobHistory& job,
-                                         std::uint32_t place, const StepRequest& step) {
+                                         std::uint32_t index, const StepRequest& step) {
   const auto* submission = findSubmission(id);
   const auto tries = options.maxAttemptsByQueue.find(submission->queue.value);
   if (tries == options.maxAttemptsByQueue.end())
     return;
-  const auto [first, after] = gangRangeOf(*submission, place);
-  for (const auto& run : job.tasks.at(place).runs) {
+  const auto [first, after] = gangRangeOf(*submission, index);
+  for (const auto& run : job.tasks.at(index).runs) {
     const std::size_t failed =
         countFailuresBefore(job, first, after, run, step.requirements.redundant);
     if (failed >= tries->second)
       reportViolation(Invariant::attemptLimit, run.startedAt,
-                      describeTask(id, place) + " starts after " + std::to_string(failed) +
+                      describeTask(id, index) + " starts after " + std::to_string(failed) +
                           " runs that failed, with " + std::to_string(tries->second) + " tries");
   }
 }
--- a/source/checker/model/model_cluster.cpp
+++ b/source/checker/model/model_cluster.cpp
@@ -44,9 +44,9 @@
   return options;
 }
 
-Member ModelCluster::memberAt(std::size_t machine, unsigned life) {
+Member ModelCluster::memberAt(std::size_t machine, unsigned instance) {
   const auto name = letter(machine);
-  return Member{ControllerId{name + std::to_string(life)}, Address{name + ":1"}, ZoneName{name},
+  return Member{ControllerId{name + std::to_string(instance)}, Address{name + ":1"}, ZoneName{name},
                 false};
 }
 
@@ -147,8 +147,8 @@
   }
   // Members by the machine that holds or held them; one whose identity is lost is named by it too.
   for (const auto kind : {ActionKind::removeMember, ActionKind::promote})
-    for (std::size_t place = 0; place < node(machine).raft.membership().size(); ++place) {
-      const Action action{kind, std::uint8_t(machine), std::uint8_t(place)};
+    for (std::size_t index = 0; index < node(machine).raft.membership().size(); ++index) {
+      const Action action{kind, std::uint8_t(machine), std::uint8_t(index)};
       if (isEnabled(action))
         actions.push_back(action);
     }
@@ -386,10 +386,10 @@
   if (auto* reply = boost::get<AppendEntryChunkReply>(&message.body))
     reply->wallTime = WallTime{};
   const auto hash = hashOf(pack(message));
-  const auto place =
+  const auto index =
       std::upper_bound(packets.begin(), packets.end(), hash,
                        [](std::uint64_t value, const auto& other) { return value < other->hash; });
-  packets.insert(place, std::make_shared<const Packet>(Packet{std::move(message), hash}));
+  packets.insert(index, std::make_shared<const Packet>(Packet{std::move(message), hash}));
 }
 
 const Packet* ModelCluster::findPacket(std::uint64_t hash) const {
@@ -400,9 +400,9 @@
 }
 
 void ModelCluster::removePacket(std::uint64_t hash) {
-  const auto place = std::find_if(packets.begin(), packets.end(),
+  const auto index = std::find_if(packets.begin(), packets.end(),
                                   [&](const auto& packet) { return packet->hash == hash; });
-  packets.erase(place);
+  packets.erase(index);
 }
 
 std::string ModelCluster::describe(const Action& action) const {
--- a/source/checker/model/model_cluster.hpp
+++ b/source/checker/model/model_cluster.hpp
@@ -117,7 +117,7 @@
   void removePacket(std::uint64_t packet);
   const Packet* findPacket(std::uint64_t packet) const;
   std::optional<std::size_t> recipientOf(const PeerMessage& message) const;
-  static Member memberAt(std::size_t machine, unsigned life);
+  static Member memberAt(std::size_t machine, unsigned instance);
 
   std::shared_ptr<const ModelOptions> options;
   std::vector<Slot> nodes;
--- a/source/checker/model/search.cpp
+++ b/source/checker/model/search.cpp
@@ -83,10 +83,10 @@
     frontier.push_back({std::move(world), reached.size() - 1, depth});
   }
 
-  Trace traceTo(std::size_t place) const {
+  Trace traceTo(std::size_t index) const {
     Trace trace;
-    for (; place != 0; place = reached[place].from)
-      trace.push_back(reached[place].by);
+    for (; index != 0; index = reached[index].from)
+      trace.push_back(reached[index].by);
     std::reverse(trace.begin(), trace.end());
     return trace;
   }
@@ -184,8 +184,8 @@
   const Stopwatch watch;
   SearchReport report;
   std::unordered_set<std::uint64_t> seen;
-  for (std::uint64_t place = 0; place < options.walks && !report.counterexample; ++place) {
-    Walk walk(start, options, options.seed + place);
+  for (std::uint64_t index = 0; index < options.walks && !report.counterexample; ++index) {
+    Walk walk(start, options, options.seed + index);
     report.counterexample = walk.run(seen);
     report.transitions += walk.steps();
     report.depth = std::max(report.depth, walk.steps());
@@ -212,15 +212,15 @@
   };
   for (std::size_t length = std::max<std::size_t>(1, finding.trace.size() / 2); length > 0;) {
     bool smaller = false;
-    for (std::size_t place = 0; place + length <= finding.trace.size();) {
+    for (std::size_t index = 0; index + length <= finding.trace.size();) {
       Trace fewer = finding.trace;
-      const auto from = fewer.begin() + std::ptrdiff_t(place);
+      const auto from = fewer.begin() + std::ptrdiff_t(index);
       fewer.erase(from, from + std::ptrdiff_t(length));
       if (same(fewer)) {
         finding.trace = std::move(fewer);
         smaller = true;
       } else
-        ++place;
+        ++index;
     }
     if (!smaller || length > 1)
       length /= 2;
--- a/source/cli/cluster_commands.cpp
+++ b/source/cli/cluster_commands.cpp
@@ -19,11 +19,11 @@
   auto answer = session.bootstrapCluster(Address{words[0]});
   if (!answer)
     return reportError(session, answer.error());
-  const ApiResponse& told = answer.value();
-  if (told.status >= 400)
-    return reportError(
-        session, ClientError{ClientError::Kind::rejected, told.status, told.body, Duration{0}});
-  session.out << told.body << "\n";
+  const ApiResponse& notified = answer.value();
+  if (notified.status >= 400)
+    return reportError(session, ClientError{ClientError::Kind::rejected, notified.status,
+                                            notified.body, Duration{0}});
+  session.out << notified.body << "\n";
   return ExitCode::success;
 }
 
--- a/source/cli/table.cpp
+++ b/source/cli/table.cpp
@@ -32,20 +32,20 @@
     lines[0].push_back(column.title);
   for (const auto& row : rows) {
     lines.emplace_back();
-    for (std::size_t place = 0; place < columns.size(); ++place)
-      lines.back().push_back(place < row.size() ? printable(row[place]) : "");
+    for (std::size_t index = 0; index < columns.size(); ++index)
+      lines.back().push_back(index < row.size() ? printable(row[index]) : "");
   }
   std::vector<std::size_t> widths(columns.size());
   for (const auto& line : lines)
-    for (std::size_t place = 0; place < line.size(); ++place)
-      widths[place] = std::max(widths[place], widthOf(line[place]));
+    for (std::size_t index = 0; index < line.size(); ++index)
+      widths[index] = std::max(widths[index], widthOf(line[index]));
   std::string text;
   for (const auto& line : lines) {
     std::string shown;
-    for (std::size_t place = 0; place < line.size(); ++place) {
-      const std::string fill(widths[place] - widthOf(line[place]), ' ');
-      shown += (place ? "  " : "") +
-               (columns[place].align == Align::right ? fill + line[place] : line[place] + fill);
+    for (std::size_t index = 0; index < line.size(); ++index) {
+      const std::string fill(widths[index] - widthOf(line[index]), ' ');
+      shown += (index ? "  " : "") +
+               (columns[index].align == Align::right ? fill + line[index] : line[index] + fill);
     }
     shown.erase(shown.find_last_not_of(' ') + 1);
     text += shown + "\n";
--- a/source/simulator/simulated_called_workers.cpp
+++ b/source/simulator/simulated_called_workers.cpp
@@ -72,8 +72,8 @@
              [this, &node, patient, sentAt, report = request.report](const ApiResponse& answer) {
                auto& busy = patient ? node.longPollInFlight : node.urgentSyncInFlight;
                if (answer.status == 200) {
-                 if (auto told = unpack<SyncResponse>(answer.body))
-                   node.core->onSyncResponse(report, told.value(), MonotonicTime{sentAt},
+                 if (auto notified = unpack<SyncResponse>(answer.body))
+                   node.core->onSyncResponse(report, notified.value(), MonotonicTime{sentAt},
                                              MonotonicTime{now});
                  busy = false;
                  return;
@@ -93,11 +93,11 @@
 void SimulatedCluster::callWorker(AgentNode& node, const WorkerCall& call) {
   auto& to = *calledWorkers[node.index];
   const std::uint64_t generation = node.generation;
-  auto told = std::make_shared<bool>(false);
-  auto tell = [this, &node, generation, told, call](WorkerReply reply) {
-    if (*told || !node.up || node.generation != generation)
+  auto notified = std::make_shared<bool>(false);
+  auto tell = [this, &node, generation, notified, call](WorkerReply reply) {
+    if (*notified || !node.up || node.generation != generation)
       return;
-    *told = true;
+    *notified = true;
     auto hear = [this, &node, call, reply] {
       node.core->onWorkerReply(call, reply, MonotonicTime{now});
     };
@@ -162,9 +162,9 @@
         auto found = submissions.find(id.value);
         return found == submissions.end() ? nullptr : &found->second;
       },
-      [this](HistoryEvent told) {
-        told.timestamp = epochMs + now;
-        recordEvent(std::move(told));
+      [this](HistoryEvent notified) {
+        notified.timestamp = epochMs + now;
+        recordEvent(std::move(notified));
       },
       now);
   node.worker->malfunction = node.malfunction;
@@ -186,13 +186,13 @@
   if (!node.up || node.generation != generation)
     return;
   node.worker->tick(now);
-  std::erase_if(node.pendingPolls, [&](const CalledWorkerNode::PendingPoll& look) {
-    if (now < look.deadline && !node.worker->hasResultAfter(look.call.confirmedUpTo))
+  std::erase_if(node.pendingPolls, [&](const CalledWorkerNode::PendingPoll& poll) {
+    if (now < poll.deadline && !node.worker->hasResultAfter(poll.call.confirmedUpTo))
       return false;
     WorkerReply reply;
     reply.status = WorkerReply::Status::ok;
     node.worker->listRuns(reply, now);
-    look.reply(reply);
+    poll.reply(reply);
     return true;
   });
   if (now >= node.nextHeartbeatAt) {
@@ -328,35 +328,35 @@
     });
 }
 
-void SimulatedCluster::receiveDrainAnnouncement(AgentNode& agent, const WorkerId& life) {
+void SimulatedCluster::receiveDrainAnnouncement(AgentNode& agent, const WorkerId& instance) {
   const Duration within{2000};
-  if (agent.core->onDrainNotice(life, within, MonotonicTime{now}))
-    return awaitDrainAcknowledgement(agent, life);
+  if (agent.core->onDrainNotice(instance, within, MonotonicTime{now}))
+    return awaitDrainAcknowledgement(agent, instance);
   ApiRequest leaving;
   leaving.kind = RequestKind::workerShutdown;
-  leaving.targetId = life.value;
+  leaving.targetId = instance.value;
   leaving.drainTimeout = within;
-  callLeader(agent, leaving, [this, &agent, life](const ApiResponse& answer) {
+  callLeader(agent, leaving, [this, &agent, instance](const ApiResponse& answer) {
     if (answer.status < 500)
-      acknowledgeDrain(agent.index, life);
+      acknowledgeDrain(agent.index, instance);
   });
 }
 
 // The word of a leaving is acknowledged once it is logged, or not at all.
-void SimulatedCluster::awaitDrainAcknowledgement(AgentNode& agent, const WorkerId& life) {
+void SimulatedCluster::awaitDrainAcknowledgement(AgentNode& agent, const WorkerId& instance) {
   constexpr std::int64_t tellWithin = 900;
   agent.drainAcknowledgementDueBy = now + tellWithin;
-  agent.drainingWorker = life;
+  agent.drainingWorker = instance;
 }
 
-void SimulatedCluster::acknowledgeDrain(std::size_t index, const WorkerId& life) {
+void SimulatedCluster::acknowledgeDrain(std::size_t index, const WorkerId& instance) {
   auto& node = *calledWorkers[index];
-  deliverLocally(node, [this, &node, life] {
-    if (node.drainAcknowledged || node.worker->workerInstance() != life)
+  deliverLocally(node, [this, &node, instance] {
+    if (node.drainAcknowledged || node.worker->workerInstance() != instance)
       return;
     node.drainAcknowledged = true;
     auto leaving = makeEvent(HistoryEvent::Kind::draining, epochMs + now);
-    leaving.worker = life.value;
+    leaving.worker = instance.value;
     recordEvent(leaving);
   });
 }
--- a/source/simulator/simulated_cluster.cpp
+++ b/source/simulator/simulated_cluster.cpp
@@ -194,7 +194,7 @@
 }
 
 void SimulatedCluster::observeConfigs() {
-  auto look = [this](const std::string& process, ConfigVersion version) {
+  auto poll = [this](const std::string& process, ConfigVersion version) {
     if (!version.value)
       return;  // it has just begun and knows of none
     auto given = makeEvent(HistoryEvent::Kind::configObserved, epochMs + now);
@@ -204,11 +204,11 @@
   };
   for (const auto& node : controllers)
     if (node->up && !node->frozen)
-      look("controller" + std::to_string(node->index) + "." + std::to_string(node->generation),
+      poll("controller" + std::to_string(node->index) + "." + std::to_string(node->generation),
            node->core->committed().config().version);
   for (const auto& node : gateways)
     if (node->up && !node->frozen)
-      look("gateway" + std::to_string(node->index) + "." + std::to_string(node->generation),
+      poll("gateway" + std::to_string(node->index) + "." + std::to_string(node->generation),
            node->route.config);
 }
 
--- a/source/simulator/simulated_cluster.hpp
+++ b/source/simulator/simulated_cluster.hpp
@@ -184,9 +184,9 @@
   void sendHeartbeat(CalledWorkerNode& node);
   void endCalledWorker(CalledWorkerNode& node);
   void announceDrain(CalledWorkerNode& node);
-  void receiveDrainAnnouncement(AgentNode& agent, const WorkerId& life);
-  void awaitDrainAcknowledgement(AgentNode& agent, const WorkerId& life);
-  void acknowledgeDrain(std::size_t index, const WorkerId& life);
+  void receiveDrainAnnouncement(AgentNode& agent, const WorkerId& instance);
+  void awaitDrainAcknowledgement(AgentNode& agent, const WorkerId& instance);
+  void acknowledgeDrain(std::size_t index, const WorkerId& instance);
   void advanceDrain(CalledWorkerNode& node);
   void deliverLocally(Node& to, std::function<void()> work);
   // What reaches a process that is up still; a frozen one gets it when it wakes.
--- a/source/simulator/simulated_gateways.cpp
+++ b/source/simulator/simulated_gateways.cpp
@@ -27,12 +27,12 @@
     Node& from, const Address& target, const ApiRequest& request, std::int64_t within,
     std::function<void(std::optional<ApiResponse>, LeaderCall::Failure)> reply) {
   const std::uint64_t generation = from.generation;
-  auto told = std::make_shared<bool>(false);
-  auto tell = [this, &from, generation, told, reply](std::optional<ApiResponse> answer,
-                                                     LeaderCall::Failure loss) {
-    if (*told)
+  auto notified = std::make_shared<bool>(false);
+  auto tell = [this, &from, generation, notified, reply](std::optional<ApiResponse> answer,
+                                                         LeaderCall::Failure loss) {
+    if (*notified)
       return;
-    *told = true;
+    *notified = true;
     if (!from.up || from.generation != generation)
       return;
     if (from.frozen)
@@ -109,11 +109,11 @@
   const bool known = index != gatewayNotFound;
   auto& node = *gateways[known ? index % gateways.size() : 0];
   const std::uint64_t generation = from.generation;
-  auto told = std::make_shared<bool>(false);
-  auto tell = [this, &from, generation, told, follower](int status, const std::string& text) {
-    if (*told)
+  auto notified = std::make_shared<bool>(false);
+  auto tell = [this, &from, generation, notified, follower](int status, const std::string& text) {
+    if (*notified)
       return;
-    *told = true;
+    *notified = true;
     if (!from.up || from.generation != generation)
       return;
     if (from.frozen)
--- a/source/simulator/simulated_workers.cpp
+++ b/source/simulator/simulated_workers.cpp
@@ -113,13 +113,13 @@
 
 void SimulatedCluster::applyWorkerEffects(WorkerNode& node) {
   for (const auto& [order, kind] : node.session->takeConfirmedResults()) {
-    auto told = makeEvent(HistoryEvent::Kind::resultConfirmed, epochMs + now);
-    told.worker = node.id;
-    told.job = order.job.value;
-    told.task = order.taskIndex;
-    told.attempt = std::to_string(order.attempt.value);
-    told.detail = name(kind);
-    recordEvent(told);
+    auto notified = makeEvent(HistoryEvent::Kind::resultConfirmed, epochMs + now);
+    notified.worker = node.id;
+    notified.job = order.job.value;
+    notified.task = order.taskIndex;
+    notified.attempt = std::to_string(order.attempt.value);
+    notified.detail = name(kind);
+    recordEvent(notified);
   }
   for (const auto& effect : node.session->takeCommands()) {
     auto found = node.tasks.find(effect.attempt);
