--- a/source/checker/model/describe.cpp
+++ b/source/checker/model/describe.cpp
@@ -62,8 +62,7 @@
     return of("message", body);
   }
   template <class Body>
-  static std::string of(const std::string& kind, const Body& body) {
-    std::string text = kind;
+  static std::string of(std::string text, const Body& body) {
     if constexpr (requires { body.term; })
       text += " term " + number(body.term);
     if constexpr (requires { body.round; })
--- a/source/checker/model/model_node.cpp
+++ b/source/checker/model/model_node.cpp
@@ -28,7 +28,8 @@
          entries[index.value - snapshot.lastIncludedIndex.value - 1].term == wanted;
 }
 
-ModelNode::ModelNode(Member self, const RaftOptions& options, std::vector<WriteAheadRecord> records)
+ModelNode::ModelNode(const Member& self, const RaftOptions& options,
+                     std::vector<WriteAheadRecord> records)
     : self(self),
       raft(startRaft(self, options, records, MonotonicTime{})),
       disk(std::move(records)) {
--- a/source/checker/model/model_node.hpp
+++ b/source/checker/model/model_node.hpp
@@ -25,7 +25,7 @@
 // action leaves as it was.
 class ModelNode {
  public:
-  ModelNode(Member self, const RaftOptions& options, std::vector<WriteAheadRecord> disk);
+  ModelNode(const Member& self, const RaftOptions& options, std::vector<WriteAheadRecord> disk);
 
   MonotonicTime now() const { return clock; }
   void advanceClock(Duration span) { clock = clock + span; }
--- a/source/checker/model/scenarios.cpp
+++ b/source/checker/model/scenarios.cpp
@@ -9,7 +9,7 @@
 
 // Of a breadth-first search. A message that is never delivered is a lost one, so that losing it is
 // no step of its own.
-Budget budgetWith(Budget more) {
+Budget budgetWith(const Budget& more) {
   Budget budget{{Kind::duplicate, 0},
                 {Kind::drop, 0},
                 {Kind::heartbeat, 1},
--- a/source/daemons/controller_daemon.cpp
+++ b/source/daemons/controller_daemon.cpp
@@ -82,7 +82,7 @@
     auto recovered = storage.recover();
     if (!recovered)
       return 1;
-    adopt(std::move(*recovered));
+    adopt(*recovered);
     if (!listen())
       return 1;
     startWriters();
@@ -107,7 +107,7 @@
   // --- start-up and recovery ---
 
   // Takes up an identity with a core of its own.
-  void adopt(RecoveredState recovered) {
+  void adopt(const RecoveredState& recovered) {
     identity = recovered.identity;
     core = std::make_unique<Controller>(
         Member{identity, settings.advertisedAddress, ZoneName{settings.zone}, false}, options,
@@ -137,7 +137,7 @@
     auto fresh = storage.beginAsNewIdentity();
     if (!fresh)
       return false;
-    adopt(std::move(*fresh));
+    adopt(*fresh);
     startWriters();
     return true;
   }
