--- a/source/checker/history_operations.cpp
+++ b/source/checker/history_operations.cpp
@@ -1,4 +1,5 @@
 #include "checker/history_operations.hpp"
+#include "state/occurrence.hpp"
 
 namespace aniseline {
 
@@ -49,11 +50,6 @@
   return found->second;
 }
 
-// The job behind an occurrence of its timetable.
-std::string clampToInteger(const std::string& job) {
-  return job.substr(0, job.rfind('@'));
-}
-
 // Collects one history's operations.
 class Collector {
  public:
@@ -149,7 +145,7 @@
 
   // That a job exists is all a start tells, and it stays true: the first one is enough.
   void started(const HistoryEvent& event) {
-    const std::string job = clampToInteger(event.job);
+    const std::string job = OccurrenceId::submittedIdOf(JobId{event.job}).value;
     if (!ran.insert(job).second)
       return;
     JobModel::Operation made = answeredJob(event, JobInput::Kind::run);
--- a/source/checker/invariants_failures.cpp
+++ b/source/checker/invariants_failures.cpp
@@ -1,5 +1,6 @@
 // Endings on workers that are called, and tries: rules 1, 14 and 18. docs/design.md 11.
 #include "checker/invariant_checker.hpp"
+#include "state/occurrence.hpp"
 
 namespace aniseline {
 
@@ -98,7 +99,7 @@
   if (tries == options.maxAttemptsByQueue.end())
     return;
   for (const auto& [id, job] : jobs)
-    if (id == event.job || id.starts_with(event.job + "@"))
+    if (id == event.job || id.starts_with(event.job + OccurrenceId::separator))
       if (const std::size_t most = maxFailures(job, submission); most && most >= tries->second)
         return;
   for (const auto& step : submission.steps)
--- a/source/checker/invariants_jobs.cpp
+++ b/source/checker/invariants_jobs.cpp
@@ -1,5 +1,6 @@
 // Jobs as callers see them: rules 2 to 5. docs/design.md 11.
 #include "checker/invariant_checker.hpp"
+#include "state/occurrence.hpp"
 
 namespace aniseline {
 
@@ -36,7 +37,7 @@
   if (!submission->hasTimetable())
     return checkAllTasksSucceeded(event, event.job, *submission);
   for (std::uint32_t time = 0; time < submission->timetable.count; ++time)
-    checkAllTasksSucceeded(event, event.job + "@" + std::to_string(time), *submission);
+    checkAllTasksSucceeded(event, OccurrenceId::make(JobId{event.job}, time).value, *submission);
 }
 
 void InvariantChecker::checkAllTasksSucceeded(const HistoryEvent& event, const std::string& id,
--- a/source/checker/invariants_lookups.cpp
+++ b/source/checker/invariants_lookups.cpp
@@ -1,5 +1,6 @@
 // What the checker of invariants knows so far of jobs, steps and workers. docs/design.md 11.
 #include "checker/invariant_checker.hpp"
+#include "state/occurrence.hpp"
 
 namespace aniseline {
 
@@ -21,7 +22,7 @@
 const JobSubmission* InvariantChecker::findSubmission(const std::string& id) const {
   auto exact = submissions.find(id);
   if (exact == submissions.end())
-    exact = submissions.find(id.substr(0, id.find('@')));
+    exact = submissions.find(OccurrenceId::submittedIdOf(JobId{id}).value);
   return exact == submissions.end() ? nullptr : &exact->second;
 }
 
--- a/source/checker/invariants_runs.cpp
+++ b/source/checker/invariants_runs.cpp
@@ -1,5 +1,6 @@
 // Runs on workers: rules 1, 5 to 7, 9, 10 and 16. docs/design.md 11.
 #include "checker/invariant_checker.hpp"
+#include "state/occurrence.hpp"
 
 namespace aniseline {
 
@@ -99,9 +100,8 @@
 
 void InvariantChecker::checkTimetable(const HistoryEvent& event, const JobSubmission& submission,
                                       const std::string& what) {
-  const auto mark = event.job.find('@');
-  const auto count =
-      mark == std::string::npos ? 0 : std::strtoll(event.job.c_str() + mark + 1, nullptr, 10);
+  const auto occurrence = OccurrenceId::parse(JobId{event.job});
+  const auto count = occurrence ? std::strtoll(occurrence->number.c_str(), nullptr, 10) : 0;
   const auto due = submission.timetable.firstStart.milliseconds +
                    count * submission.timetable.interval.milliseconds;
   if (event.timestamp + options.clockSlackMs < due)
--- a/source/scheduling/feasibility.cpp
+++ b/source/scheduling/feasibility.cpp
@@ -1,4 +1,5 @@
 #include "scheduling/feasibility.hpp"
+#include "scheduling/resources.hpp"
 
 namespace aniseline {
 
@@ -6,18 +7,11 @@
 
 /// The resources of a worker that runs nothing but the gang in question.
 struct EmptyWorker {
-  std::uint32_t cores;   // thousandths of a core
-  std::uint64_t memory;  // MB
-  std::uint32_t accelerators;
+  scheduling::Resources free;
   std::uint32_t members = 0;  // of the gang
 
-  bool fits(const TaskRequest& task) const {
-    return cores >= task.cores && memory >= task.memory && accelerators >= task.accelerators;
-  }
   void place(const TaskRequest& task) {
-    cores -= task.cores;
-    memory -= task.memory;
-    accelerators -= task.accelerators;
+    free -= scheduling::resourcesOf(task);
     ++members;
   }
 };
@@ -31,7 +25,7 @@
   for (const auto& [id, worker] : clusterState.workers()) {
     const Capacity& capacity = worker.capacity;
     if (capacity.pool == queue->pool && capacity.hasLabel(step.requirements.requiredLabel))
-      eligible.push_back({capacity.cores, capacity.memory, capacity.accelerators});
+      eligible.push_back({scheduling::resourcesOf(capacity)});
   }
   return eligible;
 }
@@ -43,7 +37,8 @@
   EmptyWorker* best = nullptr;
   for (auto& worker : workers) {
     const bool isFull = maxPerWorker && worker.members >= maxPerWorker;
-    if (worker.fits(task) && !isFull && (!best || worker.cores < best->cores))
+    const bool fits = worker.free.covers(scheduling::resourcesOf(task));
+    if (fits && !isFull && (!best || worker.free.cores < best->free.cores))
       best = &worker;
   }
   return best;
--- a/source/scheduling/resources.hpp
+++ b/source/scheduling/resources.hpp
@@ -22,6 +22,10 @@
     accelerators -= other.accelerators;
     return *this;
   }
+  /// Is there at least as much of each?
+  bool covers(const Resources& needed) const {
+    return cores >= needed.cores && memory >= needed.memory && accelerators >= needed.accelerators;
+  }
   friend Resources operator-(Resources left, const Resources& right) { return left -= right; }
 };
 
--- a/source/simulator/called_worker.cpp
+++ b/source/simulator/called_worker.cpp
@@ -1,4 +1,5 @@
 #include "simulator/called_worker.hpp"
+#include "state/occurrence.hpp"
 
 namespace aniseline {
 
@@ -46,7 +47,7 @@
   if (!job)
     return given;
   if (job->hasTimetable())
-    given.job += "@" + std::to_string(name.occurrence);
+    given.job = OccurrenceId::make(name.job, name.occurrence).value;
   given.task = name.indexInStep;
   for (std::uint32_t step = 0; step < std::min<std::size_t>(name.stepIndex, job->steps.size());
        ++step)
--- a/source/state/occurrence.hpp
+++ b/source/state/occurrence.hpp
@@ -23,6 +23,11 @@
       return std::nullopt;
     return OccurrenceId{JobId{job.value.substr(0, position)}, job.value.substr(position + 1)};
   }
+  /// The id under which a job was submitted: its timetable's, if one fired it, else its own.
+  static JobId submittedIdOf(const JobId& job) {
+    const auto occurrence = parse(job);
+    return occurrence ? occurrence->timetable : job;
+  }
 };
 
 }  // namespace aniseline
