--- a/source/scheduling/attempt_projection.cpp
+++ b/source/scheduling/attempt_projection.cpp
@@ -1,15 +1,17 @@
+// Allocates attempts on their workers and estimates when they end.
 #include "scheduling/attempt_projection.hpp"
 
 namespace aniseline::scheduling {
 
 namespace {
 
-// An attempt is overdue past this multiple of its requested runtime and this much more, which
-// covers its start and the report of its end.
+// An attempt is overdue if it exceeds this multiple of its requested runtime plus this margin. The
+// margin covers its start and the report of its end.
 constexpr double overdueFactor = 2.2;
 constexpr double overdueMarginMilliseconds = 300;
 
-// A suspended attempt resumes when the trial that displaced it ends.
+// Returns when the attempt is expected to end. A suspended attempt resumes when the trial that
+// displaced it ends.
 ClusterTime expectedEnd(const Attempt& attempt, const SchedulingContext& context) {
   const ClusterTime now = context.now();
   if (attempt.state == AttemptState::stopping)
@@ -23,8 +25,8 @@
   return resumesAt + remainingRuntime(attempt, now);
 }
 
-// One walk over the attempts. Neighbours are often of one job or on one worker, so the views found
-// last are tried first.
+// Projects all attempts in one pass. Consecutive attempts often belong to one job or worker, so the
+// views found last are tried first.
 class AttemptProjector {
  public:
   explicit AttemptProjector(SchedulingContext& context) : context(context) {}
@@ -53,7 +55,7 @@
       allocate(attempt, step);
   }
 
-  // What is being stopped may not have begun yet.
+  // Counts an attempt that is being stopped as ordered, since it may not have begun to run.
   static void addToTenant(TenantUsage& tenant, const Attempt& attempt) {
     const Resources resources = resourcesOf(attempt);
     if (attempt.state == AttemptState::running || attempt.state == AttemptState::suspended)
@@ -97,13 +99,14 @@
         {&attempt, resourcesOf(attempt), expectedEnd(attempt, context), suspended, false});
     if (step)
       step->addTaskOn(workerIndex, context.workers().size());
-    // Where an agent calls the worker, it reports a worker that does not answer, and one late order
-    // delays its report of the others: lateness says nothing there.
+    // An agent that calls the worker reports a worker that does not answer, and one late order
+    // delays the agent's report of the others. For such workers a late order is no sign of a slow
+    // worker.
     const bool orderedLongAgo = attempt.state == AttemptState::ordered &&
                                 context.now() - attempt.orderedAt > orderApplyTimeout;
     if (orderedLongAgo && !worker.capacity().killsOnLeaseExpiry)
       worker.excludeFromNewWork();
-    // A worker that fails work is tried with one task at a time. docs/design.md 5.6.
+    // A worker with recent failures gets one task at a time. docs/design.md 5.6.
     if (worker.penalty() > 0)
       worker.excludeFromNewWork();
     if (!worker.capacity().supportsSuspend &&
--- a/source/scheduling/backfill_admission.cpp
+++ b/source/scheduling/backfill_admission.cpp
@@ -1,3 +1,4 @@
+// Checks placements against the reserved start and records failed backfills.
 #include "scheduling/backfill_admission.hpp"
 
 namespace aniseline::scheduling {
@@ -28,7 +29,8 @@
   return batch.backfillFailed;
 }
 
-// A unit whose failure may have another reason than its size and runtime says nothing of others.
+// Records only units that can fail for no other reason than their size and runtime; other failures
+// say nothing about other units.
 void BackfillAdmission::recordFailure(const PlacementUnit& unit) const {
   const StepRequirements& requirements = unit.requirements();
   if (unit.isGang() || requirements.maxPerWorker || requirements.sameRack ||
--- a/source/scheduling/backfill_admission.hpp
+++ b/source/scheduling/backfill_admission.hpp
@@ -1,5 +1,5 @@
-// Backfill admission: what is placed after the reserved start was given away may start now only
-// where that start stays possible. Paper 2.2; docs/paper.md 3.
+// Backfill admission: once a unit holds the reserved start, other units may start only where that
+// start remains possible. Paper 2.2; docs/paper.md 3.
 #ifndef ANISELINE_SCHEDULING_BACKFILL_ADMISSION_HPP
 #define ANISELINE_SCHEDULING_BACKFILL_ADMISSION_HPP
 #include "scheduling/reserved_start.hpp"
@@ -10,21 +10,22 @@
  public:
   explicit BackfillAdmission(const ReservedStart& reservedStart) : reservedStart(reservedStart) {}
 
-  /// Would an allocation on the worker that ends then delay the reserved start? What ends before it
-  /// does not.
+  /// Reports whether an allocation on the worker that ends at `end` would delay the reserved start.
+  /// An allocation that ends before the reserved start does not.
   bool delaysReservedStart(const WorkerView& worker, const Resources& request,
                            ClusterTime end) const {
     if (!reservedStart.isHeld() || end <= reservedStart.start())
       return false;
     return !reservedStartFits(worker, request);
   }
-  /// Does the reserved start still fit on the worker when these resources are taken past its time?
+  /// Reports whether the reserved start still fits on the worker if these resources are allocated
+  /// past its time.
   bool reservedStartFits(const WorkerView& worker, const Resources& request) const;
 
-  /// Did a unit fail that needs no more than this one? Then this one need not be tried. Remembers
-  /// the answer in the unit's batch.
+  /// Reports whether a unit that needs no more than this one has failed, so that this one need not
+  /// be tried. Caches the answer in the unit's batch.
   bool isRuledOut(const PlacementUnit& unit) const;
-  /// Remembers a unit that found no worker while the reserved start was held.
+  /// Records a unit that found no worker while the reserved start was held.
   void recordFailure(const PlacementUnit& unit) const;
 
  private:
--- a/source/scheduling/checkpoint_preemption.cpp
+++ b/source/scheduling/checkpoint_preemption.cpp
@@ -1,3 +1,4 @@
+// Selects the attempts that are preempted for urgent work.
 #include "scheduling/checkpoint_preemption.hpp"
 #include "scheduling/latency_target.hpp"
 #include "state/stop_reasons.hpp"
@@ -6,11 +7,13 @@
 
 namespace {
 
-// A run that gives way has gone on for at least this long, so that work which is stopped again and
-// again still makes progress: several times what a stop and a start from a checkpoint take.
+// Minimum runtime of an attempt before it may be preempted. It is several times the duration of a
+// stop and a start from a checkpoint, so that work which is stopped repeatedly still makes
+// progress.
 constexpr Duration minRuntimeBeforePreemption{1500};
 
-// Of the runs that may give way, the least urgent first, and of these the one that began last.
+// Orders the candidates: the least urgent first, and among equally urgent ones the one that started
+// last.
 bool givesWayBefore(const StepAttempt& left, const StepAttempt& right) {
   const std::int64_t leftPriority = left.step->parent->queue->options->priority;
   const std::int64_t rightPriority = right.step->parent->queue->options->priority;
@@ -43,7 +46,8 @@
   }
 }
 
-// What urgent work that is of use waits for, less what attempts that are being stopped leave soon.
+// Returns the cores that blocked urgent units lack, without expired units, less the cores that
+// attempts being stopped will soon release.
 CheckpointPreemption::CoresByPool CheckpointPreemption::coresLacking(
     const std::vector<const PlacementUnit*>& blocked,
     const std::vector<StepAttempt>& checkpointed) const {
@@ -68,7 +72,7 @@
       attempt.runtimeAt(context.now()) < minRuntimeBeforePreemption)
     return false;
   if (exceededTimeLimit(attempt, *job.queue->options, context.now()))
-    return false;  // stopped already
+    return false;  // already stopped for its time limit
   const std::size_t workerIndex = context.workerIndexOf(attempt.worker);
   if (workerIndex == noIndex || !context.workers()[workerIndex].isSchedulable())
     return false;
--- a/source/scheduling/checkpoint_preemption.hpp
+++ b/source/scheduling/checkpoint_preemption.hpp
@@ -1,6 +1,6 @@
-// Long work whose progress is saved gives way to urgent work that finds no room: single attempts of
-// steps that keep checkpoints are stopped, and go on from their last one when there is room again.
-// In place of the paper's immediate service on workers that can't suspend. docs/paper.md 5,
+// Checkpoint preemption: when urgent work finds no room, attempts of steps that keep checkpoints
+// are stopped, except gang parts. They resume from their last checkpoint when there is room again.
+// This replaces the paper's immediate service on workers that can't suspend. docs/paper.md 5,
 // docs/design.md 7.10.
 #ifndef ANISELINE_SCHEDULING_CHECKPOINT_PREEMPTION_HPP
 #define ANISELINE_SCHEDULING_CHECKPOINT_PREEMPTION_HPP
@@ -14,8 +14,8 @@
   CheckpointPreemption(SchedulingContext& context, PlanDraft& draft)
       : context(context), draft(draft) {}
 
-  /// Stops as many of the attempts as the urgent ones among the blocked units lack cores for.
-  /// `checkpointed` are the attempts of AttemptSurvey of this name.
+  /// Stops enough of the attempts to free the cores that the urgent units in `blocked` lack.
+  /// `checkpointed` is the list of that name in AttemptSurvey.
   void makeRoom(const std::vector<const PlacementUnit*>& blocked,
                 const std::vector<StepAttempt>& checkpointed);
 
@@ -28,7 +28,7 @@
 
   SchedulingContext& context;
   PlanDraft& draft;
-  std::map<const JobView*, bool> hasSlack;  // by job, as far as it was asked for
+  std::map<const JobView*, bool> hasSlack;  // cache by job, filled on demand
 };
 
 }  // namespace aniseline::scheduling
--- a/source/scheduling/compiled_policies.cpp
+++ b/source/scheduling/compiled_policies.cpp
@@ -1,3 +1,4 @@
+// Compiles the policy expressions of a config.
 #include "scheduling/compiled_policies.hpp"
 
 namespace aniseline::scheduling {
--- a/source/scheduling/data_locality.cpp
+++ b/source/scheduling/data_locality.cpp
@@ -1,3 +1,4 @@
+// Chooses the racks of steps and estimates runtimes on remote workers.
 #include "scheduling/data_locality.hpp"
 #include "scheduling/worker_eligibility.hpp"
 
--- a/source/scheduling/failed_requests.hpp
+++ b/source/scheduling/failed_requests.hpp
@@ -1,5 +1,5 @@
-// Requests that could not be placed in the present plan. Resources only shrink while a plan is
-// made, so whatever requests at least as much need not be tried again.
+// Requests that could not be placed in the current plan. Resources only shrink while a plan is
+// made, so a request that is at least as large need not be tried again.
 #ifndef ANISELINE_SCHEDULING_FAILED_REQUESTS_HPP
 #define ANISELINE_SCHEDULING_FAILED_REQUESTS_HPP
 #include "base/types.hpp"
@@ -8,7 +8,8 @@
 
 namespace aniseline::scheduling {
 
-/// What decides whether a single task finds a worker: its size and for how long it occupies it.
+/// The properties that decide whether a single task finds a worker: its size and how long it
+/// occupies the worker.
 struct RequestShape {
   std::int64_t cores = 0;   // thousandths of a core
   std::int64_t memory = 0;  // MB
@@ -21,7 +22,7 @@
 
 class FailedRequests {
  public:
-  /// Did a request fail that is no larger than this one in any dimension?
+  /// Reports whether a failed request is no larger than this one in any dimension.
   bool covers(const RequestShape& shape) const {
     return std::any_of(shapes.begin(), shapes.end(),
                        [&](const RequestShape& failed) { return shape.requestsAtLeast(failed); });
--- a/source/scheduling/feasibility.cpp
+++ b/source/scheduling/feasibility.cpp
@@ -1,3 +1,4 @@
+// Places the tasks of a step on empty workers by best fit.
 #include "scheduling/feasibility.hpp"
 #include "scheduling/resources.hpp"
 
@@ -5,10 +6,10 @@
 
 namespace {
 
-/// The resources of a worker that runs nothing but the gang in question.
+/// The resources of a worker that runs only the gang being checked.
 struct EmptyWorker {
   scheduling::Resources free;
-  std::uint32_t members = 0;  // of the gang
+  std::uint32_t members = 0;  // parts of the gang placed here
 
   void place(const TaskRequest& task) {
     free -= scheduling::resourcesOf(task);
@@ -30,7 +31,7 @@
   return eligible;
 }
 
-/// The worker with the fewest cores that the task fits; null if it fits none.
+/// Returns the worker with the fewest free cores that can hold the task, or null if there is none.
 EmptyWorker* bestFit(std::vector<EmptyWorker>& workers, const TaskRequest& task,
                      const StepRequest& step) {
   const std::uint32_t maxPerWorker = step.gang ? step.requirements.maxPerWorker : 0;
@@ -52,7 +53,7 @@
   if (clusterState.workers().empty() || settled < clusterState.config().planner.capacitySettleTime)
     return std::nullopt;
   auto workers = eligibleWorkers(clusterState, job, step);
-  // The largest tasks first, each on the smallest worker that it fits.
+  // Places the largest tasks first, each on the smallest worker that can hold it.
   auto tasks = step.tasks;
   std::sort(tasks.begin(), tasks.end(), [](const TaskRequest& left, const TaskRequest& right) {
     return std::tie(left.cores, left.memory) > std::tie(right.cores, right.memory);
--- a/source/scheduling/feasibility.hpp
+++ b/source/scheduling/feasibility.hpp
@@ -1,16 +1,14 @@
-// Whether a step could ever run on the workers that are known. Asked by the
-// leader when it admits a job and for jobs that wait long.
-// docs/design.md 4.8, 10.
+// Checks whether a step could ever run on the known workers. The leader calls this when it admits a
+// job, and for jobs that have waited for a long time. docs/design.md 4.8, 10.
 #ifndef ANISELINE_SCHEDULING_FEASIBILITY_HPP
 #define ANISELINE_SCHEDULING_FEASIBILITY_HPP
 #include "state/cluster_state.hpp"
 
 namespace aniseline {
 
-/// Why the known workers, all empty, could never hold the tasks of a step
-/// together (a gang) or one by one; nothing if they could. Unreachable and
-/// removed workers count, and before the workers' capacities have settled
-/// nothing is infeasible.
+/// Returns why the known workers, if all were empty, could not hold the tasks of a step: all at
+/// once for a gang, otherwise one by one. Empty if they could. Unreachable and removed workers
+/// count as known, and no step is infeasible before the workers' capacities have settled.
 std::optional<std::string> infeasibilityReason(const ClusterState& clusterState,
                                                const JobSubmission& job, const StepRequest& step);
 
--- a/source/scheduling/gangs.cpp
+++ b/source/scheduling/gangs.cpp
@@ -1,3 +1,4 @@
+// Determines the status of each gang and adds its launch and stop actions.
 #include "scheduling/gangs.hpp"
 #include "state/stop_reasons.hpp"
 
@@ -5,17 +6,18 @@
 
 namespace {
 
-using GangKey = std::pair<std::string_view, std::uint32_t>;  // job and step
+using GangKey = std::pair<std::string_view, std::uint32_t>;  // job and step index
 using Gang = std::vector<const Attempt*>;
 
-// Was it ordered to run, and has not been reported as running for too long?
+// Reports whether the part was ordered to run but was not reported as running in time.
 bool startUnconfirmed(const Attempt& part, ClusterTime now) {
   const bool awaitsReport = part.state == AttemptState::launching ||
                             (part.selfAssembling && part.state == AttemptState::ordered);
   return awaitsReport && now - part.runningSince > startConfirmationTimeout;
 }
 
-// Of most gangs all parts run, and there is nothing to do.
+// Reports whether the part's gang has to be examined. In most gangs all parts run and nothing has
+// to be done.
 bool needsAttention(const Attempt& part, ClusterTime now) {
   if (part.selfAssembling)
     return startUnconfirmed(part, now);
@@ -39,8 +41,7 @@
 }
 
 struct GangStatus {
-  bool allStaged =
-      false;  // every part that has not succeeded, on workers that were just heard from
+  bool allStaged = false;  // every unfinished part, on a worker with recent contact
   bool stagingTimedOut = false;
   bool startUnconfirmed = false;
 };
--- a/source/scheduling/immediate_starts.cpp
+++ b/source/scheduling/immediate_starts.cpp
@@ -1,3 +1,4 @@
+// Chooses workers for immediate starts and adds the start actions to the plan.
 #include "scheduling/immediate_starts.hpp"
 #include "scheduling/data_locality.hpp"
 #include "scheduling/worker_eligibility.hpp"
@@ -6,14 +7,15 @@
 
 namespace {
 
-// Where the paper's fit leaves a choice, what speaks against a rack. docs/paper.md 2.
+// Rack criteria that break ties of the paper's best fit; larger values are less preferred.
+// docs/paper.md 2.
 enum class RackPreference {
   neutral,
-  newToGang,      // a gang keeps to few racks: one rack that fails then takes fewer gangs along
-  failedOnBefore  // a retry leaves the rack on which the task failed
+  newToGang,      // a gang uses few racks, so that a rack failure affects fewer gangs
+  failedOnBefore  // a retry avoids the rack on which the task failed
 };
 
-// What workers are compared by; the smallest is chosen, of equal ones the first.
+// Sort key of a candidate worker: the smallest key is chosen, and of equal ones the first.
 struct FitKey {
   int penalty = 0;
   bool remote = false;
@@ -23,7 +25,7 @@
   auto operator<=>(const FitKey&) const = default;
 };
 
-// Where a task failed last; noIndex where it did not.
+// The worker and rack where a task failed last; noIndex if it has not failed.
 struct AvoidedPlace {
   std::size_t workerIndex = noIndex;
   std::size_t rackIndex = noIndex;
@@ -36,12 +38,12 @@
   }
 };
 
-// The load of a rack in this many parts of its cores.
+// Rack loads are measured in this many parts of the rack's cores.
 constexpr std::int64_t rackLoadParts = 100;
 
-// How full each rack is, by its index: only where it matters that a step's data or its other tasks
-// are on one rack, and for work that itself may be on any. Such work is spread over the racks, so
-// that there is room near the data of other work.
+// The load of each rack. It is computed only if remote data or tasks on several racks slow steps
+// down, and only for work that may run on any rack. Such work is spread over the racks, which
+// leaves room near the data of other work.
 class RackLoads {
  public:
   RackLoads(const SchedulingContext& context, const PlacementUnit& unit) {
@@ -71,7 +73,8 @@
     std::int64_t total = 0;
     std::int64_t used = 0;
   };
-  std::vector<Cores> coresByRack;  // thousandths; empty: the load does not matter
+  std::vector<Cores>
+      coresByRack;  // by rack index, in thousandths; empty if the load does not matter
 };
 
 bool contains(const std::vector<std::size_t>& racks, std::size_t rack) {
@@ -84,7 +87,7 @@
   if (!fitsTenantCap(unit) || (unit.isGang() && !enoughSlots(unit)))
     return false;
   std::vector<Assignment> assignments;
-  std::vector<std::size_t> racksUsed;  // of a gang
+  std::vector<std::size_t> racksUsed;  // filled for a gang only
   for (auto taskIndex : unit.tasksByDescendingCores()) {
     const std::size_t workerIndex = bestWorkerFor(unit, taskIndex, racksUsed, locality);
     if (workerIndex == noIndex) {
@@ -102,8 +105,8 @@
   return true;
 }
 
-// Are there as many slots as a gang has parts, if all were as small as the smallest? If not it need
-// not be tried.
+// Reports whether there are as many slots as the gang has parts, if all were as small as the
+// smallest. If not, the gang need not be tried.
 bool ImmediateStarts::enoughSlots(const PlacementUnit& unit) const {
   const MinimumRequest minimum(unit);
   std::int64_t slots = 0;
@@ -172,8 +175,8 @@
 
 void ImmediateStarts::addActions(const PlacementUnit& unit,
                                  const std::vector<Assignment>& assignments) {
-  // Parts that find each other at the workers are started, under one run number; others are staged.
-  // docs/design.md 7.3.
+  // Self-assembling parts find each other at the workers, so they are started directly under one
+  // run number; other gangs are staged first. docs/design.md 7.3.
   const bool selfAssembling =
       std::all_of(assignments.begin(), assignments.end(), [&](const Assignment& assignment) {
         return context.workers()[assignment.workerIndex].capacity().selfAssemblingGangs;
--- a/source/scheduling/immediate_starts.hpp
+++ b/source/scheduling/immediate_starts.hpp
@@ -1,5 +1,5 @@
-// Starts in this plan by best fit: of the workers where a task fits, the one with the fewest
-// unallocated cores. Paper 2.2; docs/paper.md 2, docs/design.md 4.6.
+// Immediate starts by best fit: of the workers where a task fits, the one with the fewest
+// unallocated cores is chosen. Paper 2.2; docs/paper.md 2, docs/design.md 4.6.
 #ifndef ANISELINE_SCHEDULING_IMMEDIATE_STARTS_HPP
 #define ANISELINE_SCHEDULING_IMMEDIATE_STARTS_HPP
 #include "scheduling/backfill_admission.hpp"
@@ -12,12 +12,12 @@
   ImmediateStarts(SchedulingContext& context, const BackfillAdmission& backfill, PlanDraft& draft)
       : context(context), backfill(backfill), draft(draft) {}
 
-  /// Which workers are tried: those near the data or the rack of the unit's step, or all.
+  /// Selects the workers to try: those near the data or the rack of the unit's step, or all.
   enum class Locality : std::uint8_t { local, any };
 
-  /// Starts the unit, all parts of a gang, where it fits without delaying the reserved start:
-  /// allocates it on its workers and adds its actions to the plan. Otherwise changes nothing and
-  /// returns false.
+  /// Starts the unit, including all parts of a gang, if it fits without delaying the reserved
+  /// start: allocates it on its workers and adds its actions to the plan. Otherwise changes nothing
+  /// and returns false.
   bool tryStart(const PlacementUnit& unit, Locality locality = Locality::any);
 
  private:
--- a/source/scheduling/job_view.hpp
+++ b/source/scheduling/job_view.hpp
@@ -1,4 +1,4 @@
-// Jobs, their steps and their queues as one plan sees them. SchedulingContext builds a view of each
+// Views of jobs, their steps and their queues for one plan. SchedulingContext builds a view of each
 // job that has attempts or pending tasks.
 #ifndef ANISELINE_SCHEDULING_JOB_VIEW_HPP
 #define ANISELINE_SCHEDULING_JOB_VIEW_HPP
@@ -8,7 +8,7 @@
 
 namespace aniseline::scheduling {
 
-/// No such worker or rack.
+/// The index that stands for no worker or no rack.
 inline constexpr std::size_t noIndex = std::size_t(-1);
 
 struct QueueView {
@@ -22,9 +22,10 @@
   JobView* parent = nullptr;
   std::uint32_t index = 0;
   const StepRequest* request = nullptr;
-  EligibleWorkers* eligible = nullptr;       // set by eligibleWorkers()
-  std::vector<std::uint32_t> tasksByWorker;  // kept for steps with maxPerWorker; may be empty
-  std::optional<std::size_t> chosenRack;     // of a step that wants one rack: its index, or noIndex
+  EligibleWorkers* eligible = nullptr;  // set by eligibleWorkers()
+  std::vector<std::uint32_t>
+      tasksByWorker;                      // filled only for steps with maxPerWorker; may be empty
+  std::optional<std::size_t> chosenRack;  // for a step with sameRack: its rack index, or noIndex
 
   const StepRequirements& requirements() const { return request->requirements; }
   const Job& job() const;
@@ -36,7 +37,7 @@
   std::uint32_t tasksOn(std::size_t workerIndex) const {
     return tasksByWorker.empty() ? 0 : tasksByWorker[workerIndex];
   }
-  /// May one more of its tasks run on that worker, by maxPerWorker?
+  /// Reports whether maxPerWorker admits another task of the step on that worker.
   bool admitsTaskOn(std::size_t workerIndex) const {
     const std::uint32_t limit = requirements().maxPerWorker;
     return limit == 0 || tasksOn(workerIndex) < limit;
@@ -56,7 +57,7 @@
 struct JobView {
   const Job* job = nullptr;
   QueueView* queue = nullptr;
-  TenantUsage* tenant = nullptr;  // null: no cap binds it
+  TenantUsage* tenant = nullptr;  // null if no tenant cap applies
   std::vector<StepView> steps;
 };
 
--- a/source/scheduling/latency_target.cpp
+++ b/source/scheduling/latency_target.cpp
@@ -1,22 +1,24 @@
+// Computes the critical path of a job and compares its latency with the target.
 #include "scheduling/latency_target.hpp"
 
 namespace aniseline::scheduling {
 
 namespace {
 
-// Past this multiple of its target a job's result is taken to be of no more use than any other.
+// Past this multiple of its target a job is expired: its result is assumed to be no more useful
+// than any other.
 constexpr double expiryFactor = 3.0;
 // Slack is low below this many milliseconds, or below this share of the slack at the submission.
 constexpr double lowSlackMilliseconds = 1500.0;
 constexpr double lowSlackShare = 0.4;
 
-// Milliseconds of requested runtime along the longest chain of steps.
+// Requested runtime along the longest chain of steps, in milliseconds.
 struct CriticalPath {
   std::int64_t total = 0;
-  std::int64_t remaining = 0;  // through steps that have not succeeded
+  std::int64_t remaining = 0;  // counts only steps that have not succeeded
 };
 
-// Steps come after those that they depend on.
+// Computes the critical path of a job. Its steps are listed after the steps that they depend on.
 CriticalPath criticalPathOf(const Job& job) {
   const auto& steps = job.submission.steps;
   std::vector<char> unfinished(steps.size());
--- a/source/scheduling/latency_target.hpp
+++ b/source/scheduling/latency_target.hpp
@@ -1,23 +1,23 @@
-// Whether a job can still meet the latency target of its queue. docs/paper.md 5, docs/design.md
-// 7.8.
+// Assesses whether a job can still meet the latency target of its queue. docs/paper.md 5,
+// docs/design.md 7.8.
 #ifndef ANISELINE_SCHEDULING_LATENCY_TARGET_HPP
 #define ANISELINE_SCHEDULING_LATENCY_TARGET_HPP
 #include "state/cluster_state.hpp"
 
 namespace aniseline::scheduling {
 
-/// In the order in which work is placed: work that can be in time goes before work that will be
-/// late, and what is past use goes last of all.
+/// Listed in placement order: work that can be on time goes before work that will be late, and
+/// expired work goes last of all.
 enum class TargetStatus : std::uint8_t { onTime, late, expired };
 
 struct LatencyTargetAssessment {
   TargetStatus status = TargetStatus::onTime;
-  bool lowSlack = true;  // little time is left until the job can no longer be in time
+  bool lowSlack = true;  // little time is left before the job will be late
 };
 
 /// Compares the earliest end of the job, by requested runtimes along its critical path, with its
-/// target. Reads nothing else and changes nothing. Without a target all is on time and with low
-/// slack, so that it neither goes first nor leaves room to others.
+/// target. Changes nothing. Without a target every job is on time with low slack, so that it
+/// neither goes first nor leaves room for others.
 LatencyTargetAssessment assessLatencyTarget(const Job& job, const QueueOptions& queue,
                                             ClusterTime now);
 
--- a/source/scheduling/locality_wait.hpp
+++ b/source/scheduling/locality_wait.hpp
@@ -1,7 +1,6 @@
-// Work waits a little for room near its data, or on the rack of its step: as long as a run away
-// from it would take longer than one there (delay scheduling). Units whose only room is away are
-// tried after all others of their priority, and not before they have waited so long.
-// docs/design.md 7.11.
+// Delay scheduling: a unit waits for room near its data, or on the rack of its step, for as long as
+// a remote run would take longer than a local one. Units that fit only on remote workers are tried
+// after all others of their priority, and not before that wait is over. docs/design.md 7.11.
 #ifndef ANISELINE_SCHEDULING_LOCALITY_WAIT_HPP
 #define ANISELINE_SCHEDULING_LOCALITY_WAIT_HPP
 #include "scheduling/placement_unit.hpp"
@@ -9,17 +8,17 @@
 
 namespace aniseline::scheduling {
 
-/// Work that seldom finds room near its data is not held back for longer, however long it runs.
+/// Upper bound of the wait for any runtime, for work that seldom finds room near its data.
 inline constexpr Duration maxLocalityWait{2000};
 
-/// Does it matter to the unit on which rack it runs?
+/// Reports whether the unit prefers a particular rack.
 inline bool prefersRack(const PlacementUnit& unit, const SchedulingContext& context) {
   const StepRequirements& requirements = unit.requirements();
   return context.isOn(Policy::localityWait) && context.options().remoteSlowdown > 1 &&
          (requirements.sameRack || !requirements.preferredRack.empty());
 }
 
-/// Has such a unit waited long enough to run anywhere?
+/// Reports whether such a unit has waited long enough to run anywhere.
 inline bool localityWaitIsOver(const PlacementUnit& unit, const SchedulingContext& context) {
   const double extraShare = context.options().remoteSlowdown - 1;
   const auto extraRuntime =
--- a/source/scheduling/next_plan_time.cpp
+++ b/source/scheduling/next_plan_time.cpp
@@ -1,4 +1,4 @@
-// When the planner has to run although no event asks for a plan. docs/design.md 7.
+// Computes when the planner has to run without an event that triggers a plan. docs/design.md 7.
 #include "scheduling/planner.hpp"
 #include "scheduling/scheduling_limits.hpp"
 #include "scheduling/worker_view.hpp"
@@ -9,15 +9,15 @@
 
 namespace {
 
-// Gangs that are staged are looked at this often: they may be launched as soon as all workers have
+// Interval for rechecking staged gangs, which may be launched as soon as all their workers have
 // been heard from.
 constexpr Duration stagedGangInterval{200};
-// Pending work is planned for this often: expected ends pass without any event.
+// Interval of plans while work is pending, since an expected end can pass without any event.
 constexpr Duration pendingTaskInterval{500};
-// Time-outs are exceeded, and not just reached, one millisecond later.
+// A timeout takes effect only when it is exceeded, one millisecond after it is reached.
 constexpr Duration oneMillisecond{1};
 
-// The earliest of the times given to it, each no earlier than a millisecond from now.
+// Keeps the earliest of the given times, each no earlier than a millisecond from now.
 class EarliestTime {
  public:
   explicit EarliestTime(ClusterTime now) : now(now) {}
--- a/source/scheduling/placement_unit.hpp
+++ b/source/scheduling/placement_unit.hpp
@@ -1,4 +1,5 @@
-// What waits for a start: a pending task, or a whole gang. docs/design.md 7.1.
+// Placement units: the planner starts work in units of one pending task or one whole gang.
+// docs/design.md 7.1.
 #ifndef ANISELINE_SCHEDULING_PLACEMENT_UNIT_HPP
 #define ANISELINE_SCHEDULING_PLACEMENT_UNIT_HPP
 #include "scheduling/job_view.hpp"
@@ -9,23 +10,23 @@
 
 namespace aniseline::scheduling {
 
-/// Pending tasks of one step that are alike in all but the worker to avoid, or a whole gang. What
-/// is found for one unit of a batch holds for the others of it too.
+/// Pending tasks of one step that differ only in the worker to avoid, or one whole gang. A result
+/// for one unit of a batch also holds for its other units.
 struct TaskBatch {
   StepView* step = nullptr;
   bool gang = false;
   std::vector<std::uint32_t> tasks;
-  Duration runtime;  // requested; of a gang the longest of its parts
+  Duration runtime;  // requested; for a gang, the longest of its parts
   ClusterTime readyAt;
-  double rank = 0;  // by the queue's policy, by default the paper's priority
+  double rank = 0;  // computed by the queue's policy, by default the paper's priority
   LatencyTargetAssessment latencyTarget;
   std::int64_t queuePriority = 0;       // 0 unless the config has strict priority
-  std::int64_t coresPerUnit = 0;        // thousandths of a core; of a gang all its parts
-  Resources unitTotal;                  // requested; of a gang by all its parts
-  Resources smallestPart;               // the least of each resource that a part requests
-  CoreMilliseconds jobWorkToStart = 0;  // of its whole job; only with a latency target
-  // Results of this plan for one unit of the batch, which its other units need not repeat: free
-  // resources only shrink while a plan is made.
+  std::int64_t coresPerUnit = 0;        // thousandths of a core; for a gang, of all its parts
+  Resources unitTotal;                  // requested; for a gang, by all its parts
+  Resources smallestPart;               // the smallest request of any part, per resource
+  CoreMilliseconds jobWorkToStart = 0;  // for the whole job; set only with a latency target
+  // Failures found for one unit of the batch in this plan. They hold for its other units too,
+  // because free resources only shrink while a plan is made.
   bool startFailed = false;
   bool localStartFailed = false;
   bool reservationFailed = false;
@@ -35,7 +36,8 @@
 
 struct PlacementUnit {
   TaskBatch* batch = nullptr;
-  std::span<const std::uint32_t> tasks;  // indices in the job; one, or all parts of the gang
+  std::span<const std::uint32_t>
+      tasks;  // indices in Job::tasks: one task, or all parts of the gang
 
   bool isGang() const { return batch->gang; }
   StepView& step() const { return *batch->step; }
@@ -45,14 +47,14 @@
   const TaskRequest& request(std::uint32_t taskIndex) const {
     return batch->step->taskRequest(taskIndex);
   }
-  /// The shape under which a failure to place it is remembered. `memoryLimit` in MB.
+  /// Returns the shape under which a failed placement is recorded. `memoryLimit` is in MB.
   RequestShape requestShape(std::int64_t memoryLimit, Duration runtime) const {
     if (isGang())
       return {0, 0, runtime};
     const TaskRequest& only = request(tasks[0]);
     return {only.cores, std::min(std::int64_t(only.memory), memoryLimit), runtime};
   }
-  /// Its tasks, those with the most cores first, so that a gang is not blocked by its own small
+  /// Returns the tasks in descending order of cores, so that a gang is not blocked by its own small
   /// parts.
   std::vector<std::uint32_t> tasksByDescendingCores() const {
     std::vector<std::uint32_t> sorted(tasks.begin(), tasks.end());
@@ -63,19 +65,19 @@
   }
 };
 
-/// Does the cap of the unit's tenant leave room for it?
+/// Reports whether the unit fits under its tenant's cap.
 inline bool fitsTenantCap(const PlacementUnit& unit) {
   const TenantUsage* tenant = unit.step().parent->tenant;
   return !tenant || tenant->admits(unit.batch->unitTotal, unit.batch->smallestPart);
 }
-/// Accounts for a unit that is started.
+/// Adds a started unit to its tenant's usage.
 inline void recordTenantStart(const PlacementUnit& unit) {
   if (TenantUsage* tenant = unit.step().parent->tenant)
     tenant->addOrdered(unit.batch->unitTotal, unit.batch->smallestPart);
 }
 
-/// The least that any part of a gang requests of each resource. How many such parts would fit is an
-/// upper bound of how many parts do.
+/// The smallest request of any part of a gang, per resource. The number of such requests that would
+/// fit is an upper bound on the number of parts that fit.
 class MinimumRequest {
  public:
   explicit MinimumRequest(const PlacementUnit& unit) : partCount(std::int64_t(unit.tasks.size())) {
@@ -88,11 +90,12 @@
       minimum.accelerators = std::min(minimum.accelerators, request.accelerators);
     }
   }
-  /// At most how many parts fit into the free resources of that worker.
+  /// Returns an upper bound on the number of parts that fit into the given free resources of the
+  /// worker.
   std::int64_t slots(const Resources& free, const StepView& step, std::size_t workerIndex) const {
     return slotsUpTo(partCount, free, step, workerIndex);
   }
-  /// The same for any number of such parts, up to the one given.
+  /// Like slots(), but limited to the given number instead of the number of parts.
   std::int64_t slotsUpTo(std::int64_t wanted, const Resources& free, const StepView& step,
                          std::size_t workerIndex) const {
     std::int64_t slots = wanted;
--- a/source/scheduling/plan_draft.cpp
+++ b/source/scheduling/plan_draft.cpp
@@ -1,3 +1,4 @@
+// Builds the stop and start actions of a plan.
 #include "scheduling/plan_draft.hpp"
 
 namespace aniseline::scheduling {
--- a/source/scheduling/plan_draft.hpp
+++ b/source/scheduling/plan_draft.hpp
@@ -1,5 +1,5 @@
-// The plan that is being made: the policies append their actions to it and take numbers for the
-// attempts that they start from it.
+// The plan under construction: policies append their actions to it, and take from it the numbers of
+// the attempts that they start.
 #ifndef ANISELINE_SCHEDULING_PLAN_DRAFT_HPP
 #define ANISELINE_SCHEDULING_PLAN_DRAFT_HPP
 #include "scheduling/placement_unit.hpp"
@@ -9,8 +9,7 @@
 
 class PlanDraft {
  public:
-  /// Attempts are numbered on from the cluster state's last. `explain` asks for a reason for each
-  /// unit.
+  /// Continues the attempt numbers of the cluster state. `explain` requests a reason for each unit.
   PlanDraft(const ClusterState& clusterState, bool explain)
       : lastAttempt(clusterState.lastAttempt()), explaining(explain) {
     draft.record.number = clusterState.lastPlan().next();
@@ -18,10 +17,10 @@
 
   AttemptNumber takeAttemptNumber() { return lastAttempt = lastAttempt.next(); }
   void add(Action action) { draft.record.actions.push_back(std::move(action)); }
-  /// Stops an attempt; the reason goes into the log.
+  /// Adds a stop of the attempt; the reason goes into the log.
   void addStop(const Attempt& attempt, const char* reason);
 
-  /// Where the draft stands, to go back to when a gang turns out not to fit whole.
+  /// A state of the draft, to roll back to when a gang does not fit as a whole.
   struct Checkpoint {
     std::size_t actionCount;
     AttemptNumber lastAttempt;
@@ -39,7 +38,7 @@
           {unit.step().jobId(), unit.step().index, unit.batch->rank, std::string(text)});
   }
 
-  /// The plan so far; the statistics in it are filled in by the planner.
+  /// Returns the plan so far; the planner fills in its statistics.
   Plan& plan() { return draft; }
 
  private:
@@ -48,7 +47,7 @@
   bool explaining;
 };
 
-/// The action that starts or stages a task, as far as all policies give it.
+/// Returns the action that starts or stages a task, with the fields that all policies set.
 Action startAction(ActionKind kind, AttemptNumber attempt, const JobId& job,
                    std::uint32_t taskIndex, const WorkerId& worker, std::uint64_t memory);
 
--- a/source/scheduling/planner.cpp
+++ b/source/scheduling/planner.cpp
@@ -1,3 +1,4 @@
+// Runs the scheduling policies in their fixed order to make one plan.
 #include "scheduling/planner.hpp"
 #include "scheduling/attempt_projection.hpp"
 #include "scheduling/checkpoint_preemption.hpp"
@@ -24,7 +25,7 @@
   return batch.latencyTarget.status == TargetStatus::expired;
 }
 
-// One plan: the policies in the order in which they take part, over one context.
+// Makes one plan by applying the policies in order to one context.
 class PlanRun {
  public:
   PlanRun(const ClusterState& clusterState, ClusterTime now, const LastContactAges& contactAges,
@@ -45,7 +46,7 @@
   Plan run();
 
  private:
-  // Of a unit whose only room is away from its data: tried again after the others.
+  // `deferred` marks a unit that fits only away from its data; it is tried again after the others.
   enum class Decision { started, blocked, heldBack, deferred };
 
   void recordStatistics(const std::vector<PlacementUnit>& units);
@@ -66,9 +67,9 @@
   ServiceTrials trials;
   StarvationGuard starvation;
   CheckpointPreemption preemption;
-  std::vector<const PlacementUnit*> deferred;  // of the priority that is being decided
-  std::vector<const PlacementUnit*> waiting;   // all that were not started
-  std::vector<const PlacementUnit*> blocked;   // of these, those that found no room
+  std::vector<const PlacementUnit*> deferred;  // of the current priority class
+  std::vector<const PlacementUnit*> waiting;   // all units that were not started
+  std::vector<const PlacementUnit*> blocked;   // units in `waiting` that found no room
 };
 
 Plan PlanRun::run() {
@@ -110,8 +111,8 @@
   }
 }
 
-// Expired work and each priority are decided by themselves, so that nothing less urgent goes before
-// what was deferred.
+// Processes expired work and each priority as separate classes, so that deferred units are retried
+// before any less urgent unit.
 void PlanRun::decideInOrder(const std::vector<PlacementUnit>& units) {
   const TaskBatch* previous = nullptr;
   for (const auto& unit : units) {
--- a/source/scheduling/planner.hpp
+++ b/source/scheduling/planner.hpp
@@ -1,10 +1,10 @@
-// The planner: the paper's LXF&W-backfill with immediate service, as a pure function of the cluster
-// state, a time and the leader's hints. docs/paper.md tells what was kept of the paper and which
-// file carries each part of it; docs/design.md 7.
+// The planner computes a plan as a pure function of the cluster state, a time and the leader's
+// hints. It implements the paper's LXF&W-backfill with immediate service. docs/paper.md lists what
+// was kept of the paper and which file implements each part of it; see also docs/design.md 7.
 //
 // The leader's controller calls it on its own thread and logs the plan; workers get orders only
-// from the committed cluster state. It owns nothing but the compiled policies and memory that is
-// used again, so that any two planners make the same plan of the same input.
+// from the committed cluster state. The planner owns only the compiled policies and recycled
+// memory, so any two planners make the same plan from the same input.
 #ifndef ANISELINE_SCHEDULING_PLANNER_HPP
 #define ANISELINE_SCHEDULING_PLANNER_HPP
 #include "scheduling/compiled_policies.hpp"
@@ -13,7 +13,7 @@
 
 namespace aniseline {
 
-/// Why a unit starts in a plan or does not. For people.
+/// A human-readable reason why a unit does or does not start in a plan.
 struct DecisionExplanation {
   JobId job;
   std::uint32_t step = 0;
@@ -21,8 +21,8 @@
   std::string text;
 };
 
-/// Work that a plan has passed over though it fits: a job of which nothing runs, or one of its
-/// long-running tasks.
+/// Work that a plan did not start although it fits: a job without any running attempt, or one of
+/// its long-running tasks.
 struct PassedOverUnit {
   JobId job;
   std::optional<std::uint32_t> longRunningTask;  // index in Job::tasks
@@ -30,41 +30,42 @@
 };
 
 struct Plan {
-  PlanMade record;                                // what is logged
-  std::vector<DecisionExplanation> explanations;  // only when asked for
+  PlanMade record;                                // the part that is logged
+  std::vector<DecisionExplanation> explanations;  // filled only on request
   std::size_t pendingUnits = 0;
-  /// By pool, in thousandths of a core: what the queues of the highest priority use and want now.
-  /// Only with strict priority.
+  /// Cores that the highest-priority queues use and request now, by pool, in thousandths of a core.
+  /// Filled only with strict priority.
   std::map<std::string, std::int64_t> urgentDemand;
-  std::vector<PassedOverUnit> passedOver;  // ascending
+  std::vector<PassedOverUnit> passedOver;  // in ascending order
   // Statistics for the log.
   std::size_t schedulableWorkers = 0;
-  std::size_t excludedWorkers = 0;  // present, but without new work in this plan
+  std::size_t excludedWorkers = 0;  // registered, but excluded from new work in this plan
   std::size_t redundantCopies = 0;
-  std::size_t heldByTenantCap = 0;    // pending units whose tenant runs all that it may
-  std::int64_t schedulableCores = 0;  // thousandths of a core, of schedulable workers
-  std::int64_t allocatedCores = 0;    // of these, before this plan's own starts
-  std::array<std::size_t, 3> unitsByTargetStatus{};  // on time, late, expired
+  std::size_t heldByTenantCap = 0;    // pending units held back by their tenant's cap
+  std::int64_t schedulableCores = 0;  // of schedulable workers, in thousandths of a core
+  std::int64_t allocatedCores = 0;    // allocated part of these, before this plan's own starts
+  std::array<std::size_t, 3>
+      unitsByTargetStatus{};  // indexed by TargetStatus: on time, late, expired
 
-  /// Would logging it change nothing? A reserved start that moves by less than a second is the
-  /// same.
+  /// Reports whether logging the plan would change nothing. A reserved start that moves by less
+  /// than a second counts as unchanged.
   bool changesNothing(const Reservation& before) const;
 };
 
-/// How long ago the leader last heard from each worker. Not logged.
+/// Time since the leader last heard from each worker. Not logged.
 using LastContactAges = std::map<WorkerId, Duration>;
-/// How long each worker's work has taken lately, as a multiple of what was requested. Not logged.
+/// Recent runtimes on each worker as a multiple of the requested runtimes. Not logged.
 using RuntimeRatios = std::map<WorkerId, double>;
 
-/// What the leader has observed lately. Guesses that a plan may be better for; none of it is
+/// Recent observations of the leader. They are estimates that can improve a plan; none of them is
 /// logged.
 struct PlannerHints {
   RuntimeRatios runtimeRatios;
-  /// By pool, in thousandths of a core: the most that its urgent queues have wanted at once.
+  /// Recent peak demand of the urgent queues, by pool, in thousandths of a core.
   std::map<std::string, std::int64_t> urgentDemand;
-  /// For how long every plan has passed the work over.
+  /// How long each unit has been passed over by every plan.
   std::map<PassedOverUnit, Duration> passedOverFor;
-  /// Work that fits is passed over for so long at most; 0: without a bound.
+  /// Longest time for which work that fits may be passed over; 0 means no limit.
   Duration maxPassedOverTime{0};
   PolicySwitches policies;
 };
@@ -78,19 +79,20 @@
   Planner();
   ~Planner();
 
-  /// The plan for that time. The cluster state is read only; the plan takes effect when its record
-  /// is applied. `explain` asks for a reason for each unit.
+  /// Returns the plan for the given time. Does not change the cluster state; the plan takes effect
+  /// when its record is applied. `explain` requests a reason for each unit.
   Plan makePlan(const ClusterState& clusterState, ClusterTime now,
                 const LastContactAges& contactAges, bool explain = false,
                 const PlannerHints& hints = {});
 
-  /// When a plan is due although no event asks for one: at a trial's end, a time-out of a gang, a
-  /// hard limit, or the end of a retry's backoff. Always later than now; nothing if none of these
-  /// is ahead.
+  /// Returns when the next plan is due without an event that triggers one: at the end of a trial, a
+  /// gang timeout, a hard limit, or the end of a retry's backoff. Always later than `now`; empty if
+  /// none of these is pending.
   static std::optional<ClusterTime> nextPlanTime(const ClusterState& clusterState, ClusterTime now);
 
  private:
-  std::optional<scheduling::CompiledPolicies> policies;  // of the config planned with last
+  std::optional<scheduling::CompiledPolicies>
+      policies;  // compiled from the config of the previous plan
   std::vector<std::vector<scheduling::Allocation>> recycledAllocations;
 };
 
--- a/source/scheduling/redundant_copies.cpp
+++ b/source/scheduling/redundant_copies.cpp
@@ -1,3 +1,4 @@
+// Decides which attempts get a copy and on which workers.
 #include "scheduling/redundant_copies.hpp"
 #include "scheduling/data_locality.hpp"
 #include "scheduling/worker_eligibility.hpp"
@@ -6,7 +7,7 @@
 
 namespace {
 
-// So that a lost rack does not turn a whole plan into copies.
+// Bounds the copies, so that the loss of a rack does not turn a whole plan into copies.
 constexpr std::size_t maxCopiesPerPlan = 8;
 
 bool wantsCopy(const StepAttempt& run, const SchedulingContext& context) {
@@ -25,7 +26,8 @@
          isOverdue(*attempt, &step->requirements(), context);
 }
 
-// The one with the fewest unallocated cores, as for any other start.
+// Returns the worker with the fewest unallocated cores, as for any other start; noIndex if there is
+// none.
 std::size_t workerForCopy(SchedulingContext& context, const StepAttempt& run,
                           const TaskRequest& taskRequest, const BackfillAdmission& backfill) {
   StepView& step = *run.step;
--- a/source/scheduling/reserved_start.cpp
+++ b/source/scheduling/reserved_start.cpp
@@ -1,10 +1,11 @@
+// Finds the earliest start of a unit from the expected ends of the allocations.
 #include "scheduling/reserved_start.hpp"
 
 namespace aniseline::scheduling {
 
 namespace {
 
-// Allocations that end later than now, by their expected end.
+// Fills `ends` with the allocations that end after `now`, sorted by expected end.
 void collectEnds(const WorkerView& worker, ClusterTime now, std::vector<const Allocation*>& ends) {
   ends.clear();
   for (const auto& allocation : worker.allocations()) {
@@ -16,7 +17,7 @@
   });
 }
 
-// The ends of all allocations on some workers, in their order in time.
+// An allocation with the index of its worker, for sorting the ends on several workers by time.
 struct AllocationEnd {
   const Allocation* allocation;
   std::size_t workerIndex;
@@ -51,8 +52,8 @@
   reservation = std::move(found);
 }
 
-// Each worker by itself: what it has free only grows with time. Of equally early starts the one
-// that leaves the fewest cores free wins.
+// Examines each worker separately, since its free resources only grow over time. Of equally early
+// starts, the one that leaves the fewest cores free wins.
 bool ReservedStart::findForTask(const PlacementUnit& unit,
                                 const std::vector<std::size_t>& candidates,
                                 Reservation& found) const {
@@ -68,7 +69,7 @@
     auto fits = [&](const Resources& free) {
       return worker.fitsInto(free, request, context.trialMemory());
     };
-    // A worker is of no use if the request never fits there, or only after the best start so far.
+    // Skips a worker where the request never fits, or fits only after the best start so far.
     if (!fits(best == noIndex ? worker.totalResources() : worker.expectedFreeAt(found.start)))
       continue;
     ClusterTime start = now;
@@ -95,8 +96,8 @@
   return true;
 }
 
-// All workers together, from one expected end to the next. The parts are tried only where there are
-// slots enough for them, as if all were as small as the smallest.
+// Examines all workers together, from one expected end to the next. Placing the parts is tried only
+// if there are enough slots, as if all parts were as small as the smallest.
 bool ReservedStart::findForGang(const PlacementUnit& unit,
                                 const std::vector<std::size_t>& candidates,
                                 Reservation& found) const {
--- a/source/scheduling/reserved_start.hpp
+++ b/source/scheduling/reserved_start.hpp
@@ -1,6 +1,6 @@
-// The one reserved start: the first unit that can't start now gets the earliest start that is
-// guaranteed by requested runtimes, and what starts after it in the plan must not delay it. Paper
-// 2.2; docs/paper.md 3. What may start beside it is decided by backfill_admission.hpp.
+// The single reserved start of a plan: the first unit that can't start now gets the earliest start
+// that is guaranteed by requested runtimes, and no unit after it in the plan may delay it. Paper
+// 2.2; docs/paper.md 3. backfill_admission.hpp decides which units may start beside it.
 #ifndef ANISELINE_SCHEDULING_RESERVED_START_HPP
 #define ANISELINE_SCHEDULING_RESERVED_START_HPP
 #include "scheduling/placement_unit.hpp"
@@ -12,23 +12,23 @@
  public:
   explicit ReservedStart(SchedulingContext& context) : context(context) {}
 
-  /// Does some unit hold it in this plan?
+  /// Reports whether a unit holds the reserved start in this plan.
   bool isHeld() const { return reservation.isActive(); }
   bool isHeldBy(const PlacementUnit& unit) const {
     return reservation.job == unit.step().jobId() && reservation.stepIndex == unit.step().index;
   }
-  /// Only meaningful while it is held.
+  /// Returns the start time. Only meaningful while the reserved start is held.
   ClusterTime start() const { return reservation.start; }
   const Reservation& get() const { return reservation; }
 
-  /// The earliest start by expected ends; for a gang the earliest at which all parts fit. Nothing
-  /// if no workers that are here now could ever hold the unit. Reads allocations, changes nothing.
-  /// Tasks limited per worker are counted as if none of them ended, so that what waits for that
+  /// Returns the earliest start by expected ends; for a gang, the earliest time at which all parts
+  /// fit. Empty if the workers present now could never hold the unit. Changes nothing. Tasks
+  /// limited per worker are counted as if none of them ended, so that a unit blocked by that limit
   /// gets no reservation.
   std::optional<Reservation> findEarliest(const PlacementUnit& unit) const;
 
   /// Gives the reserved start to the unit and reserves the resources on its workers. Counts how
-  /// often it has moved since the last plan in which the same unit held it.
+  /// often the start has moved over consecutive plans in which the same unit held it.
   void hold(const PlacementUnit& unit, Reservation found);
 
  private:
--- a/source/scheduling/resources.hpp
+++ b/source/scheduling/resources.hpp
@@ -1,4 +1,4 @@
-// Amounts of what a worker offers and a task requests, with their arithmetic.
+// Resource amounts that workers offer and tasks request, with their arithmetic.
 #ifndef ANISELINE_SCHEDULING_RESOURCES_HPP
 #define ANISELINE_SCHEDULING_RESOURCES_HPP
 #include <algorithm>
@@ -23,21 +23,21 @@
     accelerators -= other.accelerators;
     return *this;
   }
-  /// Is there at least as much of each?
+  /// Reports whether there is at least as much of each resource.
   bool covers(const Resources& needed) const {
     return cores >= needed.cores && memory >= needed.memory && accelerators >= needed.accelerators;
   }
   friend Resources operator-(Resources left, const Resources& right) { return left -= right; }
 };
 
-/// Of each resource the smaller amount.
+/// Returns the smaller amount of each resource.
 inline Resources leastOf(const Resources& left, const Resources& right) {
   return {std::min(left.cores, right.cores), std::min(left.memory, right.memory),
           std::min(left.accelerators, right.accelerators)};
 }
 
-/// The resources of anything that names them as the cluster state does: a worker's capacity, a
-/// task's request, an attempt.
+/// Returns the resources of any type that has the field names of the cluster state: a worker's
+/// capacity, a task's request, an attempt.
 template <class Holder>
 Resources resourcesOf(const Holder& holder) {
   return {std::int64_t(holder.cores), std::int64_t(holder.memory),
--- a/source/scheduling/scheduling_context.cpp
+++ b/source/scheduling/scheduling_context.cpp
@@ -1,3 +1,4 @@
+// Builds the views of workers, racks, pools, queues, tenants and jobs.
 #include "scheduling/scheduling_context.hpp"
 #include "scheduling/sorted_map_cursor.hpp"
 
--- a/source/scheduling/scheduling_context.hpp
+++ b/source/scheduling/scheduling_context.hpp
@@ -1,6 +1,6 @@
-// The snapshot that one plan is made from: workers with what is allocated on them, pools, queues,
-// and jobs. Built anew for each plan from the cluster state and the leader's hints. Policies read
-// it, and allocate on its workers what they start; nothing of it outlives the plan.
+// The snapshot for one plan: workers with their allocations, pools, queues and jobs. It is built
+// for each plan from the cluster state and the leader's hints. Policies read it and allocate the
+// work that they start on its workers; no part of it outlives the plan.
 #ifndef ANISELINE_SCHEDULING_SCHEDULING_CONTEXT_HPP
 #define ANISELINE_SCHEDULING_SCHEDULING_CONTEXT_HPP
 #include "scheduling/job_view.hpp"
@@ -11,7 +11,7 @@
 
 namespace aniseline::scheduling {
 
-/// Lists whose memory is handed on from plan to plan.
+/// Allocation lists whose memory is reused by later plans.
 using RecycledAllocations = std::vector<std::vector<Allocation>>;
 
 class SchedulingContext {
@@ -21,7 +21,7 @@
   SchedulingContext(const ClusterState& clusterState, ClusterTime now,
                     const LastContactAges& contactAges, const PlannerHints& hints,
                     RecycledAllocations& recycledAllocations);
-  /// Gives the lists of allocations back.
+  /// Returns the allocation lists to `recycledAllocations`.
   ~SchedulingContext();
   SchedulingContext(const SchedulingContext&) = delete;
   SchedulingContext& operator=(const SchedulingContext&) = delete;
@@ -30,36 +30,37 @@
   bool isOn(Policy policy) const { return hints.policies.isOn(policy); }
   const PlannerOptions& options() const { return state.config().planner; }
   ClusterTime now() const { return time; }
-  /// MB of each worker that only trials may use.
+  /// Returns the memory of each worker, in MB, that only trials may use.
   std::int64_t trialMemory() const { return reservedTrialMemory; }
-  /// Is the queue of the highest priority that the config has, at least 0? Only with strict
-  /// priority.
+  /// Reports whether the queue has the highest priority in the config, which is at least 0. Always
+  /// false without strict priority.
   bool isUrgent(const QueueView& queue) const {
     return options().strictPriority && queue.options->priority == highestQueuePriority;
   }
 
   std::vector<WorkerView>& workers() { return workerViews; }
   const std::vector<WorkerView>& workers() const { return workerViews; }
-  /// noIndex if the worker is unknown or was removed.
+  /// Returns the worker's index, or noIndex if the worker is unknown or was removed.
   std::size_t workerIndexOf(const WorkerId& id) const;
-  /// Has the leader not heard from it for longer than maxContactAge, or never?
+  /// Reports whether the leader last heard from the worker more than maxContactAge ago, or never.
   bool isOutOfContact(const WorkerId& id) const;
-  /// Was it heard from within that time?
+  /// Reports whether the leader heard from the worker less than `age` ago.
   bool wasHeardWithin(const WorkerId& id, Duration age) const;
 
-  /// Rack names, sorted; the first is the empty name of workers without a rack.
+  /// Returns the sorted rack names; the first is the empty name of workers without a rack.
   const std::vector<std::string_view>& rackNames() const { return sortedRackNames; }
-  /// noIndex if no worker is on it.
+  /// Returns the rack's index, or noIndex if no worker is on it.
   std::size_t rackIndexOf(std::string_view name) const;
-  /// The rack of a worker, also of one that was removed; noIndex if no present worker is on it.
+  /// Returns the rack index of a worker, including a removed one; noIndex if no present worker is
+  /// on that rack.
   std::size_t rackOfWorker(const WorkerId& id) const;
 
   const std::map<std::string, PoolView>& pools() const { return poolsByName; }
   PoolView& poolView(const std::string& name);
   QueueView& queueView(const QueueName& name);
-  /// Null for work of no tenant, and of one without a cap.
+  /// Returns the tenant's usage, or null for no tenant or a tenant without a cap.
   TenantUsage* tenantUsage(const TenantName& name);
-  /// Null for a job that is no longer retained.
+  /// Returns the view of a job and builds it on first use; null if the job is no longer retained.
   JobView* jobView(const JobId& id);
 
  private:
@@ -73,12 +74,12 @@
   RecycledAllocations& recycledAllocations;
   std::int64_t reservedTrialMemory;
   std::int64_t highestQueuePriority = 0;
-  std::vector<WorkerView> workerViews;  // by worker id
+  std::vector<WorkerView> workerViews;  // sorted by worker id
   std::unordered_map<std::string_view, std::size_t> workerIndexById;
   std::vector<std::string_view> sortedRackNames;
   std::map<std::string, PoolView> poolsByName;
   std::map<QueueName, QueueView> queuesByName;
-  std::map<TenantName, TenantUsage> usageByTenant;  // of tenants with a cap
+  std::map<TenantName, TenantUsage> usageByTenant;  // only tenants with a cap
   std::deque<JobView> jobViews;
   std::unordered_map<std::string_view, JobView*> jobsById;
 };
--- a/source/scheduling/service_trials.cpp
+++ b/source/scheduling/service_trials.cpp
@@ -1,11 +1,12 @@
+// Places trials, selects their victims and protects the reserved start.
 #include "scheduling/service_trials.hpp"
 
 namespace aniseline::scheduling {
 
 namespace {
 
-// Trials with a shorter quantum are not remembered as failed: they end too soon for the failure of
-// one to say anything about the next.
+// Trials with a shorter quantum are not recorded as failed: they end so soon that the failure of
+// one says nothing about the next.
 constexpr Duration minimumRememberedQuantum{1000};
 
 bool hadTrial(const PlacementUnit& unit) {
@@ -33,7 +34,7 @@
   }
 }
 
-// All parts of a gang get their trials, or none does.
+// Starts trials for all parts of a gang, or for none.
 bool ServiceTrials::tryTrial(const PlacementUnit& unit) {
   if (!unit.step().eligible->anySupportsSuspend)
     return false;
@@ -70,7 +71,7 @@
           reservedStart.isHeldBy(unit)};
 }
 
-// Paper 2.4: the worker that is left with the fewest idle cores.
+// Paper 2.4: chooses the worker that is left with the fewest idle cores.
 std::optional<ServiceTrials::TrialPlacement> ServiceTrials::findPlacement(
     const TrialRequest& request, Victims victims) {
   const std::int64_t cores = request.resources.cores;
@@ -102,7 +103,7 @@
   return best;
 }
 
-// Paper 2.4: only workers with enough unallocated memory.
+// Paper 2.4: a trial runs only on a worker with enough unallocated memory.
 bool ServiceTrials::mayHost(const TrialRequest& request, std::size_t workerIndex) const {
   const WorkerView& worker = context.workers()[workerIndex];
   if (!worker.isSchedulable() || worker.penalty() > 0 || workerIndex == request.avoidedWorker ||
@@ -115,8 +116,8 @@
          request.unit.step().admitsTaskOn(workerIndex);
 }
 
-// Paper 2.4: those with the least slowdown among the attempts that have long run uninterrupted,
-// until the cores suffice.
+// Paper 2.4: selects victims by least slowdown among the attempts that have run uninterrupted for
+// long enough, until the freed cores suffice.
 std::optional<std::vector<const Attempt*>> ServiceTrials::selectVictims(const WorkerView& worker,
                                                                         std::int64_t missingCores,
                                                                         Duration minimumRuntime) {
@@ -125,7 +126,7 @@
     if (!allocation.attempt || allocation.suspended)
       continue;
     const Attempt& attempt = *allocation.attempt;
-    // Of a gang no part is suspended: the others would run on alone. docs/paper.md 5.
+    // Gang parts are never suspended, because the other parts would run on alone. docs/paper.md 5.
     if (attempt.state != AttemptState::running || attempt.isTrial() || attempt.gang ||
         attempt.abandoned)
       continue;
@@ -146,8 +147,8 @@
   return missingCores > 0 ? std::nullopt : std::optional(std::move(victims));
 }
 
-// Victims end later by the quantum, so that even a trial that ends before the reserved start may
-// delay it.
+// Victims end later by the quantum, so even a trial that ends before the reserved start may delay
+// it.
 bool ServiceTrials::keepsReservedStart(const TrialRequest& request,
                                        const TrialPlacement& placement) const {
   const WorkerView& worker = context.workers()[placement.workerIndex];
@@ -185,7 +186,8 @@
   draft.add(std::move(action));
 }
 
-// The time since its task became ready, in multiples of the time for which it has run.
+// Returns the time since the task became ready, as a multiple of the time for which the attempt has
+// run.
 double ServiceTrials::slowdown(const Attempt& attempt) const {
   const ClusterTime now = context.now();
   const Task& task = context.clusterState().jobs().at(attempt.job).tasks[attempt.taskIndex];
--- a/source/scheduling/service_trials.hpp
+++ b/source/scheduling/service_trials.hpp
@@ -1,5 +1,5 @@
 // Immediate service: a unit that can't start in full gets one short trial at once, on idle cores or
-// on those of running attempts that are suspended for it. Paper 2.4; docs/paper.md 4 and 5.
+// on the cores of running attempts that are suspended for it. Paper 2.4; docs/paper.md 4 and 5.
 #ifndef ANISELINE_SCHEDULING_SERVICE_TRIALS_HPP
 #define ANISELINE_SCHEDULING_SERVICE_TRIALS_HPP
 #include "scheduling/backfill_admission.hpp"
@@ -19,7 +19,7 @@
         backfill(backfill),
         draft(draft) {}
 
-  /// Starts trials for those of the units that have had none, in their order. Allocates them,
+  /// Starts trials for the units that have had none, in the given order. Allocates the trials,
   /// suspends their victims in the context and adds the actions to the plan. A trial may not delay
   /// the reserved start of another unit.
   void start(const std::vector<const PlacementUnit*>& notStarted);
@@ -30,13 +30,13 @@
     std::int64_t idleCoresAfter = 0;
     std::vector<const Attempt*> victims;
   };
-  // What one task of a unit asks of a trial.
+  // The request of one task of a unit for a trial.
   struct TrialRequest {
     const PlacementUnit& unit;
     std::uint32_t taskIndex;
-    Resources resources;  // the memory is limited by the queue's option
+    Resources resources;  // memory is limited by the queue's trial option
     std::size_t avoidedWorker;
-    bool holdsReservedStart;  // its unit does; the trial may then move its own start
+    bool holdsReservedStart;  // true if its unit does; the trial may then move that start
   };
   enum class Victims { none, allowed };
 
@@ -57,7 +57,7 @@
   const ReservedStart& reservedStart;
   const BackfillAdmission& backfill;
   PlanDraft& draft;
-  FailedRequests failedTrials;  // of single tasks without label and pool
+  FailedRequests failedTrials;  // of single tasks without a label or a pool
   std::map<AttemptNumber, bool> suspendable;
 };
 
--- a/source/scheduling/shortest_remaining_work.cpp
+++ b/source/scheduling/shortest_remaining_work.cpp
@@ -1,3 +1,4 @@
+// Sorts units with a latency target by the work that their jobs still have to start.
 #include "scheduling/shortest_remaining_work.hpp"
 #include <algorithm>
 
--- a/source/scheduling/slow_workers.cpp
+++ b/source/scheduling/slow_workers.cpp
@@ -1,3 +1,4 @@
+// Compares the runtime ratio of each worker with the median of its pool.
 #include "scheduling/slow_workers.hpp"
 #include "scheduling/sorted_map_cursor.hpp"
 
@@ -5,19 +6,19 @@
 
 namespace {
 
-// Fewer known workers in a pool give no median worth comparing with.
+// With fewer known ratios in a pool, their median is not a useful reference.
 constexpr std::size_t minimumPeers = 3;
-// A median below this share of the requested runtime is taken as this, so that workers are not
-// called slow for taking a fifth of what was requested.
+// Lower bound of the median as a share of the requested runtime, so that workers are not considered
+// slow for taking a fifth of what was requested.
 constexpr double minimumMedian = 0.1;
-// So many jobs that are overdue on one worker point to the worker, and not to their estimates. Each
-// counts as one multiple of the median, from this base on.
+// This many overdue jobs on one worker indicate a slow worker rather than wrong estimates. Each
+// counts as one multiple of the median, added to this base.
 constexpr std::size_t minimumOverdueJobs = 3;
 constexpr double overdueBaseSlowness = 2.5;
-// Multiples of the median past which a worker is penalised, and past which it gets no new work.
+// Multiples of the median above which a worker is penalised, and above which it gets no new work.
 constexpr double penalisedSlowness = 1.9;
 constexpr double excludedSlowness = 2.4;
-// One worker in so many of a pool may be passed over.
+// At most one in this many workers of a pool may be penalised or excluded.
 constexpr std::size_t passedOverShare = 3;
 
 struct SlowWorker {
--- a/source/scheduling/sorted_map_cursor.hpp
+++ b/source/scheduling/sorted_map_cursor.hpp
@@ -1,5 +1,5 @@
-// Looks up ascending keys in a map by walking along it, which is cheaper than a search for each
-// when most keys are looked up.
+// A cursor that looks up ascending keys in a map by advancing through it. This is cheaper than a
+// search for each key when most keys are looked up.
 #ifndef ANISELINE_SCHEDULING_SORTED_MAP_CURSOR_HPP
 #define ANISELINE_SCHEDULING_SORTED_MAP_CURSOR_HPP
 #include <map>
@@ -12,7 +12,7 @@
   explicit SortedMapCursor(const std::map<Key, Value>& map)
       : position(map.begin()), end(map.end()) {}
 
-  /// The value of the key, or null. No key may be smaller than the one before it.
+  /// Returns the value of the key, or null. No key may be smaller than that of the previous call.
   const Value* find(const Key& key) {
     while (position != end && position->first < key)
       ++position;
--- a/source/scheduling/starvation_guard.cpp
+++ b/source/scheduling/starvation_guard.cpp
@@ -1,10 +1,12 @@
+// Finds units that are passed over although they fit, and starts the overdue ones.
 #include "scheduling/starvation_guard.hpp"
 
 namespace aniseline::scheduling {
 
 namespace {
 
-// Room for one more than is asked for: what barely fits may be taken by what is already on its way.
+// A unit must fit this many times, because room for just one may be taken by work that is already
+// on its way.
 constexpr std::int64_t copiesThatMustFit = 2;
 
 bool isLongRunning(const PlacementUnit& unit) {
@@ -42,7 +44,8 @@
   return started;
 }
 
-// Something of its job runs, or is about to, so that the job makes progress.
+// Reports whether the unit may starve. A job with an attempt, or with a start in this plan, makes
+// progress; a long-running task may starve all the same.
 bool StarvationGuard::mayStarve(const PlacementUnit& unit) const {
   if (isLongRunning(unit))
     return true;
--- a/source/scheduling/starvation_guard.hpp
+++ b/source/scheduling/starvation_guard.hpp
@@ -1,6 +1,6 @@
-// Bounds how long work is passed over where it fits. Headroom for urgent work and the one reserved
-// start hold work back on purpose; a job of which nothing runs, and a task that runs until it is
-// cancelled, are held back by them for PlannerHints::maxPassedOverTime at most.
+// Starvation guard: bounds how long work is passed over although it fits. Headroom for urgent work
+// and the reserved start hold work back on purpose. They hold back a job without any running
+// attempt, or a task that runs until it is cancelled, for at most PlannerHints::maxPassedOverTime.
 // docs/paper.md 5, docs/design.md 7.9.
 #ifndef ANISELINE_SCHEDULING_STARVATION_GUARD_HPP
 #define ANISELINE_SCHEDULING_STARVATION_GUARD_HPP
@@ -19,16 +19,16 @@
         unrestricted(noReservation),
         starts(context, unrestricted, draft) {}
 
-  /// The plan has started a unit: its job is not passed over.
+  /// Records that the plan has started a unit, so that its job is not passed over.
   void recordStart(const PlacementUnit& unit) { startedJobs.insert(unit.step().jobId()); }
-  /// To be called with the units that the plan has not started, in their order. Starts those that
-  /// have been passed over for too long, and returns them; notes the others that fit in the plan,
-  /// for the hints of later plans.
+  /// Starts the units that have been passed over for too long, and returns them. Records the others
+  /// that fit in the plan, for the hints of later plans. `waiting` holds the units that the plan
+  /// has not started, in their order.
   std::set<const PlacementUnit*> startOverdue(const std::vector<const PlacementUnit*>& waiting);
 
  private:
   bool mayStarve(const PlacementUnit& unit) const;
-  // What is found once for a batch is not looked for again: free resources only shrink.
+  // Caches a lack of room in the unit's batch, because free resources only shrink.
   bool hasRoomTwiceOver(const PlacementUnit& unit) const;
   bool findRoomTwiceOver(const PlacementUnit& unit) const;
   bool isOverdue(const PassedOverUnit& unit) const;
@@ -36,11 +36,11 @@
   SchedulingContext& context;
   const PlannerHints& hints;
   PlanDraft& draft;
-  // Holds nothing, so that starts are tried as if no start was reserved.
+  // Never held, so that units are tried as if there were no reserved start.
   ReservedStart noReservation;
   BackfillAdmission unrestricted;
   ImmediateStarts starts;
-  std::set<JobId> startedJobs;  // by this plan
+  std::set<JobId> startedJobs;  // jobs with a unit started by this plan
 };
 
 }  // namespace aniseline::scheduling
--- a/source/scheduling/tenant_usage.cpp
+++ b/source/scheduling/tenant_usage.cpp
@@ -1,10 +1,11 @@
+// Checks starts against the cap of a tenant.
 #include "scheduling/tenant_usage.hpp"
 
 namespace aniseline::scheduling {
 
 namespace {
 
-// Of its cap, what a tenant may use and still start a task that passes it.
+// A tenant that uses at most its cap divided by this may still start a task that exceeds the cap.
 constexpr std::int64_t idleShareDenominator = 2;
 
 bool isWithin(std::int64_t amount, std::int64_t cap) {
@@ -16,7 +17,7 @@
          isWithin(amount.accelerators, cap.accelerators);
 }
 
-// A cap of one device leaves none for the half.
+// Half of a cap of one device rounds down to none.
 bool usesAtMostHalf(std::int64_t used, std::int64_t cap) {
   return cap == 0 || used <= cap / idleShareDenominator;
 }
--- a/source/scheduling/unit_ordering.cpp
+++ b/source/scheduling/unit_ordering.cpp
@@ -1,3 +1,4 @@
+// Groups pending tasks into batches, ranks the batches and sorts their units.
 #include "scheduling/unit_ordering.hpp"
 #include "scheduling/shortest_remaining_work.hpp"
 #include "scheduling/worker_eligibility.hpp"
@@ -11,8 +12,8 @@
          left.runtime == right.runtime && left.accelerators == right.accelerators;
 }
 
-// Gathers the pending tasks of one job into batches. Tasks come in the order of the job, where
-// those of a step stand together.
+// Groups the pending tasks of one job into batches. Tasks must be added in the order of the job,
+// where the tasks of a step are contiguous.
 class BatchCollector {
  public:
   BatchCollector(std::deque<TaskBatch>& batches, ClusterTime now) : batches(batches), now(now) {}
@@ -40,7 +41,8 @@
     current->runtime = std::max(current->runtime, step.request->tasks[task.indexInStep].runtime);
     current->readyAt = task.readyAt;
   }
-  // Drops a gang of which some part is not ready. To be called after the last task too.
+  // Completes the current batch, and drops it if it is a gang with a part that is not ready. Must
+  // also be called after the last task.
   void finish() {
     if (current && current->gang && !allPartsReady)
       batches.pop_back();
@@ -60,12 +62,12 @@
   std::deque<TaskBatch>& batches;
   ClusterTime now;
   TaskBatch* current = nullptr;
-  bool allPartsReady = true;  // of a gang, those that have succeeded aside
+  bool allPartsReady = true;  // of the current gang, except succeeded parts
 };
 
-// Expired work goes last whatever its queue. Then the queue's priority decides where the config
-// says so, then whether the job can be in time, then the rank. Ties go to the earlier ready, then
-// to the lower job id. docs/paper.md 2 and 5.
+// Orders batches by these keys: expired work last regardless of its queue, then queue priority
+// where the config has strict priority, then target status, then rank. Ties go to the earlier ready
+// time, then to the lower job id. docs/paper.md 2 and 5.
 bool goesBefore(const TaskBatch* left, const TaskBatch* right) {
   const TargetStatus leftStatus = left->latencyTarget.status;
   const TargetStatus rightStatus = right->latencyTarget.status;
@@ -127,7 +129,7 @@
   }
 }
 
-// Paper 2.2 and table 3: the rank is computed anew at each plan, since it grows with the wait.
+// Paper 2.2 and table 3: the rank grows with the wait, so it is computed anew for each plan.
 void UnitOrdering::rank(TaskBatch& batch) const {
   const QueueOptions& queue = *batch.step->parent->queue->options;
   const PlannerOptions& options = context.options();
@@ -162,7 +164,7 @@
   std::sort(order.begin(), order.end(), goesBefore);
   units.reserve(unitCount);
   for (std::size_t index = 0; index < order.size();) {
-    // Batches of one step that rank alike take turns by their tasks' indices.
+    // Units of equally ranked batches of one step are sorted by their task indices.
     const std::size_t firstBatch = index;
     const auto firstUnit = std::ptrdiff_t(units.size());
     do {
--- a/source/scheduling/unit_ordering.hpp
+++ b/source/scheduling/unit_ordering.hpp
@@ -1,8 +1,8 @@
-// Ordering by expansion factor (LXF&W): what waits for a start, in the order in which the plan
-// tries it. docs/paper.md 1, and 5 for latency targets; docs/design.md 7.1, 7.8.
+// Ordering by expansion factor (LXF&W): sorts the placement units in the order in which the plan
+// tries them. docs/paper.md 1, and 5 for latency targets; docs/design.md 7.1, 7.8.
 //
-// Reads the open jobs and the queues' policies. Changes the context only by building views and
-// eligible workers; allocates nothing.
+// Reads the open jobs and the queues' policies. Builds views and lists of eligible workers in the
+// context, but allocates nothing.
 #ifndef ANISELINE_SCHEDULING_UNIT_ORDERING_HPP
 #define ANISELINE_SCHEDULING_UNIT_ORDERING_HPP
 #include "scheduling/compiled_policies.hpp"
@@ -16,8 +16,8 @@
   UnitOrdering(SchedulingContext& context, const CompiledPolicies& policies)
       : context(context), policies(policies) {}
 
-  /// The units that may start now, first those that are tried first. They stay valid as long as
-  /// this object; call it once.
+  /// Returns the units that may start now, in the order in which they are tried. They remain valid
+  /// for the lifetime of this object; call it once.
   const std::vector<PlacementUnit>& collect();
 
  private:
--- a/source/scheduling/urgent_headroom.cpp
+++ b/source/scheduling/urgent_headroom.cpp
@@ -1,10 +1,11 @@
+// Measures urgent demand and checks starts against the headroom.
 #include "scheduling/urgent_headroom.hpp"
 
 namespace aniseline::scheduling {
 
 namespace {
 
-// Work never waits for headroom while more than two fifths of a pool's cores are free.
+// Work is never held back for headroom while more than two fifths of a pool's cores are free.
 constexpr std::int64_t idleShareNumerator = 2;
 constexpr std::int64_t idleShareDenominator = 5;
 
@@ -20,7 +21,7 @@
     demand.schedulableCores += worker.totalResources().cores;
     demand.freeCores += std::max<std::int64_t>(0, worker.guaranteedFreeCores());
   }
-  // What a cap keeps from starting wants no room yet.
+  // Units that a tenant cap keeps from starting need no room yet.
   std::map<const TenantUsage*, TenantUsage> usage;
   for (const auto& unit : units) {
     if (!context.isUrgent(unit.queue()) ||
--- a/source/scheduling/worker_eligibility.cpp
+++ b/source/scheduling/worker_eligibility.cpp
@@ -1,3 +1,4 @@
+// Collects the workers of a pool that have a label.
 #include "scheduling/worker_eligibility.hpp"
 
 namespace aniseline::scheduling {
--- a/source/scheduling/worker_view.cpp
+++ b/source/scheduling/worker_view.cpp
@@ -1,3 +1,4 @@
+// Updates the allocations of a worker when trials suspend attempts.
 #include "scheduling/worker_view.hpp"
 
 namespace aniseline::scheduling {
--- a/source/scheduling/worker_view.hpp
+++ b/source/scheduling/worker_view.hpp
@@ -1,5 +1,5 @@
-// A worker as one plan sees it: its capacity, what is allocated on it, and when that is expected to
-// be free again. SchedulingContext builds one for each worker; policies allocate on it.
+// A view of a worker for one plan: its capacity, its allocations, and when these are expected to
+// end. SchedulingContext builds one for each worker; policies allocate on it.
 #ifndef ANISELINE_SCHEDULING_WORKER_VIEW_HPP
 #define ANISELINE_SCHEDULING_WORKER_VIEW_HPP
 #include "scheduling/pool_view.hpp"
@@ -10,9 +10,9 @@
 
 namespace aniseline::scheduling {
 
-/// One attempt on a worker: what it takes there and until when.
+/// The resources that one attempt takes on a worker, and its expected end.
 struct Allocation {
-  const Attempt* attempt = nullptr;  // null: started by this plan
+  const Attempt* attempt = nullptr;  // null if started by this plan
   Resources resources;
   ClusterTime expectedEnd;
   bool suspended = false;           // keeps its memory and accelerators, but uses no cores
@@ -21,7 +21,7 @@
 
 class WorkerView {
  public:
-  /// `emptyAllocations` is an empty list whose memory is used again.
+  /// `emptyAllocations` is an empty list whose memory is reused.
   WorkerView(const Worker& worker, PoolView& pool, std::vector<Allocation> emptyAllocations)
       : record(&worker),
         workerPool(&pool),
@@ -34,19 +34,20 @@
   PoolView& pool() const { return *workerPool; }
   const Resources& totalResources() const { return total; }
 
-  /// The index of its rack's name in SchedulingContext.
+  /// Returns the index of the worker's rack in SchedulingContext::rackNames().
   std::size_t rackIndex() const { return rack; }
   void setRackIndex(std::size_t index) { rack = index; }
 
-  /// May this plan give it new work?
+  /// Reports whether this plan may give the worker new work.
   bool isSchedulable() const { return schedulable; }
   void excludeFromNewWork() { schedulable = false; }
-  /// Workers with a lower penalty are preferred; from failingWorkerPenalty on one task at a time.
+  /// Returns the penalty. Workers with a lower one are preferred; a worker gets one task at a time
+  /// from failingWorkerPenalty on.
   int penalty() const { return penaltyLevel; }
   void raisePenalty(int level) { penaltyLevel = std::max(penaltyLevel, level); }
 
-  /// Jobs whose attempts here take far longer than requested. Jobs, not attempts, are counted: one
-  /// job's estimate may be wrong for all its attempts.
+  /// Returns the number of jobs whose attempts here take far longer than requested. Jobs are
+  /// counted instead of attempts, because one job's estimate may be wrong for all its attempts.
   std::size_t overdueJobCount() const { return overdueJobs.size(); }
   void addOverdueJob(const Job& job) {
     if (std::find(overdueJobs.begin(), overdueJobs.end(), &job) == overdueJobs.end())
@@ -58,17 +59,19 @@
     updateTotals(allocation, 1);
     allocationList.push_back(allocation);
   }
-  /// Takes back the allocation that was made last.
+  /// Releases the allocation that was made last.
   void releaseLast() {
     updateTotals(allocationList.back(), -1);
     allocationList.pop_back();
   }
-  /// Suspends a running attempt for a trial of the given quantum, which puts off its end.
+  /// Suspends a running attempt for a trial of the given quantum, which delays its expected end by
+  /// that time.
   void suspendForTrial(const Attempt& victim, Duration quantum);
-  /// Puts off the expected ends of these attempts, as a trial that suspends them would.
+  /// Delays the expected ends of these attempts by the quantum, as a trial that suspends them
+  /// would.
   void postpone(const std::vector<const Attempt*>& victims, Duration quantum);
   void markTrialsWithVictims(const std::set<AttemptNumber>& trials);
-  /// Hands over the list of allocations, emptied, for a later plan.
+  /// Empties the list of allocations and returns it, for reuse by a later plan.
   std::vector<Allocation> takeEmptyAllocations() {
     allocationList.clear();
     return std::move(allocationList);
@@ -77,19 +80,19 @@
   Resources freeResources() const { return total - used; }
   std::int64_t freeCores() const { return total.cores - used.cores; }
   std::int64_t usedCores() const { return used.cores; }
-  /// Cores that stay free when every suspended attempt has resumed, whether or not anything ends as
-  /// expected. docs/design.md 7.4.
+  /// Returns the cores that stay free when every suspended attempt has resumed, whether or not
+  /// anything ends as expected. docs/design.md 7.4.
   std::int64_t guaranteedFreeCores() const {
     return std::min(freeCores(), freeCores() + victimTrialCores - suspendedCores);
   }
-  /// What is free now and stays free, as guaranteedFreeCores() has it.
+  /// Returns the free resources, with only the cores that guaranteedFreeCores() returns.
   Resources guaranteedFree() const {
     Resources free = freeResources();
     free.cores = guaranteedFreeCores();
     return free;
   }
-  /// What is free from the given time on if all ends as expected; suspended attempts count as
-  /// resumed.
+  /// Returns the resources that are free from the given time on if all allocations end as expected;
+  /// suspended attempts count as resumed.
   Resources expectedFreeAt(ClusterTime time) const {
     Resources free = total;
     for (const auto& allocation : allocationList) {
@@ -99,21 +102,22 @@
     return free;
   }
 
-  /// Does the memory suffice for a full allocation? `trialMemory` MB of each worker are left to
-  /// trials, unless the request could never be met that way.
+  /// Reports whether the memory suffices for a full allocation. `trialMemory` MB of each worker are
+  /// left to trials, unless the request could never be met that way.
   bool memorySuffices(std::int64_t freeMemory, std::int64_t requested,
                       std::int64_t trialMemory) const {
     if (requested <= freeMemory - trialMemory)
       return true;
     return requested > total.memory - trialMemory && requested <= freeMemory;
   }
-  /// Does a request fit into what is free here, be it now or at some later time?
+  /// Reports whether a request fits into the given free resources, now or at some later time.
   bool fitsInto(const Resources& free, const Resources& request, std::int64_t trialMemory) const {
     return free.cores >= request.cores && free.accelerators >= request.accelerators &&
            memorySuffices(free.memory, request.memory, trialMemory);
   }
 
-  /// What the reserved start takes here from its time on. Accelerators are not held free for it.
+  /// Returns the resources that the reserved start takes here from its time on. Accelerators are
+  /// not held free for it.
   const Resources& reservedResources() const { return reserved; }
   bool hasReservation() const { return reserved.cores != 0; }
   void reserve(const Resources& request) { reserved += request; }
@@ -134,8 +138,8 @@
   const Worker* record;
   PoolView* workerPool;
   Resources total;
-  // Sums over the allocations, kept as these change.
-  Resources used;  // the cores without those of suspended attempts
+  // Sums over the allocations, updated with each change of the allocations.
+  Resources used;  // cores without those of suspended attempts
   std::int64_t suspendedCores = 0;
   std::int64_t victimTrialCores = 0;  // of trials that have victims
   Resources reserved;
