--- a/source/scheduling/checkpoint_preemption.cpp
+++ b/source/scheduling/checkpoint_preemption.cpp
@@ -14,7 +14,7 @@
 
 // Orders the candidates: the least urgent first, and among equally urgent ones the one that started
 // last.
-bool givesWayBefore(const StepAttempt& left, const StepAttempt& right) {
+bool isPreemptedBefore(const StepAttempt& left, const StepAttempt& right) {
   const std::int64_t leftPriority = left.step->parent->queue->options->priority;
   const std::int64_t rightPriority = right.step->parent->queue->options->priority;
   if (leftPriority != rightPriority)
@@ -24,25 +24,25 @@
 
 }  // namespace
 
-void CheckpointPreemption::makeRoom(const std::vector<const PlacementUnit*>& blocked,
-                                    const std::vector<StepAttempt>& checkpointed) {
+void CheckpointPreemption::preemptFor(const std::vector<const PlacementUnit*>& blocked,
+                                      const std::vector<StepAttempt>& checkpointed) {
   if (!context.options().strictPriority || checkpointed.empty())
     return;
   CoresByPool lacking = coresLacking(blocked, checkpointed);
   if (lacking.empty())
     return;
   std::vector<StepAttempt> candidates;
-  for (const auto& run : checkpointed) {
-    if (mayGiveWay(run))
-      candidates.push_back(run);
+  for (const auto& candidate : checkpointed) {
+    if (mayBePreempted(candidate))
+      candidates.push_back(candidate);
   }
-  std::sort(candidates.begin(), candidates.end(), givesWayBefore);
-  for (const auto& run : candidates) {
-    const auto pool = lacking.find(run.step->parent->queue->pool);
+  std::sort(candidates.begin(), candidates.end(), isPreemptedBefore);
+  for (const auto& candidate : candidates) {
+    const auto pool = lacking.find(candidate.step->parent->queue->pool);
     if (pool == lacking.end() || pool->second <= 0)
       continue;
-    draft.addStop(*run.attempt, stop_reasons::preempted);
-    pool->second -= run.attempt->cores;
+    draft.addStop(*candidate.attempt, stop_reasons::preempted);
+    pool->second -= candidate.attempt->cores;
   }
 }
 
@@ -57,17 +57,17 @@
         unit->batch->latencyTarget.status != TargetStatus::expired)
       lacking[unit->queue().pool] += unit->batch->coresPerUnit;
   }
-  for (const auto& run : checkpointed) {
-    const auto pool = lacking.find(run.step->parent->queue->pool);
-    if (run.attempt->state == AttemptState::stopping && pool != lacking.end())
-      pool->second -= run.attempt->cores;
+  for (const auto& candidate : checkpointed) {
+    const auto pool = lacking.find(candidate.step->parent->queue->pool);
+    if (candidate.attempt->state == AttemptState::stopping && pool != lacking.end())
+      pool->second -= candidate.attempt->cores;
   }
   return lacking;
 }
 
-bool CheckpointPreemption::mayGiveWay(const StepAttempt& run) {
-  const Attempt& attempt = *run.attempt;
-  JobView& job = *run.step->parent;
+bool CheckpointPreemption::mayBePreempted(const StepAttempt& candidate) {
+  const Attempt& attempt = *candidate.attempt;
+  JobView& job = *candidate.step->parent;
   if (attempt.state != AttemptState::running || context.isUrgent(*job.queue) ||
       attempt.runtimeAt(context.now()) < minRuntimeBeforePreemption)
     return false;
--- a/source/scheduling/checkpoint_preemption.hpp
+++ b/source/scheduling/checkpoint_preemption.hpp
@@ -16,15 +16,15 @@
 
   /// Stops enough of the attempts to free the cores that the urgent units in `blocked` lack.
   /// `checkpointed` is the list of that name in AttemptSurvey.
-  void makeRoom(const std::vector<const PlacementUnit*>& blocked,
-                const std::vector<StepAttempt>& checkpointed);
+  void preemptFor(const std::vector<const PlacementUnit*>& blocked,
+                  const std::vector<StepAttempt>& checkpointed);
 
  private:
   using CoresByPool = std::map<const PoolView*, std::int64_t>;  // thousandths of a core
 
   CoresByPool coresLacking(const std::vector<const PlacementUnit*>& blocked,
                            const std::vector<StepAttempt>& checkpointed) const;
-  bool mayGiveWay(const StepAttempt& run);
+  bool mayBePreempted(const StepAttempt& candidate);
 
   SchedulingContext& context;
   PlanDraft& draft;
--- a/source/scheduling/data_locality.cpp
+++ b/source/scheduling/data_locality.cpp
@@ -14,8 +14,8 @@
     const WorkerView& worker = context.workers()[index];
     if (!worker.isSchedulable())
       continue;
-    auto& ofRack = freeCores[worker.rackIndex()];
-    ofRack = ofRack.value_or(0) + worker.guaranteedFreeCores();
+    auto& rackCores = freeCores[worker.rackIndex()];
+    rackCores = rackCores.value_or(0) + worker.guaranteedFreeCores();
   }
   std::int64_t most = -1;
   step.chosenRack = context.rackIndexOf("");
--- a/source/scheduling/gangs.cpp
+++ b/source/scheduling/gangs.cpp
@@ -66,7 +66,7 @@
     if (staging && now - part->orderedAt > stagingTimeout)
       status.stagingTimedOut = true;
     status.allStaged = status.allStaged && part->state == AttemptState::staged &&
-                       context.wasHeardWithin(part->worker, gangLaunchContactAge) &&
+                       context.hasContactWithin(part->worker, gangLaunchContactAge) &&
                        context.clusterState().workers().at(part->worker).isSchedulable();
   }
   return status;
--- a/source/scheduling/immediate_starts.cpp
+++ b/source/scheduling/immediate_starts.cpp
@@ -26,11 +26,11 @@
 };
 
 // The worker and rack where a task failed last; noIndex if it has not failed.
-struct AvoidedPlace {
+struct AvoidedLocation {
   std::size_t workerIndex = noIndex;
   std::size_t rackIndex = noIndex;
 
-  AvoidedPlace(const SchedulingContext& context, const WorkerId& avoided) {
+  AvoidedLocation(const SchedulingContext& context, const WorkerId& avoided) {
     if (avoided.value.empty())
       return;
     workerIndex = context.workerIndexOf(avoided);
@@ -39,7 +39,7 @@
 };
 
 // Rack loads are measured in this many parts of the rack's cores.
-constexpr std::int64_t rackLoadParts = 100;
+constexpr std::int64_t rackLoadScale = 100;
 
 // The load of each rack. It is computed only if remote data or tasks on several racks slow steps
 // down, and only for work that may run on any rack. Such work is spread over the racks, which
@@ -65,7 +65,7 @@
     if (coresByRack.empty())
       return 0;
     const Cores& cores = coresByRack[worker.rackIndex()];
-    return cores.total > 0 ? rackLoadParts * cores.used / cores.total : 0;
+    return cores.total > 0 ? rackLoadScale * cores.used / cores.total : 0;
   }
 
  private:
@@ -73,8 +73,7 @@
     std::int64_t total = 0;
     std::int64_t used = 0;
   };
-  std::vector<Cores>
-      coresByRack;  // by rack index, in thousandths; empty if the load does not matter
+  std::vector<Cores> coresByRack;  // thousandths; empty if the load does not matter
 };
 
 bool contains(const std::vector<std::size_t>& racks, std::size_t rack) {
@@ -124,7 +123,7 @@
   StepView& step = unit.step();
   const TaskRequest& taskRequest = unit.request(taskIndex);
   const Resources request = resourcesOf(taskRequest);
-  const AvoidedPlace avoided(context, unit.task(taskIndex).avoidedWorker);
+  const AvoidedLocation avoided(context, unit.task(taskIndex).avoidedWorker);
   const RackLoads rackLoads(context, unit);
   std::size_t best = noIndex;
   FitKey bestKey;
--- a/source/scheduling/job_view.hpp
+++ b/source/scheduling/job_view.hpp
@@ -22,10 +22,9 @@
   JobView* parent = nullptr;
   std::uint32_t index = 0;
   const StepRequest* request = nullptr;
-  EligibleWorkers* eligible = nullptr;  // set by eligibleWorkers()
-  std::vector<std::uint32_t>
-      tasksByWorker;                      // filled only for steps with maxPerWorker; may be empty
-  std::optional<std::size_t> chosenRack;  // for a step with sameRack: its rack index, or noIndex
+  EligibleWorkers* eligible = nullptr;       // set by eligibleWorkers()
+  std::vector<std::uint32_t> tasksByWorker;  // only for steps with maxPerWorker; may be empty
+  std::optional<std::size_t> chosenRack;     // for a step with sameRack: its rack index, or noIndex
 
   const StepRequirements& requirements() const { return request->requirements; }
   const Job& job() const;
--- a/source/scheduling/next_plan_time.cpp
+++ b/source/scheduling/next_plan_time.cpp
@@ -60,9 +60,9 @@
 }
 
 void considerPendingTasks(const ClusterState& clusterState, ClusterTime now, EarliestTime& due) {
-  const ClusterTime soonest = now + pendingTaskInterval;
+  const ClusterTime nextCheck = now + pendingTaskInterval;
   for (const auto& id : clusterState.openJobs()) {
-    if (due.get() && *due.get() <= soonest)
+    if (due.get() && *due.get() <= nextCheck)
       return;
     const Job& job = clusterState.jobs().at(id);
     if (job.state != JobState::active)
@@ -70,7 +70,7 @@
     auto pending = std::find_if(job.tasks.begin(), job.tasks.end(),
                                 [](const Task& task) { return task.state == TaskState::pending; });
     if (pending != job.tasks.end())
-      due.consider(std::max(pending->notBefore, soonest));
+      due.consider(std::max(pending->notBefore, nextCheck));
   }
 }
 
--- a/source/scheduling/placement_unit.hpp
+++ b/source/scheduling/placement_unit.hpp
@@ -31,13 +31,12 @@
   bool localStartFailed = false;
   bool reservationFailed = false;
   bool backfillFailed = false;
-  bool lacksRoomTwiceOver = false;
+  bool doubleFitFailed = false;
 };
 
 struct PlacementUnit {
   TaskBatch* batch = nullptr;
-  std::span<const std::uint32_t>
-      tasks;  // indices in Job::tasks: one task, or all parts of the gang
+  std::span<const std::uint32_t> tasks;  // indices in Job::tasks; for a gang, all its parts
 
   bool isGang() const { return batch->gang; }
   StepView& step() const { return *batch->step; }
--- a/source/scheduling/plan_draft.hpp
+++ b/source/scheduling/plan_draft.hpp
@@ -31,7 +31,7 @@
     lastAttempt = checkpoint.lastAttempt;
   }
 
-  bool explains() const { return explaining; }
+  bool isExplaining() const { return explaining; }
   void explain(const PlacementUnit& unit, std::string_view text) {
     if (explaining)
       draft.explanations.push_back(
--- a/source/scheduling/planner.cpp
+++ b/source/scheduling/planner.cpp
@@ -88,7 +88,7 @@
   if (context.options().trialsEnabled)
     trials.start(blocked);
   if (context.isOn(Policy::checkpointPreemption))
-    preemption.makeRoom(blocked, survey.checkpointed);
+    preemption.preemptFor(blocked, survey.checkpointed);
   if (context.isOn(Policy::redundantCopies))
     startRedundantCopies(context, survey.redundant, backfill, draft);
   draft.plan().record.reservation = reservedStart.get();
@@ -161,7 +161,7 @@
     draft.explain(unit, blockedText);
     return Decision::blocked;
   }
-  if (context.isOn(Policy::urgentHeadroom) && !headroom.leavesEnough(unit)) {
+  if (context.isOn(Policy::urgentHeadroom) && !headroom.preservesHeadroom(unit)) {
     draft.explain(unit, "leaves room that urgent work has wanted lately");
     return Decision::heldBack;
   }
@@ -197,7 +197,7 @@
     return;
   }
   reservedStart.hold(unit, std::move(*reservation));
-  if (!draft.explains())
+  if (!draft.isExplaining())
     return;
   const Reservation& held = reservedStart.get();
   const Duration wait = held.start - context.now();
--- a/source/scheduling/planner.hpp
+++ b/source/scheduling/planner.hpp
@@ -44,8 +44,7 @@
   std::size_t heldByTenantCap = 0;    // pending units held back by their tenant's cap
   std::int64_t schedulableCores = 0;  // of schedulable workers, in thousandths of a core
   std::int64_t allocatedCores = 0;    // allocated part of these, before this plan's own starts
-  std::array<std::size_t, 3>
-      unitsByTargetStatus{};  // indexed by TargetStatus: on time, late, expired
+  std::array<std::size_t, 3> unitsByTargetStatus{};  // on time, late, expired
 
   /// Reports whether logging the plan would change nothing. A reserved start that moves by less
   /// than a second counts as unchanged.
@@ -91,8 +90,7 @@
   static std::optional<ClusterTime> nextPlanTime(const ClusterState& clusterState, ClusterTime now);
 
  private:
-  std::optional<scheduling::CompiledPolicies>
-      policies;  // compiled from the config of the previous plan
+  std::optional<scheduling::CompiledPolicies> policies;  // for the config of the last plan
   std::vector<std::vector<scheduling::Allocation>> recycledAllocations;
 };
 
--- a/source/scheduling/redundant_copies.cpp
+++ b/source/scheduling/redundant_copies.cpp
@@ -10,8 +10,8 @@
 // Bounds the copies, so that the loss of a rack does not turn a whole plan into copies.
 constexpr std::size_t maxCopiesPerPlan = 8;
 
-bool wantsCopy(const StepAttempt& run, const SchedulingContext& context) {
-  const auto& [step, attempt] = run;
+bool needsCopy(const StepAttempt& original, const SchedulingContext& context) {
+  const auto& [step, attempt] = original;
   const Job& job = step->job();
   if (job.terminating || job.isTerminal() || job.tasks.empty())
     return false;
@@ -28,14 +28,15 @@
 
 // Returns the worker with the fewest unallocated cores, as for any other start; noIndex if there is
 // none.
-std::size_t workerForCopy(SchedulingContext& context, const StepAttempt& run,
+std::size_t workerForCopy(SchedulingContext& context, const StepAttempt& original,
                           const TaskRequest& taskRequest, const BackfillAdmission& backfill) {
-  StepView& step = *run.step;
+  StepView& step = *original.step;
   const Resources request = resourcesOf(taskRequest);
   std::size_t best = noIndex;
   for (auto index : eligibleWorkers(context, step).workerIndices) {
     const WorkerView& worker = context.workers()[index];
-    if (!worker.isSchedulable() || worker.penalty() > 0 || worker.id() == run.attempt->worker ||
+    if (!worker.isSchedulable() || worker.penalty() > 0 ||
+        worker.id() == original.attempt->worker ||
         !admits(context, step, index, worker.guaranteedFree(), request))
       continue;
     const ClusterTime end = context.now() + expectedRuntime(context, step, worker, taskRequest);
@@ -51,19 +52,19 @@
 
 void startRedundantCopies(SchedulingContext& context, const std::vector<StepAttempt>& redundant,
                           const BackfillAdmission& backfill, PlanDraft& draft) {
-  for (const auto& run : redundant) {
+  for (const auto& original : redundant) {
     if (draft.plan().redundantCopies >= maxCopiesPerPlan)
       return;
-    if (!wantsCopy(run, context))
+    if (!needsCopy(original, context))
       continue;
-    const Attempt& attempt = *run.attempt;
-    const Job& job = run.step->job();
+    const Attempt& attempt = *original.attempt;
+    const Job& job = original.step->job();
     const TaskRequest& request = job.requestOf(job.tasks[attempt.taskIndex]);
-    TenantUsage* tenant = run.step->parent->tenant;
+    TenantUsage* tenant = original.step->parent->tenant;
     const Resources resources = resourcesOf(request);
     if (tenant && !tenant->admits(resources, resources))
       continue;
-    const std::size_t index = workerForCopy(context, run, request, backfill);
+    const std::size_t index = workerForCopy(context, original, request, backfill);
     if (index == noIndex)
       continue;
     if (tenant)
--- a/source/scheduling/reserved_start.cpp
+++ b/source/scheduling/reserved_start.cpp
@@ -132,10 +132,10 @@
       return false;
     found.start = next->allocation->expectedEnd;
     for (; next != ends.end() && next->allocation->expectedEnd == found.start; ++next) {
-      Resources& ofWorker = free[next->workerIndex];
-      slots -= minimum.slots(ofWorker, unit.step(), next->workerIndex);
-      ofWorker += next->allocation->resources;
-      slots += minimum.slots(ofWorker, unit.step(), next->workerIndex);
+      Resources& freeOnWorker = free[next->workerIndex];
+      slots -= minimum.slots(freeOnWorker, unit.step(), next->workerIndex);
+      freeOnWorker += next->allocation->resources;
+      slots += minimum.slots(freeOnWorker, unit.step(), next->workerIndex);
     }
   }
 }
--- a/source/scheduling/scheduling_context.cpp
+++ b/source/scheduling/scheduling_context.cpp
@@ -73,7 +73,7 @@
   return age == contactAges.end() || age->second > maxContactAge;
 }
 
-bool SchedulingContext::wasHeardWithin(const WorkerId& id, Duration age) const {
+bool SchedulingContext::hasContactWithin(const WorkerId& id, Duration age) const {
   auto known = contactAges.find(id);
   return known != contactAges.end() && known->second < age;
 }
--- a/source/scheduling/scheduling_context.hpp
+++ b/source/scheduling/scheduling_context.hpp
@@ -45,7 +45,7 @@
   /// Reports whether the leader last heard from the worker more than maxContactAge ago, or never.
   bool isOutOfContact(const WorkerId& id) const;
   /// Reports whether the leader heard from the worker less than `age` ago.
-  bool wasHeardWithin(const WorkerId& id, Duration age) const;
+  bool hasContactWithin(const WorkerId& id, Duration age) const;
 
   /// Returns the sorted rack names; the first is the empty name of workers without a rack.
   const std::vector<std::string_view>& rackNames() const { return sortedRackNames; }
--- a/source/scheduling/service_trials.cpp
+++ b/source/scheduling/service_trials.cpp
@@ -7,7 +7,7 @@
 
 // Trials with a shorter quantum are not recorded as failed: they end so soon that the failure of
 // one says nothing about the next.
-constexpr Duration minimumRememberedQuantum{1000};
+constexpr Duration minimumRecordedQuantum{1000};
 
 bool hadTrial(const PlacementUnit& unit) {
   const Task& first = unit.task(unit.tasks[0]);
@@ -29,7 +29,7 @@
       continue;
     if (tryTrial(*unit))
       draft.explain(*unit, "gets its trial in this plan");
-    else if (unrestricted && queue.trial.quantum >= minimumRememberedQuantum)
+    else if (unrestricted && queue.trial.quantum >= minimumRecordedQuantum)
       failedTrials.add(shape);
   }
 }
@@ -53,7 +53,7 @@
     }
     if (unit.isGang() && !workersBefore)
       workersBefore = context.workers();
-    startAt(request, *placement);
+    startTrial(request, *placement);
   }
   recordTenantStart(unit);
   return true;
@@ -162,7 +162,7 @@
   return backfill.reservedStartFits(changed, overlaps ? request.resources : Resources{});
 }
 
-void ServiceTrials::startAt(const TrialRequest& request, const TrialPlacement& placement) {
+void ServiceTrials::startTrial(const TrialRequest& request, const TrialPlacement& placement) {
   const PlacementUnit& unit = request.unit;
   const Duration quantum = unit.queue().options->trial.quantum;
   WorkerView& worker = context.workers()[placement.workerIndex];
--- a/source/scheduling/service_trials.hpp
+++ b/source/scheduling/service_trials.hpp
@@ -48,7 +48,7 @@
                                                            std::int64_t missingCores,
                                                            Duration minimumRuntime);
   bool keepsReservedStart(const TrialRequest& request, const TrialPlacement& placement) const;
-  void startAt(const TrialRequest& request, const TrialPlacement& placement);
+  void startTrial(const TrialRequest& request, const TrialPlacement& placement);
   double slowdown(const Attempt& attempt) const;
   bool maySuspend(const Attempt& attempt);
 
--- a/source/scheduling/slow_workers.cpp
+++ b/source/scheduling/slow_workers.cpp
@@ -19,7 +19,7 @@
 constexpr double penalisedSlowness = 1.9;
 constexpr double excludedSlowness = 2.4;
 // At most one in this many workers of a pool may be penalised or excluded.
-constexpr std::size_t passedOverShare = 3;
+constexpr std::size_t affectedShareDenominator = 3;
 
 struct SlowWorker {
   double slowness = 0;  // multiples of the pool's median runtime ratio
@@ -75,11 +75,11 @@
       slow.push_back({slowness, index});
   }
   std::sort(slow.begin(), slow.end(), std::greater<>());
-  std::map<const PoolView*, std::size_t> passedOver;
+  std::map<const PoolView*, std::size_t> affectedByPool;
   for (const auto& [slowness, workerIndex] : slow) {
     WorkerView& worker = workers[workerIndex];
-    std::size_t& count = passedOver[&worker.pool()];
-    if (passedOverShare * (count + 1) > worker.pool().workerCount)
+    std::size_t& count = affectedByPool[&worker.pool()];
+    if (affectedShareDenominator * (count + 1) > worker.pool().workerCount)
       continue;
     ++count;
     if (slowness > excludedSlowness)
--- a/source/scheduling/starvation_guard.cpp
+++ b/source/scheduling/starvation_guard.cpp
@@ -7,13 +7,13 @@
 
 // A unit must fit this many times, because room for just one may be taken by work that is already
 // on its way.
-constexpr std::int64_t copiesThatMustFit = 2;
+constexpr std::int64_t requiredCopies = 2;
 
 bool isLongRunning(const PlacementUnit& unit) {
   return unit.requirements().longRunning && !unit.isGang();
 }
 
-PassedOverUnit nameOf(const PlacementUnit& unit) {
+PassedOverUnit passedOverUnitOf(const PlacementUnit& unit) {
   if (isLongRunning(unit))
     return {unit.step().jobId(), unit.tasks.front()};
   return {unit.step().jobId(), std::nullopt};
@@ -28,17 +28,17 @@
     return started;
   std::set<PassedOverUnit> passedOver;
   for (const PlacementUnit* unit : waiting) {
-    const PassedOverUnit name = nameOf(*unit);
-    if (!fitsTenantCap(*unit) || unit->batch->lacksRoomTwiceOver || passedOver.count(name) ||
-        !mayStarve(*unit) || !hasRoomTwiceOver(*unit))
+    const PassedOverUnit key = passedOverUnitOf(*unit);
+    if (!fitsTenantCap(*unit) || unit->batch->doubleFitFailed || passedOver.count(key) ||
+        !mayStarve(*unit) || !fitsTwice(*unit))
       continue;
-    if (isOverdue(name) && starts.tryStart(*unit)) {
+    if (isOverdue(key) && starts.tryStart(*unit)) {
       recordStart(*unit);
       started.insert(unit);
       draft.explain(*unit, "starts after it was passed over for too long");
       continue;
     }
-    passedOver.insert(name);
+    passedOver.insert(key);
   }
   draft.plan().passedOver.assign(passedOver.begin(), passedOver.end());
   return started;
@@ -54,15 +54,15 @@
          context.clusterState().attemptsOf(job, AttemptScope::withoutAbandoned).empty();
 }
 
-bool StarvationGuard::hasRoomTwiceOver(const PlacementUnit& unit) const {
-  bool& lacksRoom = unit.batch->lacksRoomTwiceOver;
-  lacksRoom = lacksRoom || !findRoomTwiceOver(unit);
+bool StarvationGuard::fitsTwice(const PlacementUnit& unit) const {
+  bool& lacksRoom = unit.batch->doubleFitFailed;
+  lacksRoom = lacksRoom || !computeFitsTwice(unit);
   return !lacksRoom;
 }
 
-bool StarvationGuard::findRoomTwiceOver(const PlacementUnit& unit) const {
+bool StarvationGuard::computeFitsTwice(const PlacementUnit& unit) const {
   const MinimumRequest minimum(unit);
-  const std::int64_t needed = copiesThatMustFit * std::int64_t(unit.tasks.size());
+  const std::int64_t needed = requiredCopies * std::int64_t(unit.tasks.size());
   std::int64_t slots = 0;
   for (auto index : unit.step().eligible->workerIndices) {
     const WorkerView& worker = context.workers()[index];
--- a/source/scheduling/starvation_guard.hpp
+++ b/source/scheduling/starvation_guard.hpp
@@ -16,8 +16,8 @@
         hints(hints),
         draft(draft),
         noReservation(context),
-        unrestricted(noReservation),
-        starts(context, unrestricted, draft) {}
+        unrestrictedBackfill(noReservation),
+        starts(context, unrestrictedBackfill, draft) {}
 
   /// Records that the plan has started a unit, so that its job is not passed over.
   void recordStart(const PlacementUnit& unit) { startedJobs.insert(unit.step().jobId()); }
@@ -29,8 +29,8 @@
  private:
   bool mayStarve(const PlacementUnit& unit) const;
   // Caches a lack of room in the unit's batch, because free resources only shrink.
-  bool hasRoomTwiceOver(const PlacementUnit& unit) const;
-  bool findRoomTwiceOver(const PlacementUnit& unit) const;
+  bool fitsTwice(const PlacementUnit& unit) const;
+  bool computeFitsTwice(const PlacementUnit& unit) const;
   bool isOverdue(const PassedOverUnit& unit) const;
 
   SchedulingContext& context;
@@ -38,7 +38,7 @@
   PlanDraft& draft;
   // Never held, so that units are tried as if there were no reserved start.
   ReservedStart noReservation;
-  BackfillAdmission unrestricted;
+  BackfillAdmission unrestrictedBackfill;
   ImmediateStarts starts;
   std::set<JobId> startedJobs;  // jobs with a unit started by this plan
 };
--- a/source/scheduling/tenant_usage.cpp
+++ b/source/scheduling/tenant_usage.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // A tenant that uses at most its cap divided by this may still start a task that exceeds the cap.
-constexpr std::int64_t idleShareDenominator = 2;
+constexpr std::int64_t lowUsageDenominator = 2;
 
 bool isWithin(std::int64_t amount, std::int64_t cap) {
   return cap == 0 || amount <= cap;
@@ -19,7 +19,7 @@
 
 // Half of a cap of one device rounds down to none.
 bool usesAtMostHalf(std::int64_t used, std::int64_t cap) {
-  return cap == 0 || used <= cap / idleShareDenominator;
+  return cap == 0 || used <= cap / lowUsageDenominator;
 }
 
 bool usesAtMostHalf(const Resources& used, const Resources& cap) {
--- a/source/scheduling/urgent_headroom.cpp
+++ b/source/scheduling/urgent_headroom.cpp
@@ -46,10 +46,10 @@
   return demandByPool;
 }
 
-bool UrgentHeadroom::leavesEnough(const PlacementUnit& unit) const {
+bool UrgentHeadroom::preservesHeadroom(const PlacementUnit& unit) const {
   const LatencyTargetAssessment& target = unit.batch->latencyTarget;
-  const bool pressing = target.lowSlack && target.status != TargetStatus::expired;
-  if (!context.options().strictPriority || context.isUrgent(unit.queue()) || pressing)
+  const bool hasLittleTime = target.lowSlack && target.status != TargetStatus::expired;
+  if (!context.options().strictPriority || context.isUrgent(unit.queue()) || hasLittleTime)
     return true;
   const UrgentDemand& demand = unit.queue().pool->urgentDemand;
   if (!demand.recentDemand ||
--- a/source/scheduling/urgent_headroom.hpp
+++ b/source/scheduling/urgent_headroom.hpp
@@ -19,7 +19,7 @@
 
   /// Reports whether the unit may start without using the headroom. Always true for urgent work and
   /// for work that has little time left.
-  bool leavesEnough(const PlacementUnit& unit) const;
+  bool preservesHeadroom(const PlacementUnit& unit) const;
   /// Subtracts a started unit from the free cores of its pool.
   void recordStart(const PlacementUnit& unit) const;
 
