--- a/tests/scheduling/checkpoint_preemption_tests.cpp
+++ b/tests/scheduling/checkpoint_preemption_tests.cpp
@@ -1,5 +1,5 @@
-// Long work that keeps checkpoints gives way to urgent work that finds no room, and goes on from
-// where it was. docs/paper.md 5, docs/design.md 7.10.
+// Tests that work with checkpoints is preempted by urgent work that finds no room, and resumes from
+// its last checkpoint. docs/paper.md 5, docs/design.md 7.10.
 #include "state/cluster_state_fixture.hpp"
 
 using namespace aniseline;
@@ -26,7 +26,7 @@
   void setup() override {
     cluster.registerWorker("a", {.cores = 10'000});
   }
-  // Fills the worker with tasks of 10 s, and lets them run for a while.
+  // Fills the worker with tasks of 10 s and lets them run for `runFor` ms.
   void runBulk(const StepRequirements& requirements = checkpointed(), std::int64_t runFor = 2000,
                bool gang = false) {
     cluster.submit("bulk", {ClusterStateFixture::step(2, 5000, requirements, gang)}, "bulk");
@@ -36,24 +36,24 @@
   void submitUrgent(const std::string& id = "urgent", std::size_t tasks = 1) {
     cluster.submit(id, {ClusterStateFixture::step(tasks, 4000, {}, false, 300)}, "urgent");
   }
-  // The bulk task that is being stopped.
+  // Returns the index of the bulk task that is being stopped.
   std::size_t stoppedTask() {
     const auto& first = cluster.clusterState.attempts().at(cluster.attempt("bulk", 0));
     return first.state == AttemptState::stopping ? 0 : 1;
   }
 };
 
-TEST(CheckpointPreemptionTests, asMuchGivesWayAsIsLacking) {
+TEST(CheckpointPreemptionTests, stopsOnlyAsMuchWorkAsUrgentWorkNeeds) {
   runBulk();
   submitUrgent();
   STRCMP_EQUAL("stop bulk on a", cluster.planAndRun().c_str());
-  // What is being stopped counts.
+  // Cores of attempts that are being stopped count as soon to be free.
   STRCMP_EQUAL("", cluster.planAndRun().c_str());
   submitUrgent("more");
   STRCMP_EQUAL("stop bulk on a", cluster.planAndRun().c_str());
 }
 
-TEST(CheckpointPreemptionTests, itGoesOnFromItsCheckpointAndNoTryIsUsedUp) {
+TEST(CheckpointPreemptionTests, preemptedWorkResumesFromItsCheckpointWithoutAFailure) {
   runBulk();
   submitUrgent();
   cluster.planAndRun();
@@ -68,8 +68,9 @@
   STRCMP_EQUAL("saved", orders.back().checkpoint.c_str());
 }
 
-// Not even where every start counts, and a second one is not allowed.
-TEST(CheckpointPreemptionTests, workThatMayStartOnceOnlyGoesOnToo) {
+// A preemption does not count as a start, even in a queue without retries, where every start
+// counts.
+TEST(CheckpointPreemptionTests, preemptedWorkWithoutRetriesResumesToo) {
   cluster.submit("bulk", {ClusterStateFixture::step(2, 5000, checkpointed())}, "once");
   cluster.planAndRun();
   cluster.now += 2000;
@@ -82,7 +83,7 @@
   STRCMP_EQUAL("start bulk on a", cluster.plan().c_str());
 }
 
-TEST(CheckpointPreemptionTests, aRunThatHasJustBegunGoesOn) {
+TEST(CheckpointPreemptionTests, workThatHasJustStartedIsNotPreempted) {
   runBulk(checkpointed(), 1400);
   submitUrgent();
   STRCMP_EQUAL("", cluster.planAndRun().c_str());
@@ -90,39 +91,39 @@
   STRCMP_EQUAL("stop bulk on a", cluster.planAndRun().c_str());
 }
 
-TEST(CheckpointPreemptionTests, workWithoutCheckpointsGoesOn) {
+TEST(CheckpointPreemptionTests, workWithoutCheckpointsIsNotPreempted) {
   runBulk(StepRequirements{});
   submitUrgent();
   STRCMP_EQUAL("", cluster.planAndRun().c_str());
 }
 
-TEST(CheckpointPreemptionTests, aGangGoesOn) {
+TEST(CheckpointPreemptionTests, gangsAreNotPreempted) {
   runBulk(checkpointed(), 2000, true);
   submitUrgent();
   STRCMP_EQUAL("", cluster.planAndRun().c_str());
 }
 
-TEST(CheckpointPreemptionTests, workThatHasLittleTimeLeftGoesOn) {
+TEST(CheckpointPreemptionTests, workWithLowSlackIsNotPreempted) {
   runBulk(checkpointed(), 16'000);
   submitUrgent();
   STRCMP_EQUAL("", cluster.planAndRun().c_str());
 }
 
-// What is past its use goes after all others anyhow.
-TEST(CheckpointPreemptionTests, workThatIsPastUseGivesWay) {
+// Expired work is placed after all other work anyhow.
+TEST(CheckpointPreemptionTests, expiredWorkIsPreempted) {
   runBulk(checkpointed(), 120'000);
   submitUrgent();
   STRCMP_EQUAL("stop bulk on a", cluster.planAndRun().c_str());
 }
 
-TEST(CheckpointPreemptionTests, urgentWorkThatIsPastUseStopsNothing) {
+TEST(CheckpointPreemptionTests, expiredUrgentWorkPreemptsNothing) {
   runBulk();
   submitUrgent();
   cluster.now += 5000;
   STRCMP_EQUAL("", cluster.planAndRun().c_str());
 }
 
-TEST(CheckpointPreemptionTests, nothingGivesWayToLessUrgentWork) {
+TEST(CheckpointPreemptionTests, lessUrgentWorkPreemptsNothing) {
   runBulk();
   cluster.submit("other", {ClusterStateFixture::step(1, 4000)}, "bulk");
   STRCMP_EQUAL("", cluster.planAndRun().c_str());
--- a/tests/scheduling/latency_target_tests.cpp
+++ b/tests/scheduling/latency_target_tests.cpp
@@ -1,4 +1,4 @@
-// Whether a job can still meet its latency target. docs/design.md 7.8.
+// Tests the assessment of whether a job can still meet its latency target. docs/design.md 7.8.
 #include "scheduling/latency_target.hpp"
 #include <CppUTest/TestHarness.h>
 
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Two steps of 2 s and 3 s, one after the other, admitted at 0; the target is 1.5 times their 5 s
-// and another 2.5 s: 10 s.
+// A job with two consecutive steps of 2 s and 3 s, admitted at 0. Its target is 1.5 times their 5 s
+// plus 2.5 s: 10 s.
 struct LatencyFixture {
   Job job;
   QueueOptions queue;
@@ -40,7 +40,7 @@
 
 TEST_GROUP(LatencyTarget){};
 
-TEST(LatencyTarget, aJobIsLateWhenItsCriticalPathEndsPastTheTarget) {
+TEST(LatencyTarget, aJobIsLateWhenItsCriticalPathEndsAfterTheTarget) {
   const LatencyFixture fixture;
   CHECK(fixture.statusAt(5000) == TargetStatus::onTime);
   CHECK(fixture.statusAt(5001) == TargetStatus::late);
@@ -48,21 +48,21 @@
   CHECK(fixture.statusAt(25'001) == TargetStatus::expired);
 }
 
-TEST(LatencyTarget, stepsThatSucceededNoLongerCount) {
+TEST(LatencyTarget, succeededStepsNoLongerCount) {
   LatencyFixture fixture;
   fixture.job.tasks[0].state = TaskState::succeeded;
   CHECK(fixture.statusAt(7000) == TargetStatus::onTime);
   CHECK(fixture.statusAt(7001) == TargetStatus::late);
 }
 
-// The slack at the admission is 5 s; it is low below two fifths of that.
-TEST(LatencyTarget, slackIsLowWhenLittleOfItIsLeft) {
+// The slack at admission is 5 s; it is low below two fifths of that.
+TEST(LatencyTarget, slackIsLowBelowItsThreshold) {
   const LatencyFixture fixture;
   CHECK(!fixture.lowSlackAt(3000));
   CHECK(fixture.lowSlackAt(3001));
 }
 
-TEST(LatencyTarget, withoutATargetAllIsOnTime) {
+TEST(LatencyTarget, aJobWithoutATargetIsAlwaysOnTime) {
   LatencyFixture fixture;
   fixture.queue.latencyTargetBase = Duration{0};
   CHECK(fixture.statusAt(1'000'000) == TargetStatus::onTime);
--- a/tests/scheduling/locality_wait_tests.cpp
+++ b/tests/scheduling/locality_wait_tests.cpp
@@ -1,12 +1,12 @@
-// Work waits a little for room near its data, and goes elsewhere after the others of its priority.
-// docs/design.md 7.11.
+// Tests delay scheduling: work waits for room near its data, and starts on remote workers only
+// after the wait and after other work of its priority. docs/design.md 7.11.
 #include "state/cluster_state_fixture.hpp"
 
 using namespace aniseline;
 
 namespace {
 
-// Away from its data a task takes three times as long.
+// A task that runs away from its data takes three times as long.
 constexpr const char* configWithRacks =
     R"({"planner":{"trials":false,"urgency_first":true,"far":3},"pools":{"press":{}},
       "queues":{"q":{"pool":"press","tries":3,"urgency":1},"later":{"pool":"press","tries":3}}})";
@@ -42,7 +42,7 @@
   STRCMP_EQUAL("start near on a", cluster.planAndRun().c_str());
 }
 
-TEST(LocalityWaitTests, itGoesElsewhereWhenThatIsSoonerDone) {
+TEST(LocalityWaitTests, workStartsRemotelyAfterTheExtraRuntime) {
   cluster.submit("near", {stepNear("A")});
   cluster.now += 2 * runtimeMs - 1;
   STRCMP_EQUAL("", cluster.planAndRun().c_str());
@@ -60,9 +60,9 @@
   STRCMP_EQUAL("start near on b", cluster.planAndRun().c_str());
 }
 
-// What would run away from its data takes no room from others of its priority, but from less urgent
-// work.
-TEST(LocalityWaitTests, itGoesElsewhereAfterTheOthersOfItsPriority) {
+// Work that would run away from its data takes no room from other work of its priority, but does
+// take it from less urgent work.
+TEST(LocalityWaitTests, remoteStartsComeAfterOtherWorkOfTheirPriority) {
   cluster.submit("near", {stepNear("A")});
   cluster.now += 5000;
   cluster.submit("any", {stepAnywhere()});
@@ -72,8 +72,9 @@
   STRCMP_EQUAL("start near on b", cluster.planAndRun().c_str());
 }
 
-// Both racks are free: what may be anywhere goes where less is in use.
-TEST(LocalityWaitTests, workThatMayBeAnywhereGoesToTheLeastLoadedRack) {
+// Both racks have room: work without a rack preference goes to the rack with the smaller share in
+// use.
+TEST(LocalityWaitTests, workWithoutRackPreferenceGoesToTheLeastLoadedRack) {
   cluster.registerWorker("c", {.cores = 8000, .rack = "B"});
   cluster.endAttempt("filler");
   cluster.submit("first", {stepNear("B", 1, 1000)});
--- a/tests/scheduling/max_per_worker_reservation_tests.cpp
+++ b/tests/scheduling/max_per_worker_reservation_tests.cpp
@@ -1,4 +1,4 @@
-// Reservations for steps that limit their tasks on one worker. docs/design.md 7.
+// Tests that reservations respect the limit of a step's tasks on one worker. docs/design.md 7.
 #include "scheduling/planner.hpp"
 #include "state/cluster_state.hpp"
 #include <CppUTest/TestHarness.h>
@@ -7,8 +7,8 @@
 
 TEST_GROUP(MaxPerWorkerReservationTests){};
 
-// A start that would exceed the limit of a step's tasks on one worker could never be made, and
-// would hold others back.
+// A reserved start that exceeds the limit of a step's tasks on one worker could never take place,
+// and would hold back other work.
 TEST(MaxPerWorkerReservationTests, noStartIsReservedBeyondTheLimitPerWorker) {
   Capacity capacity;
   capacity.cores = 4000;
--- a/tests/scheduling/placement_tests.cpp
+++ b/tests/scheduling/placement_tests.cpp
@@ -1,5 +1,5 @@
-// Where a plan puts tasks: labels, the data's rack, tasks per worker, one rack, accelerators,
-// pools. docs/design.md 4.6, docs/paper.md 2.
+// Tests of worker selection: labels, the rack of the data, tasks per worker, same-rack steps,
+// accelerators and pools. docs/design.md 4.6, docs/paper.md 2.
 #include "state/cluster_state_fixture.hpp"
 
 using namespace aniseline;
@@ -39,7 +39,7 @@
 
 TEST_GROUP(Placement){};
 
-TEST(Placement, aLabelIsACondition) {
+TEST(Placement, aRequiredLabelIsACondition) {
   ClusterStateFixture cluster;
   cluster.registerWorker("plain", WorkerOptions{.cores = 2000});
   cluster.registerWorker("colour", WorkerOptions{.cores = 16'000, .labels = {"mono", "colour"}});
@@ -51,7 +51,7 @@
   STRCMP_EQUAL("start c on plain", cluster.planAndRun().c_str());  // the fewest unallocated cores
 }
 
-TEST(Placement, onlyThePoolOfTheQueue) {
+TEST(Placement, tasksRunOnlyInThePoolOfTheirQueue) {
   ClusterStateFixture cluster;
   cluster.registerWorker("press", WorkerOptions{.cores = 16'000});
   cluster.registerWorker("store", WorkerOptions{.cores = 2000, .pool = "store"});
@@ -61,10 +61,10 @@
   const std::string plan = cluster.planAndRun();
   STRCMP_EQUAL("press", cluster.workerOf("a").c_str());
   STRCMP_EQUAL("store", cluster.workerOf("b").c_str());
-  CHECK(plan.find("start c") == std::string::npos);  // its pool is the one without a name
+  CHECK(plan.find("start c") == std::string::npos);  // the pool of its queue has no name
 }
 
-TEST(Placement, nearItsDataWhereThereIsRoom) {
+TEST(Placement, aTaskPrefersRoomNearItsData) {
   ClusterStateFixture cluster;
   cluster.registerWorker("far", WorkerOptions{.cores = 2000, .rack = "r1"});
   cluster.registerWorker("near", WorkerOptions{.cores = 8000, .rack = "r2"});
@@ -74,14 +74,15 @@
   STRCMP_EQUAL("start a on near", cluster.planAndRun().c_str());
   cluster.submit("b", {ClusterStateFixture::step(1, 7000, preferRack("r2"))});
   STRCMP_EQUAL("start b on near", cluster.planAndRun().c_str());
-  // No room there: elsewhere is slower, and better than waiting for longer than that.
+  // There is no room near the data. A remote run is slower, so the task waits for as long as that
+  // would cost before it starts remotely.
   cluster.submit("c", {ClusterStateFixture::step(1, 1000, preferRack("r2"))});
   STRCMP_EQUAL("", cluster.planAndRun().c_str());
   cluster.now += 2000;
   STRCMP_EQUAL("start c on far", cluster.planAndRun().c_str());
 }
 
-TEST(Placement, apartIsTheMostOfAStepOnOneWorker) {
+TEST(Placement, maxPerWorkerLimitsTheTasksOfAStepOnOneWorker) {
   ClusterStateFixture cluster;
   cluster.registerWorker("a");
   cluster.registerWorker("b");
@@ -92,8 +93,8 @@
   STRCMP_EQUAL("start job on a", cluster.planAndRun().c_str());
 }
 
-// One that is being stopped, or was given up, may still be there.
-TEST(Placement, apartCountsWhatIsNotKnownToHaveEnded) {
+// An attempt that is being stopped, or was abandoned, may still run on its worker.
+TEST(Placement, maxPerWorkerCountsAttemptsNotKnownToHaveEnded) {
   ClusterStateFixture cluster;
   cluster.registerWorker("a");
   cluster.submit("job", {ClusterStateFixture::step(1, 500, limitPerWorker(1)),
@@ -107,7 +108,7 @@
   STRCMP_EQUAL("start job on a", cluster.plan().c_str());
 }
 
-TEST(Placement, gangsKeepApartToo) {
+TEST(Placement, maxPerWorkerAppliesToGangs) {
   ClusterStateFixture cluster;
   cluster.registerWorker("a");
   cluster.registerWorker("b");
@@ -119,7 +120,7 @@
                cluster.planAndRun().c_str());
 }
 
-TEST(Placement, oneRackForAStepThatWantsOne) {
+TEST(Placement, aSameRackStepIsPlacedOnOneRack) {
   ClusterStateFixture cluster;
   cluster.registerWorker("a1", WorkerOptions{.cores = 2000, .rack = "A"});
   cluster.registerWorker("b1", WorkerOptions{.cores = 4000, .rack = "B"});
@@ -133,20 +134,19 @@
   CHECK_TEXT(second.find(" on b") == std::string::npos, second.c_str());
 }
 
-TEST(Placement, aTaskStartedAgainGoesToTheRackOfItsStep) {
+TEST(Placement, aRestartedTaskReturnsToTheRackOfItsStep) {
   ClusterStateFixture cluster;
   cluster.registerWorker("a1", WorkerOptions{.cores = 2000, .rack = "A"});
   cluster.registerWorker("b1", WorkerOptions{.cores = 3000, .rack = "B"});
   cluster.submit("job", {ClusterStateFixture::step(2, 1000, sameRack())});
   STRCMP_EQUAL("start job on b1, start job on b1", cluster.planAndRun().c_str());
   cluster.endAttempt("job", AttemptOutcome::stopped, 0);
-  cluster.submit("other",
-                 {ClusterStateFixture::step(1, 500)});  // now rack A has the more idle cores
+  cluster.submit("other", {ClusterStateFixture::step(1, 500)});  // rack A now has more idle cores
   cluster.now += 100;
   CHECK(cluster.planAndRun().find("start job on b1") != std::string::npos);
 }
 
-TEST(Placement, acceleratorsAreRoom) {
+TEST(Placement, acceleratorsLimitPlacement) {
   ClusterStateFixture cluster;
   cluster.registerWorker("plain", WorkerOptions{.cores = 2000});
   cluster.registerWorker("quick", WorkerOptions{.cores = 8000, .accelerators = 2});
@@ -158,7 +158,7 @@
   STRCMP_EQUAL("start job on quick", cluster.planAndRun().c_str());
 }
 
-TEST(Placement, aStepWaitsForAllTasksBeforeIt) {
+TEST(Placement, aStepWaitsForAllTasksOfItsDependencies) {
   ClusterStateFixture cluster;
   cluster.registerWorker("a", WorkerOptions{.cores = 16'000});
   auto second = ClusterStateFixture::step(1);
@@ -171,7 +171,7 @@
   STRCMP_EQUAL("start job on a", cluster.planAndRun().c_str());
 }
 
-TEST(Placement, aRetryGoesElsewhereWhereThereIsRoom) {
+TEST(Placement, aRetryPrefersAnotherWorker) {
   ClusterStateFixture cluster;
   cluster.registerWorker("a", WorkerOptions{.cores = 2000});
   cluster.registerWorker("b", WorkerOptions{.cores = 8000});
@@ -182,7 +182,7 @@
   STRCMP_EQUAL("start job on b", cluster.planAndRun().c_str());
 }
 
-TEST(Placement, moreUrgentQueuesGoFirst) {
+TEST(Placement, queuesOfHigherPriorityGoFirst) {
   ClusterStateFixture cluster(
       R"({"planner":{"trials":false,"urgency_first":true},"pools":{"press":{}},
         "queues":{"slow":{"pool":"press","tries":1,"urgency":0},"quick":{"pool":"press","tries":1,"urgency":2}}})");
@@ -193,8 +193,9 @@
   STRCMP_EQUAL("start urgent on a", cluster.planAndRun().c_str());
 }
 
-// Thousandths of a core: nothing is rounded up to whole ones, and nothing is promised twice.
-TEST(Placement, coresAreSharedByThousandths) {
+// Cores are counted in thousandths: requests are not rounded up to whole cores, and no core is
+// allocated twice.
+TEST(Placement, coresAreAllocatedInThousandths) {
   ClusterStateFixture cluster;
   cluster.registerWorker("a", WorkerOptions{.cores = 1000});
   cluster.submit("job", {ClusterStateFixture::step(5, 240)});
@@ -202,9 +203,9 @@
                cluster.planAndRun().c_str());
 }
 
-// docs/design.md 7.3: a part not heard to have begun for 2.5 s may be missing, and the others wait
-// or run alone.
-TEST(Placement, aGangThatIsNotHeardToHaveBegunIsStoppedWhole) {
+// docs/design.md 7.3: a part that is not reported as running for 2.5 s may be missing, so that the
+// other parts wait or run alone.
+TEST(Placement, aGangWithAnUnconfirmedStartIsStoppedWhole) {
   ClusterStateFixture cluster;
   cluster.registerWorker("a", WorkerOptions{.cores = 1000});
   cluster.registerWorker("b", WorkerOptions{.cores = 1000});
@@ -219,9 +220,9 @@
   STRCMP_EQUAL("", cluster.plan().c_str());
 }
 
-// What waits for something else than cores and memory reserves none of these: others would wait for
-// it in vain. docs/paper.md 3.
-TEST(Placement, whatWaitsToBeApartKeepsNoRoomIdle) {
+// A task that waits for something other than cores and memory reserves none of these, since other
+// work would be held back in vain. docs/paper.md 3.
+TEST(Placement, aTaskBlockedByMaxPerWorkerDoesNotDelayOthers) {
   ClusterStateFixture cluster;
   cluster.registerWorker("a");
   cluster.submit("job", {ClusterStateFixture::step(2, 1000, limitPerWorker(1))});
@@ -230,7 +231,7 @@
   STRCMP_EQUAL("start other on a", cluster.planAndRun().c_str());
 }
 
-TEST(Placement, whatWaitsForAnAcceleratorKeepsNoRoomIdle) {
+TEST(Placement, aTaskBlockedByAcceleratorsDoesNotDelayOthers) {
   ClusterStateFixture cluster;
   cluster.registerWorker("a", WorkerOptions{.accelerators = 1});
   cluster.submit("job", {accelerated(2, 1)});
@@ -239,15 +240,15 @@
   STRCMP_EQUAL("start other on a", cluster.planAndRun().c_str());
 }
 
-// Away from its data a task takes longer; one that found no place for that says nothing of another
-// that takes its plain time.
-TEST(Placement, aTaskFarFromItsDataKeepsNoOtherFromRoom) {
+// A task takes longer away from its data. If it finds no room for that longer time, this says
+// nothing about another task that runs for its requested time.
+TEST(Placement, aFailedRemoteBackfillDoesNotRuleOutOthers) {
   ClusterStateFixture cluster;
   cluster.registerWorker("a", WorkerOptions{.cores = 8000, .rack = "r1"});
   cluster.submit("first", {ClusterStateFixture::step(1, 6000, {}, false, 100'000)});
   cluster.planAndRun();
   cluster.submit("wide", {ClusterStateFixture::step(1, 8000, {}, false, 50'000)});
-  STRCMP_EQUAL("", cluster.planAndRun().c_str());  // holds the reserved start
+  STRCMP_EQUAL("", cluster.planAndRun().c_str());  // "wide" holds the reserved start
   cluster.now += 1;
   cluster.submit("far",
                  {ClusterStateFixture::step(1, 1000, preferRack("r2"), false,
--- a/tests/scheduling/planner_tests.cpp
+++ b/tests/scheduling/planner_tests.cpp
@@ -1,16 +1,16 @@
-// What single plans do, part by part of docs/paper.md and docs/design.md 7.
+// Tests of single plans, in the order of docs/paper.md and docs/design.md 7.
 #include "scheduling/planner.hpp"
 #include <CppUTest/TestHarness.h>
 using namespace aniseline;
 
 namespace {
-// A cluster state that is changed by events alone, as in the daemons, and the plans made for it.
+// A cluster state that is changed only by events, as in the daemons, and the plans made for it.
 struct PlannerFixture {
   ClusterState clusterState;
   Planner planner;
   std::int64_t now = 0;
   LastContactAges contactAges;
-  std::string unresponsiveWorker;  // applies no orders
+  std::string unresponsiveWorker;  // does not apply orders
   explicit PlannerFixture(const std::string& config = R"({"queues":{"q":{"retries":1}}})") {
     auto parsed = ClusterConfig::parse(config);
     CHECK(parsed.has_value());
@@ -39,7 +39,7 @@
          std::vector<TaskRequest>(tasks, TaskRequest{cores, memory, Duration{runtime}, ""})}};
     apply(JobAccepted{job});
   }
-  // Makes a plan, applies it, and has the workers apply its orders. Returns the plan as text.
+  // Makes a plan, applies it, and lets the workers apply its orders. Returns the plan as text.
   std::string planAndRun() {
     auto plan = planner.makePlan(clusterState, ClusterTime{now}, contactAges);
     std::string text;
@@ -73,7 +73,7 @@
 
 TEST_GROUP(PlannerTests){};
 
-// Paper 2.2: of the workers with room the one with the fewest unallocated cores.
+// Paper 2.2: of the workers with room, the one with the fewest unallocated cores is chosen.
 TEST(PlannerTests, fewestUnallocatedCoresWins) {
   PlannerFixture cluster(noTrials);
   cluster.registerWorker("big", 16, 9999);
@@ -84,9 +84,9 @@
   STRCMP_EQUAL("start b on big", cluster.planAndRun().c_str());
 }
 
-// Paper table 3: with one hour of wait the short job's expansion is 1+1/0.1=11, the long one's
-// 1+1/10=1.1.
-TEST(PlannerTests, waitingRaisesTheShortJobFaster) {
+// Paper table 3: after a wait of one hour the expansion factor of the short job is 1+1/0.1=11, that
+// of the long job 1+1/10=1.1.
+TEST(PlannerTests, waitingRaisesTheRankOfShortJobsFaster) {
   PlannerFixture cluster(noTrials);
   cluster.registerWorker("m", 4, 9999);
   cluster.submit("running", 4, 100, 3'600'000);
@@ -99,8 +99,8 @@
   STRCMP_EQUAL("start short on m, reserve long on m at 3960", cluster.planAndRun().c_str());
 }
 
-// Paper 2.2: one reserved start, and backfill that does not delay it.
-TEST(PlannerTests, backfillGoesInOnlyWhereTheReservedStartStays) {
+// Paper 2.2: there is one reserved start, and backfill must not delay it.
+TEST(PlannerTests, backfillDoesNotDelayTheReservedStart) {
   PlannerFixture cluster(noTrials);
   cluster.registerWorker("m", 8, 9999);
   cluster.submit("first", 6, 100, 100'000);
@@ -115,12 +115,12 @@
   cluster.now = 60'000;
   cluster.endAttempt(2);
   STRCMP_EQUAL("reserve wide on m at 100",
-               cluster.planAndRun().c_str());  // late would still run at 100
+               cluster.planAndRun().c_str());  // "late" would still run at 100 s
 }
 
-// Paper 2.4: victims with ten minutes behind them, the least slowdown first, held with their
-// memory, back afterwards.
-TEST(PlannerTests, aTrialHoldsTheLeastSlowedDownAndResumesIt) {
+// Paper 2.4: a trial suspends attempts that have run for at least ten minutes, least slowdown
+// first. They keep their memory and resume after the trial.
+TEST(PlannerTests, aTrialSuspendsTheAttemptWithTheLeastSlowdownAndResumesIt) {
   PlannerFixture cluster;
   cluster.registerWorker("m", 4, 4096);
   cluster.submit("older", 2, 1024, 36'000'000);
@@ -131,7 +131,7 @@
   cluster.planAndRun();
   cluster.submit("new", 2, 3000, 1'800'000);
   STRCMP_EQUAL("reserve new on m at 36000",
-               cluster.planAndRun().c_str());  // nobody has run for ten minutes yet
+               cluster.planAndRun().c_str());  // no attempt has run for ten minutes yet
   cluster.now = 1'100'000;
   STRCMP_EQUAL("hold #1 on m, start trial new on m, reserve new on m at 36000",
                cluster.planAndRun().c_str());
@@ -143,12 +143,12 @@
   LONGS_EQUAL(0, cluster.clusterState.jobs()
                      .at(JobId{"new"})
                      .tasks[0]
-                     .countedStarts);  // a trial that ran out takes nothing
+                     .countedStarts);  // an expired trial does not count as a start
   cluster.now = 2'000'000;
-  CHECK(cluster.planAndRun().find("trial") == std::string::npos);  // one trial a unit
+  CHECK(cluster.planAndRun().find("trial") == std::string::npos);  // each unit gets one trial
 }
 
-// With too little unallocated memory there is no trial, however few cores it wants.
+// Without enough unallocated memory there is no trial, however few cores it needs.
 TEST(PlannerTests, noTrialWithoutUnallocatedMemory) {
   PlannerFixture cluster;
   cluster.registerWorker("m", 4, 4096);
@@ -159,8 +159,8 @@
   STRCMP_EQUAL("reserve new on m at 36000", cluster.planAndRun().c_str());
 }
 
-// docs/design.md 7.3: a gang is staged whole, and goes only when every part is staged.
-TEST(PlannerTests, aGangIsStagedAndGoesTogether) {
+// docs/design.md 7.3: a gang is staged as a whole, and launched only when every part is staged.
+TEST(PlannerTests, aGangIsStagedAndLaunchedTogether) {
   PlannerFixture cluster(noTrials);
   cluster.registerWorker("m", 2, 4096);
   cluster.registerWorker("n", 2, 4096);
@@ -169,12 +169,12 @@
   STRCMP_EQUAL("go #1 on m, go #2 on n", cluster.planAndRun().c_str());
   cluster.apply(WorkerRemoved{WorkerId{"m"}, "test"});
   CHECK(cluster.clusterState.attempts().at(AttemptNumber{2}).state ==
-        AttemptState::stopping);  // it does not run alone
+        AttemptState::stopping);  // it must not run alone
 }
 
-// docs/design.md 7.3: a part that is not contactAges to have gone has the others stopped; none runs
-// alone for long.
-TEST(PlannerTests, aGangWithAUnresponsivePartIsStopped) {
+// docs/design.md 7.3: if one part is not reported as running, the other parts are stopped, so that
+// none runs alone for long.
+TEST(PlannerTests, aGangWithAnUnresponsivePartIsStopped) {
   PlannerFixture cluster(noTrials);
   cluster.registerWorker("m", 2, 4096);
   cluster.registerWorker("n", 2, 4096);
@@ -188,9 +188,9 @@
   STRCMP_EQUAL("stop #1 on m, stop #2 on n", cluster.planAndRun().c_str());
 }
 
-// docs/paper.md 2: where the fit leaves a choice a retry leaves the rack it failed on, and a gang
-// keeps to few.
-TEST(PlannerTests, racksDecideWhereTheFitLeavesAChoice) {
+// docs/paper.md 2: among equal fits a retry avoids the rack where the task failed, and a gang uses
+// few racks.
+TEST(PlannerTests, racksBreakTiesOfTheBestFit) {
   PlannerFixture cluster(noTrials);
   cluster.registerWorker("a1", 4, 4096, "A");
   cluster.registerWorker("a2", 4, 4096, "A");
@@ -208,9 +208,9 @@
   STRCMP_EQUAL("stage gang on a1, stage gang on c1", gangCluster.planAndRun().c_str());
 }
 
-// docs/design.md 5.6: one that is slow, or fails its work, gets one task at a time until it has
-// mended.
-TEST(PlannerTests, aSlowWorkerGetsLess) {
+// docs/design.md 5.6: a worker that is slow, or on which work fails, gets one task at a time until
+// it recovers.
+TEST(PlannerTests, aSlowWorkerIsAvoidedUntilItRecovers) {
   PlannerFixture cluster(noTrials);
   cluster.registerWorker("slow", 4, 4096);
   cluster.registerWorker("sound", 8, 4096);
@@ -223,12 +223,13 @@
   }
   cluster.submit("a", 1, 100, 1000);
   STRCMP_EQUAL("start a on sound", cluster.planAndRun().c_str());
-  cluster.now += 120'000;  // time mends it
+  cluster.now += 120'000;  // its failure score decays over time
   cluster.submit("b", 1, 100, 1000);
   STRCMP_EQUAL("start b on slow", cluster.planAndRun().c_str());
 }
 
-// docs/design.md 7.6: an overrunning task stays; the reserved start moves and says so.
+// docs/design.md 7.6: an overrunning task is not stopped; the reserved start moves and the move is
+// counted.
 TEST(PlannerTests, anOverrunMovesTheReservedStart) {
   PlannerFixture cluster(noTrials);
   cluster.registerWorker("m", 4, 4096);
--- a/tests/scheduling/shortest_remaining_work_tests.cpp
+++ b/tests/scheduling/shortest_remaining_work_tests.cpp
@@ -1,4 +1,4 @@
-// Among jobs with a latency target the one with the least work to start goes first.
+// Tests that among jobs with a latency target the one with the least work to start goes first.
 // docs/design.md 7.12.
 #include "state/cluster_state_fixture.hpp"
 
@@ -6,7 +6,7 @@
 
 namespace {
 
-// A target of twice the critical path and another 1,000 ms: with one step of 1,000 ms, 3,000 ms.
+// The target is twice the critical path plus 1,000 ms: 3,000 ms for one step of 1,000 ms.
 constexpr const char* configWithTargets =
     R"({"planner":{"trials":false,"urgency_first":true},"pools":{"press":{}},
       "queues":{"q":{"pool":"press","tries":3,"urgency":1,"extend":2,"target_ms":1000},
@@ -36,7 +36,7 @@
   STRCMP_EQUAL("start small on a", cluster.planAndRun().c_str());
 }
 
-TEST(ShortestRemainingWorkTests, stepsToComeCountAsWork) {
+TEST(ShortestRemainingWorkTests, blockedStepsCountAsWork) {
   StepRequest second = wholeWorkerStep(1);
   second.dependencies = {"0"};
   cluster.submit("two-steps", {wholeWorkerStep(1), second});
@@ -45,8 +45,8 @@
   STRCMP_EQUAL("start one-step on a", cluster.planAndRun().c_str());
 }
 
-// What runs and what has succeeded asks for no more room.
-TEST(ShortestRemainingWorkTests, aJobThatWasBegunIsCompletedFirst) {
+// Running and succeeded tasks do not count as remaining work.
+TEST(ShortestRemainingWorkTests, aStartedJobIsCompletedFirst) {
   cluster.submit("begun", {wholeWorkerStep(3)});
   STRCMP_EQUAL("start begun on a", cluster.planAndRun().c_str());
   cluster.registerWorker("b");
@@ -56,7 +56,7 @@
   STRCMP_EQUAL("start begun on a", cluster.planAndRun().c_str());
 }
 
-TEST(ShortestRemainingWorkTests, priorityAndBeingInTimeGoBeforeIt) {
+TEST(ShortestRemainingWorkTests, priorityAndTargetStatusTakePrecedence) {
   cluster.submit("late", {wholeWorkerStep(1)});
   cluster.now += 2500;
   cluster.submit("less-urgent", {wholeWorkerStep(1)}, "later");
@@ -64,8 +64,8 @@
   STRCMP_EQUAL("start in-time on a", cluster.planAndRun().c_str());
 }
 
-// By the paper's rank, what has waited longest for its size.
-TEST(ShortestRemainingWorkTests, whatIsPastUseGoesByRank) {
+// The paper's rank favours work that has waited longest for its size.
+TEST(ShortestRemainingWorkTests, expiredWorkIsOrderedByRank) {
   cluster.submit("large", {wholeWorkerStep(2)});
   cluster.now += 100;
   cluster.submit("small", {wholeWorkerStep(1)});
@@ -73,7 +73,7 @@
   STRCMP_EQUAL("start large on a", cluster.planAndRun().c_str());
 }
 
-// Of three positions by rank the first and the last are exchanged, and the one between is kept.
+// Of three positions by rank the first and the last are exchanged, and the middle one is kept.
 TEST(ShortestRemainingWorkTests, jobsWithoutATargetKeepTheirPosition) {
   cluster.submit("large", {wholeWorkerStep(1)});
   cluster.now += 10;
--- a/tests/scheduling/starvation_guard_tests.cpp
+++ b/tests/scheduling/starvation_guard_tests.cpp
@@ -1,5 +1,5 @@
-// Work that fits is held back for a bounded time: by headroom for urgent work, and by the reserved
-// start of another unit. docs/paper.md 5, docs/design.md 7.9.
+// Tests that work which fits is held back only for a bounded time by headroom for urgent work and
+// by the reserved start of another unit. docs/paper.md 5, docs/design.md 7.9.
 #include "state/cluster_state_fixture.hpp"
 
 using namespace aniseline;
@@ -24,8 +24,8 @@
     cluster.submit("filler", {ClusterStateFixture::step(1, 6000, {}, false, 100'000)}, "urgent");
     cluster.planAndRun();
   }
-  // What a plan starts, by job, with the hints as they are; what it passed over is in the hints of
-  // the next plan, for so long.
+  // Makes a plan with the current hints and returns the jobs that it starts. The units that it
+  // passes over are set in the hints of the next plan as passed over for the given time.
   std::string startedBy(Duration passedOverFor) {
     const Plan plan = cluster.planner.makePlan(cluster.clusterState, ClusterTime{cluster.now},
                                                cluster.silences, false, hints);
@@ -40,57 +40,57 @@
   void submitBulk(const std::string& id, std::size_t tasks = 1, std::uint32_t cores = 1000) {
     cluster.submit(id, {ClusterStateFixture::step(tasks, cores)}, "bulk");
   }
-  void giveHeadroomUp() {
+  void raiseUrgentDemand() {
     hints.urgentDemand["press"] = 12'000;
   }
 };
 
-TEST(StarvationGuardTests, workThatLeavesHeadroomStartsOnceItIsOverdue) {
-  giveHeadroomUp();
+TEST(StarvationGuardTests, workHeldBackForHeadroomStartsOnceItIsOverdue) {
+  raiseUrgentDemand();
   submitBulk("bulk");
   STRCMP_EQUAL("", startedBy(Duration{1999}).c_str());
   STRCMP_EQUAL("", startedBy(Duration{2000}).c_str());
   STRCMP_EQUAL("bulk", startedBy(Duration{0}).c_str());
 }
 
-// What is past use goes last of all and is never pressing by its target.
+// Expired work is placed last of all, and its target never makes it urgent.
 TEST(StarvationGuardTests, expiredWorkStartsToo) {
-  giveHeadroomUp();
+  raiseUrgentDemand();
   submitBulk("expired");
   cluster.now += 3'600'000;
   STRCMP_EQUAL("", startedBy(Duration{2000}).c_str());
   STRCMP_EQUAL("expired", startedBy(Duration{0}).c_str());
 }
 
-TEST(StarvationGuardTests, reservedStartOfAnotherUnitIsPassedAfterTheBound) {
+TEST(StarvationGuardTests, overdueWorkMayDelayAnotherReservedStart) {
   hints.urgentDemand.clear();
   cluster.submit("wide", {ClusterStateFixture::step(1, 10'000, {}, false, 1000)}, "urgent");
-  // It ends after the reserved start, which it would delay.
+  // The task would end after the reserved start and delay it.
   cluster.submit("bulk", {ClusterStateFixture::step(1, 1000, {}, false, 200'000)}, "bulk");
   STRCMP_EQUAL("", startedBy(Duration{2000}).c_str());
   STRCMP_EQUAL("bulk", startedBy(Duration{0}).c_str());
 }
 
-// Only one unit of a job: with it the job makes progress.
-TEST(StarvationGuardTests, oneUnitOfAJobIsEnough) {
-  giveHeadroomUp();
+// Only one unit of a job is started, because with it the job makes progress.
+TEST(StarvationGuardTests, onlyOneUnitOfAJobIsStarted) {
+  raiseUrgentDemand();
   submitBulk("bulk", 3);
   startedBy(Duration{2000});
   STRCMP_EQUAL("bulk", startedBy(Duration{0}).c_str());
 }
 
-TEST(StarvationGuardTests, jobOfWhichSomethingRunsIsNotOverdue) {
+TEST(StarvationGuardTests, jobWithARunningTaskIsNotOverdue) {
   submitBulk("bulk", 3);
-  hints.urgentDemand["press"] = 9000;  // room for one of three is left beside it
+  hints.urgentDemand["press"] = 9000;  // leaves room beside it for one of three tasks
   STRCMP_EQUAL("bulk", cluster.plan().substr(6, 4).c_str());
-  giveHeadroomUp();
+  raiseUrgentDemand();
   startedBy(Duration{2000});
   STRCMP_EQUAL("", startedBy(Duration{2000}).c_str());
 }
 
-// Of long-running tasks each counts by itself.
-TEST(StarvationGuardTests, eachLongRunningTaskIsBoundedByItself) {
-  giveHeadroomUp();
+// Each long-running task is passed over separately.
+TEST(StarvationGuardTests, eachLongRunningTaskHasItsOwnBound) {
+  raiseUrgentDemand();
   StepRequirements needs;
   needs.longRunning = true;
   cluster.submit("lasting", {ClusterStateFixture::step(2, 1000, needs)}, "bulk");
@@ -98,8 +98,8 @@
   STRCMP_EQUAL("lasting, lasting", startedBy(Duration{0}).c_str());
 }
 
-TEST(StarvationGuardTests, roomForOneIsNotEnough) {
-  giveHeadroomUp();
+TEST(StarvationGuardTests, unitMustFitTwice) {
+  raiseUrgentDemand();
   submitBulk("bulk", 1, 3000);
   STRCMP_EQUAL("", startedBy(Duration{9000}).c_str());
   LONGS_EQUAL(0, hints.passedOverFor.size());
@@ -107,7 +107,7 @@
 }
 
 TEST(StarvationGuardTests, gangStartsWhole) {
-  giveHeadroomUp();
+  raiseUrgentDemand();
   cluster.submit("gang", {ClusterStateFixture::gang(2)}, "bulk");
   startedBy(Duration{2000});
   STRCMP_EQUAL("gang, gang", startedBy(Duration{0}).c_str());
@@ -115,7 +115,7 @@
 
 TEST(StarvationGuardTests, withoutABoundNothingIsOverdue) {
   hints.maxPassedOverTime = Duration{0};
-  giveHeadroomUp();
+  raiseUrgentDemand();
   submitBulk("bulk");
   startedBy(Duration{9000});
   hints.passedOverFor[{JobId{"bulk"}, std::nullopt}] = Duration{9000};
--- a/tests/scheduling/tenant_cap_tests.cpp
+++ b/tests/scheduling/tenant_cap_tests.cpp
@@ -1,5 +1,5 @@
-// No plan lets a tenant pass its cap, by whatever way work is started. The order of cases follows
-// docs/design.md 7.13.
+// Tests that no plan lets a tenant exceed its cap, whichever way work is started. The cases follow
+// the order of docs/design.md 7.13.
 #include "state/cluster_state_fixture.hpp"
 #include "scheduling/tenant_usage.hpp"
 
@@ -36,128 +36,128 @@
               std::uint32_t cores = 1000) {
     submit(id, tenant, ClusterStateFixture::step(tasks, cores));
   }
-  std::size_t starts() {
+  std::size_t planAndCountStarts() {
     const std::string actions = fixture.planAndRun();
     return std::size_t(std::count(actions.begin(), actions.end(), ',')) + !actions.empty();
   }
-  // Of a task, as its worker reports it.
-  void endOne(const std::string& job, std::size_t task) {
+  // Ends the attempt of a task as succeeded, as its worker reports it.
+  void endTask(const std::string& job, std::size_t task) {
     fixture.endAttempt(fixture.attempt(job, task), AttemptOutcome::succeeded);
   }
 };
 
-TEST(TenantCapPlanTests, startsUpToTheCapAndOneForEachThatEnds) {
+TEST(TenantCapPlanTests, startsUpToTheCapAndReplacesEndedTasks) {
   submit("job", "small", 10);
-  LONGS_EQUAL(4, starts());
-  LONGS_EQUAL(0, starts());
-  endOne("job", 0);
-  LONGS_EQUAL(1, starts());
+  LONGS_EQUAL(4, planAndCountStarts());
+  LONGS_EQUAL(0, planAndCountStarts());
+  endTask("job", 0);
+  LONGS_EQUAL(1, planAndCountStarts());
 }
 
-TEST(TenantCapPlanTests, jobsOfOneTenantCountTogetherAndOthersDoNot) {
+TEST(TenantCapPlanTests, jobsOfOneTenantShareItsCap) {
   submit("one", "small", 3);
   submit("two", "small", 3);
   submit("other", "large", 5);
   submit("unlimited", "free", 5);
   submit("nobody", "", 5);
-  LONGS_EQUAL(4 + 5 + 5 + 5, starts());
+  LONGS_EQUAL(4 + 5 + 5 + 5, planAndCountStarts());
 }
 
-TEST(TenantCapPlanTests, memoryAndAcceleratorsCountAsCoresDo) {
+TEST(TenantCapPlanTests, capsAlsoLimitMemoryAndAccelerators) {
   submit("job", "memory", 10);  // 100 MB each
-  LONGS_EQUAL(2, starts());
+  LONGS_EQUAL(2, planAndCountStarts());
   StepRequest step = ClusterStateFixture::step(3);
   for (auto& task : step.tasks)
     task.accelerators = 1;
   submit("devices", "devices", step);
-  LONGS_EQUAL(1, starts());
+  LONGS_EQUAL(1, planAndCountStarts());
 }
 
-TEST(TenantCapPlanTests, whatIsBeingStoppedCountsUntilItHasEnded) {
+TEST(TenantCapPlanTests, stoppingAttemptsCountUntilTheyEnd) {
   submit("job", "small", 4);
-  LONGS_EQUAL(4, starts());
+  LONGS_EQUAL(4, planAndCountStarts());
   fixture.apply(JobCancelled{JobId{"job"}});
   submit("next", "small", 4);
-  LONGS_EQUAL(0, starts());
+  LONGS_EQUAL(0, planAndCountStarts());
   const auto numbers = fixture.clusterState.attemptsOf(JobId{"job"}, AttemptScope::all);
   for (auto number : numbers)
     fixture.endAttempt(number, AttemptOutcome::stopped);
-  LONGS_EQUAL(4, starts());
+  LONGS_EQUAL(4, planAndCountStarts());
 }
 
-// Its lease is over: its worker has killed it.
-TEST(TenantCapPlanTests, whatIsAbandonedCountsNoMore) {
+// The lease has expired, so the worker has killed the attempt.
+TEST(TenantCapPlanTests, abandonedAttemptsDoNotCount) {
   submit("job", "small", 4);
-  LONGS_EQUAL(4, starts());
+  LONGS_EQUAL(4, planAndCountStarts());
   for (const auto* id : {"a", "b"})
     fixture.apply(WorkerUnreachable{WorkerId{id}, fixture.clusterState.attemptsOn(WorkerId{id})});
   fixture.registerWorker("c", {.cores = 16'000});
-  LONGS_EQUAL(4, starts());
+  LONGS_EQUAL(4, planAndCountStarts());
 }
 
 TEST(TenantCapPlanTests, aTaskLargerThanTheCapStartsAlone) {
   submit("job", "small", 2, 6000);
-  LONGS_EQUAL(1, starts());
-  LONGS_EQUAL(0, starts());
+  LONGS_EQUAL(1, planAndCountStarts());
+  LONGS_EQUAL(0, planAndCountStarts());
 }
 
-TEST(TenantCapPlanTests, aTenantAtHalfItsCapMayPassItByPartOfOneTask) {
+TEST(TenantCapPlanTests, aTenantAtHalfItsCapMayExceedItByPartOfOneTask) {
   submit("half", "small", 2);
-  LONGS_EQUAL(2, starts());
+  LONGS_EQUAL(2, planAndCountStarts());
   submit("job", "small", 2, 3000);
-  LONGS_EQUAL(1, starts());  // 5 of 4 cores
-  LONGS_EQUAL(0, starts());
+  LONGS_EQUAL(1, planAndCountStarts());  // 5 cores with a cap of 4
+  LONGS_EQUAL(0, planAndCountStarts());
 }
 
-// The large one may reach its worker first, and the small one would find the tenant above its cap.
-// Seed 92 of `simulate --tenants` did.
-TEST(TenantCapPlanTests, aTaskThatPassesTheCapWaitsForStartsOnTheirWay) {
+// The large task may reach its worker first, and then the small one would find the tenant above its
+// cap. Seed 92 of `simulate --tenants` found this.
+TEST(TenantCapPlanTests, aTaskThatExceedsTheCapWaitsForUnreportedStarts) {
   submit("small", "small", 2);
   fixture.plan();
   submit("job", "small", 1, 4000);
   STRCMP_EQUAL("", fixture.plan().c_str());
   fixture.applyOrders();
-  LONGS_EQUAL(1, starts());
+  LONGS_EQUAL(1, planAndCountStarts());
 }
 
-TEST(TenantCapPlanTests, aTenantAboveHalfItsCapMayNotPassIt) {
+TEST(TenantCapPlanTests, aTenantAboveHalfItsCapMayNotExceedIt) {
   submit("most", "small", 3);
-  LONGS_EQUAL(3, starts());
+  LONGS_EQUAL(3, planAndCountStarts());
   submit("job", "small", 1, 2000);
-  LONGS_EQUAL(0, starts());
+  LONGS_EQUAL(0, planAndCountStarts());
 }
 
 TEST(TenantCapPlanTests, aGangStartsWholeOrNotAtAll) {
   submit("filler", "small", 1);
-  LONGS_EQUAL(1, starts());
+  LONGS_EQUAL(1, planAndCountStarts());
   submit("wide", "small", ClusterStateFixture::gang(5));
-  LONGS_EQUAL(0, starts());
+  LONGS_EQUAL(0, planAndCountStarts());
   submit("fits", "small", ClusterStateFixture::gang(3));
-  LONGS_EQUAL(3, starts());
+  LONGS_EQUAL(3, planAndCountStarts());
 }
 
-TEST(TenantCapPlanTests, aCopyOfARedundantTaskCountsToo) {
+TEST(TenantCapPlanTests, redundantCopiesCount) {
   StepRequirements redundant;
   redundant.redundant = true;
   submit("job", "small", ClusterStateFixture::step(2, 2000, redundant, false, 100));
-  LONGS_EQUAL(2, starts());
-  fixture.now += 60'000;  // overdue, so that copies are wanted
-  LONGS_EQUAL(0, starts());
+  LONGS_EQUAL(2, planAndCountStarts());
+  fixture.now += 60'000;  // overdue, so that copies are needed
+  LONGS_EQUAL(0, planAndCountStarts());
   submit("same", "large", ClusterStateFixture::step(2, 2000, redundant, false, 100));
-  LONGS_EQUAL(2, starts());
+  LONGS_EQUAL(2, planAndCountStarts());
   fixture.now += 60'000;
-  LONGS_EQUAL(2, starts());
+  LONGS_EQUAL(2, planAndCountStarts());
 }
 
-// It would keep others from starting though it can't start itself.
-TEST(TenantCapPlanTests, whatACapHoldsBackReservesNoStart) {
+// A reserved start would hold back other work although this work can't start itself.
+TEST(TenantCapPlanTests, cappedWorkReservesNoStart) {
   submit("job", "small", 10);
-  LONGS_EQUAL(4, starts());
+  LONGS_EQUAL(4, planAndCountStarts());
   fixture.plan();
   CHECK_FALSE(fixture.clusterState.reservation().isActive());
 }
 
-TEST(TenantCapPlanTests, whatACapHoldsBackWantsNoHeadroom) {
+TEST(TenantCapPlanTests, cappedWorkRequestsNoHeadroom) {
   submit("flood", "small", ClusterStateFixture::step(50), "urgent");
   const Plan plan =
       fixture.planner.makePlan(fixture.clusterState, ClusterTime{fixture.now}, fixture.silences);
@@ -165,7 +165,7 @@
   LONGS_EQUAL(46, plan.heldByTenantCap);
 }
 
-TEST(TenantCapPlanTests, whatACapHoldsBackIsExplained) {
+TEST(TenantCapPlanTests, cappedWorkIsExplained) {
   submit("job", "small", 5);
   fixture.planAndRun();
   const Plan plan = fixture.planner.makePlan(fixture.clusterState, ClusterTime{fixture.now},
@@ -174,9 +174,9 @@
   STRCMP_EQUAL("its tenant runs as much as its cap allows", plan.explanations[0].text.c_str());
 }
 
-TEST(TenantCapPlanTests, whatACapHoldsBackIsNotPassedOver) {
+TEST(TenantCapPlanTests, cappedWorkIsNotPassedOver) {
   submit("filler", "small", 4);
-  LONGS_EQUAL(4, starts());
+  LONGS_EQUAL(4, planAndCountStarts());
   submit("waits", "small", 1);
   PlannerHints hints;
   hints.maxPassedOverTime = Duration{2000};
@@ -187,16 +187,16 @@
   LONGS_EQUAL(0, plan.passedOver.size());
 }
 
-TEST(TenantCapPlanTests, trialsCountToo) {
-  ClusterStateFixture paper{
+TEST(TenantCapPlanTests, trialsCount) {
+  ClusterStateFixture trialCluster{
       R"({"planner":{"trials":true},"queues":{"q":{"trial":{"quantum_ms":1000,"minimum_run_ms":0}}},
         "tenants":{"small":{"cap":{"cores":1}}}})"};
   Capacity capacity;
   capacity.cores = 1000;
   capacity.memory = 4096;
   capacity.honoursLeases = true;
-  paper.apply(WorkerRegistered{WorkerId{"a"}, Incarnation{1}, capacity});
-  paper.silences[WorkerId{"a"}] = Duration{0};
+  trialCluster.apply(WorkerRegistered{WorkerId{"a"}, Incarnation{1}, capacity});
+  trialCluster.silences[WorkerId{"a"}] = Duration{0};
   const auto submitTo = [&](const std::string& id, const std::string& tenant) {
     JobSubmission job;
     job.id = JobId{id};
@@ -204,15 +204,15 @@
     job.tenant = TenantName{tenant};
     job.steps = {ClusterStateFixture::step(1, 1000)};
     job.steps[0].name = "0";
-    paper.apply(JobAccepted{std::move(job)});
+    trialCluster.apply(JobAccepted{std::move(job)});
   };
   submitTo("runs", "small");
-  paper.planAndRun();
-  paper.now += 5000;
+  trialCluster.planAndRun();
+  trialCluster.now += 5000;
   submitTo("more", "small");
-  STRCMP_EQUAL("", paper.planAndRun().c_str());
+  STRCMP_EQUAL("", trialCluster.planAndRun().c_str());
   submitTo("other", "");
-  CHECK(paper.planAndRun().find("start other on a") != std::string::npos);
+  CHECK(trialCluster.planAndRun().find("start other on a") != std::string::npos);
 }
 
 TEST_GROUP(TenantUsageTests){};
@@ -226,11 +226,12 @@
   CHECK_FALSE(usage.admits({0, 0, 3}, {0, 0, 3}));
 }
 
-TEST(TenantUsageTests, passesTheCapByLessThanTheSmallestStartOnItsWay) {
+TEST(TenantUsageTests, exceedsTheCapByLessThanTheSmallestUnreportedStart) {
   scheduling::TenantUsage usage(TenantCap{4000, 0, 0});
   usage.addRunning({500, 0, 0});
   CHECK(usage.admits({9000, 0, 0}, {9000, 0, 0}));
   usage.addOrdered({1500, 0, 0}, {500, 0, 0});
-  CHECK(usage.admits({2500, 0, 0}, {2500, 0, 0}));  // 4500, of which 500 may come last
+  CHECK(usage.admits({2500, 0, 0},
+                     {2500, 0, 0}));  // 4500 in total, and a start of 500 may take effect last
   CHECK_FALSE(usage.admits({2501, 0, 0}, {2501, 0, 0}));
 }
--- a/tests/scheduling/worker_view_tests.cpp
+++ b/tests/scheduling/worker_view_tests.cpp
@@ -1,4 +1,5 @@
-// What a worker has free, now, guaranteed and expected, as attempts come and are suspended.
+// Tests the free, guaranteed and expected resources of a worker as attempts are allocated and
+// suspended.
 #include "scheduling/worker_view.hpp"
 #include <CppUTest/TestHarness.h>
 
@@ -42,8 +43,9 @@
   LONGS_EQUAL(2, view.freeResources().accelerators);
 }
 
-// A suspended attempt frees its cores for a trial, but these are not guaranteed: it resumes.
-TEST(WorkerView, aSuspendedAttemptKeepsItsMemoryAndItsClaimToCores) {
+// A suspended attempt frees its cores for a trial, but they are not guaranteed to stay free,
+// because the attempt resumes.
+TEST(WorkerView, aSuspendedAttemptKeepsItsMemoryAndCoreGuarantee) {
   WorkerFixture fixture;
   WorkerView view = fixture.view();
   view.allocate(fixture.allocation(100));
@@ -55,8 +57,9 @@
   LONGS_EQUAL(8000, view.expectedFreeAt(ClusterTime{150}).cores);
 }
 
-// docs/paper.md 5: some memory is left to trials, unless the request could never be met that way.
-TEST(WorkerView, memoryIsLeftToTrialsWhereTheRequestCanBeMetWithoutIt) {
+// docs/paper.md 5: some memory is reserved for trials, unless the request could never be met
+// without it.
+TEST(WorkerView, memoryIsReservedForTrialsUnlessARequestNeedsIt) {
   WorkerFixture fixture;
   const WorkerView view = fixture.view();
   CHECK(view.memorySuffices(1000, 800, 200));
@@ -67,7 +70,7 @@
 
 TEST_GROUP(FailedRequests){};
 
-TEST(FailedRequests, aFailureCoversWhatRequestsAtLeastAsMuch) {
+TEST(FailedRequests, aFailureCoversRequestsThatAreAtLeastAsLarge) {
   FailedRequests failed;
   failed.add({2000, 100, Duration{10}});
   CHECK(failed.covers({2000, 100, Duration{10}}));
