--- a/tests/scheduling/planner_reference_tests.cpp
+++ b/tests/scheduling/planner_reference_tests.cpp
@@ -1,6 +1,6 @@
-// The planner plans what the reference planner plans, whatever the cluster state:
-// cluster states are made by random events, every field of every plan compared.
-// ANISELINE_PLANNER_STATES asks for more of them than a common run takes.
+// Compares the planner with the reference planner: random events produce cluster states, and every
+// field of every plan must be equal. ANISELINE_PLANNER_STATES requests more states than a default
+// run uses, and prints the coverage.
 #include "scheduling/planner.hpp"
 #include "reference_planner.hpp"
 #include <CppUTest/TestHarness.h>
@@ -13,18 +13,19 @@
 std::string textOf(const SomePlan& plan) {
   std::ostringstream text;
   text.precision(17);
-  text << "number " << plan.record.number.value << " waiting " << plan.pendingUnits << " usable "
-       << plan.schedulableWorkers << " passed over " << plan.excludedWorkers << " copies "
-       << plan.redundantCopies << " held by caps " << plan.heldByTenantCap << " cores "
-       << plan.schedulableCores << "/" << plan.allocatedCores << " standings "
+  text << "number " << plan.record.number.value << " pending " << plan.pendingUnits
+       << " schedulable " << plan.schedulableWorkers << " excluded " << plan.excludedWorkers
+       << " copies " << plan.redundantCopies << " held by tenant cap " << plan.heldByTenantCap
+       << " cores " << plan.schedulableCores << "/" << plan.allocatedCores << " by target status "
        << plan.unitsByTargetStatus[0] << "," << plan.unitsByTargetStatus[1] << ","
        << plan.unitsByTargetStatus[2] << "\n";
   for (const auto& action : plan.record.actions)
     text << "action " << int(action.kind) << " attempt " << action.attempt.value << " job "
          << action.job.value << " task " << action.taskIndex << " on " << action.worker.value
          << " trial " << action.trial << " quantum " << action.quantum.milliseconds << " memory "
-         << action.memory << " held for " << action.suspendedForTrial.value << " run "
-         << action.runNumber << " twin " << action.redundantCopy << " " << action.reason << "\n";
+         << action.memory << " suspended for " << action.suspendedForTrial.value << " run "
+         << action.runNumber << " redundant " << action.redundantCopy << " " << action.reason
+         << "\n";
   const auto& reservation = plan.record.reservation;
   text << "reservation " << reservation.job.value << " " << reservation.stepIndex << " at "
        << reservation.start.milliseconds << " moved " << reservation.timesMoved;
@@ -39,8 +40,8 @@
   return text.str();
 }
 
-// Counts what the plans of a run did, so that the test fails when it no longer covers a part of the
-// planner.
+// Counts the features that the plans of a run used, so that the test fails when it no longer covers
+// a part of the planner.
 struct PlanCoverage {
   std::map<std::string, std::size_t> counts;
   void record(const Plan& plan, const Reservation& before) {
@@ -77,7 +78,7 @@
  public:
   RandomCluster(std::uint64_t seed, PlanCoverage& coverage)
       : random(seed), seed(seed), coverage(coverage) {
-    overloaded = random.chance(0.3);  // few workers and much work: all is full
+    overloaded = random.chance(0.3);  // few workers with much work: all are full
     applyRandomConfig();
     for (auto count = overloaded ? random.between(1, 4) : random.between(3, 14); count > 0; --count)
       registerRandomWorker();
@@ -90,9 +91,9 @@
     if (random.chance(0.03))
       applyRandomConfig();
     if (random.chance(0.25))
-      disturbWorker();
+      changeRandomWorker();
     if (random.chance(0.1))
-      disturbJob();
+      changeRandomJob();
     randomizeHints();
     for (int plans = random.chance(0.2) ? 2 : 1; plans > 0; --plans) {
       comparePlans();
@@ -182,26 +183,26 @@
     std::advance(found, random.between(0, std::int64_t(clusterState.workers().size()) - 1));
     return &found->second;
   }
-  void disturbWorker() {
+  void changeRandomWorker() {
     const Worker worker = *randomWorker();
-    const auto what = random.between(0, 8);
-    if (what <= 1)
+    const auto change = random.between(0, 8);
+    if (change <= 1)
       registerRandomWorker();
-    else if (what == 2)
+    else if (change == 2)
       apply(WorkerDrainStarted{worker.id, Duration{random.between(0, 3000)}, random.chance(0.5)});
-    else if (what == 3)
+    else if (change == 3)
       apply(WorkerDrainDeadlinePassed{worker.id});
-    else if (what == 4)
+    else if (change == 4)
       apply(WorkerRemoved{worker.id, "test"});
-    else if (what == 5) {
-      WorkerUnreachable silent{worker.id, {}};
+    else if (change == 5) {
+      WorkerUnreachable unreachable{worker.id, {}};
       for (auto number : clusterState.attemptsOn(worker.id))
         if (random.chance(0.7))
-          silent.abandoned.push_back(number);
-      apply(silent);
-    } else if (what == 6)
+          unreachable.abandoned.push_back(number);
+      apply(unreachable);
+    } else if (change == 6)
       contactAges[worker.id] = Duration{random.between(0, 4000)};
-    else if (what == 7 && random.chance(0.5))
+    else if (change == 7 && random.chance(0.5))
       contactAges.erase(worker.id);
     else if (worker.state != WorkerState::removed) {
       apply(WorkerRegistered{worker.id, worker.incarnation, randomCapacity()});
@@ -215,7 +216,7 @@
           contactAges[id] = Duration{0};
         }
   }
-  void disturbJob() {
+  void changeRandomJob() {
     if (clusterState.jobs().empty())
       return;
     auto found = clusterState.jobs().begin();
@@ -223,7 +224,7 @@
     const JobId id = found->first;
     if (found->second.isTerminal()) {
       const auto open = clusterState.attemptsOf(
-          id, AttemptScope::withoutAbandoned);  // one that was given up may outlive its job
+          id, AttemptScope::withoutAbandoned);  // an abandoned attempt may outlive its job
       if (open.empty())
         apply(random.chance(0.5) ? JobsExpired{{id}, {}, {}} : JobsExpired{{}, {id}, {}});
     } else if (found->second.state == JobState::scheduled)
@@ -244,8 +245,8 @@
           hints.urgentDemand[named] = random.between(0, 20'000);
     }
   }
-  // Any job, and any task of it, may have been passed over for too long.
-  void drawPassedOverHints() {
+  // Marks random jobs and tasks as passed over, some of them for longer than the bound.
+  void randomizePassedOverHints() {
     hints.maxPassedOverTime = Duration{random.chance(0.8) ? 2000 : 0};
     hints.passedOverFor.clear();
     for (const auto& id : clusterState.openJobs()) {
@@ -283,9 +284,9 @@
         step.dependencies = {std::to_string(random.between(0, stepIndex - 1))};
       step.gang = random.chance(0.25);
       const auto tasks = random.chance(0.5) ? 1 : random.between(1, step.gang ? 5 : 12);
-      const bool alike = random.chance(0.7);
+      const bool sameRequest = random.chance(0.7);
       for (std::int64_t task = 0; task < tasks; ++task)
-        step.tasks.push_back(alike && task ? step.tasks.back() : randomTask());
+        step.tasks.push_back(sameRequest && task ? step.tasks.back() : randomTask());
       auto& requirements = step.requirements;
       if (random.chance(0.2))
         requirements.requiredLabel = oneOf<std::string>({"colour", "foil"});
@@ -303,7 +304,7 @@
       apply(JobAccepted{std::move(job)});
   }
   void comparePlans() {
-    drawPassedOverHints();
+    randomizePassedOverHints();
     reference::PlannerHints referenceHints{
         hints.runtimeRatios, hints.urgentDemand, {}, hints.maxPassedOverTime};
     for (const auto& [unit, duration] : hints.passedOverFor)
@@ -315,7 +316,7 @@
     const std::string context =
         "seed " + std::to_string(seed) + " plan " + std::to_string(++planCount);
     STRCMP_EQUAL_TEXT(textOf(expected).c_str(), textOf(plan).c_str(), context.c_str());
-    std::set<reference::PassedOver> passedOver;
+    std::set<reference::PassedOverUnit> passedOver;
     for (const auto& unit : plan.passedOver)
       passedOver.insert({unit.job, unit.longRunningTask});
     CHECK_TEXT(expected.passedOver == passedOver, context.c_str());
@@ -331,7 +332,7 @@
   void syncWorker(const Worker& worker) {
     WorkerSynced synced{
         worker.id, random.chance(0.8) ? worker.lastIssuedOrder : worker.lastAppliedOrder, {}};
-    const bool slow = random.chance(0.1), bad = random.chance(0.1);
+    const bool slow = random.chance(0.1), failing = random.chance(0.1);
     for (auto number : clusterState.attemptsOn(worker.id)) {
       const Attempt& attempt = clusterState.attempts().at(number);
       const bool due = attempt.runtimeAt(ClusterTime{now}) >
@@ -343,7 +344,7 @@
             {number, oneOf({AttemptOutcome::rejected, AttemptOutcome::neverStarted})});
       else if (attempt.state == AttemptState::running && attempt.isTrial() && due)
         synced.results.push_back({number, AttemptOutcome::quantumExpired});
-      else if (attempt.state == AttemptState::running && bad && random.chance(0.5))
+      else if (attempt.state == AttemptState::running && failing && random.chance(0.5))
         synced.results.push_back({number, AttemptOutcome::failed});
       else if (attempt.state == AttemptState::running && random.chance(slow  ? 0.02
                                                                        : due ? 0.6
@@ -355,9 +356,9 @@
   }
 };
 
-std::size_t statesWanted() {
-  const char* asked = std::getenv("ANISELINE_PLANNER_STATES");
-  return asked ? std::size_t(std::strtoull(asked, nullptr, 10)) : 1600;
+std::size_t requestedStateCount() {
+  const char* setting = std::getenv("ANISELINE_PLANNER_STATES");
+  return setting ? std::size_t(std::strtoull(setting, nullptr, 10)) : 1600;
 }
 
 }  // namespace
@@ -367,7 +368,7 @@
 TEST(PlannerReference, plansEqualThoseOfTheReferencePlanner) {
   PlanCoverage coverage;
   const std::size_t rounds = 40;
-  for (std::uint64_t seed = 1; seed * rounds <= statesWanted() + rounds - 1; ++seed) {
+  for (std::uint64_t seed = 1; seed * rounds <= requestedStateCount() + rounds - 1; ++seed) {
     RandomCluster cluster(seed, coverage);
     for (std::size_t round = 0; round < rounds; ++round)
       cluster.round();
--- a/tests/scheduling/reference_planner.cpp
+++ b/tests/scheduling/reference_planner.cpp
@@ -1,27 +1,29 @@
+// Implements the planning steps in one struct, PlanRun, which makes a single plan.
 #include "reference_planner.hpp"
 
 namespace aniseline::reference {
 
 namespace {
 
-// A worker gets no new work when it was not heard from for this long, or has not applied an order
-// for longer than that. docs/design.md 5.6.
+// A worker gets no new work if the leader has not heard from it for maxContactAge, or if it has not
+// applied an order for longer than orderApplyTimeout. docs/design.md 5.6.
 constexpr Duration maxContactAge{2000};
 constexpr Duration orderApplyTimeout{1500};
 constexpr Duration stagingTimeout{5000};
-// A part that was launched and is not reported as running may be missing. docs/design.md 7.3.
+// A launched part that is not reported as running within this time may be missing. docs/design.md
+// 7.3.
 constexpr Duration startConfirmationTimeout{2500};
-// Past its quantum a trial is stopped by order. docs/design.md 7.5.
+// A trial that exceeds its quantum by this much is stopped by an order. docs/design.md 7.5.
 constexpr Duration trialStopGrace{2000};
 constexpr std::int64_t failureScoreLimit = 500;
 
-// One attempt as the plan sees it: what it takes and when it is expected to end.
+// The resources that one attempt takes and its expected end.
 struct Allocation {
   AttemptNumber attempt;
   std::int64_t cores = 0, memory = 0, accelerators = 0;
   ClusterTime expectedEnd;
   bool suspended = false;
-  ClusterTime resumesAt;  // of a suspended attempt: when its trial is expected to end
+  ClusterTime resumesAt;  // for a suspended attempt, the expected end of its trial
   bool trialWithVictims = false;
   AttemptNumber suspendedForTrial;
 };
@@ -33,9 +35,9 @@
   int penalty = 0;
   std::set<JobId> overdueJobs;  // jobs whose attempts here take far longer than requested
   std::vector<Allocation> allocations;
-  // Tasks here of steps that limit their tasks per worker.
+  // Numbers of tasks on this worker, for steps that limit their tasks per worker.
   std::map<std::pair<JobId, std::uint32_t>, std::uint32_t> tasksByStep;
-  // Sums over the allocations, kept as these come and go.
+  // Sums over the allocations, updated as allocations are added and removed.
   std::int64_t usedCores = 0, usedMemory = 0, usedAccelerators = 0, suspendedCores = 0,
                victimTrialCores = 0;
 
@@ -68,13 +70,13 @@
       used += allocation.expectedEnd > time ? allocation.accelerators : 0;
     return accelerators - used;
   }
-  // Cores that stay free when every suspended task has resumed, whether or not anything ends as
-  // expected. docs/design.md 7.4.
+  // Returns the cores that stay free when every suspended task has resumed, whether or not anything
+  // ends as expected. docs/design.md 7.4.
   std::int64_t guaranteedFreeCores() const {
     return std::min(freeCores(), freeCores() + victimTrialCores - suspendedCores);
   }
-  // Cores and memory free from the given time on, if all ends as expected; suspended
-  // attempts count as resumed.
+  // Returns the cores and memory that are free from the given time on if all attempts end as
+  // expected; suspended attempts count as resumed.
   std::pair<std::int64_t, std::int64_t> expectedFreeAt(ClusterTime time) const {
     std::int64_t usedCores = 0, usedMemory = 0;
     for (const auto& allocation : allocations)
@@ -90,10 +92,11 @@
                 std::int64_t trialMemory) {
   if (wanted <= free - trialMemory)
     return true;
-  return wanted > worker.memory - trialMemory && wanted <= free;  // else it could never start
+  return wanted > worker.memory - trialMemory && wanted <= free;  // otherwise it could never start
 }
 
-// Requests that found no worker in this plan; whatever requests at least as much need not be tried.
+// Requests that found no worker in this plan. A request that is at least as large need not be
+// tried.
 struct FailedRequests {
   struct RequestShape {
     std::int64_t cores, memory, runtime;
@@ -141,8 +144,7 @@
   std::map<std::pair<std::string, std::string>, FailedRequests>
       failedBackfills;  // by pool and label
   FailedRequests failedTrials;
-  std::map<std::pair<JobId, std::uint32_t>, std::string>
-      chosenRacks;  // chosen for steps that want one rack
+  std::map<std::pair<JobId, std::uint32_t>, std::string> chosenRacks;  // of same-rack steps
 
   PlanRun(Planner& planner, const ClusterState& clusterState, ClusterTime now,
           const LastContactAges& contactAges, bool explain, const PlannerHints& hints)
@@ -167,8 +169,8 @@
     return queue ? *queue : none;
   }
 
-  // An overrunning task stays in place; it is expected to need half as long again as it has run.
-  // docs/design.md 7.6.
+  // Returns the expected remaining runtime. An overrunning task is not stopped; it is expected to
+  // need half as long again as it has already run. docs/design.md 7.6.
   Duration remainingRuntime(const Attempt& attempt) const {
     const Duration ran = attempt.runtimeAt(now);
     const Duration wanted = attempt.isTrial() ? attempt.quantum : attempt.runtime;
@@ -229,22 +231,24 @@
       if (const auto* requirements = requirementsOf(attempt.job, attempt.stepIndex);
           requirements && requirements->maxPerWorker)
         ++worker.tasksByStep[{attempt.job, attempt.stepIndex}];
-      // An agent itself reports a worker that does not answer; one late order delays its report
-      // of the others.
+      // An agent reports a worker that does not answer, and one late order delays its report of the
+      // other workers, so a late order says nothing about such a worker.
       if (!worker.record->capacity.killsOnLeaseExpiry && attempt.state == AttemptState::ordered &&
           now - attempt.orderedAt > orderApplyTimeout)
         worker.schedulable = false;
-      // A worker that fails work is tried with one task at a time. docs/design.md 5.6.
+      // A worker with recent failures gets one task at a time. docs/design.md 5.6.
       if (worker.penalty > 0)
         worker.schedulable = false;
+      // Counts jobs instead of attempts, because one job's estimate may be wrong for all its
+      // attempts.
       if (!worker.record->capacity.supportsSuspend && isOverdue(attempt))
-        worker.overdueJobs.insert(
-            attempt.job);  // jobs, not runs: a job's guess may be wrong for all of them
+        worker.overdueJobs.insert(attempt.job);
     }
     excludeSlowWorkers();
   }
 
-  // Has it taken far longer than requested, allowing for remote data and a common overrun?
+  // Reports whether the attempt has taken far longer than requested, allowing for remote data and a
+  // common overrun.
   bool isOverdue(const Attempt& attempt) const {
     if (attempt.isTrial() || attempt.state == AttemptState::stopping ||
         attempt.state == AttemptState::suspended)
@@ -258,22 +262,22 @@
                    (mayBeRemote ? clusterState.config().planner.remoteSlowdown : 1.0) +
                300;
   }
-  // Workers on which work takes far longer than on their peers, or stands still, get none while
-  // others are sound; at most a third of a pool is passed over, and a hint is all this is.
-  // docs/design.md 5.6.
+  // Gives no new work to workers on which work is stuck or takes far longer than on their peers,
+  // while other workers are healthy. At most a third of a pool is affected, since the ratios are
+  // only a hint. docs/design.md 5.6.
   void excludeSlowWorkers() {
-    std::map<std::string, std::vector<double>> known;
+    std::map<std::string, std::vector<double>> ratiosByPool;
     for (const auto& worker : workers)
       if (auto runtimeRatio = hints.runtimeRatios.find(worker.record->id);
           runtimeRatio != hints.runtimeRatios.end())
-        known[worker.record->capacity.pool].push_back(runtimeRatio->second);
-    std::map<std::string, std::size_t> passedOver;
+        ratiosByPool[worker.record->capacity.pool].push_back(runtimeRatio->second);
+    std::map<std::string, std::size_t> affectedByPool;
     std::vector<std::pair<double, std::size_t>> slow;
     for (std::size_t workerIndex = 0; workerIndex < workers.size(); ++workerIndex) {
       WorkerView& worker = workers[workerIndex];
       if (worker.record->capacity.supportsSuspend)
         continue;
-      auto& peers = known[worker.record->capacity.pool];
+      auto& peers = ratiosByPool[worker.record->capacity.pool];
       double ratio = 0;
       if (auto runtimeRatio = hints.runtimeRatios.find(worker.record->id);
           runtimeRatio != hints.runtimeRatios.end() && peers.size() >= 3) {
@@ -293,17 +297,17 @@
           std::size_t(std::count_if(workers.begin(), workers.end(), [&](const WorkerView& worker) {
             return worker.record->capacity.pool == pool;
           }));
-      if (3 * (passedOver[pool] + 1) > size)
+      if (3 * (affectedByPool[pool] + 1) > size)
         continue;
-      ++passedOver[pool];
+      ++affectedByPool[pool];
       if (ratio > 2.4)
         workers[workerIndex].schedulable = false;
       else
         workers[workerIndex].penalty = std::max(workers[workerIndex].penalty, 1);
     }
   }
-  // Of redundant steps a copy is started elsewhere when an attempt is overdue or its worker is
-  // out of contact. docs/paper.md 5.
+  // Starts a copy of an attempt of a redundant step on another worker when the attempt is overdue
+  // or its worker is out of contact. docs/paper.md 5.
   void startRedundantCopies() {
     std::size_t copyCount = 0;
     for (const auto& [number, attempt] : clusterState.attempts()) {
@@ -320,7 +324,7 @@
         continue;
       const QueueOptions& queue = queueOptionsOf(attempt.job);
       if (queue.maxFailures && job.tasks[attempt.taskIndex].failureCount + 1 >= queue.maxFailures)
-        continue;  // the one that runs is the last that may fail
+        continue;  // the running attempt is the last that may fail
       auto contactAge = contactAges.find(attempt.worker);
       const bool outOfContact =
           contactAge == contactAges.end() || contactAge->second > maxContactAge;
@@ -333,9 +337,9 @@
       unit.requirements = requirements;
       unit.pool = queueOptionsOf(attempt.job).pool;
       const TaskRequest& request = job.requestOf(job.tasks[attempt.taskIndex]);
-      TenantUse* use = tenantUseOf(tenantUses, attempt.job);
-      const auto asked = amounts(request.cores, request.memory, request.accelerators);
-      if (use && !use->admits(asked, asked))
+      TenantUsage* usage = tenantUsageOf(usageByTenant, attempt.job);
+      const auto requested = amounts(request.cores, request.memory, request.accelerators);
+      if (usage && !usage->admits(requested, requested))
         continue;
       std::size_t best = workers.size();
       for (std::size_t workerIndex = 0; workerIndex < workers.size(); ++workerIndex) {
@@ -353,8 +357,8 @@
       }
       if (best == workers.size())
         continue;
-      if (use)
-        use->addUnreported(asked, asked);
+      if (usage)
+        usage->addUnreported(requested, requested);
       allocate(best, AttemptNumber{}, request, std::int64_t(request.memory), now + request.runtime,
                false);
       Action action;
@@ -376,8 +380,8 @@
                ? nullptr
                : &found->second.submission.steps[step].requirements;
   }
-  // May a task of this step run there at all? Label, pool and accelerators are conditions.
-  // docs/paper.md 2.
+  // Reports whether a task of the unit's step can ever run on the worker. Label, pool and
+  // accelerators are conditions. docs/paper.md 2.
   bool isEligible(const PlacementUnit& unit, const WorkerView& worker) const {
     return worker.record->capacity.pool == unit.pool &&
            worker.record->capacity.hasLabel(unit.requirements->requiredLabel);
@@ -390,8 +394,8 @@
     auto found = worker.tasksByStep.find({unit.job, unit.step});
     return found == worker.tasksByStep.end() || found->second < unit.requirements->maxPerWorker;
   }
-  // The rack of a step that wants one rack, or else the best for it: the one with the most idle
-  // cores that suit.
+  // Returns the rack of a same-rack step: that of its attempts, or else the one with the most idle
+  // cores on eligible workers.
   const std::string& chooseRack(const PlacementUnit& unit) {
     auto [found, isNew] = chosenRacks.try_emplace({unit.job, unit.step});
     if (!isNew)
@@ -409,8 +413,8 @@
         most = cores, found->second = rack;
     return found->second;
   }
-  // Away from its data or from the rest of its step a task takes `remoteSlowdown` times as long.
-  // docs/paper.md 2.
+  // Reports whether a task runs away from its data or from the rest of its step, where it takes
+  // `remoteSlowdown` times as long. docs/paper.md 2.
   bool isRemote(const PlacementUnit& unit, const WorkerView& worker) {
     if (!unit.requirements->preferredRack.empty() &&
         !worker.record->capacity.hasLabel(unit.requirements->preferredRack))
@@ -425,9 +429,9 @@
                : request.runtime;
   }
 
-  // Can the job's latency target still be met, by requested runtimes? Under a flood the paper's
-  // order makes all work a little late; what can be in time goes before what can't.
-  // docs/paper.md 5.
+  // Assesses by requested runtimes whether the job can still meet its latency target. In an
+  // overload the paper's order makes all work a little late, so work that can be on time goes
+  // before work that can't. docs/paper.md 5.
   struct LatencyTarget {
     int targetStatus = 0;
     bool lowSlack = true;
@@ -440,29 +444,30 @@
     if (!isNew)
       return found->second;
     const auto& steps = job.submission.steps;
-    std::vector<std::int64_t> whole(steps.size()), left(steps.size());
-    std::vector<char> open(steps.size());
+    std::vector<std::int64_t> totals(steps.size()), remaining(steps.size());
+    std::vector<char> unfinished(steps.size());
     for (const auto& task : job.tasks)
-      open[task.stepIndex] = open[task.stepIndex] || task.state != TaskState::succeeded;
-    std::int64_t longest = 0, longestLeft = 0;
+      unfinished[task.stepIndex] = unfinished[task.stepIndex] || task.state != TaskState::succeeded;
+    std::int64_t longest = 0, longestRemaining = 0;
     for (std::size_t step = 0; step < steps.size(); ++step) {
-      std::int64_t before = 0, beforeLeft = 0, runtime = 0;
+      std::int64_t before = 0, beforeRemaining = 0, runtime = 0;
       for (const auto& name : steps[step].dependencies)
         for (std::size_t other = 0; other < step; ++other)
           if (steps[other].name == name)
-            before = std::max(before, whole[other]), beforeLeft = std::max(beforeLeft, left[other]);
+            before = std::max(before, totals[other]),
+            beforeRemaining = std::max(beforeRemaining, remaining[other]);
       for (const auto& task : steps[step].tasks)
         runtime = std::max(runtime, task.runtime.milliseconds);
-      whole[step] = before + runtime;
-      left[step] = open[step] ? beforeLeft + runtime : 0;
-      longest = std::max(longest, whole[step]);
-      longestLeft = std::max(longestLeft, left[step]);
+      totals[step] = before + runtime;
+      remaining[step] = unfinished[step] ? beforeRemaining + runtime : 0;
+      longest = std::max(longest, totals[step]);
+      longestRemaining = std::max(longestRemaining, remaining[step]);
     }
     const double target =
         queue.latencyTargetFactor * double(longest) + double(queue.latencyTargetBase.milliseconds);
-    const double done = double((now - job.admittedAt).milliseconds + longestLeft);
-    found->second.targetStatus = done <= target ? 0 : done <= 3 * target ? 1 : 2;
-    found->second.lowSlack = target - done < std::max(1500.0, 0.4 * (target - double(longest)));
+    const double latency = double((now - job.admittedAt).milliseconds + longestRemaining);
+    found->second.targetStatus = latency <= target ? 0 : latency <= 3 * target ? 1 : 2;
+    found->second.lowSlack = target - latency < std::max(1500.0, 0.4 * (target - double(longest)));
     return found->second;
   }
 
@@ -505,7 +510,7 @@
         if (!unready.count(step))
           units.push_back(std::move(unit));
     }
-    // Paper 2.2 and table 3: priority is computed anew as units wait.
+    // Paper 2.2 and table 3: ranks are computed anew for each plan, since they grow with the wait.
     for (auto& unit : units) {
       const QueueOptions& queue = queueOptionsOf(unit.job);
       PolicyProgram::Inputs inputs;
@@ -544,7 +549,8 @@
     shortestRemainingWorkFirst(units);
     return units;
   }
-  // Of jobs with a latency target that are not past use, priority and status being equal.
+  // Sorts the units of jobs with a latency target by remaining work, within each group of equal
+  // priority and status. Expired units are not reordered.
   void shortestRemainingWorkFirst(std::vector<PlacementUnit>& units) {
     using Group = std::pair<std::int64_t, int>;
     std::map<Group, std::vector<std::size_t>> indicesByGroup;
@@ -569,8 +575,8 @@
       std::stable_sort(sorted.begin(), sorted.end(), [&](auto& left, auto& right) {
         return work.at(left.job) < work.at(right.job);
       });
-      for (std::size_t place = 0; place < indices.size(); ++place)
-        units[indices[place]] = sorted[place];
+      for (std::size_t position = 0; position < indices.size(); ++position)
+        units[indices[position]] = sorted[position];
     }
   }
 
@@ -586,7 +592,7 @@
     const Job& job = clusterState.jobs().at(unit.job);
     return job.requestOf(job.tasks[task]);
   }
-  // Largest part first, so that a gang is not blocked by its own small parts.
+  // Returns the tasks with the largest first, so that a gang is not blocked by its own small parts.
   std::vector<std::uint32_t> tasksByDescendingCores(const PlacementUnit& unit) const {
     auto parts = unit.tasks;
     std::stable_sort(parts.begin(), parts.end(), [&](auto left, auto right) {
@@ -595,7 +601,8 @@
     return parts;
   }
 
-  // The one reserved start: would these additions on the worker delay it? docs/paper.md 3.
+  // Reports whether the given allocation on the worker would delay the reserved start.
+  // docs/paper.md 3.
   bool delaysReservation(std::size_t workerIndex, std::int64_t cores, std::int64_t memory,
                          ClusterTime end) const {
     const Reservation& reservation = plan.record.reservation;
@@ -637,8 +644,8 @@
     auto found = clusterState.workers().find(id);
     return found == clusterState.workers().end() ? std::string() : found->second.capacity.rack;
   }
-  // Work that may be on any rack goes to the one of which the smallest share is in use, in percent,
-  // where it matters to other work on which rack it is.
+  // Returns the share of each rack's cores in use, in percent. Work that may run on any rack goes
+  // to the least loaded one, if the rack matters to other work; otherwise the result is empty.
   std::map<std::string, std::int64_t> rackLoads(const PlacementUnit& unit) const {
     std::map<std::string, std::pair<std::int64_t, std::int64_t>> usedAndTotal;
     std::map<std::string, std::int64_t> loads;
@@ -656,14 +663,14 @@
       loads[rack] = cores.second > 0 ? 100 * cores.first / cores.second : 0;
     return loads;
   }
-  // Among fitting workers the one with the fewest unallocated cores; ties by rack, then by name.
-  // Paper 2.2.
-  bool startNow(const PlacementUnit& unit, bool nearOnly = false) {
+  // Starts the unit if it fits. Chooses the fitting worker with the fewest unallocated cores; ties
+  // are broken by rack, then by name. Paper 2.2.
+  bool tryStart(const PlacementUnit& unit, bool localOnly = false) {
     std::vector<std::pair<std::uint32_t, std::size_t>> assignments;
     for (auto part : tasksByDescendingCores(unit)) {
       const TaskRequest& request = requestOf(unit, part);
-      const WorkerId& avoid = taskOf(unit, part).avoidedWorker;
-      const std::string rackToAvoid = rackOf(avoid);
+      const WorkerId& avoidedId = taskOf(unit, part).avoidedWorker;
+      const std::string avoidedRack = rackOf(avoidedId);
       std::size_t best = workers.size();
       std::tuple<int, int, std::int64_t, std::int64_t, int> bestKey{};
       const auto loads = rackLoads(unit);
@@ -672,26 +679,26 @@
         if (!worker.schedulable || worker.guaranteedFreeCores() < request.cores ||
             !isEligible(unit, worker) || !fits(unit, worker, request))
           continue;
-        if (nearOnly && isRemote(unit, worker))
+        if (localOnly && isRemote(unit, worker))
           continue;
         if (!memoryFits(worker, worker.freeMemory(), std::int64_t(request.memory), trialMemory))
           continue;
         if (delaysReservation(workerIndex, request.cores, std::int64_t(request.memory),
                               now + expectedRuntime(unit, worker, request)))
           continue;
-        // Where the paper's fit leaves a choice: a retry leaves the rack it failed on, a gang keeps
-        // to few. docs/paper.md 2.
+        // Among equal fits a retry avoids the rack where the task failed, and a gang uses few
+        // racks. docs/paper.md 2.
         const std::string& rack = worker.record->capacity.rack;
         const bool sameGang = std::any_of(
             assignments.begin(), assignments.end(),
             [&](const auto& other) { return workers[other.second].record->capacity.rack == rack; });
-        const int rackChoice = !rack.empty() && rack == rackToAvoid             ? 2
-                               : unit.gang && !assignments.empty() && !sameGang ? 1
-                                                                                : 0;
+        const int rackPreference = !rack.empty() && rack == avoidedRack             ? 2
+                                   : unit.gang && !assignments.empty() && !sameGang ? 1
+                                                                                    : 0;
         const auto load = loads.find(rack);
         const std::tuple<int, int, std::int64_t, std::int64_t, int> key{
-            worker.penalty + (worker.record->id == avoid ? 1 : 0), isRemote(unit, worker),
-            load == loads.end() ? 0 : load->second, worker.freeCores(), rackChoice};
+            worker.penalty + (worker.record->id == avoidedId ? 1 : 0), isRemote(unit, worker),
+            load == loads.end() ? 0 : load->second, worker.freeCores(), rackPreference};
         if (best == workers.size() || key < bestKey) {
           best = workerIndex;
           bestKey = key;
@@ -708,9 +715,9 @@
         ++workers[best].tasksByStep[{unit.job, unit.step}];
       assignments.emplace_back(part, best);
     }
-    // Parts that find each other at the workers are started, with one number; others are staged.
-    // docs/design.md 7.3.
-    const bool assembles =
+    // Self-assembling parts find each other at the workers, so they are started directly under one
+    // run number; other gangs are staged. docs/design.md 7.3.
+    const bool allSelfAssembling =
         unit.gang && std::all_of(assignments.begin(), assignments.end(), [&](const auto& part) {
           return workers[part.second].record->capacity.selfAssemblingGangs;
         });
@@ -720,7 +727,7 @@
         run = std::max(run, taskOf(unit, part).runNumber + 1);
     for (auto& [task, workerIndex] : assignments) {
       Action action;
-      action.kind = unit.gang && !assembles ? ActionKind::stage : ActionKind::start;
+      action.kind = unit.gang && !allSelfAssembling ? ActionKind::stage : ActionKind::start;
       action.runNumber = run;
       action.attempt = lastAttempt = lastAttempt.next();
       action.job = unit.job;
@@ -731,14 +738,14 @@
         workers[workerIndex].schedulable = false;
       plan.record.actions.push_back(std::move(action));
     }
-    if (TenantUse* use = tenantUseOf(tenantUses, unit.job))
-      std::apply([use](const auto&... sums) { use->addUnreported(sums...); },
+    if (TenantUsage* usage = tenantUsageOf(usageByTenant, unit.job))
+      std::apply([usage](const auto&... sums) { usage->addUnreported(sums...); },
                  totalAndSmallest(unit));
     return true;
   }
 
-  // Paper 2.2: the earliest guaranteed start, by requested runtimes; for a gang the earliest at
-  // which all parts fit.
+  // Paper 2.2: returns the earliest guaranteed start by requested runtimes; for a gang, the
+  // earliest time at which all parts fit.
   std::optional<Reservation> findReservation(const PlacementUnit& unit) const {
     std::vector<ClusterTime> times{now};
     for (const auto& worker : workers)
@@ -754,8 +761,8 @@
       for (std::size_t workerIndex = 0; workerIndex < workers.size(); ++workerIndex) {
         free[workerIndex] = workers[workerIndex].expectedFreeAt(time);
         accelerators[workerIndex] = workers[workerIndex].expectedAcceleratorsAt(time);
-        // Tasks limited per worker are counted as if none of them ended: what waits for that gets
-        // no reservation.
+        // Tasks limited per worker are counted as if none of them ended, so a unit blocked by that
+        // limit gets no reservation.
         if (auto found = workers[workerIndex].tasksByStep.find({unit.job, unit.step});
             found != workers[workerIndex].tasksByStep.end())
           tasksByWorker[workerIndex] = found->second;
@@ -817,18 +824,19 @@
     std::int64_t idleCoresAfter = 0;
     std::vector<AttemptNumber> victims;
   };
-  // A trial may not delay the reserved start, but for the reserved unit's own, which gains by it.
-  // docs/paper.md 4. Paper 2.4: idle cores first, else the victims with the least slowdown among
-  // the long uninterrupted.
+  // Returns the worker and the victims for a trial. The trial may not delay the reserved start,
+  // except that of its own unit, which benefits from it. docs/paper.md 4. Paper 2.4: idle cores are
+  // used first, then victims with the least slowdown among the attempts that have run uninterrupted
+  // for long enough.
   std::optional<TrialPlacement> findTrialPlacement(const PlacementUnit& unit,
                                                    const TaskRequest& request,
-                                                   const WorkerId& avoid, std::int64_t memory,
+                                                   const WorkerId& avoidedId, std::int64_t memory,
                                                    const TrialOptions& options, bool allowVictims,
                                                    bool holdsReservation) {
     std::optional<TrialPlacement> best;
     for (std::size_t workerIndex = 0; workerIndex < workers.size(); ++workerIndex) {
       WorkerView& worker = workers[workerIndex];
-      if (!worker.schedulable || worker.penalty > 0 || worker.record->id == avoid ||
+      if (!worker.schedulable || worker.penalty > 0 || worker.record->id == avoidedId ||
           !worker.record->capacity.supportsSuspend || !isEligible(unit, worker) ||
           !fits(unit, worker, request))
         continue;
@@ -846,7 +854,8 @@
           if (found == clusterState.attempts().end() || allocation.suspended)
             continue;
           const Attempt& attempt = found->second;
-          // A gang's parts are never suspended: the others would run on alone. docs/paper.md 5.
+          // Gang parts are never suspended, because the other parts would run on alone.
+          // docs/paper.md 5.
           if (attempt.state != AttemptState::running || attempt.isTrial() || attempt.gang ||
               attempt.abandoned)
             continue;
@@ -900,12 +909,12 @@
     for (auto part : tasksByDescendingCores(unit)) {
       const TaskRequest& request = requestOf(unit, part);
       const auto memory = std::int64_t(std::min<std::uint64_t>(request.memory, queue.trial.memory));
-      const WorkerId& avoid = taskOf(unit, part).avoidedWorker;
-      auto found =
-          findTrialPlacement(unit, request, avoid, memory, queue.trial, false, holdsReservation);
+      const WorkerId& avoidedId = taskOf(unit, part).avoidedWorker;
+      auto found = findTrialPlacement(unit, request, avoidedId, memory, queue.trial, false,
+                                      holdsReservation);
       if (!found)
-        found =
-            findTrialPlacement(unit, request, avoid, memory, queue.trial, true, holdsReservation);
+        found = findTrialPlacement(unit, request, avoidedId, memory, queue.trial, true,
+                                   holdsReservation);
       if (!found) {
         if (unit.gang)
           workers = std::move(before);
@@ -940,13 +949,13 @@
                !found->victims.empty());
       plan.record.actions.push_back(std::move(action));
     }
-    if (TenantUse* use = tenantUseOf(tenantUses, unit.job))
-      std::apply([use](const auto&... sums) { use->addUnreported(sums...); },
+    if (TenantUsage* usage = tenantUsageOf(usageByTenant, unit.job))
+      std::apply([usage](const auto&... sums) { usage->addUnreported(sums...); },
                  totalAndSmallest(unit));
     return true;
   }
 
-  // Gangs that are staged on all workers are launched; those that can't be are stopped.
+  // Launches gangs that are staged on all their workers, and stops those that can't be launched.
   // docs/design.md 7.3.
   void advanceGangs() {
     std::map<std::pair<JobId, std::uint32_t>, std::vector<const Attempt*>> gangs;
@@ -958,20 +967,23 @@
       std::size_t openParts = 0;
       for (const auto& task : job.tasks)
         openParts += task.stepIndex == key.second && task.state != TaskState::succeeded;
-      bool allStaged = parts.size() == openParts, staging = false, late = false, alone = false;
+      bool allStaged = parts.size() == openParts, staging = false, stagingTimedOut = false,
+           startUnconfirmed = false;
       for (const auto* part : parts) {
         const bool unconfirmed = part->state == AttemptState::launching ||
                                  (part->selfAssembling && part->state == AttemptState::ordered);
-        alone = alone || (unconfirmed && now - part->runningSince > startConfirmationTimeout);
+        startUnconfirmed = startUnconfirmed ||
+                           (unconfirmed && now - part->runningSince > startConfirmationTimeout);
         if (part->selfAssembling)
           continue;
         if (part->state == AttemptState::staged || part->state == AttemptState::ordered) {
           staging = true;
-          late = late || now - part->orderedAt > stagingTimeout;
+          stagingTimedOut = stagingTimedOut || now - part->orderedAt > stagingTimeout;
         }
         auto contactAge = contactAges.find(part->worker);
-        const bool heard = contactAge != contactAges.end() && contactAge->second < Duration{1500};
-        allStaged = allStaged && part->state == AttemptState::staged && heard &&
+        const bool inContact =
+            contactAge != contactAges.end() && contactAge->second < Duration{1500};
+        allStaged = allStaged && part->state == AttemptState::staged && inContact &&
                     clusterState.workers().at(part->worker).isSchedulable();
       }
       for (const auto* part : parts) {
@@ -980,10 +992,10 @@
         action.worker = part->worker;
         if (allStaged && !part->selfAssembling)
           action.kind = ActionKind::launch;
-        else if (alone && part->state != AttemptState::stopping) {
+        else if (startUnconfirmed && part->state != AttemptState::stopping) {
           action.kind = ActionKind::stop;
           action.reason = "alone";
-        } else if (staging && late && part->state != AttemptState::stopping) {
+        } else if (staging && stagingTimedOut && part->state != AttemptState::stopping) {
           action.kind = ActionKind::stop;
           action.reason = "staging";
         } else
@@ -993,7 +1005,7 @@
     }
   }
 
-  void stopOverdue() {
+  void stopOverTimeLimit() {
     for (const auto& [number, attempt] : clusterState.attempts()) {
       if (attempt.abandoned || attempt.state != AttemptState::running)
         continue;
@@ -1012,33 +1024,35 @@
     }
   }
 
-  // With strict priority, work that has time leaves free what the most urgent queues have wanted
-  // lately: on workers that can't suspend, the paper's immediate service has no victims that
-  // cost nothing. docs/paper.md 5.
+  // With strict priority, work that has time left leaves free the cores that the most urgent queues
+  // have needed recently: on workers that can't suspend, the paper's immediate service has no
+  // victims without a cost. docs/paper.md 5.
   struct PoolDemand {
     std::int64_t cores = 0, free = 0, urgentCoresInUse = 0, urgentCoresPending = 0;
   };
   std::map<std::string, PoolDemand> poolDemands;
   std::int64_t highestPriority = 0;
-  // What the attempts of each tenant hold, against its cap. docs/design.md 7.13.
-  struct TenantUse {
-    std::array<std::int64_t, 3> cap{}, used{};  // cores, memory, accelerators; a cap of 0: none
-    // The least of each that a start asks for which no worker has reported.
-    std::optional<std::array<std::int64_t, 3>> leastUnreported;
+  // The resources that the attempts of a tenant hold, compared with its cap. docs/design.md 7.13.
+  struct TenantUsage {
+    // Cores, memory and accelerators; a cap of 0 means no limit.
+    std::array<std::int64_t, 3> cap{}, used{};
+    // The smallest request, per resource, among starts that no worker has reported yet.
+    std::optional<std::array<std::int64_t, 3>> smallestUnreported;
     bool admits(const std::array<std::int64_t, 3>& total,
                 const std::array<std::int64_t, 3>& smallest) const {
-      bool within = true, withinButForOne = true, half = true;
+      bool within = true, withinExceptSmallest = true, atMostHalf = true;
       for (std::size_t index = 0; index < cap.size(); ++index) {
         if (!cap[index])
           continue;
         within = within && used[index] + total[index] <= cap[index];
-        const std::int64_t least = leastUnreported
-                                       ? std::min((*leastUnreported)[index], smallest[index])
+        const std::int64_t least = smallestUnreported
+                                       ? std::min((*smallestUnreported)[index], smallest[index])
                                        : smallest[index];
-        withinButForOne = withinButForOne && used[index] + total[index] - least <= cap[index];
-        half = half && used[index] <= cap[index] / 2;
+        withinExceptSmallest =
+            withinExceptSmallest && used[index] + total[index] - least <= cap[index];
+        atMostHalf = atMostHalf && used[index] <= cap[index] / 2;
       }
-      return within || (half && withinButForOne);
+      return within || (atMostHalf && withinExceptSmallest);
     }
     void add(const std::array<std::int64_t, 3>& total) {
       for (std::size_t index = 0; index < cap.size(); ++index)
@@ -1047,39 +1061,39 @@
     void addUnreported(const std::array<std::int64_t, 3>& total,
                        const std::array<std::int64_t, 3>& smallest) {
       add(total);
-      if (!leastUnreported)
-        leastUnreported = smallest;
+      if (!smallestUnreported)
+        smallestUnreported = smallest;
       for (std::size_t index = 0; index < cap.size(); ++index)
-        (*leastUnreported)[index] = std::min((*leastUnreported)[index], smallest[index]);
+        (*smallestUnreported)[index] = std::min((*smallestUnreported)[index], smallest[index]);
     }
   };
-  std::map<TenantName, TenantUse> tenantUses;
+  std::map<TenantName, TenantUsage> usageByTenant;
   static std::array<std::int64_t, 3> amounts(std::int64_t cores, std::uint64_t memory,
                                              std::int64_t accelerators) {
     return {cores, std::int64_t(memory), accelerators};
   }
-  void sumTenantUses() {
+  void sumTenantUsages() {
     for (const auto& [name, tenant] : clusterState.config().tenants.all())
       if (tenant.cap.isLimited())
-        tenantUses[name].cap = amounts(std::int64_t(tenant.cap.cores), tenant.cap.memory,
-                                       std::int64_t(tenant.cap.accelerators));
+        usageByTenant[name].cap = amounts(std::int64_t(tenant.cap.cores), tenant.cap.memory,
+                                          std::int64_t(tenant.cap.accelerators));
     for (const auto& [number, attempt] : clusterState.attempts()) {
       auto job = clusterState.jobs().find(attempt.job);
       if (attempt.abandoned || job == clusterState.jobs().end())
         continue;
-      auto use = tenantUses.find(job->second.submission.tenant);
-      if (use == tenantUses.end())
+      auto usage = usageByTenant.find(job->second.submission.tenant);
+      if (usage == usageByTenant.end())
         continue;
-      const auto held = amounts(attempt.cores, attempt.memory, attempt.accelerators);
+      const auto allocated = amounts(attempt.cores, attempt.memory, attempt.accelerators);
       if (attempt.state == AttemptState::running || attempt.state == AttemptState::suspended)
-        use->second.add(held);
+        usage->second.add(allocated);
       else
-        use->second.addUnreported(held, held);
+        usage->second.addUnreported(allocated, allocated);
     }
   }
-  TenantUse* tenantUseOf(std::map<TenantName, TenantUse>& uses, const JobId& job) const {
-    auto use = uses.find(clusterState.jobs().at(job).submission.tenant);
-    return use == uses.end() ? nullptr : &use->second;
+  TenantUsage* tenantUsageOf(std::map<TenantName, TenantUsage>& usages, const JobId& job) const {
+    auto usage = usages.find(clusterState.jobs().at(job).submission.tenant);
+    return usage == usages.end() ? nullptr : &usage->second;
   }
   std::pair<std::array<std::int64_t, 3>, std::array<std::int64_t, 3>> totalAndSmallest(
       const PlacementUnit& unit) const {
@@ -1087,18 +1101,18 @@
     smallest.fill(std::numeric_limits<std::int64_t>::max());
     for (auto part : unit.tasks) {
       const TaskRequest& request = requestOf(unit, part);
-      const auto asked = amounts(request.cores, request.memory, request.accelerators);
-      for (std::size_t index = 0; index < asked.size(); ++index) {
-        total[index] += asked[index];
-        smallest[index] = std::min(smallest[index], asked[index]);
+      const auto requested = amounts(request.cores, request.memory, request.accelerators);
+      for (std::size_t index = 0; index < requested.size(); ++index) {
+        total[index] += requested[index];
+        smallest[index] = std::min(smallest[index], requested[index]);
       }
     }
     return {total, smallest};
   }
-  bool fitsCap(const PlacementUnit& unit) {
-    const TenantUse* use = tenantUseOf(tenantUses, unit.job);
+  bool fitsTenantCap(const PlacementUnit& unit) {
+    const TenantUsage* usage = tenantUsageOf(usageByTenant, unit.job);
     const auto [total, smallest] = totalAndSmallest(unit);
-    return !use || use->admits(total, smallest);
+    return !usage || usage->admits(total, smallest);
   }
   void measureUrgentDemand(const std::vector<PlacementUnit>& units) {
     for (const auto& [name, queue] : clusterState.config().queues)
@@ -1112,15 +1126,15 @@
     for (const auto& [number, attempt] : clusterState.attempts())
       if (!attempt.abandoned && queueOptionsOf(attempt.job).priority == highestPriority)
         poolDemands[queueOptionsOf(attempt.job).pool].urgentCoresInUse += attempt.cores;
-    auto uses = tenantUses;  // as if all that may start did
+    auto usages = usageByTenant;  // assumes that all units that may start do
     for (const auto& unit : units) {
       if (unit.queuePriority != highestPriority || unit.targetStatus >= 2)
         continue;
-      if (TenantUse* use = tenantUseOf(uses, unit.job)) {
+      if (TenantUsage* usage = tenantUsageOf(usages, unit.job)) {
         const auto [total, smallest] = totalAndSmallest(unit);
-        if (!use->admits(total, smallest))
+        if (!usage->admits(total, smallest))
           continue;
-        use->addUnreported(total, smallest);
+        usage->addUnreported(total, smallest);
       }
       for (auto part : unit.tasks)
         poolDemands[unit.pool].urgentCoresPending += requestOf(unit, part).cores;
@@ -1134,7 +1148,7 @@
       return true;
     auto demand = hints.urgentDemand.find(unit.pool);
     const PoolDemand& pool = poolDemands[unit.pool];
-    // Work never waits for this while more than two fifths of the pool's cores are free.
+    // Work is never held back while more than two fifths of the pool's cores are free.
     if (demand == hints.urgentDemand.end() || 5 * pool.free > 2 * pool.cores)
       return true;
     std::int64_t cores = 0;
@@ -1143,9 +1157,8 @@
     return pool.free - cores >= demand->second - pool.urgentCoresInUse;
   }
 
-  // Work that fits twice over and of whose job nothing runs is passed over for so long at most:
-  // then it starts, whatever start is reserved. docs/paper.md 5.
-  // Of a gang an upper bound, by the smallest request of its parts for each resource.
+  // Reports whether the unit fits twice. For a gang this is an upper bound, based on the smallest
+  // request of its parts for each resource.
   bool fitsTwice(const PlacementUnit& unit) const {
     constexpr auto most = std::numeric_limits<std::int64_t>::max();
     std::int64_t cores = most, memory = most, accelerators = most, slots = 0;
@@ -1159,39 +1172,44 @@
     for (const auto& worker : workers) {
       if (!worker.schedulable || !isEligible(unit, worker))
         continue;
-      std::int64_t here = needed;
+      std::int64_t workerSlots = needed;
       if (cores > 0)
-        here = std::min(here, worker.guaranteedFreeCores() / cores);
+        workerSlots = std::min(workerSlots, worker.guaranteedFreeCores() / cores);
       if (memory > 0)
-        here = std::min(here, worker.freeMemory() / memory);
+        workerSlots = std::min(workerSlots, worker.freeMemory() / memory);
       if (accelerators > 0)
-        here = std::min(here, worker.freeAccelerators() / accelerators);
+        workerSlots = std::min(workerSlots, worker.freeAccelerators() / accelerators);
       if (const std::int64_t limit = unit.requirements->maxPerWorker) {
         const auto running = worker.tasksByStep.find({unit.job, unit.step});
-        const std::int64_t there =
+        const std::int64_t runningTasks =
             running == worker.tasksByStep.end() ? 0 : std::int64_t(running->second);
-        here = std::min(here, limit - there);
+        workerSlots = std::min(workerSlots, limit - runningTasks);
       }
-      slots += std::max<std::int64_t>(0, here);
+      slots += std::max<std::int64_t>(0, workerSlots);
     }
     return slots >= needed;
   }
-  std::set<const PlacementUnit*> startPassedOver(const std::vector<const PlacementUnit*>& waiting,
-                                                 std::set<JobId> startedJobs) {
+  // Starts units that have been passed over for too long. Work that fits twice is passed over for a
+  // bounded time only if it is a long-running task or its job has no running attempt; then it
+  // starts even if it delays the reserved start. docs/paper.md 5.
+  std::set<const PlacementUnit*> startOverdueUnits(const std::vector<const PlacementUnit*>& waiting,
+                                                   std::set<JobId> startedJobs) {
     std::set<const PlacementUnit*> overdue;
     if (hints.maxPassedOverTime.milliseconds <= 0)
       return overdue;
     for (const auto* unit : waiting) {
-      const bool lasts = unit->requirements->longRunning && !unit->gang;
-      const PassedOver name{unit->job, lasts ? std::optional(unit->tasks.front()) : std::nullopt};
+      const bool isLongRunning = unit->requirements->longRunning && !unit->gang;
+      const PassedOverUnit name{unit->job,
+                                isLongRunning ? std::optional(unit->tasks.front()) : std::nullopt};
       const bool idle = !startedJobs.count(unit->job) &&
                         clusterState.attemptsOf(unit->job, AttemptScope::withoutAbandoned).empty();
-      if (!fitsCap(*unit) || plan.passedOver.count(name) || (!lasts && !idle) || !fitsTwice(*unit))
+      if (!fitsTenantCap(*unit) || plan.passedOver.count(name) || (!isLongRunning && !idle) ||
+          !fitsTwice(*unit))
         continue;
       const auto known = hints.passedOverFor.find(name);
       if (known != hints.passedOverFor.end() && known->second >= hints.maxPassedOverTime) {
         const Reservation reserved = std::exchange(plan.record.reservation, Reservation{});
-        const bool started = startNow(*unit);
+        const bool started = tryStart(*unit);
         plan.record.reservation = reserved;
         if (started) {
           startedJobs.insert(unit->job);
@@ -1205,8 +1223,9 @@
     return overdue;
   }
 
-  // Checkpointed work on workers that can't suspend gives way to urgent work that finds no room.
-  bool maySaveItsProgress(const Attempt& attempt) const {
+  // Reports whether the attempt belongs to checkpointed work on a worker that can't suspend, which
+  // may be preempted for urgent work that finds no room.
+  bool isCheckpointed(const Attempt& attempt) const {
     const Worker& worker = clusterState.workers().at(attempt.worker);
     const auto job = clusterState.jobs().find(attempt.job);
     if (attempt.abandoned || attempt.gang || attempt.isTrial() || worker.capacity.supportsSuspend ||
@@ -1216,7 +1235,7 @@
     const auto& requirements = job->second.submission.steps[attempt.stepIndex].requirements;
     return requirements.checkpointed && !requirements.longRunning && !requirements.redundant;
   }
-  bool mayGiveWay(const Attempt& attempt) {
+  bool mayBePreempted(const Attempt& attempt) {
     const QueueOptions& queue = queueOptionsOf(attempt.job);
     if (attempt.state != AttemptState::running || queue.priority == highestPriority ||
         attempt.runtimeAt(now) < Duration{1500})
@@ -1229,8 +1248,8 @@
     const LatencyTarget target = latencyTargetOf(clusterState.jobs().at(attempt.job), queue);
     return !target.lowSlack || target.targetStatus == 2;
   }
-  void giveWayToUrgentWork(const std::vector<const PlacementUnit*>& notStarted,
-                           const std::set<const PlacementUnit*>& overdue) {
+  void preemptForUrgentWork(const std::vector<const PlacementUnit*>& notStarted,
+                            const std::set<const PlacementUnit*>& overdue) {
     if (!clusterState.config().planner.strictPriority)
       return;
     std::map<std::string, std::int64_t> lacking;
@@ -1241,11 +1260,11 @@
     std::vector<const Attempt*> candidates;
     for (const auto& [number, attempt] : clusterState.attempts()) {
       const std::string& pool = queueOptionsOf(attempt.job).pool;
-      if (!maySaveItsProgress(attempt) || !lacking.count(pool))
+      if (!isCheckpointed(attempt) || !lacking.count(pool))
         continue;
       if (attempt.state == AttemptState::stopping)
         lacking[pool] -= attempt.cores;
-      if (mayGiveWay(attempt))
+      if (mayBePreempted(attempt))
         candidates.push_back(&attempt);
     }
     std::sort(candidates.begin(), candidates.end(), [&](const Attempt* left, const Attempt* right) {
@@ -1286,7 +1305,7 @@
     shape.memory = std::int64_t(requestOf(unit, unit.tasks[0]).memory);
     return shape;
   }
-  void noteStart(const PlacementUnit& unit, std::set<JobId>& startedJobs) {
+  void recordStart(const PlacementUnit& unit, std::set<JobId>& startedJobs) {
     for (auto part : unit.tasks)
       poolDemands[unit.pool].free -= requestOf(unit, part).cores;
     explainDecision(unit, "starts in this plan");
@@ -1295,7 +1314,7 @@
   void decide(const PlacementUnit& unit, std::vector<const PlacementUnit*>& notStarted,
               std::vector<const PlacementUnit*>& waiting, std::set<JobId>& startedJobs) {
     const bool reserved = plan.record.reservation.isActive();
-    if (!fitsCap(unit)) {
+    if (!fitsTenantCap(unit)) {
       ++plan.heldByTenantCap;
       explainDecision(unit, "its tenant runs as much as its cap allows");
       waiting.push_back(&unit);
@@ -1312,8 +1331,8 @@
       waiting.push_back(&unit);
       return;
     }
-    if (startNow(unit))
-      return noteStart(unit, startedJobs);
+    if (tryStart(unit))
+      return recordStart(unit, startedJobs);
     notStarted.push_back(&unit);
     waiting.push_back(&unit);
     if (!reserved) {
@@ -1338,9 +1357,9 @@
 
   Plan run() {
     buildWorkers();
-    sumTenantUses();
+    sumTenantUsages();
     advanceGangs();
-    stopOverdue();
+    stopOverTimeLimit();
     auto units = collectUnits();
     plan.pendingUnits = units.size();
     for (const auto& unit : units)
@@ -1353,10 +1372,11 @@
     if (clusterState.config().planner.strictPriority)
       measureUrgentDemand(units);
     std::vector<const PlacementUnit*> notStarted;
-    std::vector<const PlacementUnit*> waiting;  // these, and what leaves headroom
+    // Units in `notStarted`, and those held back by a cap, headroom or locality.
+    std::vector<const PlacementUnit*> waiting;
     std::set<JobId> startedJobs;
-    // Of one priority: what has room only away from its data goes after the others, and not before
-    // it has waited for as long as a run there would take longer.
+    // Units of one priority that fit only away from their data. They are tried after the others,
+    // and only after they have waited for as long as a remote run would take longer.
     std::vector<const PlacementUnit*> deferred;
     auto decideDeferred = [&] {
       for (const auto* unit : deferred) {
@@ -1380,21 +1400,22 @@
       const bool prefersRack =
           clusterState.config().planner.remoteSlowdown > 1 &&
           (unit.requirements->sameRack || !unit.requirements->preferredRack.empty());
-      if (!prefersRack || !fitsCap(unit) || isRuledOut(unit) || !leavesUrgentHeadroom(unit))
+      if (!prefersRack || !fitsTenantCap(unit) || isRuledOut(unit) || !leavesUrgentHeadroom(unit))
         decide(unit, notStarted, waiting, startedJobs);
-      else if (startNow(unit, true))
-        noteStart(unit, startedJobs);
+      else if (tryStart(unit, true))
+        recordStart(unit, startedJobs);
       else
         deferred.push_back(&unit);
     }
     decideDeferred();
-    const auto overdue = startPassedOver(waiting, startedJobs);
+    const auto overdue = startOverdueUnits(waiting, startedJobs);
     if (clusterState.config().planner.trialsEnabled)
       for (const auto* unit : notStarted) {
         if (overdue.count(unit))
           continue;
         const Task& first = taskOf(*unit, unit->tasks[0]);
-        if (first.trialStarted || first.trialExpired || first.countedStarts > 0 || !fitsCap(*unit))
+        if (first.trialStarted || first.trialExpired || first.countedStarts > 0 ||
+            !fitsTenantCap(*unit))
           continue;
         const QueueOptions& queue = queueOptionsOf(unit->job);
         FailedRequests::RequestShape shape{0, 0, queue.trial.minimumRuntime.milliseconds};
@@ -1413,7 +1434,7 @@
         } else
           explainDecision(*unit, "gets its trial in this plan");
       }
-    giveWayToUrgentWork(notStarted, overdue);
+    preemptForUrgentWork(notStarted, overdue);
     startRedundantCopies();
     plan.record.number = clusterState.lastPlan().next();
     return std::move(plan);
--- a/tests/scheduling/reference_planner.hpp
+++ b/tests/scheduling/reference_planner.hpp
@@ -1,27 +1,28 @@
-// The reference planner: a plain implementation of docs/paper.md, written for clearness and not for
-// speed. It is the oracle of planner_reference_tests.cpp, which asks that the planner in
+// The reference planner: a plain implementation of docs/paper.md, written for clarity rather than
+// speed. It is the oracle of planner_reference_tests.cpp, which requires that the planner in
 // source/scheduling equals it in every field of every plan.
 //
 // It is a separate implementation on purpose and shares no code with the planner, so that an error
-// in one shows as a difference. Do not merge the two, and change this one only together with a
-// change of what is planned.
+// in either shows as a difference. Do not merge the two, and change this one only together with a
+// change of the planned behaviour.
 #ifndef ANISELINE_TESTS_SCHEDULING_REFERENCE_PLANNER_HPP
 #define ANISELINE_TESTS_SCHEDULING_REFERENCE_PLANNER_HPP
 #include "state/cluster_state.hpp"
 
 namespace aniseline::reference {
 
-// What waits for a start: one ready task, or a whole gang. docs/design.md 7.1.
+// A unit to be started: one ready task, or a whole gang. docs/design.md 7.1.
 struct PlacementUnit {
   JobId job;
   std::uint32_t step = 0;
   std::vector<std::uint32_t> tasks;
   bool gang = false;
-  Duration runtime;  // the longest of its parts
+  Duration runtime;  // for a gang, the longest of its parts
   ClusterTime readyAt;
   double rank = 0;
-  bool lowSlack = false;  // little time is left until its job can no longer be in time
-  // 0: its job can meet its latency target; 1: late, but of use; 2: past use. docs/paper.md 5
+  bool lowSlack = false;  // little time is left before its job will be late
+  // 0: the job can meet its latency target; 1: late, but the result is still of use; 2: expired.
+  // docs/paper.md 5
   int targetStatus = 0;
   std::int64_t queuePriority = 0;  // 0 unless the config has strict priority
   std::string pool;
@@ -35,32 +36,33 @@
   std::string text;
 };
 
-// Work that fits and was passed over: a job, or a task of it that runs until it is cancelled.
-using PassedOver = std::pair<JobId, std::optional<std::uint32_t>>;
+// Work that was passed over although it fits: a job, or one of its tasks that run until they are
+// cancelled.
+using PassedOverUnit = std::pair<JobId, std::optional<std::uint32_t>>;
 
 struct Plan {
   PlanMade record;
-  std::vector<DecisionExplanation> explanations;  // only when asked for
+  std::vector<DecisionExplanation> explanations;  // filled only on request
   std::size_t pendingUnits = 0;
-  std::map<std::string, std::int64_t> urgentDemand;  // by pool, with strict priority only
-  std::set<PassedOver> passedOver;
-  // For the log: workers that get new work, those excluded, and cores in thousandths.
+  std::map<std::string, std::int64_t> urgentDemand;  // by pool; filled only with strict priority
+  std::set<PassedOverUnit> passedOver;
+  // Statistics for the log: workers that get new work, excluded workers, and cores in thousandths.
   std::size_t schedulableWorkers = 0, excludedWorkers = 0, redundantCopies = 0, heldByTenantCap = 0;
   std::int64_t schedulableCores = 0, allocatedCores = 0;
   std::array<std::size_t, 3> unitsByTargetStatus{};
   bool changesNothing(const Reservation& before) const;
 };
 
-// How long ago the leader last heard from each worker. Not logged.
+// Time since the leader last heard from each worker. Not logged.
 using LastContactAges = std::map<WorkerId, Duration>;
-// How long each worker's work has taken lately, as a multiple of what was requested. Not logged.
+// Recent runtimes on each worker as a multiple of the requested runtimes. Not logged.
 using RuntimeRatios = std::map<WorkerId, double>;
-// What the leader has observed lately; none of it is logged.
+// Recent observations of the leader; none of them is logged.
 struct PlannerHints {
   RuntimeRatios runtimeRatios;
-  // By pool, in thousandths of a core: the most that its urgent queues have wanted at once.
+  // Recent peak demand of the urgent queues, by pool, in thousandths of a core.
   std::map<std::string, std::int64_t> urgentDemand;
-  std::map<PassedOver, Duration> passedOverFor;
+  std::map<PassedOverUnit, Duration> passedOverFor;
   Duration maxPassedOverTime{0};
 };
 
@@ -71,7 +73,7 @@
   Plan makePlan(const ClusterState& clusterState, ClusterTime now,
                 const LastContactAges& contactAges, bool explain = false,
                 const PlannerHints& hints = {});
-  // When a plan is due although no event asks for one.
+  // Returns when the next plan is due without an event that triggers one.
   static std::optional<ClusterTime> nextPlanTime(const ClusterState& clusterState, ClusterTime now);
 
  private:
