--- a/source/scheduling/locality_wait.hpp
+++ b/source/scheduling/locality_wait.hpp
@@ -8,7 +8,8 @@
 
 namespace aniseline::scheduling {
 
-/// Upper bound of the wait for any runtime, for work that seldom finds room near its data.
+/// Upper bound of the wait for tasks of any runtime, so that long work that seldom finds room near
+/// its data is not held back for longer.
 inline constexpr Duration maxLocalityWait{2000};
 
 /// Reports whether the unit prefers a particular rack.
