--- a/source/scheduling/checkpoint_preemption.cpp
+++ b/source/scheduling/checkpoint_preemption.cpp
@@ -1,3 +1,4 @@
+// Selects the attempts that are preempted for urgent work.
 #include "scheduling/checkpoint_preemption.hpp"
 #include "scheduling/latency_target.hpp"
 #include "state/stop_reasons.hpp"
@@ -6,12 +7,14 @@
 
 namespace {
 
-// A run that gives way has gone on for at least this long, so that work which is stopped again and
-// again still makes progress: several times what a stop and a start from a checkpoint take.
+// Minimum runtime of an attempt before it may be preempted. It is several times the duration of a
+// stop and a start from a checkpoint, so that work which is stopped repeatedly still makes
+// progress.
 constexpr Duration minRuntimeBeforePreemption{1500};
 
-// Of the runs that may give way, the least urgent first, and of these the one that began last.
-bool givesWayBefore(const StepAttempt& left, const StepAttempt& right) {
+// Orders the candidates: the least urgent first, and among equally urgent ones the one that started
+// last.
+bool isPreemptedBefore(const StepAttempt& left, const StepAttempt& right) {
   const std::int64_t leftPriority = left.step->parent->queue->options->priority;
   const std::int64_t rightPriority = right.step->parent->queue->options->priority;
   if (leftPriority != rightPriority)
@@ -21,29 +24,30 @@
 
 }  // namespace
 
-void CheckpointPreemption::makeRoom(const std::vector<const PlacementUnit*>& blocked,
-                                    const std::vector<StepAttempt>& checkpointed) {
+void CheckpointPreemption::preemptFor(const std::vector<const PlacementUnit*>& blocked,
+                                      const std::vector<StepAttempt>& checkpointed) {
   if (!context.options().strictPriority || checkpointed.empty())
     return;
   CoresByPool lacking = coresLacking(blocked, checkpointed);
   if (lacking.empty())
     return;
   std::vector<StepAttempt> candidates;
-  for (const auto& run : checkpointed) {
-    if (mayGiveWay(run))
-      candidates.push_back(run);
+  for (const auto& candidate : checkpointed) {
+    if (mayBePreempted(candidate))
+      candidates.push_back(candidate);
   }
-  std::sort(candidates.begin(), candidates.end(), givesWayBefore);
-  for (const auto& run : candidates) {
-    const auto pool = lacking.find(run.step->parent->queue->pool);
+  std::sort(candidates.begin(), candidates.end(), isPreemptedBefore);
+  for (const auto& candidate : candidates) {
+    const auto pool = lacking.find(candidate.step->parent->queue->pool);
     if (pool == lacking.end() || pool->second <= 0)
       continue;
-    draft.addStop(*run.attempt, stop_reasons::preempted);
-    pool->second -= run.attempt->cores;
+    draft.addStop(*candidate.attempt, stop_reasons::preempted);
+    pool->second -= candidate.attempt->cores;
   }
 }
 
-// What urgent work that is of use waits for, less what attempts that are being stopped leave soon.
+// Returns the cores that blocked urgent units lack, without expired units, less the cores that
+// attempts being stopped will soon release.
 CheckpointPreemption::CoresByPool CheckpointPreemption::coresLacking(
     const std::vector<const PlacementUnit*>& blocked,
     const std::vector<StepAttempt>& checkpointed) const {
@@ -53,22 +57,22 @@
         unit->batch->latencyTarget.status != TargetStatus::expired)
       lacking[unit->queue().pool] += unit->batch->coresPerUnit;
   }
-  for (const auto& run : checkpointed) {
-    const auto pool = lacking.find(run.step->parent->queue->pool);
-    if (run.attempt->state == AttemptState::stopping && pool != lacking.end())
-      pool->second -= run.attempt->cores;
+  for (const auto& candidate : checkpointed) {
+    const auto pool = lacking.find(candidate.step->parent->queue->pool);
+    if (candidate.attempt->state == AttemptState::stopping && pool != lacking.end())
+      pool->second -= candidate.attempt->cores;
   }
   return lacking;
 }
 
-bool CheckpointPreemption::mayGiveWay(const StepAttempt& run) {
-  const Attempt& attempt = *run.attempt;
-  JobView& job = *run.step->parent;
+bool CheckpointPreemption::mayBePreempted(const StepAttempt& candidate) {
+  const Attempt& attempt = *candidate.attempt;
+  JobView& job = *candidate.step->parent;
   if (attempt.state != AttemptState::running || context.isUrgent(*job.queue) ||
       attempt.runtimeAt(context.now()) < minRuntimeBeforePreemption)
     return false;
   if (exceededTimeLimit(attempt, *job.queue->options, context.now()))
-    return false;  // stopped already
+    return false;  // already stopped for its time limit
   const std::size_t workerIndex = context.workerIndexOf(attempt.worker);
   if (workerIndex == noIndex || !context.workers()[workerIndex].isSchedulable())
     return false;
--- a/source/scheduling/scheduling_context.cpp
+++ b/source/scheduling/scheduling_context.cpp
@@ -1,3 +1,4 @@
+// Builds the views of workers, racks, pools, queues, tenants and jobs.
 #include "scheduling/scheduling_context.hpp"
 #include "scheduling/sorted_map_cursor.hpp"
 
@@ -72,7 +73,7 @@
   return age == contactAges.end() || age->second > maxContactAge;
 }
 
-bool SchedulingContext::wasHeardWithin(const WorkerId& id, Duration age) const {
+bool SchedulingContext::hasContactWithin(const WorkerId& id, Duration age) const {
   auto known = contactAges.find(id);
   return known != contactAges.end() && known->second < age;
 }
