--- a/library/aniseline/library.hpp
+++ b/library/aniseline/library.hpp
@@ -33,15 +33,15 @@
 template <class Value>
 class Result {
  public:
-  Result(Value value) : held(std::move(value)) {}
-  Result(Error error) : held(std::move(error)) {}
-  explicit operator bool() const { return held.index() == 0; }
-  const Value& operator*() const { return std::get<0>(held); }
-  const Value* operator->() const { return &std::get<0>(held); }
-  const Error& error() const { return std::get<1>(held); }
+  Result(Value value) : content(std::move(value)) {}
+  Result(Error error) : content(std::move(error)) {}
+  explicit operator bool() const { return content.index() == 0; }
+  const Value& operator*() const { return std::get<0>(content); }
+  const Value* operator->() const { return &std::get<0>(content); }
+  const Error& error() const { return std::get<1>(content); }
 
  private:
-  std::variant<Value, Error> held;
+  std::variant<Value, Error> content;
 };
 
 struct Task {
@@ -86,8 +86,8 @@
   Result<JobView> follow(const std::string& job, Duration within);  // until it is over
 
  private:
-  struct Parts;
-  std::unique_ptr<Parts> parts;
+  struct Impl;
+  std::unique_ptr<Impl> impl;
 };
 
 struct Work {
@@ -125,8 +125,8 @@
   bool idle() const;            // nothing runs and every ending is confirmed
 
  private:
-  struct Parts;
-  std::unique_ptr<Parts> parts;
+  struct Impl;
+  std::unique_ptr<Impl> impl;
 };
 
 }  // namespace aniseline::library
--- a/library/library.cpp
+++ b/library/library.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-std::vector<Address> addresses(const std::vector<std::string>& texts) {
+std::vector<Address> parseContacts(const std::vector<std::string>& texts) {
   std::vector<Address> found;
   for (const auto& text : texts) {
     if (auto endpoint = parseEndpoint(Address{text}); !endpoint)
@@ -23,31 +23,31 @@
 }
 
 // A thread of the library's own, with fibers; work is handed to it from any thread.
-class Engine {
+class FiberThread {
  public:
-  Engine() {
+  FiberThread() {
     std::promise<void> ready;
     thread = std::thread([this, &ready] {
       // The thread's scheduler waits in this loop up to its very end, so it is kept until the
       // thread is joined.
-      held = std::make_unique<EventLoop>();
-      loop = held.get();
+      ownedLoop = std::make_unique<EventLoop>();
+      loop = ownedLoop.get();
       ready.set_value();
-      while (!over || under > 0)
+      while (!stopping || pendingWork > 0)
         sleepFor(aniseline::Duration{10});
     });
     ready.get_future().wait();
   }
-  ~Engine() {
-    over = true;
+  ~FiberThread() {
+    stopping = true;
     thread.join();
   }
   void post(std::function<void()> work) {
-    ++under;
+    ++pendingWork;
     asio::post(loop->context, [this, work = std::move(work)] {
       spawn([this, work] {
         work();
-        --under;
+        --pendingWork;
       });
     });
   }
@@ -57,16 +57,16 @@
     post([&] { promise.set_value(work(*loop)); });
     return promise.get_future().get();
   }
-  std::atomic<bool> over{false};
+  std::atomic<bool> stopping{false};
   EventLoop* loop = nullptr;
 
  private:
-  std::unique_ptr<EventLoop> held;
-  std::atomic<int> under{0};
+  std::unique_ptr<EventLoop> ownedLoop;
+  std::atomic<int> pendingWork{0};
   std::thread thread;
 };
 
-Error errorOf(const ClientError& given) {
+Error toError(const ClientError& given) {
   Error error;
   error.status = given.status;
   error.text = given.text;
@@ -94,10 +94,10 @@
   return error;
 }
 
-Result<JobView> viewOf(const std::string& id,
-                       const aniseline::Result<HttpResponse, ClientError>& answer) {
+Result<JobView> toJobView(const std::string& id,
+                          const aniseline::Result<HttpResponse, ClientError>& answer) {
   if (!answer)
-    return errorOf(answer.error());
+    return toError(answer.error());
   picojson::value root;
   if (!parseJson(root, answer.value().body).empty() || !root.is<picojson::object>())
     return Error{Error::Kind::unknown, answer.value().status, "the answer is no JSON object",
@@ -114,7 +114,7 @@
   return view;
 }
 
-JobSubmission submissionOf(const Job& job) {
+JobSubmission toSubmission(const Job& job) {
   JobSubmission submission;
   submission.id = JobId{job.id};
   submission.queue = QueueName{job.queue};
@@ -135,127 +135,132 @@
 
 }  // namespace
 
-struct Origin::Parts {
+struct Origin::Impl {
   std::vector<Address> contacts;
   ZoneName zone;
-  Engine engine;
+  FiberThread fiberThread;
   template <class Value>
-  Value with(std::function<Value(GatewayClient&)> use) {
-    return engine.run<Value>([&](EventLoop& loop) {
-      GatewayClient caller(loop, contacts, zone);
-      return use(caller);
+  Value with(std::function<Value(GatewayClient&)> operation) {
+    return fiberThread.run<Value>([&](EventLoop& loop) {
+      GatewayClient gatewayClient(loop, contacts, zone);
+      return operation(gatewayClient);
     });
   }
 };
 
 Origin::Origin(const std::vector<std::string>& contacts, std::string zone)
-    : parts(new Parts{addresses(contacts), ZoneName{std::move(zone)}, {}}) {}
+    : impl(new Impl{parseContacts(contacts), ZoneName{std::move(zone)}, {}}) {}
 Origin::~Origin() = default;
 
 Result<std::string> Origin::submit(const Job& job, Duration within) {
-  const auto submission = submissionOf(job);
-  if (auto faults = submission.validate(); !faults.empty())
+  const auto submission = toSubmission(job);
+  if (auto errors = submission.validate(); !errors.empty())
     return Error{Error::Kind::invalid, 400,
-                 CoreError{CoreError::Kind::invalid, std::move(faults)}.text(), Duration{0}};
-  return parts->with<Result<std::string>>([&](GatewayClient& caller) -> Result<std::string> {
-    auto answer = caller.submitJob(submission, aniseline::Duration{within.count()});
+                 CoreError{CoreError::Kind::invalid, std::move(errors)}.text(), Duration{0}};
+  return impl->with<Result<std::string>>([&](GatewayClient& gatewayClient) -> Result<std::string> {
+    auto answer = gatewayClient.submitJob(submission, aniseline::Duration{within.count()});
     if (!answer)
-      return errorOf(answer.error());
+      return toError(answer.error());
     return job.id;
   });
 }
 Result<JobView> Origin::show(const std::string& job, Duration within) {
-  return parts->with<Result<JobView>>([&](GatewayClient& caller) {
-    return viewOf(job, caller.showJob(JobId{job}, aniseline::Duration{within.count()}));
+  return impl->with<Result<JobView>>([&](GatewayClient& gatewayClient) {
+    return toJobView(job, gatewayClient.showJob(JobId{job}, aniseline::Duration{within.count()}));
   });
 }
 Result<JobView> Origin::cancel(const std::string& job, Duration within) {
-  return parts->with<Result<JobView>>([&](GatewayClient& caller) {
-    return viewOf(job, caller.cancelJob(JobId{job}, aniseline::Duration{within.count()}));
+  return impl->with<Result<JobView>>([&](GatewayClient& gatewayClient) {
+    return toJobView(job, gatewayClient.cancelJob(JobId{job}, aniseline::Duration{within.count()}));
   });
 }
 Result<JobView> Origin::follow(const std::string& job, Duration within) {
-  return parts->with<Result<JobView>>([&](GatewayClient& caller) -> Result<JobView> {
+  return impl->with<Result<JobView>>([&](GatewayClient& gatewayClient) -> Result<JobView> {
     const MonotonicTime until = monotonicNow() + aniseline::Duration{within.count()};
-    for (aniseline::Duration gap{25};;
-         gap = aniseline::Duration{std::min<std::int64_t>(500, gap.milliseconds * 5 / 4)}) {
+    for (aniseline::Duration pollInterval{25};;
+         pollInterval =
+             aniseline::Duration{std::min<std::int64_t>(500, pollInterval.milliseconds * 5 / 4)}) {
       const auto left = until - monotonicNow();
       if (left.milliseconds <= 0)
         return Error{Error::Kind::unknown, 0, "job " + job + " was not seen to end in time",
                      Duration{0}};
-      auto view = viewOf(job, caller.showJob(JobId{job}, left));
+      auto view = toJobView(job, gatewayClient.showJob(JobId{job}, left));
       if ((view && view->over) || (!view && view.error().kind == Error::Kind::missing))
         return view;
-      sleepFor(gap);
+      sleepFor(pollInterval);
     }
   });
 }
 
-struct Worker::Parts {
+struct Worker::Impl {
   WorkerSlots slots;
   std::unique_ptr<WorkerClient> client;
-  std::atomic<bool> stop{false}, quiet{true};
-  Engine engine;  // the last: its thread ends before what it uses
+  std::atomic<bool> stop{false}, isIdle{true};
+  FiberThread fiberThread;  // the last: its thread ends before what it uses
 };
 
-Worker::Worker(const WorkerOptions& options, WorkerSlots slots) : parts(new Parts) {
-  parts->slots = std::move(slots);
-  WorkerSession::Options hand;
-  hand.id = WorkerId{options.id};
-  hand.capacity = Capacity{options.cores * 1000, options.memoryMb,      ZoneName{options.zone},
-                           options.rack,         options.honoursLeases, options.guardsRoom};
-  const auto contacts = addresses(options.contacts);
-  parts->engine.run<bool>([&](EventLoop& loop) {
+Worker::Worker(const WorkerOptions& options, WorkerSlots slots) : impl(new Impl) {
+  impl->slots = std::move(slots);
+  WorkerSession::Options sessionOptions;
+  sessionOptions.id = WorkerId{options.id};
+  sessionOptions.capacity =
+      Capacity{options.cores * 1000, options.memoryMb,      ZoneName{options.zone},
+               options.rack,         options.honoursLeases, options.guardsRoom};
+  const auto contacts = parseContacts(options.contacts);
+  impl->fiberThread.run<bool>([&](EventLoop& loop) {
     std::random_device device;
-    auto& own = *parts;
-    own.client = std::make_unique<WorkerClient>(
-        loop, hand, Incarnation{((std::uint64_t(device()) << 32) | device()) | 1}, contacts);
-    own.client->command.connect([&own](const TaskCommand& command) {
+    auto& workerImpl = *impl;
+    workerImpl.client = std::make_unique<WorkerClient>(
+        loop, sessionOptions, Incarnation{((std::uint64_t(device()) << 32) | device()) | 1},
+        contacts);
+    workerImpl.client->command.connect([&workerImpl](const TaskCommand& command) {
       const auto attempt = command.attempt.value;
       const Order& order = command.order;
-      if (command.kind == TaskCommand::Kind::start && own.slots.start)
-        own.slots.start(Work{attempt, order.job.value, order.taskIndex, order.cores / 1000,
-                             order.memory, Duration{order.runtime.milliseconds},
-                             order.quantum.milliseconds > 0, order.payload});
-      else if (command.kind == TaskCommand::Kind::suspend && own.slots.hold)
-        own.slots.hold(attempt);
-      else if (command.kind == TaskCommand::Kind::resume && own.slots.resume)
-        own.slots.resume(attempt);
-      else if (command.kind == TaskCommand::Kind::stop && own.slots.stop)
-        own.slots.stop(attempt);
+      if (command.kind == TaskCommand::Kind::start && workerImpl.slots.start)
+        workerImpl.slots.start(Work{attempt, order.job.value, order.taskIndex, order.cores / 1000,
+                                    order.memory, Duration{order.runtime.milliseconds},
+                                    order.quantum.milliseconds > 0, order.payload});
+      else if (command.kind == TaskCommand::Kind::suspend && workerImpl.slots.hold)
+        workerImpl.slots.hold(attempt);
+      else if (command.kind == TaskCommand::Kind::resume && workerImpl.slots.resume)
+        workerImpl.slots.resume(attempt);
+      else if (command.kind == TaskCommand::Kind::stop && workerImpl.slots.stop)
+        workerImpl.slots.stop(attempt);
     });
-    own.client->confirmed.connect([&own](const Order& order, AttemptOutcome kind) {
-      if (own.slots.final)
-        own.slots.final(order.attempt.value, kind == AttemptOutcome::succeeded);
+    workerImpl.client->confirmed.connect([&workerImpl](const Order& order, AttemptOutcome kind) {
+      if (workerImpl.slots.final)
+        workerImpl.slots.final(order.attempt.value, kind == AttemptOutcome::succeeded);
     });
-    own.client->rejected.connect([&own](const std::string& words) {
-      if (own.slots.rejected)
-        own.slots.rejected(words);
+    workerImpl.client->rejected.connect([&workerImpl](const std::string& reason) {
+      if (workerImpl.slots.rejected)
+        workerImpl.slots.rejected(reason);
     });
     return true;
   });
-  parts->engine.post([&own = *parts] { own.client->run(own.stop); });
-  parts->engine.post([&own = *parts] {
-    while (!own.stop) {
-      own.quiet = own.client->session().empty();
+  impl->fiberThread.post([&workerImpl = *impl] { workerImpl.client->run(workerImpl.stop); });
+  impl->fiberThread.post([&workerImpl = *impl] {
+    while (!workerImpl.stop) {
+      workerImpl.isIdle = workerImpl.client->session().empty();
       sleepFor(aniseline::Duration{5});
     }
   });
 }
 Worker::~Worker() {
-  parts->stop = true;
+  impl->stop = true;
 }
 void Worker::ended(std::uint64_t attempt, bool well) {
-  parts->quiet = false;
-  parts->engine.post(
-      [&own = *parts, attempt, well] { own.client->attemptEnded(AttemptNumber{attempt}, well); });
+  impl->isIdle = false;
+  impl->fiberThread.post([&workerImpl = *impl, attempt, well] {
+    workerImpl.client->attemptEnded(AttemptNumber{attempt}, well);
+  });
 }
 void Worker::leave(Duration within) {
-  parts->engine.post(
-      [&own = *parts, within] { own.client->startDrain(aniseline::Duration{within.count()}); });
+  impl->fiberThread.post([&workerImpl = *impl, within] {
+    workerImpl.client->startDrain(aniseline::Duration{within.count()});
+  });
 }
 bool Worker::idle() const {
-  return parts->quiet;
+  return impl->isIdle;
 }
 
 }  // namespace aniseline::library
--- a/source/agent/called_worker_session.cpp
+++ b/source/agent/called_worker_session.cpp
@@ -42,7 +42,7 @@
     return replyWith(WorkerReply::Status::staleRun, now);
   if (!call.leaseDeadline || *call.leaseDeadline <= now)
     return replyWith(WorkerReply::Status::deadlineExceeded, now);
-  if (draining || !fits(call.order))
+  if (draining || !hasCapacityFor(call.order))
     return replyWith(WorkerReply::Status::insufficientCapacity, now);
   rememberRun(call.runId);
   extendLease(call.leaseDeadline, now);
@@ -140,7 +140,7 @@
   commands = std::move(stops);
 }
 
-bool CalledWorkerSession::fits(const Order& order) const {
+bool CalledWorkerSession::hasCapacityFor(const Order& order) const {
   if (!options.capacity.enforcesCapacity)
     return true;
   std::uint64_t cores = order.cores;
--- a/source/agent/called_worker_session.hpp
+++ b/source/agent/called_worker_session.hpp
@@ -69,7 +69,7 @@
   // The program is asked to stop the task.
   void stopTask(RunningTasks::iterator task, AttemptOutcome outcome);
   void stopAllTasks();
-  bool fits(const Order& order) const;
+  bool hasCapacityFor(const Order& order) const;
   // This run of the task, or a later one, has been started or stopped.
   bool isStale(const TaskRunId& runId) const;
   void rememberRun(const TaskRunId& runId);
--- a/source/agent/instance_tracker.cpp
+++ b/source/agent/instance_tracker.cpp
@@ -9,23 +9,24 @@
 // Between unanswered polls for an instance that is known by its registration only.
 constexpr Duration probeInterval{100};
 
-bool provesInstance(WorkerReply::Status status) {
+bool confirmsInstance(WorkerReply::Status status) {
   // A fenced call has reached the instance that it names: it has seen a newer leader.
   return status == WorkerReply::Status::ok || status == WorkerReply::Status::fenced;
 }
 
 }  // namespace
 
-InstanceTracker InstanceTracker::withCurrent(const WorkerRegistration& given, bool confirmed) && {
+InstanceTracker InstanceTracker::withCurrent(const WorkerRegistration& incoming,
+                                             bool confirmed) && {
   InstanceTracker next(options);
   next.formerInstances = std::move(formerInstances);
   if (known())
     next.formerInstances.insert(registration.workerInstance);
   next.earlyDrainNotices = std::move(earlyDrainNotices);
-  next.registration = given;
-  auto notice = next.earlyDrainNotices.find(given.workerInstance);
+  next.registration = incoming;
+  auto notice = next.earlyDrainNotices.find(incoming.workerInstance);
   if (notice != next.earlyDrainNotices.end()) {
-    if (!given.draining)
+    if (!incoming.draining)
       next.registration.drainTimeout = notice->second;
     next.registration.draining = true;
     next.earlyDrainNotices.erase(notice);
@@ -35,12 +36,12 @@
   return next;
 }
 
-bool InstanceTracker::update(const WorkerRegistration& given) {
-  if (given.sequence && given.sequence <= registration.sequence)
+bool InstanceTracker::update(const WorkerRegistration& incoming) {
+  if (incoming.sequence && incoming.sequence <= registration.sequence)
     return false;
   probesLeft = options.maxInstanceProbes;
-  const WorkerRegistration before = std::exchange(registration, given);
-  if (before.draining && !given.draining) {
+  const WorkerRegistration before = std::exchange(registration, incoming);
+  if (before.draining && !incoming.draining) {
     registration.draining = true;
     registration.drainTimeout = before.drainTimeout;
   }
@@ -50,27 +51,27 @@
   return true;
 }
 
-void InstanceTracker::considerCandidate(const WorkerRegistration& given, MonotonicTime now) {
-  if (!candidate || candidate->registration.workerInstance != given.workerInstance) {
-    candidate = Candidate{given, 0, now, false};
-  } else if (!given.sequence || given.sequence > candidate->registration.sequence) {
-    const bool draining = candidate->registration.draining || given.draining;
-    candidate->registration = given;
+void InstanceTracker::considerCandidate(const WorkerRegistration& incoming, MonotonicTime now) {
+  if (!candidate || candidate->registration.workerInstance != incoming.workerInstance) {
+    candidate = Candidate{incoming, 0, now, false};
+  } else if (!incoming.sequence || incoming.sequence > candidate->registration.sequence) {
+    const bool draining = candidate->registration.draining || incoming.draining;
+    candidate->registration = incoming;
     candidate->registration.draining = draining;
   }
   candidate->probesLeft = options.maxInstanceProbes;
 }
 
-InstanceTracker::Standing InstanceTracker::onDrainNotice(const WorkerId& instance,
-                                                         Duration drainTimeout) {
+InstanceTracker::InstanceState InstanceTracker::onDrainNotice(const WorkerId& instance,
+                                                              Duration drainTimeout) {
   if (isFormer(instance))
-    return Standing::former;
+    return InstanceState::former;
   const bool isCurrent = instance == registration.workerInstance;
   const bool isCandidate =
       !isCurrent && candidate && instance == candidate->registration.workerInstance;
   if (!isCurrent && !isCandidate) {
-    rememberEarlyNotice(instance, drainTimeout);
-    return Standing::unknown;
+    storeEarlyDrainNotice(instance, drainTimeout);
+    return InstanceState::unknown;
   }
   WorkerRegistration& known = isCurrent ? registration : candidate->registration;
   if (!known.draining) {
@@ -79,13 +80,13 @@
   }
   if (isCandidate) {
     candidate->probesLeft = options.maxInstanceProbes;
-    return Standing::candidate;
+    return InstanceState::candidate;
   }
   endIfRetiredAndDraining();
-  return Standing::current;
+  return InstanceState::current;
 }
 
-void InstanceTracker::rememberEarlyNotice(const WorkerId& instance, Duration drainTimeout) {
+void InstanceTracker::storeEarlyDrainNotice(const WorkerId& instance, Duration drainTimeout) {
   if (earlyDrainNotices.size() >= maxEarlyDrainNotices)
     earlyDrainNotices.erase(earlyDrainNotices.begin());
   earlyDrainNotices[instance] = drainTimeout;
@@ -114,7 +115,7 @@
     candidate.reset();  // its registration came late: the instance is over
     return std::nullopt;
   }
-  if (!provesInstance(status))
+  if (!confirmsInstance(status))
     return std::nullopt;
   return candidate->registration;
 }
@@ -123,7 +124,7 @@
   if (status == WorkerReply::Status::instanceMismatch) {
     instanceConfirmed = false;
     probesLeft = 0;  // until the next registration of this instance
-  } else if (call.kind == WorkerCall::Kind::poll && provesInstance(status)) {
+  } else if (call.kind == WorkerCall::Kind::poll && confirmsInstance(status)) {
     instanceConfirmed = true;
   }
 }
--- a/source/agent/instance_tracker.hpp
+++ b/source/agent/instance_tracker.hpp
@@ -14,7 +14,7 @@
   explicit InstanceTracker(const NodeAgentOptions& options) : options(options) {}
 
   // What a message of an instance is about, by what is known.
-  enum class Standing : std::uint8_t { unknown, current, candidate, former };
+  enum class InstanceState : std::uint8_t { unknown, current, candidate, former };
 
   const WorkerRegistration& current() const { return registration; }
   bool known() const { return !registration.workerInstance.value.empty(); }
@@ -22,14 +22,14 @@
 
   // This tracker as it is when the instance of the registration has become the current one.
   // `confirmed`: a call that names it was answered there.
-  InstanceTracker withCurrent(const WorkerRegistration& given, bool confirmed) &&;
+  InstanceTracker withCurrent(const WorkerRegistration& incoming, bool confirmed) &&;
   // A newer registration of the current instance. False: a newer one has come before, and nothing
   // is changed.
-  bool update(const WorkerRegistration& given);
+  bool update(const WorkerRegistration& incoming);
   // Another instance registers while one is current.
-  void considerCandidate(const WorkerRegistration& given, MonotonicTime now);
+  void considerCandidate(const WorkerRegistration& incoming, MonotonicTime now);
   // An instance says that it is about to end. Nothing takes that back.
-  Standing onDrainNotice(const WorkerId& instance, Duration drainTimeout);
+  InstanceState onDrainNotice(const WorkerId& instance, Duration drainTimeout);
 
   // The poll that asks whether the candidate stands at the address, when one is due. Its id and
   // fencing term are the caller's to set.
@@ -48,7 +48,7 @@
   bool confirmed() const { return instanceConfirmed; }
   // A poll that asks whether the current instance stands there is allowed now.
   bool confirmationProbeDue(Duration sinceLastPoll) const;
-  void useConfirmationProbe() { --probesLeft; }
+  void consumeConfirmationProbe() { --probesLeft; }
 
   // The leader has declared the current instance gone. It is used again under the next incarnation
   // from then on, or never if it drains.
@@ -78,7 +78,7 @@
     MonotonicTime nextProbeAt{0};
     bool probeInFlight = false;
   };
-  void rememberEarlyNotice(const WorkerId& instance, Duration drainTimeout);
+  void storeEarlyDrainNotice(const WorkerId& instance, Duration drainTimeout);
   void endIfRetiredAndDraining() { ended = ended || (retired && registration.draining); }
 
   NodeAgentOptions options;
--- a/source/agent/node_agent.cpp
+++ b/source/agent/node_agent.cpp
@@ -19,7 +19,7 @@
 constexpr Duration minWakeUpDelay{5};
 constexpr Duration maxWakeUpDelay{60'000};
 // When a poll may be due soon and no message need come before it.
-constexpr Duration pollWakeUpDelay{25};
+constexpr Duration pollWakeUpInterval{25};
 // A worker that the leader declared gone is used again after its longest lease, with a margin for a
 // slow clock.
 constexpr std::int64_t retirementPercent = 110;
@@ -30,36 +30,37 @@
 NodeAgent::NodeAgent(NodeAgentOptions options)
     : options(options), instances(options), lease(options), contact(options), runs(options) {}
 
-bool NodeAgent::onRegistration(const WorkerRegistration& given, MonotonicTime now) {
-  if (instances.isFormer(given.workerInstance))
+bool NodeAgent::onRegistration(const WorkerRegistration& incoming, MonotonicTime now) {
+  if (instances.isFormer(incoming.workerInstance))
     return false;
   if (!instances.known()) {
-    adoptInstance(given, false, now);
-  } else if (given.workerInstance != workerInstance()) {
-    instances.considerCandidate(given, now);
-  } else if (instances.update(given)) {
+    adoptInstance(incoming, false, now);
+  } else if (incoming.workerInstance != workerInstance()) {
+    instances.considerCandidate(incoming, now);
+  } else if (instances.update(incoming)) {
     contact.noteContact(now);
-    observeWorkerClock(given.clockReading, WorkerLease::ClockSource::registration, now);
+    observeWorkerClock(incoming.clockReading, WorkerLease::ClockSource::registration, now);
   }
   return true;
 }
 
 // Nothing of the former instance runs on, so of its state only the fencing term counts for the
 // next.
-void NodeAgent::adoptInstance(const WorkerRegistration& given, bool confirmed, MonotonicTime now) {
+void NodeAgent::adoptInstance(const WorkerRegistration& incoming, bool confirmed,
+                              MonotonicTime now) {
   NodeAgent next(options);
-  next.instances = std::move(instances).withCurrent(given, confirmed);
+  next.instances = std::move(instances).withCurrent(incoming, confirmed);
   next.term = term;
   *this = std::move(next);
   contact.noteContact(now);
-  observeWorkerClock(given.clockReading, WorkerLease::ClockSource::registration, now);
+  observeWorkerClock(incoming.clockReading, WorkerLease::ClockSource::registration, now);
 }
 
 bool NodeAgent::onDrainNotice(const WorkerId& instance, Duration drainTimeout, MonotonicTime now) {
-  const auto standing = instances.onDrainNotice(instance, drainTimeout);
-  if (standing == InstanceTracker::Standing::current)
+  const auto state = instances.onDrainNotice(instance, drainTimeout);
+  if (state == InstanceTracker::InstanceState::current)
     contact.noteContact(now);
-  return standing != InstanceTracker::Standing::unknown;
+  return state != InstanceTracker::InstanceState::unknown;
 }
 
 void NodeAgent::observeWorkerClock(const std::optional<WorkerTime>& reading,
@@ -186,7 +187,7 @@
 void NodeAgent::addRunCalls(std::vector<WorkerCall>& calls, MonotonicTime now) {
   using NextStep = TrackedRun::NextStep;
   std::vector<TaskRunResult> neverStarted;
-  runs.visitCallable(now, [&](const TaskRunId& runId, TrackedRun& run) {
+  runs.forEachCallable(now, [&](const TaskRunId& runId, TrackedRun& run) {
     switch (run.nextStep(instances.current().draining)) {
       case NextStep::none:
         return;
@@ -251,17 +252,17 @@
 WorkerCall NodeAgent::makePoll(MonotonicTime now) {
   WorkerCall call = makeCall(WorkerCall::Kind::poll, now);
   call.confirmedUpTo = results.confirmedUpTo();
-  call.longPollTimeout = pollAnswersAtOnce() ? Duration{0} : lease.longPollTimeout(now);
+  call.longPollTimeout = pollReturnsImmediately() ? Duration{0} : lease.longPollTimeout(now);
   call.timeout = call.longPollTimeout + pollReplyTimeout;
   if (!instances.confirmed())
-    instances.useConfirmationProbe();
+    instances.consumeConfirmationProbe();
   call.callId = polls.begin(now);
   return call;
 }
 
 // A poll that is to show something that is known to be there, or whether the worker answers at all,
 // waits for no result.
-bool NodeAgent::pollAnswersAtOnce() const {
+bool NodeAgent::pollReturnsImmediately() const {
   return !instances.confirmed() || !polls.everCompleted() || polls.leaseExpired() ||
          contact.lastCallUnanswered() || runs.anyUncertain() || results.hasWorkerResults() ||
          polls.moreResults() || (runs.empty() && confirmationDue());
@@ -328,20 +329,20 @@
 
 void NodeAgent::onCandidateReply(const WorkerCall& call, const WorkerReply& reply,
                                  MonotonicTime now) {
-  if (const auto proven = instances.onCandidateReply(call, reply.status, now))
-    adoptInstance(*proven, true, now);
+  if (const auto confirmedInstance = instances.onCandidateReply(call, reply.status, now))
+    adoptInstance(*confirmedInstance, true, now);
 }
 
 void NodeAgent::onPollReply(const WorkerCall& call, const WorkerReply& reply, MonotonicTime now) {
   polls.onReply(call, reply, now);
-  std::set<TaskRunId> seen;
+  std::set<TaskRunId> listedRuns;
   for (const auto& task : reply.runningTasks) {
-    seen.insert(task.runId);
+    listedRuns.insert(task.runId);
     results.noteCheckpoint(task.runId, task.checkpoint);
-    runs.seenRunning(task.runId);
+    runs.onRunListed(task.runId);
   }
   for (const auto& result : reply.results) {
-    seen.insert(result.runId);
+    listedRuns.insert(result.runId);
     if (!results.isNew(result.sequenceNumber))
       continue;
     const bool isVoid = polls.leaseExpired() && result.outcome == AttemptOutcome::succeeded;
@@ -353,7 +354,7 @@
   // A list that leaves results out proves no absence.
   if (!reply.complete)
     return;
-  for (auto& result : runs.notSeen(seen, call.callId))
+  for (auto& result : runs.resolveUnlisted(listedRuns, call.callId))
     recordResult(0, std::move(result));
 }
 
@@ -376,7 +377,7 @@
   wakeUpAt(runs.nextCallAt());
   if (!polls.inFlight() && (!runs.empty() || !polls.everCompleted() ||
                             contact.lastCallUnanswered() || confirmationDue()))
-    wakeUpAt(now + pollWakeUpDelay);
+    wakeUpAt(now + pollWakeUpInterval);
   if (!orders.isReported(lastAppliedOrder()))
     wakeUpAt(orders.nextReportAt());
   return earliest;
--- a/source/agent/node_agent.hpp
+++ b/source/agent/node_agent.hpp
@@ -29,7 +29,7 @@
   // seconds late: one that a newer one of its instance has overtaken changes nothing, and one of
   // another instance counts once a poll shows that this instance stands at the worker's address.
   // False: the instance is a former one, which is over.
-  bool onRegistration(const WorkerRegistration& given, MonotonicTime now);
+  bool onRegistration(const WorkerRegistration& incoming, MonotonicTime now);
   // The worker announces its end. It serves on for a while: this is a notice, and no proof that
   // nothing runs there. False: the instance is not known here.
   bool onDrainNotice(const WorkerId& instance, Duration drainTimeout, MonotonicTime now);
@@ -72,7 +72,7 @@
   const WorkerId& workerInstance() const { return instances.current().workerInstance; }
 
  private:
-  void adoptInstance(const WorkerRegistration& given, bool confirmed, MonotonicTime now);
+  void adoptInstance(const WorkerRegistration& incoming, bool confirmed, MonotonicTime now);
   void observeWorkerClock(const std::optional<WorkerTime>& reading, WorkerLease::ClockSource source,
                           MonotonicTime now);
   void recordLeaseExpiry(MonotonicTime now);
@@ -93,7 +93,7 @@
   bool idlePollDue(Duration sinceLast) const;
   // The leader holds results that the worker has not been told to be final.
   bool confirmationDue() const;
-  bool pollAnswersAtOnce() const;
+  bool pollReturnsImmediately() const;
 
   void onCandidateReply(const WorkerCall& call, const WorkerReply& reply, MonotonicTime now);
   void onPollReply(const WorkerCall& call, const WorkerReply& reply, MonotonicTime now);
--- a/source/agent/order_stream.cpp
+++ b/source/agent/order_stream.cpp
@@ -23,26 +23,26 @@
     lastReceived = before;
   }
   for (const auto& order : response.orders) {
-    if (!has(order.number))
+    if (!isReceived(order.number))
       received.orders.push_back(&order);
   }
-  addSpan(before, response.orders.back().number);
+  addRange(before, response.orders.back().number);
   return received;
 }
 
-bool OrderStream::has(OrderNumber number) const {
+bool OrderStream::isReceived(OrderNumber number) const {
   return number <= lastReceived ||
-         std::any_of(spansBeyondGap.begin(), spansBeyondGap.end(), [&](const auto& span) {
+         std::any_of(rangesBeyondGap.begin(), rangesBeyondGap.end(), [&](const auto& span) {
            return number > span.first && number <= span.second;
          });
 }
 
-void OrderStream::addSpan(OrderNumber after, OrderNumber upTo) {
-  auto& end = spansBeyondGap[after];
+void OrderStream::addRange(OrderNumber after, OrderNumber upTo) {
+  auto& end = rangesBeyondGap[after];
   end = std::max(end, upTo);
-  while (!spansBeyondGap.empty() && spansBeyondGap.begin()->first <= lastReceived) {
-    lastReceived = std::max(lastReceived, spansBeyondGap.begin()->second);
-    spansBeyondGap.erase(spansBeyondGap.begin());
+  while (!rangesBeyondGap.empty() && rangesBeyondGap.begin()->first <= lastReceived) {
+    lastReceived = std::max(lastReceived, rangesBeyondGap.begin()->second);
+    rangesBeyondGap.erase(rangesBeyondGap.begin());
   }
 }
 
@@ -60,7 +60,7 @@
 }
 
 void OrderStream::reset() {
-  spansBeyondGap.clear();
+  rangesBeyondGap.clear();
   lastReceived = reportedApplied = lastIssued = OrderNumber{};
 }
 
--- a/source/agent/order_stream.hpp
+++ b/source/agent/order_stream.hpp
@@ -39,13 +39,13 @@
   void reset();
 
  private:
-  bool has(OrderNumber number) const;
-  void addSpan(OrderNumber after, OrderNumber upTo);
+  bool isReceived(OrderNumber number) const;
+  void addRange(OrderNumber after, OrderNumber upTo);
 
   OrderNumber lastReceived;
   OrderNumber lastIssued;
   // Spans of orders beyond a gap that have come too. The key is the number before the first.
-  std::map<OrderNumber, OrderNumber> spansBeyondGap;
+  std::map<OrderNumber, OrderNumber> rangesBeyondGap;
   bool syncedOnce = false;
   OrderNumber reportedApplied;
   MonotonicTime reportedAppliedAt{0};
--- a/source/agent/poll_state.cpp
+++ b/source/agent/poll_state.cpp
@@ -5,11 +5,11 @@
 std::uint64_t PollState::begin(MonotonicTime now) {
   pollInFlight = true;
   lastPollAt = now;
-  return ++begun;
+  return ++pollsStarted;
 }
 
 bool PollState::finish(const WorkerCall& call) {
-  if (!pollInFlight || call.callId != begun)
+  if (!pollInFlight || call.callId != pollsStarted)
     return false;
   pollInFlight = false;
   return true;
--- a/source/agent/poll_state.hpp
+++ b/source/agent/poll_state.hpp
@@ -32,7 +32,7 @@
   std::uint64_t confirmedUpTo() const { return confirmedNumber; }
   Duration sinceLast(MonotonicTime now) const { return now - lastPollAt; }
   // The number of the next poll to begin: only that one, or a later one, shows what happens now.
-  std::uint64_t nextNumber() const { return begun + 1; }
+  std::uint64_t nextNumber() const { return pollsStarted + 1; }
 
  private:
   bool pollInFlight = false;
@@ -40,7 +40,7 @@
   bool resultsLeftOut = false;
   // When the latest poll began or was replied to.
   MonotonicTime lastPollAt{-1'000'000};
-  std::uint64_t begun = 0;
+  std::uint64_t pollsStarted = 0;
   std::uint64_t confirmedNumber = 0;
   bool expired = false;
   std::uint64_t firstPollAfterExpiry = 0;
--- a/source/agent/run_table.cpp
+++ b/source/agent/run_table.cpp
@@ -15,7 +15,7 @@
 void RunTable::start(const TaskRunId& runId, const Order& order, MonotonicTime now) {
   if (contains(runId))
     return;
-  auto run = TrackedRun::ordered(order, now);
+  auto run = TrackedRun::fromStartOrder(order, now);
   // The order to stage a run is carried out by keeping it here.
   if (!run.isStaged())
     addOrder(run, order.number);
@@ -35,7 +35,7 @@
   // A run whose start this process never saw is fenced all the same, and a poll shows what became
   // of it.
   if (found == runs.end())
-    found = runs.emplace(runId, TrackedRun::toBeFenced(order)).first;
+    found = runs.emplace(runId, TrackedRun::fromStopOrder(order)).first;
   found->second.requestStop(now);
   addOrder(found->second, order.number);
 }
@@ -67,7 +67,7 @@
   if (call.kind == WorkerCall::Kind::stop)
     run.onStopReply(status, now, nextPoll);
   else if (run.onStartReply(status, now, nextPoll))
-    closeOrders(run);
+    completeOrders(run);
 }
 
 std::optional<MonotonicTime> RunTable::nextCallAt() const {
@@ -80,16 +80,17 @@
   return earliest;
 }
 
-void RunTable::seenRunning(const TaskRunId& runId) {
+void RunTable::onRunListed(const TaskRunId& runId) {
   TrackedRun& run = runs.try_emplace(runId).first->second;
-  if (run.onSeenRunning())
-    closeOrders(run);
+  if (run.onListedRunning())
+    completeOrders(run);
 }
 
-std::vector<TaskRunResult> RunTable::notSeen(const std::set<TaskRunId>& seen, std::uint64_t poll) {
+std::vector<TaskRunResult> RunTable::resolveUnlisted(const std::set<TaskRunId>& listedRuns,
+                                                     std::uint64_t poll) {
   std::vector<TaskRunResult> neverStarted;
   for (auto& [runId, run] : runs) {
-    if (run.absenceDecides(poll) && !seen.count(runId) && run.onAbsent())
+    if (run.isAbsenceConclusive(poll) && !listedRuns.count(runId) && run.onNotListed())
       neverStarted.push_back({runId, run.outcomeWithoutRun(), ""});
   }
   return neverStarted;
@@ -99,7 +100,7 @@
   auto found = runs.find(runId);
   if (found == runs.end())
     return;
-  closeOrders(found->second);
+  completeOrders(found->second);
   runs.erase(found);
 }
 
@@ -108,7 +109,7 @@
   openOrders.clear();
 }
 
-void RunTable::closeOrders(TrackedRun& run) {
+void RunTable::completeOrders(TrackedRun& run) {
   for (const auto number : run.takeOpenOrders())
     openOrders.erase(number);
 }
--- a/source/agent/run_table.hpp
+++ b/source/agent/run_table.hpp
@@ -29,7 +29,7 @@
   // Shows the visitor each run for which a call may be made now, while the limit of concurrent
   // calls allows one more. `visit` takes the run's id and the run.
   template <class Visitor>
-  void visitCallable(MonotonicTime now, Visitor visit) {
+  void forEachCallable(MonotonicTime now, Visitor visit) {
     for (auto& [runId, run] : runs) {
       if (callsInFlight < options.maxConcurrentCalls && run.callAllowed(now))
         visit(runId, run);
@@ -45,10 +45,11 @@
   std::optional<MonotonicTime> nextCallAt() const;
 
   // A poll shows that this runs.
-  void seenRunning(const TaskRunId& runId);
+  void onRunListed(const TaskRunId& runId);
   // A poll shows none but these, running or over. Returns the runs that have surely never started,
   // each with what it is to be reported as.
-  std::vector<TaskRunResult> notSeen(const std::set<TaskRunId>& seen, std::uint64_t poll);
+  std::vector<TaskRunResult> resolveUnlisted(const std::set<TaskRunId>& listedRuns,
+                                             std::uint64_t poll);
 
   // The run is over: its orders are carried out.
   void erase(const TaskRunId& runId);
@@ -56,7 +57,7 @@
   void clear();
 
  private:
-  void closeOrders(TrackedRun& run);
+  void completeOrders(TrackedRun& run);
   void addOrder(TrackedRun& run, OrderNumber number);
 
   NodeAgentOptions options;
--- a/source/agent/tracked_run.cpp
+++ b/source/agent/tracked_run.cpp
@@ -5,12 +5,12 @@
 namespace {
 
 // Delays before a call is made again, by the reply.
-constexpr Duration retryAfterSilence{20};
+constexpr Duration retryAfterNoResponse{20};
 // By then a sync has most likely renewed the lease.
-constexpr Duration retryAfterLateStart{50};
+constexpr Duration retryAfterDeadlineExceeded{50};
 constexpr Duration retryAfterRejectedStop{100};
 // A newer leader has called the worker: the next sync finds it.
-constexpr Duration retryAfterFence{200};
+constexpr Duration retryAfterFenced{200};
 // The worker's next registration names the instance that stands there.
 constexpr Duration retryAfterInstanceMismatch{300};
 // Doubled with each further reply that the worker is unavailable, four times at most.
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-TrackedRun TrackedRun::ordered(const Order& order, MonotonicTime now) {
+TrackedRun TrackedRun::fromStartOrder(const Order& order, MonotonicTime now) {
   TrackedRun run;
   run.startOrder = order;
   run.notBefore = now;
@@ -29,7 +29,7 @@
   return run;
 }
 
-TrackedRun TrackedRun::toBeFenced(const Order& order) {
+TrackedRun TrackedRun::fromStopOrder(const Order& order) {
   TrackedRun run;
   run.startOrder = order;
   run.maybeStarted = true;
@@ -42,14 +42,14 @@
 }
 
 void TrackedRun::requestStop(MonotonicTime now) {
-  wanted = false;
+  shouldRun = false;
   notBefore = now;
 }
 
 TrackedRun::NextStep TrackedRun::nextStep(bool workerDraining) {
-  if (staged && wanted && !workerDraining)
+  if (staged && shouldRun && !workerDraining)
     return NextStep::none;
-  if (wanted && !running && stateKnown && !startAbandoned) {
+  if (shouldRun && !running && outcomeKnown && !startAbandoned) {
     if (!workerDraining)
       return NextStep::start;
     // Nothing is started at a worker that drains. docs/design.md 5.7.
@@ -57,7 +57,7 @@
       return NextStep::reportNeverStarted;
     startAbandoned = true;
   }
-  if ((wanted && !startAbandoned) || stopAcknowledged)
+  if ((shouldRun && !startAbandoned) || stopAcknowledged)
     return NextStep::none;
   return running || maybeStarted ? NextStep::stop : NextStep::reportNeverStarted;
 }
@@ -65,12 +65,12 @@
 bool TrackedRun::onStartReply(WorkerReply::Status status, MonotonicTime now,
                               std::uint64_t nextPoll) {
   using Status = WorkerReply::Status;
-  if (retriedLater(status, now))
+  if (scheduleRetry(status, now))
     return false;
   switch (status) {
     case Status::ok:
       running = true;
-      return wanted;
+      return shouldRun;
     case Status::staleRun:
       maybeStarted = true;  // it was there before, or a later run is: a poll shows which
       requireNewPoll(nextPoll);
@@ -95,7 +95,7 @@
 void TrackedRun::onStopReply(WorkerReply::Status status, MonotonicTime now,
                              std::uint64_t nextPoll) {
   using Status = WorkerReply::Status;
-  if (retriedLater(status, now))
+  if (scheduleRetry(status, now))
     return;
   switch (status) {
     case Status::ok:
@@ -120,19 +120,19 @@
 }
 
 // Replies after which a start and a stop are both sent again.
-bool TrackedRun::retriedLater(WorkerReply::Status status, MonotonicTime now) {
+bool TrackedRun::scheduleRetry(WorkerReply::Status status, MonotonicTime now) {
   using Status = WorkerReply::Status;
   callInFlight = false;
   switch (status) {
     case Status::noResponse:
       maybeStarted = true;
-      retryAfter(retryAfterSilence, now);
+      retryAfter(retryAfterNoResponse, now);
       return true;
     case Status::deadlineExceeded:
-      retryAfter(retryAfterLateStart, now);
+      retryAfter(retryAfterDeadlineExceeded, now);
       return true;
     case Status::fenced:
-      retryAfter(retryAfterFence, now);
+      retryAfter(retryAfterFenced, now);
       return true;
     case Status::instanceMismatch:
       retryAfter(retryAfterInstanceMismatch, now);
@@ -143,8 +143,8 @@
 }
 
 void TrackedRun::requireNewPoll(std::uint64_t nextPoll) {
-  stateKnown = false;
-  decidingPoll = nextPoll;
+  outcomeKnown = false;
+  firstConclusivePoll = nextPoll;
 }
 
 void TrackedRun::retryWhenAvailable(MonotonicTime now) {
@@ -152,28 +152,29 @@
   retryAfter(Duration{unavailableBackoffMillis << doublings}, now);
 }
 
-bool TrackedRun::onSeenRunning() {
+bool TrackedRun::onListedRunning() {
   running = true;
-  if (!wanted || callInFlight)
+  if (!shouldRun || callInFlight)
     return false;
-  stateKnown = true;
+  outcomeKnown = true;
   return true;
 }
 
-bool TrackedRun::absenceDecides(std::uint64_t poll) const {
-  return !callInFlight && !stateKnown && poll >= decidingPoll && (stopAcknowledged || wanted);
+bool TrackedRun::isAbsenceConclusive(std::uint64_t poll) const {
+  return !callInFlight && !outcomeKnown && poll >= firstConclusivePoll &&
+         (stopAcknowledged || shouldRun);
 }
 
-bool TrackedRun::onAbsent() {
+bool TrackedRun::onNotListed() {
   if (stopAcknowledged)
     return true;
-  startAbandoned = stateKnown = true;
+  startAbandoned = outcomeKnown = true;
   maybeStarted = true;
   return false;
 }
 
 std::optional<MonotonicTime> TrackedRun::nextCallAt() const {
-  const bool needsCall = (!running || !wanted) && !stopAcknowledged && !(staged && wanted);
+  const bool needsCall = (!running || !shouldRun) && !stopAcknowledged && !(staged && shouldRun);
   if (callInFlight || !needsCall)
     return std::nullopt;
   return notBefore;
--- a/source/agent/tracked_run.hpp
+++ b/source/agent/tracked_run.hpp
@@ -22,9 +22,9 @@
   // started nor stopped of the agent's own accord.
   TrackedRun() = default;
   // A run that an order starts, or stages until it is launched.
-  static TrackedRun ordered(const Order& order, MonotonicTime now);
+  static TrackedRun fromStartOrder(const Order& order, MonotonicTime now);
   // A run that an order stops and no order of this process has started.
-  static TrackedRun toBeFenced(const Order& order);
+  static TrackedRun fromStopOrder(const Order& order);
 
   const Order& order() const { return startOrder; }
   bool isRunning() const { return running; }
@@ -32,7 +32,7 @@
   bool isStaged() const { return staged; }
   // What became of it is to be seen by a poll. What surely runs is not uncertain: when a stop of it
   // has done its work, a long poll returns with the result.
-  bool isUncertain() const { return !stateKnown && !running; }
+  bool isUncertain() const { return !outcomeKnown && !running; }
 
   void launch(MonotonicTime now);
   void requestStop(MonotonicTime now);
@@ -51,12 +51,12 @@
   void onStopReply(WorkerReply::Status status, MonotonicTime now, std::uint64_t nextPoll);
 
   // A poll shows that it runs. True if all its orders are carried out now.
-  bool onSeenRunning();
+  bool onListedRunning();
   // A poll does not show it. True if that decides what became of it.
-  bool absenceDecides(std::uint64_t poll) const;
+  bool isAbsenceConclusive(std::uint64_t poll) const;
   // A decisive poll does not show it. True: it never started. False: the worker knows of it or of
   // another run in its place, so it is to be stopped before it is given up.
-  bool onAbsent();
+  bool onNotListed();
 
   // What it is reported as when it never ran.
   AttemptOutcome outcomeWithoutRun() const {
@@ -70,7 +70,7 @@
   std::vector<OrderNumber> takeOpenOrders() { return std::exchange(openOrders, {}); }
 
  private:
-  bool retriedLater(WorkerReply::Status status, MonotonicTime now);
+  bool scheduleRetry(WorkerReply::Status status, MonotonicTime now);
   void requireNewPoll(std::uint64_t nextPoll);
   void retryAfter(Duration delay, MonotonicTime now) { notBefore = now + delay; }
   void retryWhenAvailable(MonotonicTime now);
@@ -78,7 +78,7 @@
   Order startOrder;
   std::vector<OrderNumber> openOrders;
   // False: to be stopped.
-  bool wanted = true;
+  bool shouldRun = true;
   // Part of a gang that waits at the agent to be launched.
   bool staged = false;
   bool callInFlight = false;
@@ -87,9 +87,9 @@
   bool running = false;
   // A stop was answered: the worker rejects later starts of it.
   bool stopAcknowledged = false;
-  // False: poll `decidingPoll` or a later one shows what became of it.
-  bool stateKnown = true;
-  std::uint64_t decidingPoll = 0;
+  // False: poll `firstConclusivePoll` or a later one shows what became of it.
+  bool outcomeKnown = true;
+  std::uint64_t firstConclusivePoll = 0;
   // The start was given up for good.
   bool startAbandoned = false;
   // The worker rejected it for want of capacity, or was unavailable too often.
--- a/source/agent/worker_lease.cpp
+++ b/source/agent/worker_lease.cpp
@@ -22,9 +22,9 @@
                                MonotonicTime now) {
   if (!reading)
     return false;
-  if (source == ClockSource::reply && (!repliedClock || *reading > *repliedClock)) {
-    repliedClock = reading;
-    repliedClockAt = now;
+  if (source == ClockSource::reply && (!replyClock || *reading > *replyClock)) {
+    replyClock = reading;
+    replyClockAt = now;
   }
   if (clock && *reading <= *clock)
     return false;
@@ -66,8 +66,7 @@
 bool WorkerLease::mayHaveExpired(MonotonicTime now) const {
   if (!grantedDeadline || !clock || expiryRecorded)
     return false;
-  return !repliedClock ||
-         *repliedClock + (now - repliedClockAt) + maxReplyLatency > *grantedDeadline;
+  return !replyClock || *replyClock + (now - replyClockAt) + maxReplyLatency > *grantedDeadline;
 }
 
 Duration WorkerLease::remaining(MonotonicTime now) const {
@@ -88,8 +87,8 @@
 // What is left of the leader's lease counts, for the leader renews that once a sync only.
 Duration WorkerLease::longPollTimeout(MonotonicTime now) const {
   const Duration left = std::min(leaderLeaseUntil - now, options.workerLease);
-  const Duration affordable = std::min(Duration{left.milliseconds / 2}, left - reservedForRetries);
-  return std::min(std::max(renewalInterval(), affordable), options.maxLongPollTimeout);
+  const Duration maxTimeout = std::min(Duration{left.milliseconds / 2}, left - reservedForRetries);
+  return std::min(std::max(renewalInterval(), maxTimeout), options.maxLongPollTimeout);
 }
 
 }  // namespace aniseline
--- a/source/agent/worker_lease.hpp
+++ b/source/agent/worker_lease.hpp
@@ -57,8 +57,8 @@
   std::optional<WorkerTime> clock;
   MonotonicTime clockAt;
   // The highest reading that came with a reply, which is never old.
-  std::optional<WorkerTime> repliedClock;
-  MonotonicTime repliedClockAt;
+  std::optional<WorkerTime> replyClock;
+  MonotonicTime replyClockAt;
   std::optional<WorkerTime> grantedDeadline;
   bool expiryRecorded = false;
 };
--- a/source/agent/worker_session.cpp
+++ b/source/agent/worker_session.cpp
@@ -20,11 +20,11 @@
   return report;
 }
 
-bool WorkerSession::onSyncResponse(Incarnation reported, const SyncResponse& response,
+bool WorkerSession::onSyncResponse(Incarnation reportingIncarnation, const SyncResponse& response,
                                    MonotonicTime sentAt, MonotonicTime now) {
   tick(now);
   // Orders are counted anew for each incarnation: another's would be taken for this one's.
-  if (reported != incarnation)
+  if (reportingIncarnation != incarnation)
     return false;
   // An order from a superseded leader, or under a lease that is over, is not followed.
   // docs/design.md 5.3.
--- a/source/agent/worker_session.hpp
+++ b/source/agent/worker_session.hpp
@@ -39,8 +39,8 @@
   // The response to a report that was made by incarnation `reported` and sent at `sentAt`. False:
   // it was not followed, because it came too late, from a superseded leader, or for an incarnation
   // that has been replaced.
-  bool onSyncResponse(Incarnation reported, const SyncResponse& response, MonotonicTime sentAt,
-                      MonotonicTime now);
+  bool onSyncResponse(Incarnation reportingIncarnation, const SyncResponse& response,
+                      MonotonicTime sentAt, MonotonicTime now);
   // The leader says that this incarnation is replaced: everything stops, and the next one begins.
   void onReplaced(Incarnation next);
   // Suspends all tasks when the lease has expired, and ends trials that have used their time.
