--- a/source/agent/node_agent.cpp
+++ b/source/agent/node_agent.cpp
@@ -1,26 +1,27 @@
+// Decides which calls a worker needs, when it is polled, and what its replies mean for the leader.
 #include "agent/node_agent.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// Between polls while it is uncertain what became of a run and no result waits to be confirmed.
+// Interval between polls while the outcome of a run is uncertain and no result awaits confirmation.
 constexpr Duration shortPollInterval{20};
-// A poll after an unanswered call waits this long: the worker may be overloaded.
+// The delay before the poll that follows an unanswered call: the worker may be overloaded.
 constexpr Duration unansweredPollInterval{250};
-// Polls that repeat unconfirmed results are not made more often.
+// The minimum interval between polls that only return unconfirmed results again.
 constexpr Duration minUnconfirmedPollInterval{500};
-// A worker with nothing left to run is told after this time that its last results are final. Work
-// that comes meanwhile brings a poll of its own.
+// An idle worker is told after this delay that its last results are final. If new work arrives in
+// the meantime, the poll for that work carries the confirmation.
 constexpr Duration idleConfirmationDelay{200};
-// What a poll's reply may take beyond the time that the worker may wait for a result.
+// The time allowed for a poll's reply beyond the time that the worker may wait for a result.
 constexpr Duration pollReplyTimeout{400};
-// The host wakes up the agent no sooner than this, and no later than that.
+// Bounds on the delay until the host wakes up the agent.
 constexpr Duration minWakeUpDelay{5};
 constexpr Duration maxWakeUpDelay{60'000};
-// When a poll may be due soon and no message need come before it.
+// The wake-up delay when a poll may become due without a message arriving first.
 constexpr Duration pollWakeUpInterval{25};
-// A worker that the leader declared gone is used again after its longest lease, with a margin for a
+// A worker that the leader declared gone is used again after its longest lease, plus a margin for a
 // slow clock.
 constexpr std::int64_t retirementPercent = 110;
 constexpr Duration retirementMargin{500};
@@ -44,8 +45,8 @@
   return true;
 }
 
-// Nothing of the former instance runs on, so of its state only the fencing term counts for the
-// next.
+// No work of the former instance continues, so the next instance inherits only the fencing term
+// from its state.
 void NodeAgent::adoptInstance(const WorkerRegistration& incoming, bool confirmed,
                               MonotonicTime now) {
   NodeAgent next(options);
@@ -69,8 +70,8 @@
     recordLeaseExpiry(now);
 }
 
-// Successes that were not confirmed when the lease expired are void. The worker's clock may be
-// slow: nothing is called void before the lease has surely expired. docs/design.md 5.5, 5.8.
+// Successes that were unconfirmed when the lease expired are void. The worker's clock may be slow,
+// so no success is voided before the lease has certainly expired. docs/design.md 5.5, 5.8.
 void NodeAgent::recordLeaseExpiry(MonotonicTime now) {
   if (!lease.recordExpiry(now) || (runs.empty() && results.empty()))
     return;
@@ -121,7 +122,7 @@
   if (report.draining)
     instances.noteDrainReported();
   results.confirm(report, response.finalResultCount);
-  // Orders under a lease that is over are not followed. docs/design.md 5.3.
+  // Orders under an expired lease are not followed. docs/design.md 5.3.
   if (lease.leaderLeaseValid(now))
     receiveOrders(response, now);
 }
@@ -139,14 +140,15 @@
   const TaskRunId runId = TaskRunId::of(order);
   const bool known = runs.contains(runId);
   if (!known && results.contains(runId))
-    return;  // it is over
+    return;  // the run has ended
   switch (order.kind) {
     case OrderKind::start:
     case OrderKind::stage:
       return runs.start(runId, order, now);
     case OrderKind::launch:
-      // A gang's part is staged here and not at the worker, which knows starts only: one that an
-      // earlier process of this agent has staged was never started. docs/design.md 7.3.
+      // Members of a gang are staged at the agent and not at the worker, which only knows starts. A
+      // run that an earlier process of this agent staged was therefore never started.
+      // docs/design.md 7.3.
       if (!known)
         return recordResult(0, {runId, AttemptOutcome::neverStarted, ""});
       return runs.launch(runId, order, now);
@@ -154,7 +156,7 @@
       return runs.stop(runId, order, now);
     case OrderKind::suspend:
     case OrderKind::resume:
-      return;  // workers that are called can't suspend a run
+      return;  // called workers cannot suspend a run
   }
 }
 
@@ -192,7 +194,7 @@
       case NextStep::none:
         return;
       case NextStep::start:
-        // Each call may grant a later deadline, so this is asked anew for each.
+        // Each call may grant a later deadline, so this is checked for each call.
         if (!startsBlocked(now))
           calls.push_back(makeRunCall(WorkerCall::Kind::start, runId, run, now));
         return;
@@ -214,8 +216,9 @@
          mustLetLeaseExpire(now);
 }
 
-// While the lease may have expired nothing renews it if there are unconfirmed results: they may be
-// void at the worker, and are to be found so here. docs/design.md 5.8.
+// While the lease may have expired and there are unconfirmed results, no call renews it: the worker
+// may have voided those results, and the agent must come to the same conclusion. docs/design.md
+// 5.8.
 bool NodeAgent::mustLetLeaseExpire(MonotonicTime now) const {
   return lease.mayHaveExpired(now) && !results.empty();
 }
@@ -226,8 +229,8 @@
   call.callId = nextCallId++;
   call.workerInstance = workerInstance();
   call.fencingTerm = term;
-  // A stop extends no lease. Nor does any call while the leader may take the worker for
-  // unresponsive, so that the remaining lease which was reported stays true.
+  // A stop extends no lease. No call extends it either while the leader may consider the worker
+  // unresponsive, so that the reported remaining lease stays correct.
   if (kind != WorkerCall::Kind::stop) {
     const bool keepLease = contact.unresponsive(now) || contact.startsBlocked();
     call.leaseDeadline = keepLease ? lease.granted() : lease.nextDeadline(now);
@@ -260,8 +263,8 @@
   return call;
 }
 
-// A poll that is to show something that is known to be there, or whether the worker answers at all,
-// waits for no result.
+// A poll does not wait for a result if it checks whether the worker answers, or fetches information
+// that already exists.
 bool NodeAgent::pollReturnsImmediately() const {
   return !instances.confirmed() || !polls.everCompleted() || polls.leaseExpired() ||
          contact.lastCallUnanswered() || runs.anyUncertain() || results.hasWorkerResults() ||
@@ -283,21 +286,21 @@
   return routinePollDue(now);
 }
 
-// Polls that follow what runs, and keep the worker's lease up.
+// Schedules the regular polls, which track running work and renew the worker's lease.
 bool NodeAgent::routinePollDue(MonotonicTime now) const {
   const Duration sinceLast = polls.sinceLast(now);
   if (contact.lastCallUnanswered() && sinceLast < unansweredPollInterval)
     return false;
   if (!contact.lastCallUnanswered() && !runs.anyRunning() && !polls.moreResults())
     return idlePollDue(sinceLast);
-  // While results wait to be confirmed a poll would only repeat them; one is due all the same to
-  // renew the lease.
+  // While results await confirmation a poll would only return them again, but one is still needed
+  // to renew the lease.
   return !results.hasWorkerResults() ||
          sinceLast >= std::max(lease.renewalInterval(), minUnconfirmedPollInterval);
 }
 
-// Nothing runs at the worker. It is polled when it has to be told that its last results are final,
-// and, while it drains, until it replies no more.
+// Nothing runs at the worker. It is polled to confirm its last results and, while it drains, until
+// it stops replying.
 bool NodeAgent::idlePollDue(Duration sinceLast) const {
   if (confirmationDue())
     return sinceLast >= idleConfirmationDelay;
@@ -312,7 +315,8 @@
   if (call.workerInstance != workerInstance())
     return onCandidateReply(call, reply, now);
   const bool isPoll = call.kind == WorkerCall::Kind::poll;
-  // A poll that was given up says nothing: a newer one says it, or has said it.
+  // The reply to an abandoned poll is ignored: a newer poll returns the same information or has
+  // done so already.
   if (isPoll && !polls.finish(call))
     return;
   observeWorkerClock(reply.clockReading, WorkerLease::ClockSource::reply, now);
@@ -351,7 +355,7 @@
         {result.runId, isVoid ? AttemptOutcome::stopped : result.outcome, result.checkpoint});
   }
   polls.onReplyHandled(call);
-  // A list that leaves results out proves no absence.
+  // An incomplete list does not prove that a run is absent.
   if (!reply.complete)
     return;
   for (auto& result : runs.resolveUnlisted(listedRuns, call.callId))
--- a/source/agent/node_agent.hpp
+++ b/source/agent/node_agent.hpp
@@ -1,12 +1,13 @@
-// The agent beside one worker that takes calls instead of making them: it carries the leader's
-// orders out at the worker by calls, and reports to the leader what it sees there. Without sockets
-// and threads of its own: a daemon, or a simulator, passes in every message with its time, on one
-// thread, and sends what comes out. docs/design.md 5.8.
+// The agent that manages one worker by calling it: it carries out the leader's orders through calls
+// and reports the observed results to the leader. It owns no sockets or threads: a daemon or a
+// simulator passes in every message with its time, on one thread, and sends the messages that the
+// agent returns. docs/design.md 5.8.
 //
-// NodeAgent has one handler for each message and decides what needs several of its parts:
-// InstanceTracker (which instance of the worker stands there), OrderStream (the leader's orders),
-// WorkerLease and WorkerContact (until when work may run there, whether it answers), RunTable (the
-// runs and their calls), PollState, and PendingResults (what the leader has not confirmed).
+// NodeAgent has one handler per message and makes the decisions that involve several of its parts:
+// InstanceTracker (which instance of the worker is current), OrderStream (the leader's orders),
+// WorkerLease and WorkerContact (how long work may run there, and whether the worker answers),
+// RunTable (the runs and their calls), PollState, and PendingResults (results that the leader has
+// not confirmed).
 #ifndef ANISELINE_AGENT_NODE_AGENT_HPP
 #define ANISELINE_AGENT_NODE_AGENT_HPP
 #include "agent/instance_tracker.hpp"
@@ -23,52 +24,54 @@
  public:
   explicit NodeAgent(NodeAgentOptions options);
 
-  // Messages of the worker.
+  // Messages from the worker.
 
-  // The worker registers, or repeats its registration as a heartbeat. Registrations may come
-  // seconds late: one that a newer one of its instance has overtaken changes nothing, and one of
-  // another instance counts once a poll shows that this instance stands at the worker's address.
-  // False: the instance is a former one, which is over.
+  // Handles a registration, which the worker repeats as its heartbeat. Registrations may arrive
+  // seconds late: one that a newer registration of the same instance has overtaken has no effect,
+  // and one of another instance takes effect only after a poll has confirmed that this instance
+  // runs at the worker's address. Returns false if the instance is a former one, which has ended.
   bool onRegistration(const WorkerRegistration& incoming, MonotonicTime now);
-  // The worker announces its end. It serves on for a while: this is a notice, and no proof that
-  // nothing runs there. False: the instance is not known here.
+  // Handles the worker's notice that it is shutting down. The worker continues to serve for a
+  // while, so the notice does not prove that nothing runs there. Returns false if the instance is
+  // unknown.
   bool onDrainNotice(const WorkerId& instance, Duration drainTimeout, MonotonicTime now);
-  // The leader has logged that this instance drains, or the instance is over: nothing more is
-  // placed there.
+  // Reports whether the leader has logged that this instance drains, or the instance has ended; no
+  // more work is placed there.
   bool drainAcknowledged(const WorkerId& instance) const {
     return instances.drainAcknowledged(instance);
   }
 
-  // Towards the leader.
+  // Messages to and from the leader.
 
-  // A sync may be sent: the current instance stands at the address and is not given up.
+  // Reports whether a sync may be sent: the current instance is confirmed at the address and has
+  // not been declared gone.
   bool mayReport() const { return instances.reportable(); }
-  // The report of a sync that is sent now. Several may be in flight.
+  // Returns the report for a sync that is sent now. Several syncs may be in flight.
   SyncReport makeSyncReport(MonotonicTime now);
-  // The worker leaves calls unanswered.
+  // Reports whether the worker leaves calls unanswered.
   bool isUnresponsive(MonotonicTime now) const { return contact.unresponsive(now); }
-  // There is something that the leader should hear without waiting for the next ordinary sync.
+  // Reports whether there is news for the leader that should not wait for the next regular sync.
   bool hasUrgentReport(MonotonicTime now) const;
-  // The leader's response to a report that was sent at `sentAt`. One to another instance or
-  // incarnation, or of an older term than has been seen, is ignored.
+  // Handles the leader's response to a report that was sent at `sentAt`. A response for another
+  // instance or incarnation, or with a lower term than one already seen, is ignored.
   void onSyncResponse(const SyncReport& report, const SyncResponse& response, MonotonicTime sentAt,
                       MonotonicTime now);
-  // The leader has declared the current instance gone. What still runs there ends with its lease;
-  // only then is the worker used again, under another incarnation.
+  // Handles the leader's declaration that the current instance is gone. Any work still running
+  // there ends with its lease; only after that is the worker used again, under a new incarnation.
   void onDeclaredGone(MonotonicTime now);
 
-  // Towards the worker.
+  // Calls to the worker.
 
-  // The calls that are to be made now. Each is followed by exactly one onWorkerReply.
+  // Returns the calls that must be sent now. The caller passes exactly one onWorkerReply for each.
   std::vector<WorkerCall> takeCalls(MonotonicTime now);
-  // The reply to a call, or that there was none.
+  // Handles the reply to a call, or the absence of one.
   void onWorkerReply(const WorkerCall& call, const WorkerReply& reply, MonotonicTime now);
-  // The earliest time at which takeCalls may have something new though no message comes.
+  // Returns the earliest time at which takeCalls may return new calls if no message arrives.
   MonotonicTime nextWakeUp(MonotonicTime now) const;
 
-  // The runs that the worker has, or is to have, as far as the agent knows.
+  // Returns the number of runs that, as far as the agent knows, the worker has or is to have.
   std::size_t runCount() const { return runs.size(); }
-  // The current instance; empty before the first registration.
+  // Returns the current instance; empty before the first registration.
   const WorkerId& workerInstance() const { return instances.current().workerInstance; }
 
  private:
@@ -91,7 +94,7 @@
   bool pollDue(MonotonicTime now) const;
   bool routinePollDue(MonotonicTime now) const;
   bool idlePollDue(Duration sinceLast) const;
-  // The leader holds results that the worker has not been told to be final.
+  // Reports whether the leader holds results that the worker has not yet been told are final.
   bool confirmationDue() const;
   bool pollReturnsImmediately() const;
 
@@ -107,7 +110,7 @@
   RunTable runs;
   PollState polls;
   PendingResults results;
-  // The highest term of a leader that has answered; every call is fenced by it.
+  // The highest term in any leader's response; it fences every call.
   Term term;
   std::uint64_t nextCallId = 1;
 };
--- a/source/agent/node_agent_options.hpp
+++ b/source/agent/node_agent_options.hpp
@@ -1,4 +1,4 @@
-// The limits and intervals that a node agent works with. All times are in milliseconds.
+// Limits and intervals of a node agent. All times are in milliseconds.
 #ifndef ANISELINE_AGENT_NODE_AGENT_OPTIONS_HPP
 #define ANISELINE_AGENT_NODE_AGENT_OPTIONS_HPP
 #include "base/types.hpp"
@@ -8,21 +8,21 @@
 struct NodeAgentOptions {
   // The longest lease that the worker accepts.
   Duration maxWorkerLease{6000};
-  // The lease that a call asks for. It is renewed from here, within the leader's lease.
+  // The lease that a call requests. The agent renews it, within the leader's lease.
   Duration workerLease{6000};
-  // The longest that a poll waits for a result.
+  // The longest time that a poll may wait for a result.
   Duration maxLongPollTimeout{2000};
-  // A worker that has left calls unanswered for longer counts as unresponsive.
+  // A worker counts as unresponsive after leaving calls unanswered for longer than this.
   Duration unresponsiveAfter{700};
-  // Between polls while it is uncertain what became of a run.
+  // Interval between polls while the outcome of a run is uncertain.
   Duration uncertainPollInterval{200};
-  // Between polls of a draining worker at which nothing runs any more.
+  // Interval between polls of a draining worker on which no work is left.
   Duration drainingPollInterval{1000};
-  // So many unanswered polls look for the instance that a registration names.
+  // The number of unanswered polls that are sent to find an instance named in a registration.
   std::uint32_t maxInstanceProbes = 8;
-  // Starts and stops that are under way to the worker at the same time.
+  // The maximum number of starts and stops in flight to the worker.
   std::size_t maxConcurrentCalls = 6;
-  // The lowest rate of the worker's clock against a true one.
+  // The lowest rate of the worker's clock relative to a true clock.
   double minClockRate = 0.98;
 };
 
--- a/source/agent/run_table.cpp
+++ b/source/agent/run_table.cpp
@@ -1,3 +1,4 @@
+// Keeps the set of open orders consistent with the runs that they refer to.
 #include "agent/run_table.hpp"
 
 namespace aniseline {
@@ -16,7 +17,7 @@
   if (contains(runId))
     return;
   auto run = TrackedRun::fromStartOrder(order, now);
-  // The order to stage a run is carried out by keeping it here.
+  // An order to stage a run is carried out once the run is recorded here.
   if (!run.isStaged())
     addOrder(run, order.number);
   runs.emplace(runId, std::move(run));
@@ -32,8 +33,8 @@
 
 void RunTable::stop(const TaskRunId& runId, const Order& order, MonotonicTime now) {
   auto found = runs.find(runId);
-  // A run whose start this process never saw is fenced all the same, and a poll shows what became
-  // of it.
+  // A run whose start this process never received is stopped as well, and a poll then shows its
+  // outcome.
   if (found == runs.end())
     found = runs.emplace(runId, TrackedRun::fromStopOrder(order)).first;
   found->second.requestStop(now);
@@ -62,7 +63,7 @@
     --callsInFlight;
   auto found = runs.find(call.runId);
   if (found == runs.end())
-    return;  // a poll has shown its result meanwhile
+    return;  // a poll has returned its result in the meantime
   TrackedRun& run = found->second;
   if (call.kind == WorkerCall::Kind::stop)
     run.onStopReply(status, now, nextPoll);
--- a/source/agent/run_table.hpp
+++ b/source/agent/run_table.hpp
@@ -1,5 +1,5 @@
-// The task runs of one worker by their ids, the orders about them that are still open, and the
-// calls for them that are in flight. Owned and called by NodeAgent. docs/design.md 5.8.
+// The task runs of one worker by run id, their open orders, and their calls in flight. Owned and
+// called by NodeAgent. docs/design.md 5.8.
 #ifndef ANISELINE_AGENT_RUN_TABLE_HPP
 #define ANISELINE_AGENT_RUN_TABLE_HPP
 #include "agent/node_agent_options.hpp"
@@ -17,17 +17,18 @@
   bool anyRunning() const;
   bool anyUncertain() const;
 
-  // Orders. A second start of a run changes nothing.
+  // Carry out orders. A second start of the same run has no effect.
   void start(const TaskRunId& runId, const Order& order, MonotonicTime now);
   void launch(const TaskRunId& runId, const Order& order, MonotonicTime now);
   void stop(const TaskRunId& runId, const Order& order, MonotonicTime now);
-  // An earlier process of the agent may have sent the run's start, if the run is known.
+  // Records that an earlier process of the agent may have sent the run's start, if the run is
+  // known.
   void assumeMaybeStarted(const TaskRunId& runId);
-  // The first order that is not carried out yet, if any.
+  // Returns the first order that has not been carried out yet, if any.
   std::optional<OrderNumber> oldestOpenOrder() const;
 
-  // Shows the visitor each run for which a call may be made now, while the limit of concurrent
-  // calls allows one more. `visit` takes the run's id and the run.
+  // Calls `visit` with the id and state of each run that may be called now, as long as the limit of
+  // concurrent calls allows another call.
   template <class Visitor>
   void forEachCallable(MonotonicTime now, Visitor visit) {
     for (auto& [runId, run] : runs) {
@@ -36,24 +37,26 @@
     }
   }
   void beginCall(TrackedRun& run);
-  // A reply to a start or a stop; `nextPoll` is the first poll that shows what happens from now on.
+  // Handles the reply to a start or a stop; `nextPoll` is the first poll that reflects the state
+  // after the reply.
   void onReply(const WorkerCall& call, WorkerReply::Status status, MonotonicTime now,
                std::uint64_t nextPoll);
 
-  // The first time at which a run needs a call that is not in flight, which may have passed;
-  // nothing if none does.
+  // Returns the earliest time at which a run without a call in flight needs a call, which may be in
+  // the past; nothing if no run needs one.
   std::optional<MonotonicTime> nextCallAt() const;
 
-  // A poll shows that this runs.
+  // Handles a poll that lists the run as running.
   void onRunListed(const TaskRunId& runId);
-  // A poll shows none but these, running or over. Returns the runs that have surely never started,
-  // each with what it is to be reported as.
+  // Handles a complete poll that lists only these runs as running or ended. Returns the runs that
+  // certainly never started, each with the outcome to report.
   std::vector<TaskRunResult> resolveUnlisted(const std::set<TaskRunId>& listedRuns,
                                              std::uint64_t poll);
 
-  // The run is over: its orders are carried out.
+  // Removes a run that has ended, and completes its orders.
   void erase(const TaskRunId& runId);
-  // The worker's incarnation is replaced. Calls in flight stay so until they are over.
+  // Removes all runs because the worker's incarnation is replaced. Calls in flight stay counted
+  // until they end.
   void clear();
 
  private:
--- a/source/agent/tracked_run.cpp
+++ b/source/agent/tracked_run.cpp
@@ -1,22 +1,23 @@
+// Derives a run's next call and its retry times from replies and polls.
 #include "agent/tracked_run.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// Delays before a call is made again, by the reply.
+// Delays before a call is retried, by the status of its reply.
 constexpr Duration retryAfterNoResponse{20};
-// By then a sync has most likely renewed the lease.
+// A sync has most likely renewed the lease by then.
 constexpr Duration retryAfterDeadlineExceeded{50};
 constexpr Duration retryAfterRejectedStop{100};
-// A newer leader has called the worker: the next sync finds it.
+// A newer leader has called the worker; the next sync reaches that leader.
 constexpr Duration retryAfterFenced{200};
-// The worker's next registration names the instance that stands there.
+// The worker's next registration identifies the instance at its address.
 constexpr Duration retryAfterInstanceMismatch{300};
-// Doubled with each further reply that the worker is unavailable, four times at most.
+// The delay doubles with each unavailable reply, at most four times.
 constexpr std::int64_t unavailableBackoffMillis = 50;
 constexpr std::uint32_t maxBackoffDoublings = 4;
-// A start is given up after so many of them; a stop never is.
+// A start is abandoned after this many unavailable replies; a stop never is.
 constexpr std::uint32_t maxUnavailableReplies = 3;
 
 }  // namespace
@@ -52,7 +53,7 @@
   if (shouldRun && !running && outcomeKnown && !startAbandoned) {
     if (!workerDraining)
       return NextStep::start;
-    // Nothing is started at a worker that drains. docs/design.md 5.7.
+    // No run is started at a draining worker. docs/design.md 5.7.
     if (!maybeStarted)
       return NextStep::reportNeverStarted;
     startAbandoned = true;
@@ -72,7 +73,7 @@
       running = true;
       return shouldRun;
     case Status::staleRun:
-      maybeStarted = true;  // it was there before, or a later run is: a poll shows which
+      maybeStarted = true;  // this run was there before, or a later run is: a poll shows which
       requireNewPoll(nextPoll);
       return false;
     case Status::unavailable:
@@ -119,7 +120,7 @@
   }
 }
 
-// Replies after which a start and a stop are both sent again.
+// Handles the reply statuses after which both a start and a stop are sent again.
 bool TrackedRun::scheduleRetry(WorkerReply::Status status, MonotonicTime now) {
   using Status = WorkerReply::Status;
   callInFlight = false;
--- a/source/agent/tracked_run.hpp
+++ b/source/agent/tracked_run.hpp
@@ -1,6 +1,6 @@
-// What a node agent knows of one task run at its worker, and which call the run needs next. A start
-// or a stop that got no answer may be carried out later, so a run is called never started only when
-// a stop of it was answered and a later poll does not show it. Owned by RunTable.
+// The state of one task run at a worker as the node agent knows it, and the next call that the run
+// needs. A start or stop without a reply may be carried out later, so a run counts as never started
+// only after a stop was answered and a later poll does not list the run. Owned by RunTable.
 // docs/design.md 5.8.
 #ifndef ANISELINE_AGENT_TRACKED_RUN_HPP
 #define ANISELINE_AGENT_TRACKED_RUN_HPP
@@ -14,58 +14,60 @@
     none,
     start,
     stop,
-    // No call of it was ever sent that could be carried out: it needs none to be over.
+    // No call that the worker might carry out was ever sent, so none is needed to close the run.
     reportNeverStarted
   };
 
-  // A run that the worker shows and no order of this process is about. It is watched, and neither
-  // started nor stopped of the agent's own accord.
+  // Creates a run that the worker lists although no order of this process refers to it. The agent
+  // tracks it, and starts or stops it only when ordered.
   TrackedRun() = default;
-  // A run that an order starts, or stages until it is launched.
+  // Creates a run that an order starts, or stages until it is launched.
   static TrackedRun fromStartOrder(const Order& order, MonotonicTime now);
-  // A run that an order stops and no order of this process has started.
+  // Creates a run that an order stops although no order of this process started it.
   static TrackedRun fromStopOrder(const Order& order);
 
   const Order& order() const { return startOrder; }
   bool isRunning() const { return running; }
-  // Staged, and not launched yet.
+  // Reports whether the run is staged and not launched yet.
   bool isStaged() const { return staged; }
-  // What became of it is to be seen by a poll. What surely runs is not uncertain: when a stop of it
-  // has done its work, a long poll returns with the result.
+  // Reports whether a poll is needed to learn the run's outcome. A run that is known to be running
+  // is not uncertain: once it has been stopped, a long poll returns its result.
   bool isUncertain() const { return !outcomeKnown && !running; }
 
   void launch(MonotonicTime now);
   void requestStop(MonotonicTime now);
-  // An earlier process of the agent may have sent the start.
+  // Records that an earlier process of the agent may have sent the start.
   void assumeMaybeStarted() { maybeStarted = true; }
 
-  // A call may be made now.
+  // Reports whether a call may be sent now.
   bool callAllowed(MonotonicTime now) const { return !callInFlight && notBefore <= now; }
-  // The call that it needs now, at a worker that drains or not. A start that may be under way when
-  // the worker drains is given up.
+  // Returns the next step for the run, given whether the worker drains. When the worker drains, a
+  // start that may be in flight is abandoned.
   NextStep nextStep(bool workerDraining);
   void beginCall() { callInFlight = true; }
-  // A reply to its call. `nextPoll`: the first poll that shows what happens from now on. True if
-  // all its orders are carried out now.
+  // Handles the reply to the run's call. `nextPoll` is the first poll that reflects the state after
+  // the reply. onStartReply returns true if all orders for the run are now carried out.
   bool onStartReply(WorkerReply::Status status, MonotonicTime now, std::uint64_t nextPoll);
   void onStopReply(WorkerReply::Status status, MonotonicTime now, std::uint64_t nextPoll);
 
-  // A poll shows that it runs. True if all its orders are carried out now.
+  // Handles a poll that lists the run as running. Returns true if all its orders are now carried
+  // out.
   bool onListedRunning();
-  // A poll does not show it. True if that decides what became of it.
+  // Reports whether the absence of the run from this poll's reply determines its outcome.
   bool isAbsenceConclusive(std::uint64_t poll) const;
-  // A decisive poll does not show it. True: it never started. False: the worker knows of it or of
-  // another run in its place, so it is to be stopped before it is given up.
+  // Handles a conclusive poll that does not list the run. Returns true if the run never started.
+  // Returns false if the worker knows this run or a later run of the task, so that the run must be
+  // stopped before it is given up.
   bool onNotListed();
 
-  // What it is reported as when it never ran.
+  // Returns the outcome that is reported if the run never ran.
   AttemptOutcome outcomeWithoutRun() const {
     return rejected ? AttemptOutcome::rejected : AttemptOutcome::neverStarted;
   }
-  // It waits until then for its next call; nothing if it needs none.
+  // Returns the time of the run's next call; nothing if it needs none.
   std::optional<MonotonicTime> nextCallAt() const;
 
-  // Orders about it that are not carried out yet.
+  // Orders for the run that have not been carried out yet.
   void addOpenOrder(OrderNumber number) { openOrders.push_back(number); }
   std::vector<OrderNumber> takeOpenOrders() { return std::exchange(openOrders, {}); }
 
@@ -77,22 +79,22 @@
 
   Order startOrder;
   std::vector<OrderNumber> openOrders;
-  // False: to be stopped.
+  // False if the run is to be stopped.
   bool shouldRun = true;
-  // Part of a gang that waits at the agent to be launched.
+  // A member of a gang that is staged at the agent and not launched yet.
   bool staged = false;
   bool callInFlight = false;
-  // A start was sent, or may have been, and it is not known whether it was carried out.
+  // A start was sent, or may have been, and it is unknown whether it was carried out.
   bool maybeStarted = false;
   bool running = false;
-  // A stop was answered: the worker rejects later starts of it.
+  // A stop was answered: the worker rejects later starts of the run.
   bool stopAcknowledged = false;
-  // False: poll `firstConclusivePoll` or a later one shows what became of it.
+  // If false, poll `firstConclusivePoll` or a later one shows the outcome of the run.
   bool outcomeKnown = true;
   std::uint64_t firstConclusivePoll = 0;
-  // The start was given up for good.
+  // The start was permanently abandoned.
   bool startAbandoned = false;
-  // The worker rejected it for want of capacity, or was unavailable too often.
+  // The worker rejected the run for lack of capacity, or was unavailable too often.
   bool rejected = false;
   std::uint32_t unavailableReplies = 0;
   MonotonicTime notBefore{0};
--- a/source/agent/worker_lease.cpp
+++ b/source/agent/worker_lease.cpp
@@ -1,14 +1,15 @@
+// Computes lease deadlines and expiry from clock readings of bounded accuracy.
 #include "agent/worker_lease.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// A reply takes this long on its way at most, in bounding how far the worker's clock may be.
+// The longest assumed transit time of a reply, used to bound the worker's clock from above.
 constexpr Duration maxReplyLatency{50};
-// A poll that is lost with its whole wait leaves this much of the lease for further ones.
+// The part of the lease that is left for further polls if a poll is lost after its full wait.
 constexpr Duration reservedForRetries{1000};
-// However short the lease is, polls that only renew it are not made more often than this.
+// Lower bound on the interval between polls that only renew the lease.
 constexpr Duration minRenewalInterval{100};
 
 }  // namespace
@@ -56,13 +57,13 @@
   return true;
 }
 
-// What the worker's clock shows by now at least, however slow it is.
+// Returns the lowest value that the worker's clock can show now, assuming its slowest rate.
 WorkerTime WorkerLease::earliestReading(MonotonicTime now) const {
   return *clock +
          Duration{std::int64_t(double((now - clockAt).milliseconds) * options.minClockRate)};
 }
 
-// By a clock that runs true, which is the fastest.
+// Assumes a clock that runs true, which is the fastest permitted rate.
 bool WorkerLease::mayHaveExpired(MonotonicTime now) const {
   if (!grantedDeadline || !clock || expiryRecorded)
     return false;
@@ -84,7 +85,8 @@
                     options.maxLongPollTimeout);
 }
 
-// What is left of the leader's lease counts, for the leader renews that once a sync only.
+// Only the remaining part of the leader's lease counts, because the leader renews it no more than
+// once per sync.
 Duration WorkerLease::longPollTimeout(MonotonicTime now) const {
   const Duration left = std::min(leaderLeaseUntil - now, options.workerLease);
   const Duration maxTimeout = std::min(Duration{left.milliseconds / 2}, left - reservedForRetries);
