--- a/examples/programs/client.cpp
+++ b/examples/programs/client.cpp
@@ -1,28 +1,31 @@
-// Submits a job, follows it to its end, submits another and cancels it. usage: example_origin
-// CONTACT [CONTACT...]
+// Example client: submits a job and follows it to its end, then submits a second job and cancels
+// it.
+// Usage: example_client CONTACT [CONTACT...]
 #include <aniseline/library.hpp>
 #include <iostream>
 
 using namespace aniseline::library;
 using namespace std::chrono_literals;
 
-int main(int count, char** values) {
-  if (count < 2) {
-    std::cerr << "usage: example_origin CONTACT [CONTACT...]\n";
+int main(int argc, char** argv) {
+  if (argc < 2) {
+    std::cerr << "usage: example_client CONTACT [CONTACT...]\n";
     return 2;
   }
-  Origin origin(std::vector<std::string>(values + 1, values + count), "zone1");
-  const std::string stamp =
+  Origin origin(std::vector<std::string>(argv + 1, argv + argc), "zone1");
+  const std::string timestamp =
       std::to_string(std::chrono::system_clock::now().time_since_epoch().count());
-  Job job{"example-" + stamp, "proofs", {{"proof", {}, false, {{1, 256, 500ms, "run=100", 2}}}}};
+  Job job{
+      "example-" + timestamp, "proofs", {{"proof", {}, false, {{1, 256, 500ms, "run=100", 2}}}}};
   auto submitted = origin.submit(job, 10s);
   if (!submitted) {
     std::cerr << submitted.error().text << "\n";
     return 1;
   }
-  auto seen = origin.follow(*submitted, 20s);
-  std::cout << *submitted << " " << (seen ? seen->state : seen.error().text) << std::endl;
-  if (!seen || seen->state != "finished")
+  auto finalView = origin.follow(*submitted, 20s);
+  std::cout << *submitted << " " << (finalView ? finalView->state : finalView.error().text)
+            << std::endl;
+  if (!finalView || finalView->state != "finished")
     return 1;
 
   job.id += "-long";
@@ -32,9 +35,9 @@
   auto cancelled = origin.follow(job.id, 20s);
   std::cout << job.id << " " << (cancelled ? cancelled->state : cancelled.error().text)
             << std::endl;
-  // What is wrong is told plainly, and nothing is sent.
+  // An invalid submission is rejected locally with a descriptive error, and no request is sent.
   job.steps.clear();
-  auto wrong = origin.submit(job, 1s);
-  std::cout << "without steps: " << wrong.error().text << std::endl;
-  return cancelled && cancelled->state == "cancelled" && !wrong ? 0 : 1;
+  auto invalidSubmission = origin.submit(job, 1s);
+  std::cout << "submission without steps: " << invalidSubmission.error().text << std::endl;
+  return cancelled && cancelled->state == "cancelled" && !invalidSubmission ? 0 : 1;
 }
--- a/library/aniseline/library.hpp
+++ b/library/aniseline/library.hpp
@@ -1,5 +1,5 @@
-// libaniseline: for programs that submit jobs, and for programs that are workers. Only the standard
-// library is needed to read this. docs/api.md 4.
+// Public interface of libaniseline, for programs that submit jobs and for programs that act as
+// workers. It includes only headers of the standard library. docs/api.md 4.
 #ifndef ANISELINE_LIBRARY_HPP
 #define ANISELINE_LIBRARY_HPP
 #include <chrono>
@@ -15,8 +15,8 @@
 
 using Duration = std::chrono::milliseconds;
 
-// What went wrong, in words for an operator. `unknown`: it may have been done; asking again with
-// the same id is safe.
+// Describes a failed request; `text` is meant for an operator. `unknown`: the request may have been
+// carried out, and repeating it with the same id is safe.
 struct Error {
   enum class Kind {
     invalid,
@@ -30,6 +30,7 @@
   std::string text;
   Duration retryAfter{0};
 };
+// Either a value or an error.
 template <class Value>
 class Result {
  public:
@@ -44,58 +45,74 @@
   std::variant<Value, Error> content;
 };
 
+// A number of identical tasks.
 struct Task {
   unsigned cores = 1;
   std::uint64_t memoryMb = 1;
-  Duration runtime{1000};  // requested
-  std::string payload;     // handed to the worker as it is
+  // The requested run time.
+  Duration runtime{1000};
+  // Passed to the worker unchanged.
+  std::string payload;
   unsigned count = 1;
 };
+// A group of tasks that runs after the steps named in `after` have finished.
 struct Step {
   std::string name;
   std::vector<std::string> after;
-  bool gang = false;  // all tasks start together or none
+  // All tasks of the step start together, or none does.
+  bool gang = false;
   std::vector<Task> tasks;
 };
+// A job to submit. A timed job starts `count` times, `every` apart.
 struct Job {
-  std::string id;  // yours; a resend of the same id and content gets the same answer
+  // Chosen by the caller. Submitting the same id and content again returns the same answer.
+  std::string id;
   std::string queue;
   std::vector<Step> steps;
-  std::int64_t firstAt = 0;  // of a timed job: milliseconds of calendar time
+  // The first start of a timed job, in milliseconds of calendar time.
+  std::int64_t firstAt = 0;
   Duration every{0};
   unsigned count = 1;
 };
+// The state of a submitted job.
 struct JobView {
   std::string id, state, reason;
+  // True once the job has finished, failed or been cancelled.
   bool over = false;
   std::map<std::string, std::size_t> tasksByState;
 };
 
-// Submits, follows and cancels. Calls block the calling thread, never longer than the time given;
-// any number of threads may call at once. It goes on to the next gateway by itself and learns those
-// in force, its own zone's first.
+// Submits, follows and cancels jobs. Each call blocks the calling thread for at most the given
+// time; any number of threads may call concurrently. If a gateway fails, the next one is tried. The
+// list of current gateways is updated automatically, and gateways of the caller's own zone are
+// preferred.
 class Origin {
  public:
-  // IP numbers with ports, of any processes of the cluster.
+  // Takes IP addresses with ports of any processes of the cluster. Throws std::invalid_argument if
+  // the list is empty or an address is malformed.
   explicit Origin(const std::vector<std::string>& contacts, std::string zone = {});
   ~Origin();
-  Result<std::string> submit(const Job& job,
-                             Duration within);  // the job's id, once a majority has it on disk
+  // Returns the job's id once a majority of the controllers has stored the job on disk.
+  Result<std::string> submit(const Job& job, Duration within);
   Result<JobView> show(const std::string& job, Duration within);
   Result<JobView> cancel(const std::string& job, Duration within);
-  Result<JobView> follow(const std::string& job, Duration within);  // until it is over
+  // Waits until the job has ended.
+  Result<JobView> follow(const std::string& job, Duration within);
 
  private:
   struct Impl;
   std::unique_ptr<Impl> impl;
 };
 
+// A task that a worker is to start.
 struct Work {
-  std::uint64_t attempt = 0;  // names this start; a retry has another
+  // Identifies this start; a retry gets a new number.
+  std::uint64_t attempt = 0;
   std::string job;
   unsigned task = 0, cores = 0;
   std::uint64_t memoryMb = 0;
   Duration runtime{0};
+  // True if the task is stopped after a limited run time.
   bool trial = false;
   std::string payload;
 };
@@ -104,25 +121,36 @@
   unsigned cores = 1;
   std::uint64_t memoryMb = 1024;
   std::vector<std::string> contacts;
-  bool honoursLeases =
-      true;  // hold() really holds: only then are its tasks started elsewhere after a silence
+  // States that hold() reliably suspends a task. Only then are the worker's tasks started elsewhere
+  // while it does not answer.
+  bool honoursLeases = true;
+  // States that the worker rejects tasks that exceed its capacity.
   bool guardsRoom = false;
 };
-// What a worker does when told. Called on the library's own thread, one at a time: return soon.
+// Callbacks through which a worker receives commands. They are called one at a time on the
+// library's own thread and must return quickly.
 struct WorkerSlots {
   std::function<void(const Work&)> start;
   std::function<void(std::uint64_t attempt)> hold, resume, stop;
-  std::function<void(std::uint64_t attempt, bool finished)>
-      final;  // the centre knows of the ending: hand out the result now
-  std::function<void(const std::string&)> rejected;  // say, another process has this id
+  // The cluster has recorded the end of the attempt; its result may be published now.
+  std::function<void(std::uint64_t attempt, bool finished)> final;
+  // The cluster has rejected this worker for the given reason, for example because another process
+  // uses its id.
+  std::function<void(const std::string&)> rejected;
 };
+// Connects a worker to the cluster and passes it commands until it is destroyed.
 class Worker {
  public:
   Worker(const WorkerOptions& options, WorkerSlots slots);
-  ~Worker();                                     // out of touch from then on: leave() first
-  void ended(std::uint64_t attempt, bool well);  // from any thread
-  void leave(Duration within);  // nothing new starts; what runs may go on that long
-  bool idle() const;            // nothing runs and every ending is confirmed
+  // Disconnects from the cluster; call leave() first.
+  ~Worker();
+  // Reports the end of an attempt; `well` states whether it succeeded. May be called from any
+  // thread.
+  void ended(std::uint64_t attempt, bool well);
+  // Starts no new tasks; running tasks may continue for this long.
+  void leave(Duration within);
+  // Reports whether no task runs and every result is confirmed.
+  bool idle() const;
 
  private:
   struct Impl;
--- a/library/library.cpp
+++ b/library/library.cpp
@@ -1,3 +1,5 @@
+// Implements the public library on top of GatewayClient and WorkerClient, with one fiber thread per
+// object.
 #include "aniseline/library.hpp"
 #include "base/json.hpp"
 #include "net/gateway_client.hpp"
@@ -18,18 +20,18 @@
     found.push_back(Address{text});
   }
   if (found.empty())
-    throw std::invalid_argument("no contacts are given");
+    throw std::invalid_argument("no contact addresses given");
   return found;
 }
 
-// A thread of the library's own, with fibers; work is handed to it from any thread.
+// A library thread that runs fibers. Functions can be posted to it from any thread.
 class FiberThread {
  public:
   FiberThread() {
     std::promise<void> ready;
     thread = std::thread([this, &ready] {
-      // The thread's scheduler waits in this loop up to its very end, so it is kept until the
-      // thread is joined.
+      // The thread's fiber scheduler runs in this event loop until the thread exits, so the loop is
+      // kept alive until the thread is joined.
       ownedLoop = std::make_unique<EventLoop>();
       loop = ownedLoop.get();
       ready.set_value();
@@ -100,8 +102,8 @@
     return toError(answer.error());
   picojson::value root;
   if (!parseJson(root, answer.value().body).empty() || !root.is<picojson::object>())
-    return Error{Error::Kind::unknown, answer.value().status, "the answer is no JSON object",
-                 Duration{0}};
+    return Error{Error::Kind::unknown, answer.value().status,
+                 "the response body is not a JSON object", Duration{0}};
   JobView view;
   view.id = id;
   view.state = root.get("state").to_str();
@@ -182,8 +184,8 @@
              aniseline::Duration{std::min<std::int64_t>(500, pollInterval.milliseconds * 5 / 4)}) {
       const auto left = until - monotonicNow();
       if (left.milliseconds <= 0)
-        return Error{Error::Kind::unknown, 0, "job " + job + " was not seen to end in time",
-                     Duration{0}};
+        return Error{Error::Kind::unknown, 0,
+                     "job " + job + " did not reach a final state before the timeout", Duration{0}};
       auto view = toJobView(job, gatewayClient.showJob(JobId{job}, left));
       if ((view && view->over) || (!view && view.error().kind == Error::Kind::missing))
         return view;
@@ -196,7 +198,8 @@
   WorkerSlots slots;
   std::unique_ptr<WorkerClient> client;
   std::atomic<bool> stop{false}, isIdle{true};
-  FiberThread fiberThread;  // the last: its thread ends before what it uses
+  FiberThread
+      fiberThread;  // declared last: its thread ends before the members that it uses are destroyed
 };
 
 Worker::Worker(const WorkerOptions& options, WorkerSlots slots) : impl(new Impl) {
--- a/source/agent/called_worker_session.cpp
+++ b/source/agent/called_worker_session.cpp
@@ -1,3 +1,5 @@
+// Checks calls against the instance, the fencing term, the lease and the capacity before executing
+// them.
 #include "agent/called_worker_session.hpp"
 
 namespace aniseline {
@@ -51,8 +53,7 @@
   return replyWith(WorkerReply::Status::ok, now);
 }
 
-// A stop of a run that is not there is remembered, so that a start of it that comes late is
-// rejected.
+// A stop of an unknown run is recorded, so that a start of that run that arrives later is rejected.
 WorkerReply CalledWorkerSession::stop(const WorkerCall& call, WorkerTime now) {
   rememberRun(call.runId);
   const auto task = std::find_if(running.begin(), running.end(), [&](const auto& entry) {
@@ -95,8 +96,8 @@
 
 void CalledWorkerSession::tick(WorkerTime now) {
   if (now >= leaseUntil) {
-    // A success that was not confirmed may be started elsewhere from now on: it is void.
-    // docs/design.md 5.5.
+    // The tasks of unconfirmed successes may be started elsewhere from now on, so these successes
+    // are void. docs/design.md 5.5.
     for (auto& result : unconfirmedResults) {
       if (result.outcome == AttemptOutcome::succeeded)
         result.outcome = AttemptOutcome::stopped;
--- a/source/agent/called_worker_session.hpp
+++ b/source/agent/called_worker_session.hpp
@@ -1,8 +1,8 @@
-// The core of a worker that is called by an agent: it carries out starts, stops and polls, ends all
-// tasks when its lease expires, and keeps numbered results until a poll confirms them. Without
-// sockets, clocks and threads: the worker program passes in calls and times on one thread, and
-// carries out the commands that come out. docs/api.md 5. WorkerSession is its counterpart for
-// workers that sync with the leader by themselves.
+// The core of a worker that an agent calls: it carries out starts, stops and polls, stops all tasks
+// when its lease expires, and keeps numbered results until a poll confirms them. It owns no
+// sockets, clocks or threads: the worker program passes in calls and times on one thread, and
+// executes the commands that it returns. docs/api.md 5. WorkerSession is its counterpart for
+// workers that sync with the leader directly.
 #ifndef ANISELINE_AGENT_CALLED_WORKER_SESSION_HPP
 #define ANISELINE_AGENT_CALLED_WORKER_SESSION_HPP
 #include "agent/worker_messages.hpp"
@@ -14,30 +14,30 @@
  public:
   struct Options {
     Capacity capacity;
-    // The longest lease that a call is granted, in milliseconds.
+    // The longest lease that a call can obtain, in milliseconds.
     Duration maxLease{6000};
     std::size_t maxResultsPerPoll = 500;
-    // So many tasks' latest runs are remembered, to reject starts that come late.
+    // The number of tasks whose latest run is remembered in order to reject late starts.
     std::size_t maxRememberedTasks = 100'000;
   };
   CalledWorkerSession(Options options, WorkerId workerInstance)
       : options(std::move(options)), workerInstance(std::move(workerInstance)) {}
 
-  // Carries a call out. While a poll's wait lasts, the same call may be passed in again for a newer
-  // reply.
+  // Carries out a call. While a long poll waits, the same call may be passed in again for an
+  // updated reply.
   WorkerReply onCall(const WorkerCall& call, WorkerTime now);
-  // Ends everything when the lease has expired, and trials that have used their time.
+  // Stops all tasks if the lease has expired, and stops trials that have used up their quantum.
   void tick(WorkerTime now);
-  // A task has ended by itself.
+  // Handles a task that has ended without being stopped.
   void onTaskEnded(AttemptNumber attempt, bool succeeded, WorkerTime now);
-  // Starts are rejected from now on.
+  // Rejects all starts from now on.
   void startDraining() { draining = true; }
-  // Another instance begins: nothing of this one runs on.
+  // Stops all tasks, discards the state and continues as instance `next`.
   void onReplaced(WorkerId next);
 
-  // What is to be done with tasks, in order.
+  // Returns the pending commands for tasks, in order.
   std::vector<TaskCommand> takeCommands() { return std::exchange(commands, {}); }
-  // Results that a poll has confirmed since the last call.
+  // Returns the results that a poll has confirmed since the last call.
   std::vector<ConfirmedResult> takeConfirmedResults() {
     return std::exchange(confirmedResults, {});
   }
@@ -64,28 +64,29 @@
   WorkerReply poll(const WorkerCall& call, WorkerTime now);
   void confirmResultsUpTo(std::uint64_t sequenceNumber);
   void extendLease(const std::optional<WorkerTime>& deadline, WorkerTime now);
-  // The task has ended by itself.
+  // Removes the task and keeps its result until it is confirmed.
   void finishTask(RunningTasks::iterator task, AttemptOutcome outcome);
-  // The program is asked to stop the task.
+  // Commands the program to stop the task.
   void stopTask(RunningTasks::iterator task, AttemptOutcome outcome);
   void stopAllTasks();
   bool hasCapacityFor(const Order& order) const;
-  // This run of the task, or a later one, has been started or stopped.
+  // Reports whether this run of the task, or a later one, has been started or stopped.
   bool isStale(const TaskRunId& runId) const;
   void rememberRun(const TaskRunId& runId);
 
   Options options;
   WorkerId workerInstance;
-  // The highest term of a call.
+  // The highest term of any call.
   Term fencingTerm;
   WorkerTime leaseUntil{0};
   bool draining = false;
   RunningTasks running;
   std::deque<TaskResult> unconfirmedResults;
   std::uint64_t lastSequenceNumber = 0;
-  // By task, which is a run with number 0: the latest run that was started or stopped.
+  // The number of the latest run that was started or stopped, by task. The key is a run id with run
+  // number 0.
   std::map<TaskRunId, std::uint32_t> latestRuns;
-  // The tasks of `latestRuns`, the oldest first.
+  // The tasks in `latestRuns`, oldest first.
   std::deque<TaskRunId> rememberedTasks;
   std::vector<TaskCommand> commands;
   std::vector<ConfirmedResult> confirmedResults;
--- a/source/agent/instance_tracker.cpp
+++ b/source/agent/instance_tracker.cpp
@@ -1,16 +1,18 @@
+// Decides when a registration, a drain notice or a reply changes the current instance.
 #include "agent/instance_tracker.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// So many drain notices of instances that are not known otherwise are remembered.
+// The maximum number of stored drain notices from otherwise unknown instances.
 constexpr std::size_t maxEarlyDrainNotices = 16;
-// Between unanswered polls for an instance that is known by its registration only.
+// Interval between unanswered polls of an instance that is known only from its registration.
 constexpr Duration probeInterval{100};
 
 bool confirmsInstance(WorkerReply::Status status) {
-  // A fenced call has reached the instance that it names: it has seen a newer leader.
+  // A fenced call has also reached the instance that it names; that instance has seen a newer
+  // leader.
   return status == WorkerReply::Status::ok || status == WorkerReply::Status::fenced;
 }
 
@@ -112,7 +114,7 @@
   candidate->probeInFlight = false;
   candidate->nextProbeAt = now + probeInterval;
   if (status == WorkerReply::Status::instanceMismatch) {
-    candidate.reset();  // its registration came late: the instance is over
+    candidate.reset();  // its registration arrived late: the instance has ended
     return std::nullopt;
   }
   if (!confirmsInstance(status))
@@ -123,7 +125,7 @@
 void InstanceTracker::onCurrentReply(const WorkerCall& call, WorkerReply::Status status) {
   if (status == WorkerReply::Status::instanceMismatch) {
     instanceConfirmed = false;
-    probesLeft = 0;  // until the next registration of this instance
+    probesLeft = 0;  // no probes until this instance registers again
   } else if (call.kind == WorkerCall::Kind::poll && confirmsInstance(status)) {
     instanceConfirmed = true;
   }
--- a/source/agent/instance_tracker.hpp
+++ b/source/agent/instance_tracker.hpp
@@ -1,7 +1,7 @@
-// Which instance of the worker stands at its address, and whether it drains. A worker that restarts
-// is another instance, of which nothing that ran at the former one is known. Registrations may come
-// late and out of order, so another instance counts only once a call that names it was answered
-// there. Owned and called by NodeAgent. docs/design.md 5.7, 5.8.
+// Tracks which instance of the worker runs at its address, and whether it drains. A restarted
+// worker is a new instance without any knowledge of its predecessor's runs. Registrations may
+// arrive late and out of order, so a different instance is accepted only after it has answered a
+// call addressed to it. Owned and called by NodeAgent. docs/design.md 5.7, 5.8.
 #ifndef ANISELINE_AGENT_INSTANCE_TRACKER_HPP
 #define ANISELINE_AGENT_INSTANCE_TRACKER_HPP
 #include "agent/node_agent_options.hpp"
@@ -13,65 +13,66 @@
  public:
   explicit InstanceTracker(const NodeAgentOptions& options) : options(options) {}
 
-  // What a message of an instance is about, by what is known.
+  // The relation of a message's sender to the known instances.
   enum class InstanceState : std::uint8_t { unknown, current, candidate, former };
 
   const WorkerRegistration& current() const { return registration; }
   bool known() const { return !registration.workerInstance.value.empty(); }
   bool isFormer(const WorkerId& instance) const { return formerInstances.count(instance) != 0; }
 
-  // This tracker as it is when the instance of the registration has become the current one.
-  // `confirmed`: a call that names it was answered there.
+  // Returns this tracker with the instance of the registration as the current one. `confirmed`
+  // states whether that instance has answered a call addressed to it.
   InstanceTracker withCurrent(const WorkerRegistration& incoming, bool confirmed) &&;
-  // A newer registration of the current instance. False: a newer one has come before, and nothing
-  // is changed.
+  // Applies a registration of the current instance. Returns false, without any change, if a newer
+  // one has arrived before.
   bool update(const WorkerRegistration& incoming);
-  // Another instance registers while one is current.
+  // Handles the registration of a different instance while one is current.
   void considerCandidate(const WorkerRegistration& incoming, MonotonicTime now);
-  // An instance says that it is about to end. Nothing takes that back.
+  // Handles an instance's notice that it is shutting down. Later messages cannot revoke the notice.
   InstanceState onDrainNotice(const WorkerId& instance, Duration drainTimeout);
 
-  // The poll that asks whether the candidate stands at the address, when one is due. Its id and
-  // fencing term are the caller's to set.
+  // Returns the poll that checks whether the candidate runs at the address, if one is due. The
+  // caller sets its call id and fencing term.
   std::optional<WorkerCall> takeCandidateProbe(MonotonicTime now);
-  // The reply to a call that names another instance than the current one. The registration of the
-  // candidate if that has been shown to stand at the address.
+  // Handles the reply to a call addressed to an instance other than the current one. Returns the
+  // candidate's registration if the reply proves that the candidate runs at the address.
   std::optional<WorkerRegistration> onCandidateReply(const WorkerCall& call,
                                                      WorkerReply::Status status, MonotonicTime now);
-  // The reply to a call that names the current instance.
+  // Handles the reply to a call addressed to the current instance.
   void onCurrentReply(const WorkerCall& call, WorkerReply::Status status);
-  // The next probe of the candidate, if there is one to be made.
+  // Returns the time of the next probe of the candidate, if one is pending.
   std::optional<MonotonicTime> nextCandidateProbeAt() const;
 
-  // Replies have shown that the current instance stands at the address, and none since that another
-  // does.
+  // Reports whether replies have shown that the current instance runs at the address, and no later
+  // reply has shown another instance there.
   bool confirmed() const { return instanceConfirmed; }
-  // A poll that asks whether the current instance stands there is allowed now.
+  // Reports whether a poll may now check that the current instance runs at the address.
   bool confirmationProbeDue(Duration sinceLastPoll) const;
   void consumeConfirmationProbe() { --probesLeft; }
 
-  // The leader has declared the current instance gone. It is used again under the next incarnation
-  // from then on, or never if it drains.
+  // Handles the leader's declaration that the current instance is gone. From `until` on the
+  // instance is used again under the next incarnation, or never if it drains.
   void retireUntil(MonotonicTime until);
-  // Ends a retirement whose time is over.
+  // Ends a retirement whose time has elapsed.
   void tick(MonotonicTime now) { retired = retired && now < retirementEnd; }
-  // Calls for the current instance may be made.
+  // Reports whether the current instance may be called.
   bool usable(MonotonicTime now) const { return known() && !ended && now >= retirementEnd; }
-  // The current instance may be reported to the leader.
+  // Reports whether the current instance may be reported to the leader.
   bool reportable() const { return instanceConfirmed && !ended && !retired; }
   bool retirementOver(MonotonicTime now) const { return now >= retirementEnd; }
-  // The current instance has drained and is never used again.
+  // Reports whether the current instance has drained and is never used again.
   bool hasEnded() const { return ended; }
   Incarnation incarnation() const { return currentIncarnation; }
 
   void noteDrainReported() { drainReported = true; }
   bool drainUnreported() const { return registration.draining && !drainReported; }
   bool drainKnownToLeader() const { return registration.draining && drainReported; }
-  // The leader has logged that this instance drains, or the instance is over.
+  // Reports whether the leader has logged that this instance drains, or the instance has ended.
   bool drainAcknowledged(const WorkerId& instance) const;
 
  private:
-  // An instance that registered while another one is current, until a poll shows which stands.
+  // An instance that registered while another one is current, until a poll shows which of them runs
+  // at the address.
   struct Candidate {
     WorkerRegistration registration;
     std::uint32_t probesLeft = 0;
@@ -84,7 +85,7 @@
   NodeAgentOptions options;
   WorkerRegistration registration;
   std::set<WorkerId> formerInstances;
-  // Instances that announced their end before they registered, with their drain timeouts.
+  // Instances that sent a drain notice before they registered, with their drain timeouts.
   std::map<WorkerId, Duration> earlyDrainNotices;
   std::optional<Candidate> candidate;
   Incarnation currentIncarnation{1};
--- a/source/agent/order_stream.cpp
+++ b/source/agent/order_stream.cpp
@@ -1,11 +1,12 @@
+// Merges the order ranges of sync responses, which may overlap or leave gaps.
 #include "agent/order_stream.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// Applied orders are worth a sync of their own after this long; until then the ordinary syncs,
-// about one a second, carry most of them.
+// Applied orders are reported in a separate sync after this delay. Until then the regular syncs,
+// about one per second, carry most of them.
 constexpr Duration appliedReportDelay{400};
 
 }  // namespace
@@ -16,10 +17,11 @@
   if (response.orders.empty())
     return received;
   const OrderNumber before{response.orders.front().number.value - 1};
-  // A new process begins where the leader does.
+  // A new process starts at the first order that the leader sends.
   if (lastReceived == OrderNumber{}) {
     if (response.ordersAfter > lastReceived)
-      return received;  // earlier ones were in a response that did not come: all come again
+      return received;  // earlier orders were in a lost response; the leader sends all of them
+                        // again
     lastReceived = before;
   }
   for (const auto& order : response.orders) {
--- a/source/agent/order_stream.hpp
+++ b/source/agent/order_stream.hpp
@@ -1,6 +1,7 @@
-// The leader's numbered orders as they reach one node agent: which have come, which are known to be
-// missing, and how far the leader has heard that they are applied. Sync responses may overtake each
-// other, so orders may come with gaps. Owned and called by NodeAgent. docs/design.md 5.3, 5.8.
+// Tracks the leader's numbered orders as they reach one node agent: which have arrived, which are
+// known to be missing, and up to which one the leader has been told that they are applied. Sync
+// responses may overtake each other, so orders may arrive with gaps. Owned and called by NodeAgent.
+// docs/design.md 5.3, 5.8.
 #ifndef ANISELINE_AGENT_ORDER_STREAM_HPP
 #define ANISELINE_AGENT_ORDER_STREAM_HPP
 #include "state/api_request.hpp"
@@ -9,33 +10,35 @@
 
 class OrderStream {
  public:
-  // The orders of one response that had not come before, in their order.
+  // The orders of one response that had not arrived before, in ascending order.
   struct Received {
-    // They point into the response.
+    // Pointers into the response.
     std::vector<const Order*> orders;
-    // The response is the first of this process: an earlier process of the agent may have begun to
-    // carry these orders out.
+    // True for the first response that this process receives: an earlier process of the agent may
+    // have started to carry out its orders.
     bool firstResponse = false;
   };
 
   Received receive(const SyncResponse& response);
 
-  // A response says that there are orders up to this one.
+  // Records that the leader has issued orders up to this one.
   void noteIssuedUpTo(OrderNumber number) { lastIssued = std::max(lastIssued, number); }
-  // Orders are missing that the leader has issued. A stop may be among them.
+  // Reports whether orders that the leader has issued are missing; one of them may be a stop.
   bool hasGap() const { return lastIssued > lastReceived; }
-  // Every order up to this one has come.
+  // Returns the order up to which all have arrived.
   OrderNumber received() const { return lastReceived; }
-  // Every order up to this one has been carried out; `oldestOpen` is the first that is not, if any.
+  // Returns the order up to which all have been carried out; `oldestOpen` is the first that has
+  // not, if any.
   OrderNumber applied(std::optional<OrderNumber> oldestOpen) const;
 
-  // A report to the leader says that orders are applied up to this one.
+  // Records that a report to the leader states that orders up to this one are applied.
   void noteReported(OrderNumber applied, MonotonicTime now);
   bool isReported(OrderNumber applied) const { return applied == reportedApplied; }
-  // From then on a newer state is to be reported without waiting for the next ordinary sync.
+  // Returns the time from which newly applied orders are reported without waiting for the next
+  // regular sync.
   MonotonicTime nextReportAt() const;
 
-  // The worker's incarnation is replaced: orders are numbered anew.
+  // Starts again because the worker's incarnation is replaced and its orders are renumbered.
   void reset();
 
  private:
@@ -44,7 +47,8 @@
 
   OrderNumber lastReceived;
   OrderNumber lastIssued;
-  // Spans of orders beyond a gap that have come too. The key is the number before the first.
+  // Ranges of orders that arrived beyond a gap. The key is the number before the first order of the
+  // range; the value is the last.
   std::map<OrderNumber, OrderNumber> rangesBeyondGap;
   bool syncedOnce = false;
   OrderNumber reportedApplied;
--- a/source/agent/pending_results.cpp
+++ b/source/agent/pending_results.cpp
@@ -1,10 +1,11 @@
+// Orders unconfirmed results by the worker's sequence numbers and confirms them in that order.
 #include "agent/pending_results.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// Keeps a report below the limit of a request's size, whatever its runs are called.
+// Keeps a report below the request size limit for run ids of any length.
 constexpr std::size_t maxResultsPerReport = 500;
 
 }  // namespace
@@ -74,7 +75,8 @@
     confirmResult(report.runResults[index].runId);
 }
 
-// Results are final in the order of their numbers only, for the worker forgets all up to one.
+// Results become final only in the order of their numbers, because the worker discards all results
+// up to a given number.
 void PendingResults::confirmResult(const TaskRunId& runId) {
   auto found = std::find_if(pending.begin(), pending.end(), [&](const PendingResult& entry) {
     return entry.result.runId == runId;
--- a/source/agent/pending_results.hpp
+++ b/source/agent/pending_results.hpp
@@ -1,6 +1,6 @@
 // Results of task runs that the leader has not confirmed yet, and checkpoints that it has not
-// stored. Both are reported again until a response confirms them. Owned and called by NodeAgent.
-// docs/design.md 5.5, 5.8.
+// stored. Both are reported in every sync until a response confirms them. Owned and called by
+// NodeAgent. docs/design.md 5.5, 5.8.
 #ifndef ANISELINE_AGENT_PENDING_RESULTS_HPP
 #define ANISELINE_AGENT_PENDING_RESULTS_HPP
 #include "agent/worker_messages.hpp"
@@ -12,35 +12,37 @@
  public:
   bool empty() const { return pending.empty(); }
   bool contains(const TaskRunId& runId) const;
-  // Results that the worker itself has counted: it keeps them until a poll confirms them.
+  // Reports whether there are results that the worker has numbered; it keeps them until a poll
+  // confirms them.
   bool hasWorkerResults() const;
   bool hasUnreported() const;
 
-  // The worker has shown a result under this number. False: it is known already, or was confirmed.
+  // Returns true, and records the sequence number, if the worker's result under this number is new.
+  // Returns false if it is already known or has been confirmed.
   bool isNew(std::uint64_t sequenceNumber);
-  // Number 0: the worker never began the run. Results are kept in the order of the worker's
-  // numbers, those without one behind them.
+  // Adds a result. Sequence number 0 means that the worker never started the run. Results are kept
+  // in the order of the worker's sequence numbers, followed by those without one.
   void add(std::uint64_t sequenceNumber, TaskRunResult result);
-  // A run's latest checkpoint, which is reported if it is new.
+  // Records a run's latest checkpoint, which is reported if it is new.
   void noteCheckpoint(const TaskRunId& runId, const std::string& checkpoint);
 
-  // Puts what is pending into a report, as much as one report takes.
+  // Adds pending results, up to the limit of one report, and pending checkpoints to a report.
   void fillReport(SyncReport& report);
-  // The leader has answered a report: its checkpoints are stored, and so many of its results, from
-  // the first on, are final.
+  // Handles the leader's response to a report: the checkpoints in the report are stored, and its
+  // first `finalResultCount` results are final.
   void confirm(const SyncReport& report, std::uint32_t finalResultCount);
-  // The worker forgets its results up to this number.
+  // Returns the sequence number up to which the worker may discard its results.
   std::uint64_t confirmedUpTo() const { return confirmedNumber; }
 
-  // The worker's lease has expired: a success that was not confirmed counts as stopped, for the
-  // task may be started elsewhere. docs/design.md 5.5.
+  // Handles the expiry of the worker's lease: an unconfirmed success becomes a stopped run, because
+  // the task may be started elsewhere. docs/design.md 5.5.
   void voidSuccesses();
-  // The worker's incarnation is replaced.
+  // Discards all results because the worker's incarnation is replaced.
   void clear();
 
  private:
   struct PendingResult {
-    // 0: the worker never began it.
+    // 0 if the worker never started the run.
     std::uint64_t sequenceNumber = 0;
     TaskRunResult result;
     bool reported = false;
@@ -49,7 +51,7 @@
 
   std::deque<PendingResult> pending;
   std::map<TaskRunId, std::string> pendingCheckpoints;
-  // By run: the latest checkpoint that was seen, so that each is reported once only.
+  // The latest known checkpoint of each run; it ensures that each checkpoint is queued only once.
   std::map<TaskRunId, std::string> latestCheckpoints;
   std::uint64_t confirmedNumber = 0;
   std::uint64_t highestNumber = 0;
--- a/source/agent/poll_state.cpp
+++ b/source/agent/poll_state.cpp
@@ -1,3 +1,4 @@
+// Numbers the polls, so that the reply to an abandoned poll can be told apart.
 #include "agent/poll_state.hpp"
 
 namespace aniseline {
--- a/source/agent/worker_contact.cpp
+++ b/source/agent/worker_contact.cpp
@@ -1,3 +1,4 @@
+// Derives from calls and reports whether starts at the worker are blocked.
 #include "agent/worker_contact.hpp"
 
 namespace aniseline {
@@ -20,8 +21,8 @@
   return reportedUnresponsive;
 }
 
-// Only a report made after the last one of unresponsiveness counts: until a leader has heard that,
-// the earlier one still stands.
+// Only a report made after the last report of unresponsiveness counts: until a leader has received
+// such a report, the earlier one remains in force.
 void WorkerContact::onReportAcknowledged(MonotonicTime reportedAt, MonotonicTime now) {
   if (!unresponsive(now) && reportedAt > reportedUnresponsiveAt)
     blocked = false;
--- a/source/agent/worker_contact.hpp
+++ b/source/agent/worker_contact.hpp
@@ -1,6 +1,6 @@
-// Whether the worker answers its agent, and what has been reported to the leader of that. An
-// unresponsive worker gets no leader's lease; nothing is started there again before the leader has
-// heard that it answers. Owned and called by NodeAgent. docs/design.md 5.8.
+// Tracks whether the worker answers its agent, and what the leader has been told about it. The
+// leader grants no lease to an unresponsive worker, and no run is started there until the leader
+// has been told that the worker answers again. Owned and called by NodeAgent. docs/design.md 5.8.
 #ifndef ANISELINE_AGENT_WORKER_CONTACT_HPP
 #define ANISELINE_AGENT_WORKER_CONTACT_HPP
 #include "agent/node_agent_options.hpp"
@@ -11,25 +11,28 @@
  public:
   explicit WorkerContact(const NodeAgentOptions& options) : options(options) {}
 
-  // Something of the worker came, be it late.
+  // Records that a message from the worker arrived, even if it arrived late.
   void noteContact(MonotonicTime now) { lastContactAt = std::max(lastContactAt, now); }
   void noteReply(MonotonicTime now);
   void noteUnanswered() { callUnanswered = true; }
 
-  // The latest call that is over got no reply.
+  // Reports whether the latest completed call got no reply.
   bool lastCallUnanswered() const { return callUnanswered; }
   bool unresponsive(MonotonicTime now) const;
 
-  // A report is made now: true if it says that the worker is unresponsive.
+  // Records that a report is made now. Returns true if the report states that the worker is
+  // unresponsive.
   bool makeReport(MonotonicTime now);
-  // The leader has answered a report of that time, which said that the worker answers.
+  // Handles the leader's response to a report made at `reportedAt` that described the worker as
+  // responsive.
   void onReportAcknowledged(MonotonicTime reportedAt, MonotonicTime now);
-  // The latest report says something else than what is known now.
+  // Reports whether the latest report differs from the current state.
   bool reportOutdated(MonotonicTime now) const { return unresponsive(now) != reportedUnresponsive; }
-  // A leader may still take the worker for unresponsive and start its work elsewhere.
+  // Reports whether a leader may still consider the worker unresponsive and start its work
+  // elsewhere.
   bool startsBlocked() const { return blocked; }
-  // The worker becomes unresponsive then if nothing of it comes; nothing if no call is unanswered,
-  // or if it is reported already.
+  // Returns the time at which the worker becomes unresponsive if no message arrives from it;
+  // nothing if no call is unanswered or its unresponsiveness has been reported.
   std::optional<MonotonicTime> becomesUnresponsiveAt() const;
 
  private:
--- a/source/agent/worker_session.cpp
+++ b/source/agent/worker_session.cpp
@@ -1,3 +1,5 @@
+// Applies orders in sequence and tracks which tasks run, are suspended, or have unconfirmed
+// results.
 #include "agent/worker_session.hpp"
 
 namespace aniseline {
@@ -13,7 +15,8 @@
     report.results.push_back({attempt, result.outcome});
   report.draining = draining;
   report.drainTimeout = drainTimeout;
-  // Applied orders are reported at once, but such a sync may then wait for new ones.
+  // Applied orders are reported immediately, but a sync that reports nothing else may wait for new
+  // orders.
   report.longPollTimeout = resultsOrDrainUnreported() ? Duration{0} : options.longPollTimeout;
   reportedAppliedOrder = lastAppliedOrder;
   reportedDraining = draining;
@@ -23,11 +26,12 @@
 bool WorkerSession::onSyncResponse(Incarnation reportingIncarnation, const SyncResponse& response,
                                    MonotonicTime sentAt, MonotonicTime now) {
   tick(now);
-  // Orders are counted anew for each incarnation: another's would be taken for this one's.
+  // Orders are numbered separately for each incarnation, so those of another incarnation would be
+  // mistaken for orders to this one.
   if (reportingIncarnation != incarnation)
     return false;
-  // An order from a superseded leader, or under a lease that is over, is not followed.
-  // docs/design.md 5.3.
+  // An order from a superseded leader or under an expired lease is not followed. docs/design.md
+  // 5.3.
   if (response.term < highestTerm || now >= sentAt + response.lease)
     return false;
   highestTerm = response.term;
@@ -52,7 +56,7 @@
   auto found = unconfirmedResults.find(attempt);
   if (found == unconfirmedResults.end())
     return;
-  // A result without an order is of a task that never started here.
+  // A result without an order belongs to a task that never started here.
   if (found->second.order.attempt.value)
     confirmedResults.push_back({found->second.order, found->second.outcome});
   unconfirmedResults.erase(found);
@@ -158,7 +162,7 @@
 void WorkerSession::startOrStage(const Order& order, MonotonicTime now) {
   if (tasks.count(order.attempt) || unconfirmedResults.count(order.attempt))
     return;
-  // Nothing starts once the worker drains. docs/design.md 5.7.
+  // No task starts once the worker drains. docs/design.md 5.7.
   if (draining)
     return reportNeverStarted(order.attempt);
   RunningTask task;
--- a/source/agent/worker_session.hpp
+++ b/source/agent/worker_session.hpp
@@ -1,23 +1,23 @@
-// The core of a worker that syncs with the leader by itself: it applies the leader's numbered
+// The core of a worker that syncs with the leader directly: it applies the leader's numbered
 // orders, suspends tasks when the lease expires, ends trials, and reports results until they are
-// confirmed. Without sockets, clocks and threads: net/client and the simulator pass in responses
-// and times on one thread, and carry out the commands that come out. docs/design.md 5,
-// docs/api.md 3. CalledWorkerSession is its counterpart for workers that are called by an agent.
+// confirmed. It owns no sockets, clocks or threads: net/client and the simulator pass in responses
+// and times on one thread, and execute the commands that it returns. docs/design.md 5, docs/api.md
+// 3. CalledWorkerSession is its counterpart for workers that an agent calls.
 #ifndef ANISELINE_AGENT_WORKER_SESSION_HPP
 #define ANISELINE_AGENT_WORKER_SESSION_HPP
 #include "state/api_request.hpp"
 
 namespace aniseline {
 
-// What a session asks of the program that runs the tasks.
+// A command from a session to the program that runs the tasks.
 struct TaskCommand {
   enum class Kind : std::uint8_t { start, suspend, resume, stop } kind = Kind::start;
   AttemptNumber attempt;
-  // Of a start.
+  // Set for a start only.
   Order order;
 };
 
-// A result that is final: the leader's log holds it. docs/design.md 5.5.
+// A final result, which the leader's log holds. docs/design.md 5.5.
 struct ConfirmedResult {
   Order order;
   AttemptOutcome outcome;
@@ -34,39 +34,40 @@
   WorkerSession(Options options, Incarnation incarnation)
       : options(std::move(options)), incarnation(incarnation) {}
 
-  // The next sync's report. A lease that its response grants counts from now on.
+  // Returns the report for the next sync. A lease granted by the response counts from `now`.
   SyncReport makeSyncReport(MonotonicTime now);
-  // The response to a report that was made by incarnation `reported` and sent at `sentAt`. False:
-  // it was not followed, because it came too late, from a superseded leader, or for an incarnation
-  // that has been replaced.
+  // Handles the response to a report that incarnation `reportingIncarnation` made and sent at
+  // `sentAt`. Returns false if the response was ignored, because it came too late, from a
+  // superseded leader, or for an incarnation that has been replaced.
   bool onSyncResponse(Incarnation reportingIncarnation, const SyncResponse& response,
                       MonotonicTime sentAt, MonotonicTime now);
-  // The leader says that this incarnation is replaced: everything stops, and the next one begins.
+  // Handles the leader's message that this incarnation is replaced: stops all tasks and continues
+  // as the next incarnation.
   void onReplaced(Incarnation next);
-  // Suspends all tasks when the lease has expired, and ends trials that have used their time.
+  // Suspends all tasks if the lease has expired, and ends trials that have used up their quantum.
   void tick(MonotonicTime now);
-  // A task has ended by itself.
+  // Handles a task that has ended without being stopped.
   void onTaskEnded(AttemptNumber attempt, bool succeeded, MonotonicTime now);
-  // Nothing starts from now on. What runs may go on for that many milliseconds.
+  // Starts no further tasks. Running tasks may continue for `timeout` milliseconds.
   void startDraining(Duration timeout);
 
-  // Results that the leader has confirmed since the last call.
+  // Returns the results that the leader has confirmed since the last call.
   std::vector<ConfirmedResult> takeConfirmedResults() {
     return std::exchange(confirmedResults, {});
   }
-  // What is to be done with tasks, in order.
+  // Returns the pending commands for tasks, in order.
   std::vector<TaskCommand> takeCommands() { return std::exchange(commands, {}); }
-  // There is something that the leader should hear at once.
+  // Reports whether there is news that the leader should receive immediately.
   bool hasUrgentReport() const {
     return resultsOrDrainUnreported() || lastAppliedOrder != reportedAppliedOrder;
   }
-  // No lease has been granted, or the last one has expired.
+  // Reports whether no lease has been granted yet or the last one has expired.
   bool leaseExpired() const { return withoutLease; }
   bool empty() const { return tasks.empty() && unconfirmedResults.empty(); }
-  // The highest term of a leader that was followed.
+  // Returns the highest term of a leader whose response was followed.
   Term term() const { return highestTerm; }
   Incarnation currentIncarnation() const { return incarnation; }
-  // The earliest time at which tick has something to do.
+  // Returns the earliest time at which tick has work to do.
   MonotonicTime nextWakeUp() const;
   const std::vector<Address>& gateways() const { return knownGateways; }
   std::size_t taskCount() const { return tasks.size(); }
@@ -74,13 +75,13 @@
  private:
   struct RunningTask {
     Order order;
-    // Part of a gang that has not been launched.
+    // A member of a gang that has not been launched.
     bool staged = false;
     bool suspendedByOrder = false;
     bool suspendedByLease = false;
     bool started = false;
     MonotonicTime activeSince;
-    // The run time before `activeSince`; a trial's quantum limits it.
+    // The run time accumulated before `activeSince`; a trial's quantum limits the total.
     Duration timeUsed;
 
     bool isActive() const { return started && !suspendedByOrder && !suspendedByLease; }
@@ -95,7 +96,7 @@
   void startOrStage(const Order& order, MonotonicTime now);
   void launch(AttemptNumber attempt, MonotonicTime now);
   void stop(AttemptNumber attempt);
-  // Sets one of the reasons for which a task is suspended.
+  // Sets or clears one of the reasons for which a task is suspended.
   void setSuspended(RunningTask& task, bool RunningTask::*reason, bool suspended,
                     MonotonicTime now);
   void setAllSuspendedByLease(bool suspended, MonotonicTime now);
@@ -120,7 +121,7 @@
   bool reportedDraining = false;
   Duration drainTimeout{0};
   std::map<AttemptNumber, RunningTask> tasks;
-  // Reported until the leader confirms them.
+  // Results that are reported until the leader confirms them.
   std::map<AttemptNumber, TaskResult> unconfirmedResults;
   std::vector<ConfirmedResult> confirmedResults;
   std::vector<TaskCommand> commands;
