--- a/library/library.cpp
+++ b/library/library.cpp
@@ -198,8 +198,8 @@
   WorkerSlots slots;
   std::unique_ptr<WorkerClient> client;
   std::atomic<bool> stop{false}, isIdle{true};
-  FiberThread
-      fiberThread;  // declared last: its thread ends before the members that it uses are destroyed
+  // Declared last: its thread ends before the members that it uses are destroyed.
+  FiberThread fiberThread;
 };
 
 Worker::Worker(const WorkerOptions& options, WorkerSlots slots) : impl(new Impl) {
--- a/tests/agent/agent_restart_tests.cpp
+++ b/tests/agent/agent_restart_tests.cpp
@@ -1,4 +1,4 @@
-// A node agent that was killed and begins with nothing. docs/design.md 5.8.
+// Tests of a node agent that was killed and restarts without state. docs/design.md 5.8.
 #include "support/node_agent_fixture.hpp"
 
 using namespace aniseline;
@@ -8,15 +8,15 @@
   NodeAgentFixture fixture;
 };
 
-// It learns from the worker's lists what runs and what is over, and neither stops nor starts any of
-// it again.
-TEST(AgentRestartTests, restartedAgentLearnsWhatRunsAndTouchesNoneOfIt) {
+// A restarted agent learns from the worker's poll replies which runs are running and which have
+// ended. It neither stops nor restarts any of them.
+TEST(AgentRestartTests, restartedAgentNeitherStopsNorRestartsListedRuns) {
   CHECK(fixture.heartbeat());
-  fixture.sync({startOf(5, "a"), startOf(6, "d")});  // carried out by the former process
+  fixture.sync({startOf(5, "a"), startOf(6, "d")});  // carried out by the previous process
   STRCMP_EQUAL("start a/1, start d/1, poll", fixture.calls().c_str());
   LONGS_EQUAL(0, fixture.openCalls.back().confirmedUpTo);
-  fixture.reply(CallKind::start, ReplyStatus::ok, "a");        // it runs already
-  fixture.reply(CallKind::start, ReplyStatus::staleRun, "d");  // it is over
+  fixture.reply(CallKind::start, ReplyStatus::ok, "a");        // it is already running
+  fixture.reply(CallKind::start, ReplyStatus::staleRun, "d");  // it has ended
   const std::vector<WorkerReply::RunResult> over{resultOf(3, "d"),
                                                  resultOf(4, "e", AttemptOutcome::failed)};
   fixture.replyToPoll({running("a"), running("c", "x1")}, over);
@@ -32,7 +32,7 @@
       fixture.replyToPoll({running("a"), running("c", "x1")}, over);
   }
   STRCMP_EQUAL("d/1 finished, e/1 failed", fixture.reportedResults().c_str());
-  fixture.sync({stopOf(7, "c")});  // an order can stop a run that a poll has shown
+  fixture.sync({stopOf(7, "c")});  // an order can stop a run that only a poll has shown
   CHECK(fixture.calls().find("stop c/1") != std::string::npos);
 }
 
@@ -46,14 +46,14 @@
   LONGS_EQUAL(1, fixture.agent.runCount());
 }
 
-// An order for a run that was over and confirmed before the restart: the worker rejects it, and
-// nothing runs.
+// The run of the repeated order had ended and was confirmed before the restart: the worker rejects
+// the start, and nothing runs.
 TEST(AgentRestartTests, runConfirmedBeforeTheRestartIsNotRunAgain) {
   CHECK(fixture.heartbeat());
   fixture.sync({startOf(5, "a")});
   fixture.calls();
   fixture.reply(CallKind::start, ReplyStatus::staleRun);
-  fixture.replyToPoll();  // begun before the start was rejected: proves nothing
+  fixture.replyToPoll();  // started before the rejection, so it proves nothing
   STRCMP_EQUAL("poll", fixture.callsAfter(300).c_str());
   fixture.replyToPoll();
   STRCMP_EQUAL("stop a/1", fixture.callsAfter(30).c_str());
@@ -64,9 +64,9 @@
   STRCMP_EQUAL("", fixture.callsAfter(300).c_str());
 }
 
-// The first orders of a new process may have been carried out by the former one: the run may be
-// there, or a start of it may still be in flight. It is fenced and polled for before it is reported
-// as never started.
+// The first orders that a new process receives may have been carried out by the previous one: the
+// run may exist, or its start may still be in flight. The run is stopped and polled for before it
+// is reported as never started.
 TEST(AgentRestartTests, runThatMayHaveStartedBeforeTheRestartIsNotReportedNeverStarted) {
   for (const bool draining : {false, true}) {
     fixture = NodeAgentFixture{};
@@ -75,7 +75,7 @@
       fixture.sync({startOf(5, "a")});
     else
       fixture.sync({startOf(5, "a"), stopOf(6, "a")});
-    fixture.calls();  // the poll is among them
+    fixture.calls();  // these include the poll
     STRCMP_EQUAL("", fixture.reportedResults().c_str());
     CHECK(std::any_of(fixture.openCalls.begin(), fixture.openCalls.end(),
                       [](const WorkerCall& call) { return call.kind == CallKind::stop; }));
@@ -91,7 +91,7 @@
   CHECK(fixture.heartbeat());
   fixture.sync({startOf(5, "a")});
   fixture.calls();
-  // A start that the former process sent may still arrive.
+  // A start sent by the previous process may still arrive.
   fixture.reply(CallKind::start, ReplyStatus::insufficientCapacity);
   STRCMP_EQUAL("stop a/1", fixture.calls().c_str());
   STRCMP_EQUAL("", fixture.reportedResults().c_str());
--- a/tests/agent/called_worker_session_tests.cpp
+++ b/tests/agent/called_worker_session_tests.cpp
@@ -1,4 +1,4 @@
-// Workers that are called: their words over HTTP, their core, and gangs staged in the agent.
+// Tests of called workers: the encoding of their messages as JSON over HTTP, and their session.
 // docs/api.md 5.
 #include "agent/called_worker_session.hpp"
 #include "net/json_worker_protocol.hpp"
@@ -60,12 +60,12 @@
 TEST_GROUP(CalledWorkerSessionTests){};
 
 TEST(CalledWorkerSessionTests, callsAndRepliesAreTheSameAfterEncodingAndDecoding) {
-  const auto words = jsonWorkerProtocol();
+  const auto protocol = jsonWorkerProtocol();
   auto call = startCall("job@0", 7);
   call.order.taskIndex = 3;
   call.order.quantum = Duration{50};
   call.checkpoint = call.order.checkpoint = "place";
-  auto read = decodeWorkerCall(words.encodeCall(call));
+  auto read = decodeWorkerCall(protocol.encodeCall(call));
   CHECK(read.has_value());
   CHECK(read.value().runId == call.runId && read.value().leaseDeadline == call.leaseDeadline &&
         read.value().fencingTerm == call.fencingTerm &&
@@ -76,7 +76,7 @@
         read.value().order.quantum == Duration{50} && read.value().order.checkpoint == "place");
   auto poll = pollCall(9, 4000);
   poll.longPollTimeout = Duration{600};
-  read = decodeWorkerCall(words.encodeCall(poll));
+  read = decodeWorkerCall(protocol.encodeCall(poll));
   CHECK(read.has_value() && read.value().kind == WorkerCall::Kind::poll &&
         read.value().confirmedUpTo == 9 && read.value().longPollTimeout == Duration{600});
 
@@ -86,64 +86,68 @@
   reply.runningTasks.push_back({runIdOf("a"), "here"});
   reply.results.push_back({12, runIdOf("b", 2), AttemptOutcome::quantumExpired, ""});
   reply.complete = false;
-  auto answered = [&](const WorkerCall& asked, const WorkerReply& given) {
+  auto encodeAndDecode = [&](const WorkerCall& asked, const WorkerReply& given) {
     const ApiResponse answer = encodeWorkerReply(asked, given);
-    return words.decodeReply(asked, HttpResponse{answer.status, answer.body, Duration{0}});
+    return protocol.decodeReply(asked, HttpResponse{answer.status, answer.body, Duration{0}});
   };
-  const auto back = answered(poll, reply);
-  CHECK(back.status == Status::ok && back.clockReading == WorkerTime{77} && !back.complete &&
-        back.runningTasks.size() == 1 && back.results.size() == 1);
-  CHECK(back.runningTasks[0].runId == runIdOf("a") && back.runningTasks[0].checkpoint == "here");
-  CHECK(back.results[0].sequenceNumber == 12 && back.results[0].runId == runIdOf("b", 2) &&
-        back.results[0].outcome == AttemptOutcome::quantumExpired);
+  const auto decoded = encodeAndDecode(poll, reply);
+  CHECK(decoded.status == Status::ok && decoded.clockReading == WorkerTime{77} &&
+        !decoded.complete && decoded.runningTasks.size() == 1 && decoded.results.size() == 1);
+  CHECK(decoded.runningTasks[0].runId == runIdOf("a") &&
+        decoded.runningTasks[0].checkpoint == "here");
+  CHECK(decoded.results[0].sequenceNumber == 12 && decoded.results[0].runId == runIdOf("b", 2) &&
+        decoded.results[0].outcome == AttemptOutcome::quantumExpired);
   for (auto kind :
        {Status::fenced, Status::staleRun, Status::deadlineExceeded, Status::insufficientCapacity,
         Status::unavailable, Status::invalidRequest, Status::instanceMismatch}) {
-    WorkerReply refused;
-    refused.status = kind;
-    refused.clockReading = WorkerTime{5};
-    LONGS_EQUAL(int(kind), statusOf(answered(call, refused)));
+    WorkerReply rejectedReply;
+    rejectedReply.status = kind;
+    rejectedReply.clockReading = WorkerTime{5};
+    LONGS_EQUAL(int(kind), statusOf(encodeAndDecode(call, rejectedReply)));
   }
   LONGS_EQUAL(int(Status::noResponse),
-              statusOf(words.decodeReply(poll, HttpError{HttpError::Kind::timedOut, "late"})));
+              statusOf(protocol.decodeReply(poll, HttpError{HttpError::Kind::timedOut, "late"})));
 }
 
 TEST(CalledWorkerSessionTests,
      registrationsAreTheSameAfterEncodingAndDecodingAndOtherRequestsAreRejected) {
-  const auto words = jsonWorkerProtocol();
-  WorkerRegistration account{WorkerId{"m.1"}, {}, true, Duration{2000}, WorkerTime{55}};
-  account.capacity.cores = 1500;
-  account.capacity.memory = 64;
-  account.capacity.zone = ZoneName{"zone1"};
-  account.capacity.rack = "rack1";
-  account.capacity.labels = {"fast"};
-  const auto word = words.decodeNotice(encodeRegistration(account));
-  CHECK(word && !word->shuttingDown &&
-        word->registration.workerInstance == account.workerInstance &&
-        word->registration.draining && word->registration.drainTimeout == Duration{2000} &&
-        word->registration.clockReading == account.clockReading);
-  CHECK(word->registration.capacity.cores == 1500 &&
-        word->registration.capacity.labels == account.capacity.labels &&
-        word->registration.capacity.rack == "rack1");
-  CHECK(word->registration.capacity.killsOnLeaseExpiry &&
-        word->registration.capacity.honoursLeases && !word->registration.capacity.supportsSuspend &&
-        !word->registration.capacity.selfAssemblingGangs);
-  const auto leave = words.decodeNotice(encodeShutdownNotice(WorkerId{"m.1"}));
-  CHECK(leave && leave->shuttingDown && leave->registration.workerInstance == WorkerId{"m.1"});
+  const auto protocol = jsonWorkerProtocol();
+  WorkerRegistration registrationSent{WorkerId{"m.1"}, {}, true, Duration{2000}, WorkerTime{55}};
+  registrationSent.capacity.cores = 1500;
+  registrationSent.capacity.memory = 64;
+  registrationSent.capacity.zone = ZoneName{"zone1"};
+  registrationSent.capacity.rack = "rack1";
+  registrationSent.capacity.labels = {"fast"};
+  const auto notice = protocol.decodeNotice(encodeRegistration(registrationSent));
+  CHECK(notice && !notice->shuttingDown &&
+        notice->registration.workerInstance == registrationSent.workerInstance &&
+        notice->registration.draining && notice->registration.drainTimeout == Duration{2000} &&
+        notice->registration.clockReading == registrationSent.clockReading);
+  CHECK(notice->registration.capacity.cores == 1500 &&
+        notice->registration.capacity.labels == registrationSent.capacity.labels &&
+        notice->registration.capacity.rack == "rack1");
+  CHECK(notice->registration.capacity.killsOnLeaseExpiry &&
+        notice->registration.capacity.honoursLeases &&
+        !notice->registration.capacity.supportsSuspend &&
+        !notice->registration.capacity.selfAssemblingGangs);
+  const auto shutdownNotice = protocol.decodeNotice(encodeShutdownNotice(WorkerId{"m.1"}));
+  CHECK(shutdownNotice && shutdownNotice->shuttingDown &&
+        shutdownNotice->registration.workerInstance == WorkerId{"m.1"});
   for (const HttpRequest& other :
        {HttpRequest{"GET", "/v1/account", "{}"}, HttpRequest{"POST", "/v1/account", "{}"},
         HttpRequest{"POST", "/v1/account", "no"}, HttpRequest{"POST", "/v1/leave", "{}"},
         HttpRequest{"POST", "/v1/jobs", "{\"life\":\"m\"}"}})
-    CHECK(!words.decodeNotice(other));
+    CHECK(!protocol.decodeNotice(other));
 }
 
-TEST(CalledWorkerSessionTests, wrongCallsAreRejectedByPathAndUnreadablePollRepliesCountAsNone) {
-  const auto words = jsonWorkerProtocol();
+TEST(CalledWorkerSessionTests,
+     invalidCallsAreRejectedWithTheirPathAndUnreadablePollRepliesCountAsNoResponse) {
+  const auto protocol = jsonWorkerProtocol();
   struct Case {
     const char *target, *body, *path;
   };
   for (
-      const auto& wrong :
+      const auto& invalidCase :
       {Case{"/v1/run/start", "no", ""}, Case{"/v1/run/look", R"({"fence":"1"})", "/life"},
        Case{"/v1/run/look", R"({"life":"m","fence":1})", "/fence"},
        Case{"/v1/run/stop", R"({"life":"m","fence":"1"})", "/name/job"},
@@ -152,9 +156,9 @@
            "/v1/run/start",
            R"({"life":"m","fence":"1","name":{"job":"a","step":0,"within":0,"run":1},"job":"a","attempt":"x"})",
            "/attempt"}}) {
-    auto read = decodeWorkerCall({"POST", wrong.target, wrong.body});
-    CHECK_TEXT(!read.has_value(), wrong.body);
-    STRCMP_EQUAL(wrong.path, read.error().details.at(0).path.c_str());
+    auto read = decodeWorkerCall({"POST", invalidCase.target, invalidCase.body});
+    CHECK_TEXT(!read.has_value(), invalidCase.body);
+    STRCMP_EQUAL(invalidCase.path, read.error().details.at(0).path.c_str());
   }
   CHECK(decodeWorkerCall({"POST", "/v1/paint", "{}"}).error().kind == CoreError::Kind::notFound);
   for (
@@ -162,9 +166,9 @@
       {"no", "{}", R"({"now_ms":1e999,"active":[],"ended":[]})",
        R"({"active":[],"ended":[{"number":1}]})", R"({"active":[7],"ended":[]})",
        R"({"active":[],"ended":[{"number":1,"kind":"sung","name":{"job":"a","step":0,"within":0,"run":1}}]})"})
-    LONGS_EQUAL_TEXT(int(Status::noResponse),
-                     statusOf(words.decodeReply(pollCall(), HttpResponse{200, body, Duration{0}})),
-                     body);
+    LONGS_EQUAL_TEXT(
+        int(Status::noResponse),
+        statusOf(protocol.decodeReply(pollCall(), HttpResponse{200, body, Duration{0}})), body);
 }
 
 TEST(CalledWorkerSessionTests, startIsCarriedOutOnceAndRejectedWithItsReason) {
@@ -182,7 +186,7 @@
   older.workerInstance = WorkerId{"m.0"};
   LONGS_EQUAL(int(Status::instanceMismatch), statusOf(session.onCall(older, WorkerTime{14})));
   LONGS_EQUAL(2, long(session.takeCommands().size()));
-  // A stop that overtakes its start has the start rejected, and a later run is accepted.
+  // After a stop that overtakes its start, the start is rejected, and a later run is accepted.
   LONGS_EQUAL(int(Status::ok), statusOf(session.onCall(stopCall("a"), WorkerTime{15})));
   LONGS_EQUAL(int(Status::ok), statusOf(session.onCall(stopCall("dddd", 2), WorkerTime{16})));
   LONGS_EQUAL(int(Status::staleRun),
@@ -223,18 +227,18 @@
   session.tick(WorkerTime{3999});
   CHECK(session.takeCommands().empty());
   session.tick(WorkerTime{4000});
-  const auto effects = session.takeCommands();
-  CHECK(effects.size() == 1 && effects[0].kind == TaskCommand::Kind::stop &&
-        effects[0].attempt == AttemptNumber{102});
+  const auto commands = session.takeCommands();
+  CHECK(commands.size() == 1 && commands[0].kind == TaskCommand::Kind::stop &&
+        commands[0].attempt == AttemptNumber{102});
   const auto reply = session.onCall(pollCall(), WorkerTime{4001});
   CHECK(reply.results.size() == 2 && reply.results[0].outcome == AttemptOutcome::stopped &&
         reply.results[1].outcome == AttemptOutcome::stopped);
-  // A task that ends after the lease expired did not succeed.
+  // A task that ends after the lease has expired does not count as succeeded.
   session.onCall(startCall("ccc", 1, 5000), WorkerTime{4500});
   session.onTaskEnded(AttemptNumber{103}, true, WorkerTime{5000});
   CHECK(session.onCall(pollCall(2), WorkerTime{5001}).results.at(0).outcome ==
         AttemptOutcome::stopped);
-  // However late a deadline, the worker grants no more than its own longest lease.
+  // The worker limits each deadline to its own maximum lease.
   session.onCall(startCall("dddd", 1, 900'000), WorkerTime{6000});
   session.tick(WorkerTime{12'000});
   CHECK(session.idle());
@@ -252,14 +256,14 @@
         AttemptOutcome::quantumExpired);
 }
 
-TEST(CalledWorkerSessionTests, newInstanceBeginsWithNothing) {
+TEST(CalledWorkerSessionTests, newInstanceStartsWithoutState) {
   auto session = sessionWithCores();
   session.onCall(startCall("a"), WorkerTime{10});
   session.takeCommands();
   session.onReplaced(WorkerId{"m.2"});
   CHECK(session.empty());
-  const auto effects = session.takeCommands();
-  CHECK(effects.size() == 1 && effects[0].kind == TaskCommand::Kind::stop);
+  const auto commands = session.takeCommands();
+  CHECK(commands.size() == 1 && commands[0].kind == TaskCommand::Kind::stop);
   auto call = startCall("a");
   LONGS_EQUAL(int(Status::instanceMismatch), statusOf(session.onCall(call, WorkerTime{11})));
   call.workerInstance = WorkerId{"m.2"};
--- a/tests/agent/idle_confirmation_tests.cpp
+++ b/tests/agent/idle_confirmation_tests.cpp
@@ -1,5 +1,5 @@
-// A worker with nothing left to run is told that its last results are final, by one poll that waits
-// for nothing, and is left alone afterwards. docs/design.md 5.8.
+// Tests that an idle worker is told by one poll without a wait that its last results are final, and
+// is not polled afterwards. docs/design.md 5.8.
 #include "support/node_agent_fixture.hpp"
 
 using namespace aniseline;
@@ -8,9 +8,9 @@
 TEST_GROUP(IdleConfirmationTests) {
   NodeAgentFixture fixture;
 
-  // Run a has succeeded, the leader holds its result, and nothing else runs.
+  // Run a has succeeded, the leader holds its result, and no other run exists.
   void endLastRun() {
-    fixture.connectWithOneOver();
+    fixture.connectWithOneEnded();
     fixture.sync({}, 1);
   }
 };
@@ -34,7 +34,7 @@
 }
 
 TEST(IdleConfirmationTests, resultThatTheLeaderDoesNotHoldIsNotConfirmed) {
-  fixture.connectWithOneOver();
+  fixture.connectWithOneEnded();
   for (int count = 0; count < 5; ++count) {
     fixture.sync();
     STRCMP_EQUAL("", fixture.callsAfter(300).c_str());
@@ -55,7 +55,7 @@
   CHECK(fixture.agent.nextWakeUp(fixture.time()) - fixture.time() <= Duration{200});
 }
 
-// Work that follows at once brings its own poll, which confirms as well.
+// Work that follows immediately causes a poll of its own, which also carries the confirmation.
 TEST(IdleConfirmationTests, followingWorkConfirmsWithItsOwnPoll) {
   endLastRun();
   fixture.startRun("b", 2);
--- a/tests/agent/instance_tracker_tests.cpp
+++ b/tests/agent/instance_tracker_tests.cpp
@@ -1,4 +1,5 @@
-// Which instance of a worker counts when registrations come late. docs/design.md 5.8.
+// Tests of the choice of the current worker instance when registrations arrive late. docs/design.md
+// 5.8.
 #include "support/node_agent_fixture.hpp"
 
 using namespace aniseline;
@@ -8,7 +9,7 @@
   NodeAgentFixture fixture;
 };
 
-TEST(InstanceTrackerTests, newInstanceKnowsNothingOfTheFormer) {
+TEST(InstanceTrackerTests, newInstanceInheritsNoState) {
   fixture.connect();
   fixture.startRun("a", 1);
   fixture.calls();
@@ -28,11 +29,11 @@
     STRCMP_EQUAL("instance-2", call.workerInstance.value.c_str());
   LONGS_EQUAL(0, fixture.openCalls.back().confirmedUpTo);
   fixture.instance = "instance-1";
-  CHECK_FALSE(fixture.heartbeat());  // its last heartbeat comes late
+  CHECK_FALSE(fixture.heartbeat());  // its last heartbeat arrives late
   STRCMP_EQUAL("instance-2", fixture.agent.workerInstance().value.c_str());
 }
 
-TEST(InstanceTrackerTests, newInstanceIsFencedByTheNewestLeader) {
+TEST(InstanceTrackerTests, newInstanceKeepsTheFencingTerm) {
   fixture.connect();
   fixture.becomeInstance("instance-2");
   fixture.term = Term{6};
@@ -48,13 +49,13 @@
   old.capacity.cores = 99;
   CHECK(fixture.agent.onRegistration(old, fixture.time()));
   LONGS_EQUAL(0, fixture.report().capacity.cores);
-  // It is not reported to the leader, so it must not be acknowledged either.
+  // The leader is not told that the worker drains, so the drain must not be acknowledged either.
   old.draining = true;
   CHECK(fixture.agent.onRegistration(old, fixture.time()));
   CHECK_FALSE(fixture.sync().draining);
   CHECK_FALSE(fixture.drainAcknowledged());
   fixture.sequence = 1;
-  fixture.becomeInstance("instance-2");  // counts anew
+  fixture.becomeInstance("instance-2");  // numbers its registrations from 1 again
   old = fixture.registration();
   old.sequence = 2;
   old.capacity.cores = 5;
@@ -62,7 +63,7 @@
   LONGS_EQUAL(5, fixture.report().capacity.cores);
 }
 
-// A process that never saw the former instance can't tell it by its name: a poll decides.
+// An agent process that never saw the former instance cannot recognize its id, so a poll decides.
 TEST(InstanceTrackerTests, lateRegistrationOfAnUnknownInstanceDoesNotEndTheCurrentOne) {
   fixture.instance = "instance-2";
   fixture.connect();
@@ -99,8 +100,8 @@
   STRCMP_EQUAL("instance-1", fixture.agent.workerInstance().value.c_str());
 }
 
-// The leader gives up all runs of the former instance once another is reported, so that waits for a
-// reply of the other.
+// The leader gives up all runs of the former instance once a new one is reported, so the report
+// waits for a reply of the new instance.
 TEST(InstanceTrackerTests, instanceIsReportedOnceItHasReplied) {
   CHECK(fixture.heartbeat());
   CHECK_FALSE(fixture.agent.mayReport());
@@ -110,11 +111,13 @@
   STRCMP_EQUAL("", fixture.callsAfter(1000).c_str());
   CHECK(fixture.heartbeat());
   STRCMP_EQUAL("poll", fixture.callsAfter(30).c_str());
-  fixture.reply(CallKind::poll, ReplyStatus::unavailable);  // another instance may reply so as well
+  fixture.reply(CallKind::poll,
+                ReplyStatus::unavailable);  // another instance may send the same reply
   CHECK_FALSE(fixture.agent.mayReport());
   STRCMP_EQUAL("poll", fixture.callsAfter(300).c_str());
-  fixture.reply(CallKind::poll,
-                ReplyStatus::fenced);  // it has seen a newer leader than this process
+  fixture.reply(
+      CallKind::poll,
+      ReplyStatus::fenced);  // this instance has seen a newer leader than this agent process has
   CHECK(fixture.agent.mayReport());
 }
 
@@ -131,8 +134,8 @@
   LONGS_EQUAL(1, fixture.agent.runCount());
 }
 
-// All that runs there ends with its lease before the worker is used again.
-TEST(InstanceTrackerTests, workerDeclaredGoneWaitsUntilItsLeaseIsSurelyOver) {
+// All work there ends with its lease before the worker is used again.
+TEST(InstanceTrackerTests, workerDeclaredGoneIsUnusedUntilItsLeaseHasExpired) {
   fixture.connect();
   fixture.startRun("a", 1);
   fixture.calls();
@@ -141,13 +144,14 @@
   const std::int64_t replacedAt = fixture.now;
   fixture.agent.onDeclaredGone(fixture.time());
   LONGS_EQUAL(0, fixture.agent.runCount());
-  fixture.respond(before, fixture.response({startOf(2, "b")}));  // of the former incarnation
+  fixture.respond(before,
+                  fixture.response({startOf(2, "b")}));  // addressed to the former incarnation
   auto report = fixture.report();
   LONGS_EQUAL(before.incarnation.value + 1, report.incarnation.value);
   LONGS_EQUAL(0, report.lastAppliedOrder.value);
   STRCMP_EQUAL("", resultsIn(report).c_str());
   fixture.sync({startOf(1, "c")});
-  while (fixture.now < replacedAt + 6200) {  // 6000 ms on a clock 2% slow
+  while (fixture.now < replacedAt + 6200) {  // 6000 ms on a clock that is 2% slow
     fixture.sync();
     STRCMP_EQUAL("", fixture.callsAfter(100).c_str());
   }
@@ -157,8 +161,9 @@
   STRCMP_EQUAL("start c/1", fixture.callsAfter(30).c_str());
 }
 
-// The leader would give the new incarnation work at once, and that would wait there for 7 s.
-TEST(InstanceTrackerTests, workerDeclaredGoneIsNotReportedBeforeItCanWork) {
+// Otherwise the leader would place work on the new incarnation at once, and this work would wait
+// for 7 s.
+TEST(InstanceTrackerTests, workerDeclaredGoneIsNotReportedBeforeItIsUsable) {
   fixture.connect();
   fixture.startRun("a", 1);
   CHECK(fixture.agent.mayReport());
--- a/tests/agent/node_agent_model_tests.cpp
+++ b/tests/agent/node_agent_model_tests.cpp
@@ -1,6 +1,6 @@
-// A node agent between models of a worker, which keeps all rules of the platform, and of a leader,
-// in virtual time drawn from one seed: calls are lost, or carried out late, the leader goes away,
-// the agent is killed. docs/design.md 5.5, 5.8.
+// Runs a node agent between models of a worker and a leader, in virtual time and with faults drawn
+// from one seed: calls are lost or carried out late, the leader becomes unreachable, and the agent
+// is killed. The worker model follows all rules of the platform. docs/design.md 5.5, 5.8.
 #include "agent/node_agent.hpp"
 #include <CppUTest/TestHarness.h>
 
@@ -11,7 +11,7 @@
 using CallKind = WorkerCall::Kind;
 using ReplyStatus = WorkerReply::Status;
 
-// The first rule that was broken.
+// The first violation of a rule.
 struct Violation {
   std::string text;
   void note(std::int64_t now, const std::string& what, const TaskRunId& runId) {
@@ -21,8 +21,8 @@
   }
 };
 
-// A worker by the platform's rules: fencing, leases, rising run numbers, and results that are
-// listed until a poll confirms them.
+// A worker that follows the platform's rules: fencing, leases, increasing run numbers, and results
+// that are listed until a poll confirms them.
 struct WorkerModel {
   Random& random;
   Violation& violation;
@@ -42,9 +42,9 @@
   };
   std::map<TaskRunId, RunningTask> running;
   std::vector<Result> results;
-  std::map<JobId, std::uint32_t> highestRun;     // a run that is not above it is rejected
-  std::map<JobId, std::uint32_t> confirmedRun;   // the run whose success was confirmed
-  std::map<TaskRunId, AttemptOutcome> outcomes;  // of all runs that are over
+  std::map<JobId, std::uint32_t> highestRun;  // a run with this number or a lower one is rejected
+  std::map<JobId, std::uint32_t> confirmedRuns;  // the run whose success was confirmed
+  std::map<TaskRunId, AttemptOutcome> outcomes;  // outcomes of all ended runs
   std::set<TaskRunId> started;
 
   WorkerModel(Random& random, Violation& violation, double rate)
@@ -112,14 +112,14 @@
       return ReplyStatus::deadlineExceeded;
     if (running.size() >= capacity)
       return ReplyStatus::insufficientCapacity;
-    if (confirmedRun.count(runId.job))
+    if (confirmedRuns.count(runId.job))
       violation.note(now, "started after a success was confirmed", runId);
     started.insert(runId);
     running[runId] = {now + random.between(50, 4000),
                       random.chance(0.8) ? AttemptOutcome::succeeded : AttemptOutcome::failed};
     return ReplyStatus::ok;
   }
-  // A stop takes some time, in which the run may end by itself.
+  // A stop takes some time, during which the run may still end without it.
   void stop(const TaskRunId& runId) {
     auto run = running.find(runId);
     if (run == running.end()) {
@@ -143,10 +143,10 @@
       reply.results.push_back({result.sequenceNumber, result.runId, result.outcome, ""});
   }
   void confirm(const TaskRunId& confirmed) {
-    confirmedRun[confirmed.job] = confirmed.runNumber;
+    confirmedRuns[confirmed.job] = confirmed.runNumber;
     for (const auto& runId : started) {
       if (runId.job == confirmed.job && runId.runNumber > confirmed.runNumber)
-        violation.note(now, "confirmed though started again", confirmed);
+        violation.note(now, "confirmed although a later run was started", confirmed);
     }
   }
 };
@@ -157,39 +157,40 @@
   std::int64_t now = 1000;
   WorkerModel worker;
   NodeAgent agent{NodeAgentOptions{}};
-  // The leader: each job is one task, which is ordered again until a run of it succeeds.
+  // The leader's state: each job is one task, which is ordered again until one of its runs
+  // succeeds.
   std::uint64_t term = 1, lastOrder = 0, applied = 0;
   std::deque<Order> orders;
-  std::map<JobId, std::uint32_t> running;  // the run that is open
+  std::map<JobId, std::uint32_t> running;  // the number of the current run
   std::set<TaskRunId> stopped, confirmed;
   std::set<JobId> succeeded;
-  std::int64_t awayUntil = 0;
+  std::int64_t leaderUnreachableUntil = 0;
   struct Message {
     std::int64_t at;
     std::function<void()> then;
   };
   std::vector<Message> inFlight;
-  std::uint64_t process = 0;  // a message to a killed process is lost
+  std::uint64_t process = 0;  // messages to a killed process are lost
   bool syncing = false;
 
   AgentModel(std::uint64_t seed, double rate) : random(seed), worker(random, violation, rate) {}
 
-  void later(std::int64_t span, std::function<void()> then) {
+  void schedule(std::int64_t span, std::function<void()> then) {
     inFlight.push_back({now + span, std::move(then)});
   }
   void order(OrderKind kind, const TaskRunId& runId) {
-    Order made;
-    made.number = OrderNumber{++lastOrder};
-    made.kind = kind;
-    made.job = runId.job;
-    made.runNumber = runId.runNumber;
-    orders.push_back(made);
+    Order newOrder;
+    newOrder.number = OrderNumber{++lastOrder};
+    newOrder.kind = kind;
+    newOrder.job = runId.job;
+    newOrder.runNumber = runId.runNumber;
+    orders.push_back(newOrder);
   }
   void begin(const JobId& job, std::uint32_t run) {
     running[job] = run;
     order(OrderKind::start, TaskRunId{job, 0, 0, 0, run});
   }
-  // What the leader takes over from a report, and its response.
+  // Applies a report to the leader's state and returns the response.
   SyncResponse onReport(const SyncReport& report) {
     if (report.lastAppliedOrder.value > applied)
       applied = std::min(report.lastAppliedOrder.value, lastOrder);
@@ -202,7 +203,7 @@
       ++answer.finalResultCount;
       const TaskRunId& runId = result.runId;
       for (auto& order :
-           orders)  // what is over is not started when a new process gets the order again
+           orders)  // an ended run is not started when a new process receives the order again
         if (TaskRunId::of(order) == runId)
           order.kind = OrderKind::stop;
       if (!confirmed.insert(runId).second)
@@ -212,7 +213,7 @@
       if (neverStarted && worker.started.count(runId))
         violation.note(now, "reported as never started, but it had", runId);
       if (!neverStarted && !worker.outcomes.count(runId))
-        violation.note(now, "reported as over, but it was not", runId);
+        violation.note(now, "reported as ended, but it had not", runId);
       if (result.outcome == AttemptOutcome::succeeded &&
           worker.outcomes[runId] != AttemptOutcome::succeeded)
         violation.note(now, "reported as succeeded, but it had not", runId);
@@ -239,16 +240,16 @@
     const std::int64_t sentAt = now;
     const auto sender = process;
     const bool lost = !faultFree && random.chance(0.1);
-    later(random.between(1, 30), [=, this] {
-      if (now < awayUntil) {
-        later(200, [=, this] {
+    schedule(random.between(1, 30), [=, this] {
+      if (now < leaderUnreachableUntil) {
+        schedule(200, [=, this] {
           if (sender == process)
             syncing = false;
         });
         return;
       }
       const auto answer = onReport(report);
-      later(random.between(1, 30), [=, this] {
+      schedule(random.between(1, 30), [=, this] {
         if (sender != process)
           return;
         syncing = false;
@@ -264,16 +265,17 @@
         agent.onWorkerReply(call, reply, MonotonicTime{now});
     };
     if (!faultFree &&
-        random.chance(0.15)) {  // no reply: it is never carried out, or it is, or seconds later
+        random.chance(
+            0.15)) {  // no reply: the call is lost, or carried out at once or seconds later
       if (random.chance(0.6))
-        later(random.between(1, random.chance(0.5) ? 100 : 4000),
-              [this, call] { worker.onCall(call); });
-      later(500, [reply] { reply(WorkerReply{}); });
+        schedule(random.between(1, random.chance(0.5) ? 100 : 4000),
+                 [this, call] { worker.onCall(call); });
+      schedule(500, [reply] { reply(WorkerReply{}); });
       return;
     }
-    later(random.between(1, 20), [this, call, reply] {
-      const auto made = worker.onCall(call);
-      later(random.between(1, 20), [reply, made] { reply(made); });
+    schedule(random.between(1, 20), [this, call, reply] {
+      const auto workerReply = worker.onCall(call);
+      schedule(random.between(1, 20), [reply, workerReply] { reply(workerReply); });
     });
   }
   void heartbeat() {
@@ -282,7 +284,8 @@
     registration.clockReading = WorkerTime{worker.clock()};
     agent.onRegistration(registration, MonotonicTime{now});
   }
-  // Faults for so many milliseconds, then time for all to end. What was broken, or nothing.
+  // Injects faults for `faultyTime` milliseconds, then lets all work end. Returns the first
+  // violation, or an empty text.
   std::string run(std::int64_t faultyTime) {
     heartbeat();
     for (int count = 0; count < 5; ++count)
@@ -316,7 +319,7 @@
 
   void drawFaults() {
     if (random.chance(0.0004))
-      awayUntil = now + random.between(100, 9000);
+      leaderUnreachableUntil = now + random.between(100, 9000);
     if (random.chance(0.0004))
       ++term;
     if (random.chance(0.0006))
@@ -330,7 +333,7 @@
     if (random.chance(0.004))
       begin(JobId{"more" + std::to_string(now)}, 1);
   }
-  // The agent is killed; its next process knows nothing.
+  // Kills the agent; its next process starts without state.
   void restartAgent() {
     ++process;
     syncing = false;
@@ -351,7 +354,7 @@
   std::string unfinishedWork() const {
     for (const auto& runId : worker.started) {
       if (!confirmed.count(runId))
-        return "started and was never reported as over: " + runId.job.value + "/" +
+        return "started and never reported as ended: " + runId.job.value + "/" +
                std::to_string(runId.runNumber);
     }
     if (!running.empty())
@@ -359,7 +362,7 @@
              std::to_string(running.begin()->second);
     for (const auto& runId : confirmed) {
       if (worker.started.count(runId) && !worker.outcomes.count(runId))
-        return "confirmed, yet not over: " + runId.job.value;
+        return "confirmed, but it has not ended: " + runId.job.value;
     }
     return "";
   }
@@ -369,7 +372,7 @@
 
 TEST_GROUP(NodeAgentModelTests){};
 
-TEST(NodeAgentModelTests, noRuleIsBrokenUnderFaults) {
+TEST(NodeAgentModelTests, rulesHoldUnderRandomFaults) {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     AgentModel model(seed, 1.0);
     const std::string violation = model.run(30'000);
--- a/tests/agent/order_stream_tests.cpp
+++ b/tests/agent/order_stream_tests.cpp
@@ -1,5 +1,4 @@
-// The leader's orders in sync responses that are late, lost or overtake each other.
-// docs/design.md 5.3, 5.8.
+// Tests of orders in sync responses that are late, lost or reordered. docs/design.md 5.3, 5.8.
 #include "support/node_agent_fixture.hpp"
 
 using namespace aniseline;
@@ -9,7 +8,7 @@
   NodeAgentFixture fixture;
 };
 
-TEST(OrderStreamTests, ordersMayBeginAnywhereAndAreCarriedOutOnce) {
+TEST(OrderStreamTests, ordersMayStartAtAnyNumberAndAreCarriedOutOnce) {
   fixture.connect();
   fixture.sync({startOf(41, "a"), startOf(42, "b")});
   STRCMP_EQUAL("start a/1, start b/1", fixture.calls().c_str());
@@ -18,14 +17,14 @@
   fixture.sync({startOf(41, "a"), startOf(42, "b")});
   STRCMP_EQUAL("", fixture.calls().c_str());
   fixture.reply(CallKind::start, ReplyStatus::ok, "b");
-  LONGS_EQUAL(40, fixture.appliedOrder());  // 41 is not carried out yet
+  LONGS_EQUAL(40, fixture.appliedOrder());  // order 41 has not been carried out yet
   fixture.reply(CallKind::start, ReplyStatus::ok, "a");
   LONGS_EQUAL(42, fixture.appliedOrder());
   fixture.sync({startOf(41, "a"), startOf(42, "b"), startOf(43, "c")});
   CHECK(fixture.calls().find("start c/1") == 0);
 }
 
-// An overtaken response repeats an order whose run's result was reported and confirmed since.
+// An overtaken response repeats an order whose run has been reported and confirmed in the meantime.
 TEST(OrderStreamTests, orderIsNotRepeatedAfterItsRunIsConfirmed) {
   fixture.connect();
   const auto overtaken = fixture.report();
@@ -57,7 +56,7 @@
   fixture.agent.onSyncResponse(report, fixture.response({startOf(1, "a")}), sentAt, fixture.time());
   STRCMP_EQUAL("", fixture.calls().c_str());
   LONGS_EQUAL(0, fixture.report().lastReceivedOrder.value);
-  fixture.sync({startOf(1, "a")});  // they come again
+  fixture.sync({startOf(1, "a")});  // the leader sends the orders again
   CHECK(fixture.calls().find("start a/1") != std::string::npos);
 }
 
@@ -69,8 +68,8 @@
   CHECK(fixture.calls().find("start") == std::string::npos);
 }
 
-// Two syncs wait at the leader, which gives each order in one response only. The later response may
-// come first; the orders of the earlier one are not lost by that, and not reported as applied.
+// Two syncs wait at the leader, which sends each order in only one of the responses. If the later
+// response arrives first, the orders of the earlier one are neither lost nor reported as applied.
 // docs/design.md 5.3.
 TEST(OrderStreamTests, responseThatOvertakesAnotherLosesNoOrder) {
   fixture.connect();
@@ -81,20 +80,20 @@
   const auto applied = fixture.appliedOrder();
   CHECK_TEXT(applied < 2, "orders that never came are reported as applied");
   fixture.respond(patient, fixture.response({startOf(2, "b"), startOf(3, "c")}));
-  fixture.sync(
-      {startOf(2, "b"), startOf(3, "c"), startOf(4, "d")});  // what is not applied comes again
+  fixture.sync({startOf(2, "b"), startOf(3, "c"),
+                startOf(4, "d")});  // orders that are not applied are sent again
   const std::string calls = fixture.calls();
   for (const char* wanted : {"start b/1", "start c/1", "start d/1"})
     CHECK_TEXT(calls.find(wanted) != std::string::npos, calls.c_str());
 }
 
-// The leader stops what it gave up. While that order is in a response that has not come, the start
-// that it takes back is not sent. docs/incidents.md 12.
+// The leader stops a run that it gave up. While the response with that stop is missing, the agent
+// does not send the start that the stop cancels. docs/incidents.md 12.
 TEST(OrderStreamTests, nothingIsStartedWhileOrdersAreKnownToBeMissing) {
   fixture.heartbeat();
   fixture.sync({startOf(1, "a")});
-  // Cut off before the start was sent: the lease is long over, and the leader has started the work
-  // elsewhere.
+  // The agent was cut off before it sent the start: the lease has long expired, and the leader has
+  // started the task elsewhere.
   fixture.now += 20'000;
   fixture.heartbeat();
   auto first = fixture.report();
@@ -112,9 +111,9 @@
     CHECK(call.kind != CallKind::start);
 }
 
-// Orders in a response that came too late were not taken; those behind them must not make it look
-// as if they had been.
-TEST(OrderStreamTests, ordersOfALateResponseAreNotPassedOver) {
+// Orders in a response that came too late were not accepted; later orders must not make them appear
+// received.
+TEST(OrderStreamTests, ordersOfALateResponseAreNotSkipped) {
   NodeAgent agent{NodeAgentOptions{}};
   agent.onRegistration(registrationOf("w", 1000), MonotonicTime{0});
   const auto first = agent.makeSyncReport(MonotonicTime{0});
--- a/tests/agent/pending_results_tests.cpp
+++ b/tests/agent/pending_results_tests.cpp
@@ -1,4 +1,5 @@
-// Which results and checkpoints a node agent reports, and when they are final. docs/design.md 5.5.
+// Tests of which results and checkpoints a node agent reports, and when they become final.
+// docs/design.md 5.5.
 #include "support/node_agent_fixture.hpp"
 
 using namespace aniseline;
@@ -8,16 +9,16 @@
   NodeAgentFixture fixture;
 };
 
-// A poll confirms a result only when the leader's log holds it. docs/design.md 5.5.
+// A poll confirms a result only once the leader's log holds it. docs/design.md 5.5.
 TEST(PendingResultsTests, pollConfirmsAResultOnlyOnceItIsFinal) {
-  fixture.connectWithOneOverOneRunning();
+  fixture.connectWithOneEndedOneRunning();
   CHECK(fixture.agent.hasUrgentReport(fixture.time()));
   const auto reported = fixture.sync();
   STRCMP_EQUAL("a/1 finished", resultsIn(reported).c_str());
   CHECK_FALSE(fixture.agent.hasUrgentReport(fixture.time()));
   fixture.callsAfter(1500);
   LONGS_EQUAL(0, fixture.replyToPoll({running("b")}, {resultOf(1, "a")}).confirmedUpTo);
-  STRCMP_EQUAL("a/1 finished", fixture.reportedResults().c_str());  // reported again, and once
+  STRCMP_EQUAL("a/1 finished", fixture.reportedResults().c_str());  // reported again, but only once
   fixture.sync({}, 1);
   STRCMP_EQUAL("", fixture.reportedResults().c_str());
   fixture.callsAfter(1500);
@@ -25,7 +26,7 @@
 }
 
 TEST(PendingResultsTests, resultsBecomeFinalInTheirOrderOnly) {
-  fixture.connectWithOneOverOneRunning();
+  fixture.connectWithOneEndedOneRunning();
   const auto first = fixture.report();
   fixture.callsAfter(1500);
   fixture.replyToPoll({}, {resultOf(1, "a"), resultOf(2, "b", AttemptOutcome::failed)});
@@ -33,7 +34,7 @@
   STRCMP_EQUAL("a/1 finished, b/1 failed", resultsIn(second).c_str());
   fixture.respond(second, fixture.response({}, 1));
   STRCMP_EQUAL("b/1 failed", fixture.reportedResults().c_str());
-  fixture.respond(first, fixture.response({}, 1));  // overtaken
+  fixture.respond(first, fixture.response({}, 1));  // an overtaken response
   STRCMP_EQUAL("b/1 failed", fixture.reportedResults().c_str());
   fixture.respond(second, fixture.response({}, 2));
   STRCMP_EQUAL("", fixture.reportedResults().c_str());
@@ -43,14 +44,15 @@
 }
 
 TEST(PendingResultsTests, responseOfAnOlderLeaderConfirmsNothing) {
-  fixture.connectWithOneOver();
+  fixture.connectWithOneEnded();
   fixture.term = Term{6};
   fixture.sync({}, 1);
   STRCMP_EQUAL("a/1 finished", fixture.reportedResults().c_str());
 }
 
-// Results without a number of the worker need no confirmation by a poll; those with one go first.
-TEST(PendingResultsTests, resultsWithoutANumberFollowTheNumbered) {
+// Results without a sequence number of the worker need no confirmation by a poll; numbered results
+// are reported before them.
+TEST(PendingResultsTests, unnumberedResultsFollowNumberedOnes) {
   fixture.connect();
   fixture.startRun("a", 1);
   fixture.sync({startOf(2, "b"), stopOf(3, "b")});
@@ -62,7 +64,7 @@
   STRCMP_EQUAL("", fixture.reportedResults().c_str());
 }
 
-TEST(PendingResultsTests, aReportTakesFiveHundredResults) {
+TEST(PendingResultsTests, reportIsLimitedToFiveHundredResults) {
   fixture.connect();
   fixture.startRun("a", 1);
   fixture.calls();
@@ -93,7 +95,7 @@
   STRCMP_EQUAL("", checkpointsIn(fixture.sync()).c_str());
   pollShowing("x1");
   STRCMP_EQUAL("a/1 x1",
-               checkpointsIn(fixture.report()).c_str());  // this sync is lost
+               checkpointsIn(fixture.report()).c_str());  // the response to this sync is lost
   STRCMP_EQUAL("a/1 x1", checkpointsIn(fixture.sync()).c_str());
   STRCMP_EQUAL("", checkpointsIn(fixture.sync()).c_str());
   pollShowing("x1");
@@ -101,7 +103,7 @@
   pollShowing("x2");
   const auto reported = fixture.report();
   pollShowing("x3");
-  fixture.respond(reported, fixture.response({}));  // does not confirm x3
+  fixture.respond(reported, fixture.response({}));  // this response does not confirm x3
   STRCMP_EQUAL("a/1 x3", checkpointsIn(fixture.sync()).c_str());
   fixture.calls();
   auto over = resultOf(1, "a", AttemptOutcome::stopped);
@@ -113,8 +115,8 @@
   STRCMP_EQUAL("x4", last.runResults.at(0).checkpoint.c_str());
 }
 
-// A poll that got no reply in time is given up: what it would have shown is older than what the
-// next one shows.
+// A poll without a timely reply is abandoned: its reply would be older than the reply to the next
+// poll.
 TEST(PendingResultsTests, replyToAnOvertakenPollIsIgnored) {
   fixture.connect();
   fixture.startRun("a", 1);
@@ -122,7 +124,7 @@
   const auto older = fixture.reply(CallKind::poll, ReplyStatus::noResponse);
   const auto stale = fixture.pollReply({running("a")}, {});
   fixture.callsAfter(300);
-  fixture.agent.onWorkerReply(older, stale, fixture.time());  // while the newer one is in flight
+  fixture.agent.onWorkerReply(older, stale, fixture.time());  // while the newer poll is in flight
   fixture.replyToPoll({}, {resultOf(1, "a")});
   fixture.sync({}, 1);
   LONGS_EQUAL(0, fixture.agent.runCount());
@@ -130,9 +132,9 @@
   LONGS_EQUAL(0, fixture.agent.runCount());
 }
 
-// A worker lists so many results at a time: the rest is polled for even where nothing runs any
-// more.
-TEST(PendingResultsTests, resultsThatWereLeftOutArePolledFor) {
+// A worker limits the results in one reply: the remaining ones are polled for even if no run is
+// left.
+TEST(PendingResultsTests, omittedResultsArePolledFor) {
   NodeAgent agent{NodeAgentOptions{}};
   agent.onRegistration(registrationOf("w", 0), MonotonicTime{0});
   agent.onSyncResponse(agent.makeSyncReport(MonotonicTime{0}), responseOf({}, 0), MonotonicTime{0},
--- a/tests/agent/run_start_tests.cpp
+++ b/tests/agent/run_start_tests.cpp
@@ -1,5 +1,4 @@
-// How a node agent carries out the order to start a run: unanswered, rejected and late starts.
-// docs/design.md 5.8.
+// Tests of orders to start a run: unanswered, rejected and late starts. docs/design.md 5.8.
 #include "support/node_agent_fixture.hpp"
 
 using namespace aniseline;
@@ -13,7 +12,7 @@
   fixture.connectAndSendStart();
   for (int count = 0; count < 5; ++count) {
     fixture.reply(CallKind::start, ReplyStatus::noResponse);
-    STRCMP_EQUAL("", fixture.calls().c_str());  // not at once
+    STRCMP_EQUAL("", fixture.calls().c_str());  // not retried at once
     STRCMP_EQUAL("", fixture.reportedResults().c_str());
     LONGS_EQUAL(0, fixture.appliedOrder());
     STRCMP_EQUAL("start a/1", fixture.callsAfter(20).c_str());
@@ -40,7 +39,8 @@
 
 TEST(RunStartTests, startCarriedOutLateIsSeenAndReportedStopped) {
   fixture.connectAndStopUnansweredStart();
-  fixture.reply(CallKind::stop, ReplyStatus::ok);  // it had started meanwhile and is being stopped
+  fixture.reply(CallKind::stop,
+                ReplyStatus::ok);  // it had started in the meantime and is being stopped
   fixture.callsAfter(30);
   fixture.replyToPoll({running("a")});
   STRCMP_EQUAL("", fixture.reportedResults().c_str());
@@ -58,14 +58,14 @@
   fixture.sync({stopOf(3, "a")});
   fixture.calls();
   fixture.reply(CallKind::stop, ReplyStatus::ok, "a");
-  fixture.replyToPoll({running("b")});  // listed before the stop came there
+  fixture.replyToPoll({running("b")});  // this list was made before the stop arrived
   STRCMP_EQUAL("", fixture.reportedResults().c_str());
   STRCMP_EQUAL("poll", fixture.callsAfter(250).c_str());
   fixture.replyToPoll({running("b")});
   STRCMP_EQUAL("a/1 unstarted", fixture.reportedResults().c_str());
 }
 
-// A reply that leaves results out proves no absence.
+// An incomplete reply does not prove that a run is absent.
 TEST(RunStartTests, incompletePollProvesNoAbsence) {
   fixture.connectAndStopUnansweredStart();
   fixture.reply(CallKind::stop, ReplyStatus::ok);
@@ -86,7 +86,7 @@
   LONGS_EQUAL(1, fixture.appliedOrder());
 }
 
-TEST(RunStartTests, startRejectedForCapacityAfterSilenceIsStoppedFirst) {
+TEST(RunStartTests, startRejectedForCapacityAfterNoReplyIsStoppedFirst) {
   fixture.connectAndStart(ReplyStatus::noResponse);
   fixture.callsAfter(20);
   fixture.reply(CallKind::start, ReplyStatus::insufficientCapacity);
@@ -98,7 +98,7 @@
   STRCMP_EQUAL("a/1 refused", fixture.reportedResults().c_str());
 }
 
-TEST(RunStartTests, startRejectedAfterSilenceIsNotAppliedBeforeItsResultIsKnown) {
+TEST(RunStartTests, startRejectedAfterNoReplyIsNotAppliedBeforeItsResultIsKnown) {
   fixture.connectAndStart(ReplyStatus::noResponse);
   fixture.callsAfter(20);
   fixture.reply(CallKind::start, ReplyStatus::insufficientCapacity);
@@ -119,7 +119,7 @@
   LONGS_EQUAL(1, fixture.appliedOrder());
 }
 
-TEST(RunStartTests, staleRunThatIsThereCountsAsStarted) {
+TEST(RunStartTests, listedStaleRunCountsAsStarted) {
   fixture.connectAndStart(ReplyStatus::staleRun);
   STRCMP_EQUAL("", fixture.reportedResults().c_str());
   STRCMP_EQUAL("poll", fixture.callsAfter(30).c_str());
@@ -129,14 +129,14 @@
   CHECK(fixture.callsAfter(30).find("start") == std::string::npos);
 }
 
-TEST(RunStartTests, staleRunThatIsOverIsReported) {
+TEST(RunStartTests, endedStaleRunIsReported) {
   fixture.connectAndStart(ReplyStatus::staleRun);
   fixture.callsAfter(30);
   fixture.replyToPoll({}, {resultOf(4, "a")});
   STRCMP_EQUAL("a/1 finished", fixture.reportedResults().c_str());
 }
 
-TEST(RunStartTests, staleRunThatIsNowhereIsStoppedFirst) {
+TEST(RunStartTests, unlistedStaleRunIsStoppedFirst) {
   fixture.connectAndStart(ReplyStatus::staleRun);
   fixture.callsAfter(30);
   fixture.replyToPoll();
@@ -161,7 +161,7 @@
   STRCMP_EQUAL("", fixture.reportedResults().c_str());
 }
 
-TEST(RunStartTests, startAtAnUnavailableWorkerIsGivenUpAfterThreeTries) {
+TEST(RunStartTests, startAtAnUnavailableWorkerIsAbandonedAfterThreeAttempts) {
   fixture.connectAndSendStart();
   for (int count = 0; count < 2; ++count) {
     fixture.reply(CallKind::start, ReplyStatus::unavailable);
@@ -183,7 +183,8 @@
 
 TEST(RunStartTests, startWaitsForALease) {
   CHECK(fixture.heartbeat());
-  // No leader has answered: a poll asks whether this instance stands there, and grants no lease.
+  // No leader has answered: a poll checks whether this instance runs at the address, and grants no
+  // lease.
   STRCMP_EQUAL("poll", fixture.calls().c_str());
   CHECK_FALSE(fixture.replyToPoll().leaseDeadline.has_value());
   STRCMP_EQUAL("", fixture.calls().c_str());
--- a/tests/agent/run_stop_tests.cpp
+++ b/tests/agent/run_stop_tests.cpp
@@ -1,4 +1,4 @@
-// How a node agent carries out the order to stop a run. docs/design.md 5.8.
+// Tests of orders to stop a run. docs/design.md 5.8.
 #include "support/node_agent_fixture.hpp"
 
 using namespace aniseline;
@@ -16,8 +16,8 @@
   LONGS_EQUAL(2, fixture.appliedOrder());
 }
 
-// The start went to an earlier process: this one fences the run before it reports that it never
-// started.
+// An earlier process of the agent received the start. This process sends a stop and polls before it
+// reports that the run never started.
 TEST(RunStopTests, stopOfAnUnknownRunIsSentAndPolledFor) {
   fixture.connect();
   fixture.sync({stopOf(9, "a")});
@@ -40,16 +40,16 @@
   LONGS_EQUAL(0, fixture.appliedOrder());
 }
 
-TEST(RunStopTests, stopOfARunThatIsOverIsApplied) {
-  fixture.connectWithOneOver();
+TEST(RunStopTests, stopOfAnEndedRunIsApplied) {
+  fixture.connectWithOneEnded();
   fixture.sync({stopOf(2, "a")});
   CHECK(fixture.callsAfter(30).find("stop") == std::string::npos);
   STRCMP_EQUAL("a/1 finished", fixture.reportedResults().c_str());
   LONGS_EQUAL(2, fixture.appliedOrder());
 }
 
-// Each poll costs its worker. One that waits returns with the result, so that no further ones are
-// needed while a stop takes its time.
+// Polls are costly for the worker. A long poll returns as soon as the result exists, so no further
+// polls are needed while a stop is in progress.
 TEST(RunStopTests, stopOfARunningRunIsSeenByTheLongPoll) {
   fixture.connect();
   fixture.startRun("a");
@@ -81,15 +81,16 @@
   }
 }
 
-// An order counts as applied when its run's result can be reported with it. If the agent were
-// killed in between, its next process would know of neither order nor run, for a poll does not list
-// what never started, and the leader would take it for running or stopping for ever.
+// An order counts as applied only once the result of its run can be reported with it. Otherwise, if
+// the agent were killed in between, its next process would know neither the order nor the run,
+// because a poll does not list a run that never started. The leader would then consider the run
+// running or stopping indefinitely.
 TEST(RunStopTests, stopIsNotAppliedBeforeItsRunsResultIsKnown) {
   fixture.connectAndStopUnansweredStart();
   fixture.reply(CallKind::stop, ReplyStatus::ok);
   auto report = fixture.report();
   CHECK_TEXT(report.lastAppliedOrder.value < 1 || !report.runResults.empty(),
-             "applied, and no result is reported");
+             "the order is reported as applied without the result of its run");
   fixture.callsAfter(30);
   fixture.replyToPoll();
   report = fixture.report();
--- a/tests/agent/staged_run_tests.cpp
+++ b/tests/agent/staged_run_tests.cpp
@@ -1,4 +1,4 @@
-// Parts of a gang, which are staged at the agent and started when they are launched.
+// Tests of gang members, which are staged at the agent and started when they are launched.
 // docs/design.md 7.3.
 #include "support/node_agent_fixture.hpp"
 
@@ -17,7 +17,7 @@
     response.orders.push_back(orderOf(number, kind, job));
     agent.onSyncResponse(agent.makeSyncReport(now), response, now, now);
   }
-  // The starts that the agent sends now, each of which is carried out.
+  // Returns the number of starts that the agent sends now; each of its calls succeeds.
   long startCalls(MonotonicTime now) {
     long count = 0;
     for (const auto& call : agent.takeCalls(now)) {
@@ -41,7 +41,8 @@
   LONGS_EQUAL(2, long(agent.makeSyncReport(MonotonicTime{41}).lastAppliedOrder.value));
 }
 
-// One is stopped before it is launched, and an earlier process of the agent has staged the other.
+// One run is stopped before it is launched, and the other was staged by an earlier process of the
+// agent.
 TEST(StagedRunTests, runThatIsNotStagedHereIsReportedNeverStarted) {
   order(1, OrderKind::stage, "gang", MonotonicTime{10});
   order(2, OrderKind::launch, "gang", MonotonicTime{30});
--- a/tests/agent/worker_contact_tests.cpp
+++ b/tests/agent/worker_contact_tests.cpp
@@ -1,4 +1,4 @@
-// What a node agent tells of a worker that leaves calls unanswered. docs/design.md 5.8.
+// Tests of the reports about a worker that leaves calls unanswered. docs/design.md 5.8.
 #include "support/node_agent_fixture.hpp"
 
 using namespace aniseline;
@@ -8,11 +8,12 @@
   NodeAgentFixture fixture;
 };
 
-// A report that the worker is unresponsive stands until the leader has answered a later one.
-TEST(WorkerContactTests, earlierReportDoesNotTakeBackThatTheWorkerIsUnresponsive) {
+// A report that the worker is unresponsive remains in force until the leader has answered a later
+// report.
+TEST(WorkerContactTests, responseToAnEarlierReportDoesNotUnblockStarts) {
   fixture.heartbeat();
   fixture.sync();
-  const auto before = fixture.report();  // its response is long in coming
+  const auto before = fixture.report();  // its response arrives late
   const MonotonicTime sentAt = fixture.time();
   fixture.now += 10;
   for (const auto& call : fixture.agent.takeCalls(fixture.time()))
@@ -22,7 +23,7 @@
   CHECK(unresponsive.unresponsive);
   CHECK(before.reportedAt < unresponsive.reportedAt);
   fixture.now += 5;
-  fixture.heartbeat();  // it is there again
+  fixture.heartbeat();  // the worker responds again
   for (const auto& call : fixture.agent.takeCalls(fixture.time())) {
     WorkerReply heard;
     heard.status = ReplyStatus::ok;
--- a/tests/agent/worker_drain_tests.cpp
+++ b/tests/agent/worker_drain_tests.cpp
@@ -1,4 +1,4 @@
-// A worker that announces its end. docs/design.md 5.7, 5.8.
+// Tests of a worker that announces its shutdown. docs/design.md 5.7, 5.8.
 #include "support/node_agent_fixture.hpp"
 
 using namespace aniseline;
@@ -23,7 +23,7 @@
   CHECK_TEXT(calls.find("start") == std::string::npos && calls.find("stop") == std::string::npos,
              calls.c_str());
   STRCMP_EQUAL("b/1 unstarted", fixture.reportedResults().c_str());
-  CHECK(fixture.heartbeat(false));  // a registration that was sent before
+  CHECK(fixture.heartbeat(false));  // a registration that was sent before the drain started
   CHECK(fixture.sync().draining);
 }
 
@@ -38,7 +38,7 @@
   STRCMP_EQUAL("a/1 unstarted", fixture.reportedResults().c_str());
 }
 
-// What runs at a draining worker runs on under its lease, and its results count.
+// Work on a draining worker continues under its lease, and its results count.
 TEST(WorkerDrainTests, drainingWorkerKeepsItsLeaseAndItsResultsCount) {
   fixture.connect();
   fixture.startRun("a", 1);
@@ -55,14 +55,14 @@
   STRCMP_EQUAL("b/1 unstarted", fixture.reportedResults().c_str());
   const auto poll = fixture.replyToPoll({running("a")});
   CHECK_TEXT(poll.leaseDeadline && *poll.leaseDeadline > fixture.workerClock(fixture.now),
-             "the lease of a draining worker is renewed no more");
+             "the lease of a draining worker is no longer renewed");
   fixture.sync({}, 1);
   fixture.callsAfter(1500);
   fixture.replyToPoll({}, {resultOf(1, "a")});
   STRCMP_EQUAL("a/1 finished", fixture.reportedResults().c_str());
 }
 
-TEST(WorkerDrainTests, drainingWorkerIsPolledUntilItRepliesNoMore) {
+TEST(WorkerDrainTests, drainingWorkerIsPolledUntilItStopsReplying) {
   fixture.connect();
   CHECK(fixture.drainNotice());
   fixture.sync();
@@ -74,12 +74,12 @@
   fixture.reply(CallKind::poll, ReplyStatus::noResponse);
   fixture.now += 800;
   CHECK(fixture.sync().unresponsive);
-  // The leader finds that nothing can run there any more, and declares it gone.
+  // The leader concludes that no work can run there any more, and declares the worker gone.
   fixture.agent.onDeclaredGone(fixture.time());
   CHECK_FALSE(fixture.agent.mayReport());
   CHECK(fixture.drainAcknowledged());
   fixture.now += 20'000;
-  fixture.heartbeat();  // a late one
+  fixture.heartbeat();  // a late heartbeat
   CHECK_FALSE(fixture.agent.mayReport());
   STRCMP_EQUAL("", fixture.callsAfter(30).c_str());
 }
@@ -93,12 +93,13 @@
   CHECK_FALSE(fixture.agent.mayReport());
 }
 
-TEST(WorkerDrainTests, laterHeartbeatDoesNotTakeBackADrain) {
+TEST(WorkerDrainTests, laterHeartbeatDoesNotRevokeADrain) {
   fixture.connect();
   CHECK(fixture.heartbeatCounted(4));
   CHECK(fixture.drainNotice());
-  CHECK(fixture.heartbeatCounted(5));  // newer, and not draining: that was said by a notice only
-  CHECK(fixture.heartbeatCounted(3));  // an overtaken one
+  CHECK(
+      fixture.heartbeatCounted(5));  // newer and not draining: only the notice announced the drain
+  CHECK(fixture.heartbeatCounted(3));  // an overtaken heartbeat
   const auto report = fixture.sync();
   CHECK(report.draining);
   LONGS_EQUAL(2000, report.drainTimeout.milliseconds);
@@ -116,7 +117,8 @@
   CHECK(fixture.agent.mayReport());
 }
 
-// The former process got the worker's registrations; this one gets its drain notice first.
+// The previous process received the worker's registrations; this one receives its drain notice
+// first.
 TEST(WorkerDrainTests, drainNoticeBeforeAnyRegistrationIsRemembered) {
   CHECK_FALSE(fixture.drainNotice());
   CHECK_FALSE(fixture.drainAcknowledged());
--- a/tests/agent/worker_lease_tests.cpp
+++ b/tests/agent/worker_lease_tests.cpp
@@ -1,4 +1,5 @@
-// The leader's lease and the worker's own, under clocks that differ. docs/design.md 5.4, 5.5, 5.8.
+// Tests of the leader's lease and the worker's lease with clocks that run at different rates.
+// docs/design.md 5.4, 5.5, 5.8.
 #include "support/node_agent_fixture.hpp"
 
 using namespace aniseline;
@@ -8,8 +9,8 @@
   NodeAgentFixture fixture;
 };
 
-// Whatever the latencies and the rate of the worker's clock, the worker's lease ends when the
-// leader's does, or before. docs/design.md 5.4.
+// The worker's lease never ends after the leader's, for any latencies and any permitted rate of the
+// worker's clock. docs/design.md 5.4.
 TEST(WorkerLeaseTests, deadlineIsNeverLaterThanTheLeadersLease) {
   for (double rate : {0.98, 0.985, 0.99, 1.0})
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
@@ -21,7 +22,7 @@
       std::uint64_t number = 0;
       for (int count = 0; count < 200; ++count) {
         fixture.now += random.between(0, 300);
-        if (random.chance(0.1)) {  // a late one
+        if (random.chance(0.1)) {  // a late registration
           auto registration = fixture.registration();
           registration.clockReading = fixture.workerClock(fixture.now - random.between(0, 900));
           fixture.agent.onRegistration(registration, fixture.time());
@@ -41,7 +42,8 @@
             ++calls;
             const double until =
                 double(call.leaseDeadline->milliseconds - 5'000'000) / rate + 100'000;
-            CHECK_TEXT(until <= double(leaseUntil) + 1, "a deadline past the lease");
+            CHECK_TEXT(until <= double(leaseUntil) + 1,
+                       "a deadline is later than the leader's lease");
           }
           WorkerReply reply;
           reply.status = random.chance(0.2) ? ReplyStatus::noResponse : ReplyStatus::ok;
@@ -83,10 +85,10 @@
   CHECK(*call.leaseDeadline <= fixture.workerClock(fixture.now + 6000));
 }
 
-// A success that was not confirmed when the lease expired is void, and nothing starts before a
-// poll. docs/design.md 5.5.
+// A success that was unconfirmed when the lease expired is void, and no run starts before a poll.
+// docs/design.md 5.5.
 TEST(WorkerLeaseTests, expiredLeaseVoidsUnconfirmedSuccesses) {
-  fixture.connectWithOneOverOneRunning();
+  fixture.connectWithOneEndedOneRunning();
   fixture.now += 7000;  // no leader all this time
   STRCMP_EQUAL("", fixture.calls().c_str());
   const auto report = fixture.sync({startOf(3, "c")});
@@ -100,7 +102,7 @@
 }
 
 TEST(WorkerLeaseTests, renewedLeaseVoidsNothing) {
-  fixture.connectWithOneOverOneRunning();
+  fixture.connectWithOneEndedOneRunning();
   for (int count = 0; count < 20; ++count) {
     fixture.sync();
     CHECK(fixture.callsAfter(1000).find("start") == std::string::npos);
@@ -110,7 +112,7 @@
   STRCMP_EQUAL("a/1 finished", fixture.reportedResults().c_str());
 }
 
-// What was confirmed before the expiry stays so, and a failure stays one.
+// Results that were confirmed before the expiry stay confirmed, and failures stay failures.
 TEST(WorkerLeaseTests, expiredLeaseChangesNoFailureAndNothingConfirmed) {
   fixture.connect();
   fixture.startRun("a", 1);
@@ -123,9 +125,9 @@
   STRCMP_EQUAL("b/1 failed", fixture.reportedResults().c_str());
 }
 
-// A poll waits for half a lease of 2 s, which is the platform's, and when it is lost two more fit
-// in before the lease expires.
-TEST(WorkerLeaseTests, lostPollLeavesTimeForTwoMoreWhateverTheLease) {
+// A poll waits for half of the lease, which is 2 s on the platform. If the poll is lost, two more
+// fit into the remaining lease.
+TEST(WorkerLeaseTests, lostPollLeavesTimeForTwoMoreForAnyLease) {
   for (const std::int64_t lease : {1500, 2000, 3000, 6000}) {
     fixture = NodeAgentFixture{};
     NodeAgentOptions options;
@@ -134,46 +136,47 @@
     fixture.connect();
     fixture.startRun("a");
     STRCMP_EQUAL("poll", fixture.calls().c_str());
-    const std::int64_t begun = fixture.now;
+    const std::int64_t pollStart = fixture.now;
     const WorkerCall lost = fixture.openCalls.back();
-    CHECK_TEXT(lease != 2000 || lost.longPollTimeout == Duration{1000}, "a poll may wait a second");
+    CHECK_TEXT(lease != 2000 || lost.longPollTimeout == Duration{1000},
+               "a poll must wait for half of a lease of two seconds");
     fixture.now += lost.timeout.milliseconds;
     fixture.reply(CallKind::poll, ReplyStatus::noResponse);
-    int others = 0;
-    while (fixture.now < begun + lease * 95 / 100 && others < 2) {
+    int followingPolls = 0;
+    while (fixture.now < pollStart + lease * 95 / 100 && followingPolls < 2) {
       fixture.sync();
       STRCMP_EQUAL("poll", fixture.calls().c_str());
-      // Whether the worker replies at all is asked without a wait.
+      // These polls only check whether the worker replies, so they do not wait.
       LONGS_EQUAL(0, fixture.openCalls.back().longPollTimeout.milliseconds);
       CHECK(fixture.openCalls.back().leaseDeadline.has_value());
       fixture.now += 400;
       fixture.reply(CallKind::poll, ReplyStatus::noResponse);
-      ++others;
+      ++followingPolls;
     }
-    LONGS_EQUAL(2, others);
+    LONGS_EQUAL(2, followingPolls);
   }
 }
 
-// A lease of 3 s is renewed once a sync, so only a second of it may be left when a poll begins.
+// A lease of 3 s is renewed once per sync, so only a second of it may be left when a poll starts.
 TEST(WorkerLeaseTests, longPollLeavesASecondOfTheLease) {
   fixture.lease = Duration{3000};
   fixture.connect();
   fixture.startRun("a");
-  const std::int64_t begun = fixture.now;
-  for (std::int64_t gone = 100; gone <= 2400; gone += 100) {
-    fixture.now = begun + gone;
+  const std::int64_t pollStart = fixture.now;
+  for (std::int64_t elapsed = 100; elapsed <= 2400; elapsed += 100) {
+    fixture.now = pollStart + elapsed;
     const auto calls = fixture.calls();
     if (calls.empty())
       continue;
     STRCMP_EQUAL("poll", calls.c_str());
     const auto poll = fixture.replyToPoll({running("a")});
-    CHECK_TEXT(poll.longPollTimeout <= std::max(Duration{750}, Duration{3000 - gone - 1000}),
+    CHECK_TEXT(poll.longPollTimeout <= std::max(Duration{750}, Duration{3000 - elapsed - 1000}),
                "the poll may outlast the lease");
   }
 }
 
-// A registration may be seconds old: its clock reading is no upper bound.
-TEST(WorkerLeaseTests, lateRegistrationKeepsNoLeaseAlive) {
+// A registration may be seconds old, so its clock reading is no upper bound.
+TEST(WorkerLeaseTests, lateRegistrationDoesNotExtendTheLease) {
   fixture.connect();
   fixture.startRun("a", 1);
   fixture.startRun("b", 2);
@@ -189,11 +192,11 @@
                "a lease that may have expired is renewed while a result is unconfirmed");
 }
 
-// The worker's clock may be slow, so a lease that may have expired has not surely expired. A result
-// that counts as void must not be kept valid by a call that extends the lease, or it is confirmed
-// later though its task has been started again. docs/design.md 5.5.
-TEST(WorkerLeaseTests, noResultIsVoidWhileTheLeaseMayStillBeExtended) {
-  for (std::int64_t away = 5500; away < 6200; away += 20) {
+// The worker's clock may be slow, so a lease that may have expired has not certainly expired. If a
+// call extended the lease of a result that counts as void, the worker would keep that result valid
+// and it would be confirmed later, although its task had been started again. docs/design.md 5.5.
+TEST(WorkerLeaseTests, noResultIsVoidedWhileTheLeaseMayBeExtended) {
+  for (std::int64_t leaderlessTime = 5500; leaderlessTime < 6200; leaderlessTime += 20) {
     fixture = NodeAgentFixture{};
     fixture.clockRate = 0.98;
     fixture.connect();
@@ -204,7 +207,7 @@
     STRCMP_EQUAL("poll", fixture.calls().c_str());
     const auto grantedByPoll = fixture.replyToPoll({}, {resultOf(1, "a")}).leaseDeadline;
     CHECK(granted && grantedByPoll);
-    fixture.now += away;  // no leader all this time
+    fixture.now += leaderlessTime;  // no leader all this time
     fixture.calls();
     const bool isVoid = resultsIn(fixture.sync()) == "a/1 stopped";
     fixture.calls();
@@ -213,50 +216,52 @@
       extended = extended || call.leaseDeadline;
     const bool expired = fixture.workerClock(fixture.now) >= std::max(*granted, *grantedByPoll);
     CHECK_TEXT(!isVoid || !extended || expired,
-               ("void, and extended, " + std::to_string(away) + " ms after the last call").c_str());
+               ("voided although its lease was extended, " + std::to_string(leaderlessTime) +
+                " ms after the last call")
+                   .c_str());
   }
 }
 
-// A stop has no deadline, so it keeps nothing at the worker alive. docs/design.md 5.4.
+// A stop has no deadline, so it extends no lease at the worker. docs/design.md 5.4.
 TEST(WorkerLeaseTests, stopExtendsNoLease) {
-  fixture.connectWithOneOverOneRunning();
+  fixture.connectWithOneEndedOneRunning();
   fixture.now += 1400;
   fixture.sync({stopOf(3, "b")});
   STRCMP_EQUAL("stop b/1", fixture.calls().c_str());
   fixture.reply(CallKind::stop, ReplyStatus::noResponse);
-  fixture.now += 4700;  // 6.1 s after the poll that granted the last lease
+  fixture.now += 4700;  // 6.1 s after the poll that granted the latest lease
   fixture.calls();
   STRCMP_EQUAL("a/1 stopped", fixture.reportedResults().c_str());
 }
 
-// A report notes an expired lease by itself, before it shows anything.
+// Making a report records an expired lease before the report is filled.
 TEST(WorkerLeaseTests, reportAfterTheExpiryShowsNoVoidSuccess) {
-  fixture.connectWithOneOver();
+  fixture.connectWithOneEnded();
   fixture.now += 7000;
   STRCMP_EQUAL("a/1 stopped", fixture.reportedResults().c_str());
 }
 
-// A reply that was given before the expiry shows nothing of it.
-TEST(WorkerLeaseTests, pollAnsweredBeforeTheExpiryDoesNotEndIt) {
+// A reply sent before the lease expired says nothing about the state after the expiry.
+TEST(WorkerLeaseTests, pollAnsweredBeforeTheExpiryDoesNotClearTheExpiredState) {
   fixture.connect();
   fixture.startRun("a", 1);
   fixture.now += 5500;
   STRCMP_EQUAL("poll", fixture.calls().c_str());
   fixture.now += 200;
   const auto early = fixture.pollReply({running("a")}, {});
-  fixture.now += 600;  // it comes late, when the lease has expired
+  fixture.now += 600;  // it arrives late, after the lease has expired
   STRCMP_EQUAL("", fixture.calls().c_str());
   fixture.agent.onWorkerReply(fixture.takeOpenCall(CallKind::poll), early, fixture.time());
   fixture.sync({startOf(2, "b")});
   const std::string calls = fixture.calls();
   CHECK_TEXT(calls.find("start") == std::string::npos, calls.c_str());
-  fixture.replyToPoll({}, {resultOf(1, "a")});  // over before the expiry, unconfirmed
+  fixture.replyToPoll({}, {resultOf(1, "a")});  // ended before the expiry, unconfirmed
   STRCMP_EQUAL("a/1 stopped", fixture.reportedResults().c_str());
 }
 
-// The worker's clock may be slow: until the expiry is sure a success is not called void, and no
-// call renews the lease. docs/design.md 5.8.
-TEST(WorkerLeaseTests, resultIsVoidOnlyWhenItsLeaseHasSurelyExpired) {
+// The worker's clock may be slow: until the lease has certainly expired, a success is not void and
+// no call renews the lease. docs/design.md 5.8.
+TEST(WorkerLeaseTests, resultIsVoidedOnlyOnceItsLeaseHasCertainlyExpired) {
   NodeAgent agent{NodeAgentOptions{}};
   agent.onRegistration(registrationOf("w", 0), MonotonicTime{0});
   const auto report = agent.makeSyncReport(MonotonicTime{0});
@@ -271,14 +276,15 @@
     agent.onWorkerReply(call, reply, MonotonicTime{100});
   }
   LONGS_EQUAL(1, agent.makeSyncReport(MonotonicTime{101}).runResults.size());
-  // Its lease ends at 2940 by its own clock, which shows between 2886 and 2943 by now.
+  // The lease ends at 2940 on the worker's clock, which now reads between 2886 and 2943.
   agent.onSyncResponse(agent.makeSyncReport(MonotonicTime{2900}), responseOf({}, 1),
                        MonotonicTime{2900}, MonotonicTime{2940});
   for (const auto& call : agent.takeCalls(MonotonicTime{2945}))
     CHECK(!call.leaseDeadline);
   CHECK(agent.makeSyncReport(MonotonicTime{2946}).runResults.at(0).outcome ==
         AttemptOutcome::succeeded);
-  // A reply shows that the lease still holds. (A registration may be seconds old.)
+  // A reply shows that the lease still holds. (A registration would not, because it may be seconds
+  // old.)
   NodeAgent renewed = agent;
   Order stop = startOf(2, "c");
   stop.kind = OrderKind::stop;
@@ -300,7 +306,7 @@
   CHECK(renewals > 0);
   CHECK(renewed.makeSyncReport(MonotonicTime{3100}).runResults.at(0).outcome ==
         AttemptOutcome::succeeded);
-  // Or no reply comes.
+  // Without a reply the lease expires.
   agent.takeCalls(MonotonicTime{3200});
   CHECK(agent.makeSyncReport(MonotonicTime{3201}).runResults.at(0).outcome ==
         AttemptOutcome::stopped);
--- a/tests/agent/worker_session_tests.cpp
+++ b/tests/agent/worker_session_tests.cpp
@@ -1,4 +1,4 @@
-// A worker that syncs with the leader by itself. docs/design.md 5.3 to 5.7.
+// Tests of a worker that syncs with the leader directly. docs/design.md 5.3 to 5.7.
 #include "agent/worker_session.hpp"
 #include <CppUTest/TestHarness.h>
 using namespace aniseline;
@@ -49,8 +49,8 @@
                         first};
 };
 
-// Neither from a superseded leader nor past the lease. docs/design.md 5.3.
-TEST(WorkerSessionTests, staleResponsesAreNotFollowed) {
+// Responses from a superseded leader, or past their lease, are ignored. docs/design.md 5.3.
+TEST(WorkerSessionTests, staleResponsesAreIgnored) {
   CHECK(session.onSyncResponse(first, responseOf(5, {orderOf(1, OrderKind::start, 1)}),
                                MonotonicTime{0}, MonotonicTime{10}));
   STRCMP_EQUAL("start 1", commandsOf(session).c_str());
@@ -62,8 +62,8 @@
   LONGS_EQUAL(1, session.makeSyncReport(MonotonicTime{3050}).lastAppliedOrder.value);
 }
 
-// The lease counts from the sending of the sync. When it expires all tasks are suspended, and they
-// resume with the next lease unless an order says otherwise. docs/design.md 5.4.
+// The lease counts from the time at which the sync was sent. When it expires, all tasks are
+// suspended, and they resume with the next lease unless an order stops them. docs/design.md 5.4.
 TEST(WorkerSessionTests, expiredLeaseSuspendsTasksUntilTheNextOne) {
   session.onSyncResponse(
       first, responseOf(1, {orderOf(1, OrderKind::start, 1), orderOf(2, OrderKind::start, 2)}),
@@ -78,14 +78,14 @@
   STRCMP_EQUAL("stop 1, resume 2", commandsOf(session).c_str());
 }
 
-// However often they come.
+// Orders may arrive repeatedly.
 TEST(WorkerSessionTests, ordersApplyOnceInOrderAndResultsAreReportedUntilConfirmed) {
   for (int again = 0; again < 2; ++again)
     session.onSyncResponse(first, responseOf(1, {orderOf(1, OrderKind::start, 1)}),
                            MonotonicTime{0}, MonotonicTime{1});
   STRCMP_EQUAL("start 1", commandsOf(session).c_str());
   session.onSyncResponse(first, responseOf(1, {orderOf(3, OrderKind::start, 3)}), MonotonicTime{0},
-                         MonotonicTime{2});  // 2 is missing
+                         MonotonicTime{2});  // order 2 is missing
   STRCMP_EQUAL("", commandsOf(session).c_str());
   session.onTaskEnded(AttemptNumber{1}, true, MonotonicTime{5});
   STRCMP_EQUAL("finished 1", resultsOf(session, 6).c_str());
@@ -96,7 +96,7 @@
   LONGS_EQUAL(1, session.takeConfirmedResults().size());
 }
 
-// A trial ends by itself after its run time, which a suspension does not use up.
+// A trial ends after its quantum, which does not include the time for which it is suspended.
 TEST(WorkerSessionTests, trialEndsByItselfAndADrainingWorkerStartsNothing) {
   session.onSyncResponse(first, responseOf(1, {orderOf(1, OrderKind::start, 1, 1000)}),
                          MonotonicTime{0}, MonotonicTime{0});
@@ -117,9 +117,9 @@
   STRCMP_EQUAL("ran_out 1, unstarted 4, unstarted 5", resultsOf(session, 2701).c_str());
 }
 
-// Two syncs may be in flight: the response to one that an incarnation sent before it was replaced
-// brings neither orders, lease nor confirmations to the next. docs/design.md 5.3.
-TEST(WorkerSessionTests, responseToAReplacedIncarnationIsNotFollowed) {
+// Two syncs may be in flight: the response to a sync that an incarnation sent before it was
+// replaced carries no orders, lease or confirmations for the next one. docs/design.md 5.3.
+TEST(WorkerSessionTests, responseToAReplacedIncarnationIsIgnored) {
   const Incarnation next{2};
   session.onSyncResponse(first, responseOf(1, {orderOf(1, OrderKind::start, 1)}), MonotonicTime{0},
                          MonotonicTime{1});
--- a/tests/support/node_agent_fixture.hpp
+++ b/tests/support/node_agent_fixture.hpp
@@ -1,5 +1,5 @@
-// A node agent between a leader and a worker that the test plays both: calls are taken as text, and
-// each test answers, loses or delays them. docs/design.md 5.8.
+// Runs a node agent against a leader and a worker that are both played by the test: calls are read
+// as text, and each test answers, loses or delays them. docs/design.md 5.8.
 #ifndef ANISELINE_TESTS_SUPPORT_NODE_AGENT_FIXTURE_HPP
 #define ANISELINE_TESTS_SUPPORT_NODE_AGENT_FIXTURE_HPP
 #include "agent/node_agent.hpp"
@@ -10,7 +10,7 @@
 using CallKind = WorkerCall::Kind;
 using ReplyStatus = WorkerReply::Status;
 
-// The ids, orders and poll entries of runs that are named by their job alone.
+// Run ids, orders and poll entries that are identified by their job alone.
 inline TaskRunId runIdOf(const std::string& job, std::uint32_t runNumber = 1) {
   return TaskRunId{JobId{job}, 0, 0, 0, runNumber};
 }
@@ -42,7 +42,7 @@
   return {number, runIdOf(job), outcome, ""};
 }
 
-// For tests that pass every time by themselves.
+// Helpers for tests that pass in every time explicitly.
 inline WorkerRegistration registrationOf(const std::string& instance, std::int64_t clockReading) {
   WorkerRegistration registration;
   registration.workerInstance = WorkerId{instance};
@@ -65,7 +65,7 @@
   return jobs;
 }
 
-// The results that a report shows, in its order.
+// Returns the results of a report as text, in its order.
 inline std::string resultsIn(const SyncReport& report) {
   std::string text;
   for (const auto& result : report.runResults)
@@ -74,20 +74,20 @@
 }
 
 struct NodeAgentFixture {
-  // Where the agent's and the worker's clock stand when a test begins.
+  // The readings of the agent's and the worker's clock at the beginning of a test.
   static constexpr std::int64_t agentClockStart = 100'000;
   static constexpr std::int64_t workerClockStart = 5'000'000;
 
   NodeAgent agent{NodeAgentOptions{}};
   std::int64_t now = agentClockStart;
-  // Of the worker's clock against the agent's.
+  // The rate of the worker's clock relative to the agent's.
   double clockRate = 1.0;
   Term term{7};
   Duration lease{6000};
   std::string instance = "instance-1";
-  // Of the next registration; 0: registrations are not counted.
+  // The sequence number of the next registration; 0 if registrations are not numbered.
   std::uint64_t sequence = 0;
-  // In flight to the worker.
+  // Calls in flight to the worker.
   std::vector<WorkerCall> openCalls;
 
   MonotonicTime time() const { return MonotonicTime{now}; }
@@ -95,16 +95,16 @@
     return WorkerTime{workerClockStart + std::int64_t(double(at - agentClockStart) * clockRate)};
   }
 
-  // The worker.
+  // Messages of the worker.
 
   WorkerRegistration registration(bool draining = false) const {
-    WorkerRegistration made;
-    made.workerInstance = WorkerId{instance};
-    made.draining = draining;
-    made.drainTimeout = Duration{draining ? 2000 : 0};
-    made.clockReading = workerClock(now);
-    made.sequence = sequence;
-    return made;
+    WorkerRegistration message;
+    message.workerInstance = WorkerId{instance};
+    message.draining = draining;
+    message.drainTimeout = Duration{draining ? 2000 : 0};
+    message.clockReading = workerClock(now);
+    message.sequence = sequence;
+    return message;
   }
   bool heartbeat(bool draining = false) {
     return agent.onRegistration(registration(draining), time());
@@ -115,7 +115,7 @@
   }
   bool drainNotice() { return agent.onDrainNotice(WorkerId{instance}, Duration{2000}, time()); }
   bool drainAcknowledged() const { return agent.drainAcknowledged(WorkerId{instance}); }
-  // Another instance registers while one is current, and answers the poll that asks for it.
+  // Registers another instance while one is current, and answers the poll addressed to it.
   void becomeInstance(const std::string& name) {
     instance = name;
     CHECK(heartbeat());
@@ -123,13 +123,15 @@
     const auto probe =
         std::find_if(openCalls.begin(), openCalls.end(),
                      [&](const WorkerCall& call) { return call.workerInstance.value == name; });
-    CHECK_TEXT(probe != openCalls.end(), "the instance that a registration names is not asked for");
+    CHECK_TEXT(probe != openCalls.end(),
+               "no call is addressed to the instance named in a registration");
     const WorkerCall call = *probe;
     openCalls.erase(probe);
     agent.onWorkerReply(call, pollReply({}, {}), time());
     STRCMP_EQUAL(name.c_str(), agent.workerInstance().value.c_str());
   }
-  // What the agent asks of its worker now; the calls stay open until they are answered.
+  // Takes the calls that the agent makes now, and returns them as text; they stay open until they
+  // are answered.
   std::string calls() {
     static const char* const names[] = {"start ", "stop ", "poll"};
     std::string text;
@@ -178,23 +180,23 @@
     return call;
   }
 
-  // The leader.
+  // Messages of the leader.
 
   SyncResponse response(std::vector<Order> orders, std::uint32_t finalResultCount = 0) const {
-    SyncResponse made;
-    made.term = term;
-    made.lease = lease;
-    made.orders = std::move(orders);
-    made.finalResultCount = finalResultCount;
-    return made;
+    SyncResponse message;
+    message.term = term;
+    message.lease = lease;
+    message.orders = std::move(orders);
+    message.finalResultCount = finalResultCount;
+    return message;
   }
-  // One sync with the leader, which is over at once.
+  // Makes one sync with the leader, which responds at once.
   SyncReport sync(std::vector<Order> orders = {}, std::uint32_t finalResultCount = 0) {
     auto report = agent.makeSyncReport(time());
     respond(report, response(std::move(orders), finalResultCount));
     return report;
   }
-  // The response to a report comes now, as if it had been sent now.
+  // Delivers the response to a report now, as if the report had been sent now.
   void respond(const SyncReport& report, const SyncResponse& response) {
     agent.onSyncResponse(report, response, time(), time());
   }
@@ -202,9 +204,9 @@
   std::string reportedResults() { return resultsIn(report()); }
   std::uint64_t appliedOrder() { return report().lastAppliedOrder.value; }
 
-  // States that tests begin with.
+  // Initial states of tests.
 
-  // The worker has registered, the leader has granted a lease, and the first poll found nothing.
+  // The worker has registered, the leader has granted a lease, and the first poll returned no runs.
   void connect() {
     CHECK(heartbeat());
     sync();
@@ -212,41 +214,41 @@
     replyToPoll();
     now += 30;
   }
-  // A run that the leader has ordered and the worker has started.
+  // Has the leader order a run and the worker start it.
   void startRun(const std::string& job, std::uint64_t number = 1) {
     sync({startOf(number, job)});
     CHECK(calls().find("start " + job) != std::string::npos);
     reply(CallKind::start, ReplyStatus::ok, job);
     now += 30;
   }
-  // Connected; order 1 starts run a, and the call is in flight.
+  // Connects; order 1 starts run a, and the start is in flight.
   void connectAndSendStart() {
     connect();
     sync({startOf(1, "a")});
     STRCMP_EQUAL("start a/1", calls().c_str());
   }
-  // The same, and the call gets this reply.
+  // Connects and sends the start of run a, which gets this reply.
   void connectAndStart(ReplyStatus status) {
     connectAndSendStart();
     reply(CallKind::start, status);
   }
-  // Run a may have started, for its start got no reply; order 2 stops it, and the call is in
+  // Run a may have started, because its start got no reply; order 2 stops it, and the stop is in
   // flight.
   void connectAndStopUnansweredStart() {
     connectAndStart(ReplyStatus::noResponse);
     sync({stopOf(2, "a")});
     STRCMP_EQUAL("stop a/1", calls().c_str());
   }
-  // Runs a and b were started by orders 1 and 2; a has succeeded, as the first poll shows.
-  void connectWithOneOverOneRunning() {
+  // Orders 1 and 2 started runs a and b; the first poll shows that a has succeeded.
+  void connectWithOneEndedOneRunning() {
     connect();
     startRun("a", 1);
     startRun("b", 2);
     calls();
     replyToPoll({running("b")}, {resultOf(1, "a")});
   }
-  // Run a was started by order 1 and has succeeded, as a poll shows.
-  void connectWithOneOver() {
+  // Order 1 started run a; a poll shows that it has succeeded.
+  void connectWithOneEnded() {
     connect();
     startRun("a", 1);
     calls();
--- a/tests/support/scenario.hpp
+++ b/tests/support/scenario.hpp
@@ -1,5 +1,5 @@
-// A simulated cluster on which a test sends requests, waits, and injects faults, with a transcript
-// that is compared with an approved text. docs/design.md 12.2.
+// A simulated cluster on which a test sends requests, waits, and injects faults. Its transcript is
+// compared with an approved text. docs/design.md 12.2.
 #ifndef ANISELINE_TESTS_SUPPORT_SCENARIO_HPP
 #define ANISELINE_TESTS_SUPPORT_SCENARIO_HPP
 #include "simulator/campaign.hpp"
@@ -9,7 +9,7 @@
 
 namespace aniseline {
 
-// Begins with all voters up and the standard configuration in force. All times are in milliseconds.
+// Starts with all voters up and the standard configuration applied. All times are in milliseconds.
 struct Scenario {
   std::string transcript;
   std::unique_ptr<SimulatedCluster> cluster;
@@ -26,7 +26,7 @@
     startedAt = cluster->now;
   }
   void appendLine(const std::string& line) { transcript += line + "\n"; }
-  // Sends a request through a gateway, waits for its answer and writes both down.
+  // Sends a request through a gateway, waits for its response and adds both to the transcript.
   void request(const std::string& method, const std::string& target, const std::string& body = "",
                std::size_t gateway = 0) {
     bool answered = false;
@@ -40,13 +40,13 @@
         5000);
     CHECK(cluster->runUntilTrue([&] { return answered; }, 6000));
   }
-  // Sends a request and returns at once; `onStatus` is called with the answer's status.
+  // Sends a request and returns at once; `onStatus` is called with the status of the response.
   void requestWithoutTranscript(const std::string& method, const std::string& target,
                                 const std::string& body, std::function<void(int)> onStatus) {
     cluster->sendRequest(1, method, target, body,
                          [onStatus](int status, const std::string&) { onStatus(status); });
   }
-  // The worker on which a task of the job was started last.
+  // Returns the worker on which a task of the job was last started.
   std::string lastWorkerOf(const std::string& job) const {
     std::string found;
     for (const auto& event : cluster->history)
@@ -63,14 +63,15 @@
                                 timeout));
   }
   void advance(std::int64_t span) { cluster->runUntil(cluster->now + span); }
-  // How often a client sends requests is drawn, so that these events are not part of a transcript.
+  // Reports whether the event is a client request. The number of client requests is random, so
+  // these events are not part of a transcript.
   static bool isClientRequest(HistoryEvent::Kind kind) {
     using Kind = HistoryEvent::Kind;
     return kind == Kind::submitted || kind == Kind::outcomeUnknown ||
            kind == Kind::stateUnchanged || kind == Kind::cancelSubmitted;
   }
-  // The events of one job, first those of its client and then those of the workers, without times
-  // and workers, which are drawn.
+  // Adds the events of one job, first those of its client and then those of the workers, without
+  // times and worker names, which are random.
   void appendHistory(const std::string& job) {
     for (const bool workers : {false, true})
       for (const auto& event : cluster->history)
@@ -78,15 +79,16 @@
           appendLine(std::string(workers ? "  worker: " : "  caller: ") + name(event.kind) +
                      (event.detail.empty() ? "" : " " + event.detail));
   }
-  // Adds the violations that the history shows, and compares the transcript with the approved one.
-  // With ANISELINE_APPROVE in the environment the transcript becomes the approved one.
+  // Adds the violations found in the history, and compares the transcript with the approved one. If
+  // ANISELINE_APPROVE is set in the environment, the transcript becomes the approved one.
   void compareWithApproved(const std::string& name) {
     const auto findings = cluster->checkHistory();
-    for (const auto& limit : findings.unavoidableViolations)
-      appendLine("limit of rule " + std::to_string(number(limit.rule)) + ": " + limit.description);
-    for (const auto& promise : findings.violations)
-      appendLine("BROKEN rule " + std::to_string(number(promise.rule)) + ": " +
-                 promise.description);
+    for (const auto& unavoidableViolation : findings.unavoidableViolations)
+      appendLine("limit of rule " + std::to_string(number(unavoidableViolation.rule)) + ": " +
+                 unavoidableViolation.description);
+    for (const auto& violation : findings.violations)
+      appendLine("BROKEN rule " + std::to_string(number(violation.rule)) + ": " +
+                 violation.description);
     const std::string file = std::string(ANISELINE_SOURCE) + "/tests/approved/" + name + ".txt";
     if (std::getenv("ANISELINE_APPROVE"))
       std::ofstream(file) << transcript;
@@ -96,7 +98,7 @@
   }
 };
 
-// A submission of one task that runs for `runtime` milliseconds.
+// Returns a submission of one task that runs for `runtime` milliseconds.
 inline std::string jobJson(const std::string& id, std::int64_t runtime,
                            const std::string& queue = "proofs", std::uint32_t cores = 1) {
   return "{\"id\":\"" + id + "\",\"queue\":\"" + queue +
