--- a/library/aniselineConfig.cmake
+++ b/library/aniselineConfig.cmake
@@ -1,3 +1,4 @@
+# Package configuration for find_package(aniseline): finds the dependencies and imports the targets.
 include(CMakeFindDependencyMacro)
 find_dependency(Threads)
 find_dependency(Boost COMPONENTS fiber context serialization system)
--- a/library/library.cpp
+++ b/library/library.cpp
@@ -68,12 +68,12 @@
   std::thread thread;
 };
 
-Error toError(const ClientError& given) {
+Error toError(const ClientError& clientError) {
   Error error;
-  error.status = given.status;
-  error.text = given.text;
-  error.retryAfter = Duration{given.retryAfter.milliseconds};
-  switch (given.status) {
+  error.status = clientError.status;
+  error.text = clientError.text;
+  error.retryAfter = Duration{clientError.retryAfter.milliseconds};
+  switch (clientError.status) {
     case 400:
       error.kind = Error::Kind::invalid;
       break;
@@ -97,12 +97,12 @@
 }
 
 Result<JobView> toJobView(const std::string& id,
-                          const aniseline::Result<HttpResponse, ClientError>& answer) {
-  if (!answer)
-    return toError(answer.error());
+                          const aniseline::Result<HttpResponse, ClientError>& response) {
+  if (!response)
+    return toError(response.error());
   picojson::value root;
-  if (!parseJson(root, answer.value().body).empty() || !root.is<picojson::object>())
-    return Error{Error::Kind::unknown, answer.value().status,
+  if (!parseJson(root, response.value().body).empty() || !root.is<picojson::object>())
+    return Error{Error::Kind::unknown, response.value().status,
                  "the response body is not a JSON object", Duration{0}};
   JobView view;
   view.id = id;
@@ -160,9 +160,9 @@
     return Error{Error::Kind::invalid, 400,
                  CoreError{CoreError::Kind::invalid, std::move(errors)}.text(), Duration{0}};
   return impl->with<Result<std::string>>([&](GatewayClient& gatewayClient) -> Result<std::string> {
-    auto answer = gatewayClient.submitJob(submission, aniseline::Duration{within.count()});
-    if (!answer)
-      return toError(answer.error());
+    auto response = gatewayClient.submitJob(submission, aniseline::Duration{within.count()});
+    if (!response)
+      return toError(response.error());
     return job.id;
   });
 }
@@ -230,9 +230,9 @@
       else if (command.kind == TaskCommand::Kind::stop && workerImpl.slots.stop)
         workerImpl.slots.stop(attempt);
     });
-    workerImpl.client->confirmed.connect([&workerImpl](const Order& order, AttemptOutcome kind) {
+    workerImpl.client->confirmed.connect([&workerImpl](const Order& order, AttemptOutcome outcome) {
       if (workerImpl.slots.final)
-        workerImpl.slots.final(order.attempt.value, kind == AttemptOutcome::succeeded);
+        workerImpl.slots.final(order.attempt.value, outcome == AttemptOutcome::succeeded);
     });
     workerImpl.client->rejected.connect([&workerImpl](const std::string& reason) {
       if (workerImpl.slots.rejected)
--- a/source/agent/tracked_run.cpp
+++ b/source/agent/tracked_run.cpp
@@ -50,7 +50,7 @@
 TrackedRun::NextStep TrackedRun::nextStep(bool workerDraining) {
   if (staged && shouldRun && !workerDraining)
     return NextStep::none;
-  if (shouldRun && !running && outcomeKnown && !startAbandoned) {
+  if (shouldRun && !running && stateKnown && !startAbandoned) {
     if (!workerDraining)
       return NextStep::start;
     // No run is started at a draining worker. docs/design.md 5.7.
@@ -144,7 +144,7 @@
 }
 
 void TrackedRun::requireNewPoll(std::uint64_t nextPoll) {
-  outcomeKnown = false;
+  stateKnown = false;
   firstConclusivePoll = nextPoll;
 }
 
@@ -157,19 +157,19 @@
   running = true;
   if (!shouldRun || callInFlight)
     return false;
-  outcomeKnown = true;
+  stateKnown = true;
   return true;
 }
 
 bool TrackedRun::isAbsenceConclusive(std::uint64_t poll) const {
-  return !callInFlight && !outcomeKnown && poll >= firstConclusivePoll &&
+  return !callInFlight && !stateKnown && poll >= firstConclusivePoll &&
          (stopAcknowledged || shouldRun);
 }
 
 bool TrackedRun::onNotListed() {
   if (stopAcknowledged)
     return true;
-  startAbandoned = outcomeKnown = true;
+  startAbandoned = stateKnown = true;
   maybeStarted = true;
   return false;
 }
--- a/source/agent/tracked_run.hpp
+++ b/source/agent/tracked_run.hpp
@@ -30,9 +30,9 @@
   bool isRunning() const { return running; }
   // Reports whether the run is staged and not launched yet.
   bool isStaged() const { return staged; }
-  // Reports whether a poll is needed to learn the run's outcome. A run that is known to be running
+  // Reports whether a poll is needed to learn the run's state. A run that is known to be running
   // is not uncertain: once it has been stopped, a long poll returns its result.
-  bool isUncertain() const { return !outcomeKnown && !running; }
+  bool isUncertain() const { return !stateKnown && !running; }
 
   void launch(MonotonicTime now);
   void requestStop(MonotonicTime now);
@@ -89,8 +89,8 @@
   bool running = false;
   // A stop was answered: the worker rejects later starts of the run.
   bool stopAcknowledged = false;
-  // If false, poll `firstConclusivePoll` or a later one shows the outcome of the run.
-  bool outcomeKnown = true;
+  // If false, poll `firstConclusivePoll` or a later one shows the state of the run.
+  bool stateKnown = true;
   std::uint64_t firstConclusivePoll = 0;
   // The start was permanently abandoned.
   bool startAbandoned = false;
--- a/tests/agent/called_worker_session_tests.cpp
+++ b/tests/agent/called_worker_session_tests.cpp
@@ -86,9 +86,10 @@
   reply.runningTasks.push_back({runIdOf("a"), "here"});
   reply.results.push_back({12, runIdOf("b", 2), AttemptOutcome::quantumExpired, ""});
   reply.complete = false;
-  auto encodeAndDecode = [&](const WorkerCall& asked, const WorkerReply& given) {
-    const ApiResponse answer = encodeWorkerReply(asked, given);
-    return protocol.decodeReply(asked, HttpResponse{answer.status, answer.body, Duration{0}});
+  auto encodeAndDecode = [&](const WorkerCall& sentCall, const WorkerReply& sentReply) {
+    const ApiResponse httpResponse = encodeWorkerReply(sentCall, sentReply);
+    return protocol.decodeReply(sentCall,
+                                HttpResponse{httpResponse.status, httpResponse.body, Duration{0}});
   };
   const auto decoded = encodeAndDecode(poll, reply);
   CHECK(decoded.status == Status::ok && decoded.clockReading == WorkerTime{77} &&
--- a/tests/agent/instance_tracker_tests.cpp
+++ b/tests/agent/instance_tracker_tests.cpp
@@ -71,8 +71,8 @@
   fixture.instance = "instance-1";
   CHECK(fixture.heartbeat());
   LONGS_EQUAL(1, fixture.agent.runCount());
-  const std::string asked = fixture.callsAfter(30);
-  STRCMP_EQUAL("poll", asked.substr(0, 4).c_str());
+  const std::string calls = fixture.callsAfter(30);
+  STRCMP_EQUAL("poll", calls.substr(0, 4).c_str());
   CHECK(fixture.openCalls.front().workerInstance == WorkerId{"instance-1"});
   fixture.reply(CallKind::poll, ReplyStatus::instanceMismatch);
   STRCMP_EQUAL("instance-2", fixture.agent.workerInstance().value.c_str());
@@ -87,16 +87,16 @@
   fixture.connect();
   fixture.instance = "instance-2";
   CHECK(fixture.heartbeat());
-  std::size_t asked = 0;
+  std::size_t probes = 0;
   for (int turn = 0; turn < 100; ++turn) {
     fixture.callsAfter(100);
     for (auto& call : std::exchange(fixture.openCalls, {}))
       if (call.workerInstance == WorkerId{"instance-2"}) {
-        ++asked;
+        ++probes;
         fixture.agent.onWorkerReply(call, WorkerReply{}, fixture.time());
       }
   }
-  LONGS_EQUAL(NodeAgentOptions{}.maxInstanceProbes, asked);
+  LONGS_EQUAL(NodeAgentOptions{}.maxInstanceProbes, probes);
   STRCMP_EQUAL("instance-1", fixture.agent.workerInstance().value.c_str());
 }
 
@@ -111,13 +111,12 @@
   STRCMP_EQUAL("", fixture.callsAfter(1000).c_str());
   CHECK(fixture.heartbeat());
   STRCMP_EQUAL("poll", fixture.callsAfter(30).c_str());
-  fixture.reply(CallKind::poll,
-                ReplyStatus::unavailable);  // another instance may send the same reply
+  // Another instance may send the same reply.
+  fixture.reply(CallKind::poll, ReplyStatus::unavailable);
   CHECK_FALSE(fixture.agent.mayReport());
   STRCMP_EQUAL("poll", fixture.callsAfter(300).c_str());
-  fixture.reply(
-      CallKind::poll,
-      ReplyStatus::fenced);  // this instance has seen a newer leader than this agent process has
+  // The instance has seen a newer leader than this agent process has.
+  fixture.reply(CallKind::poll, ReplyStatus::fenced);
   CHECK(fixture.agent.mayReport());
 }
 
@@ -144,8 +143,8 @@
   const std::int64_t replacedAt = fixture.now;
   fixture.agent.onDeclaredGone(fixture.time());
   LONGS_EQUAL(0, fixture.agent.runCount());
-  fixture.respond(before,
-                  fixture.response({startOf(2, "b")}));  // addressed to the former incarnation
+  // This response is addressed to the former incarnation.
+  fixture.respond(before, fixture.response({startOf(2, "b")}));
   auto report = fixture.report();
   LONGS_EQUAL(before.incarnation.value + 1, report.incarnation.value);
   LONGS_EQUAL(0, report.lastAppliedOrder.value);
--- a/tests/agent/node_agent_model_tests.cpp
+++ b/tests/agent/node_agent_model_tests.cpp
@@ -167,7 +167,7 @@
   std::int64_t leaderUnreachableUntil = 0;
   struct Message {
     std::int64_t at;
-    std::function<void()> then;
+    std::function<void()> action;
   };
   std::vector<Message> inFlight;
   std::uint64_t process = 0;  // messages to a killed process are lost
@@ -175,8 +175,8 @@
 
   AgentModel(std::uint64_t seed, double rate) : random(seed), worker(random, violation, rate) {}
 
-  void schedule(std::int64_t span, std::function<void()> then) {
-    inFlight.push_back({now + span, std::move(then)});
+  void schedule(std::int64_t span, std::function<void()> action) {
+    inFlight.push_back({now + span, std::move(action)});
   }
   void order(OrderKind kind, const TaskRunId& runId) {
     Order newOrder;
@@ -196,14 +196,14 @@
       applied = std::min(report.lastAppliedOrder.value, lastOrder);
     while (!orders.empty() && orders.front().number.value <= applied)
       orders.pop_front();
-    SyncResponse answer;
-    answer.term = Term{term};
-    answer.lease = Duration{6000};
+    SyncResponse response;
+    response.term = Term{term};
+    response.lease = Duration{6000};
     for (const auto& result : report.runResults) {
-      ++answer.finalResultCount;
+      ++response.finalResultCount;
       const TaskRunId& runId = result.runId;
-      for (auto& order :
-           orders)  // an ended run is not started when a new process receives the order again
+      // An ended run is not started when a new process receives the order again.
+      for (auto& order : orders)
         if (TaskRunId::of(order) == runId)
           order.kind = OrderKind::stop;
       if (!confirmed.insert(runId).second)
@@ -229,8 +229,8 @@
     for (const auto& order : orders)
       if (order.number.value >
           std::max(report.lastAppliedOrder.value, report.lastReceivedOrder.value))
-        answer.orders.push_back(order);
-    return answer;
+        response.orders.push_back(order);
+    return response;
   }
   void sync(bool faultFree) {
     if (!agent.mayReport() || syncing)
@@ -248,13 +248,13 @@
         });
         return;
       }
-      const auto answer = onReport(report);
+      const auto response = onReport(report);
       schedule(random.between(1, 30), [=, this] {
         if (sender != process)
           return;
         syncing = false;
         if (!lost)
-          agent.onSyncResponse(report, answer, MonotonicTime{sentAt}, MonotonicTime{now});
+          agent.onSyncResponse(report, response, MonotonicTime{sentAt}, MonotonicTime{now});
       });
     });
   }
@@ -264,9 +264,8 @@
       if (sender == process)
         agent.onWorkerReply(call, reply, MonotonicTime{now});
     };
-    if (!faultFree &&
-        random.chance(
-            0.15)) {  // no reply: the call is lost, or carried out at once or seconds later
+    // No reply: the call is lost, or carried out at once or seconds later.
+    if (!faultFree && random.chance(0.15)) {
       if (random.chance(0.6))
         schedule(random.between(1, random.chance(0.5) ? 100 : 4000),
                  [this, call] { worker.onCall(call); });
@@ -346,9 +345,9 @@
         ++index;
         continue;
       }
-      auto then = std::move(inFlight[index].then);
+      auto action = std::move(inFlight[index].action);
       inFlight.erase(inFlight.begin() + std::ptrdiff_t(index));
-      then();
+      action();
     }
   }
   std::string unfinishedWork() const {
--- a/tests/agent/order_stream_tests.cpp
+++ b/tests/agent/order_stream_tests.cpp
@@ -80,8 +80,8 @@
   const auto applied = fixture.appliedOrder();
   CHECK_TEXT(applied < 2, "orders that never came are reported as applied");
   fixture.respond(patient, fixture.response({startOf(2, "b"), startOf(3, "c")}));
-  fixture.sync({startOf(2, "b"), startOf(3, "c"),
-                startOf(4, "d")});  // orders that are not applied are sent again
+  // Orders that are not applied are sent again.
+  fixture.sync({startOf(2, "b"), startOf(3, "c"), startOf(4, "d")});
   const std::string calls = fixture.calls();
   for (const char* wanted : {"start b/1", "start c/1", "start d/1"})
     CHECK_TEXT(calls.find(wanted) != std::string::npos, calls.c_str());
--- a/tests/agent/pending_results_tests.cpp
+++ b/tests/agent/pending_results_tests.cpp
@@ -94,8 +94,8 @@
   pollShowing("");
   STRCMP_EQUAL("", checkpointsIn(fixture.sync()).c_str());
   pollShowing("x1");
-  STRCMP_EQUAL("a/1 x1",
-               checkpointsIn(fixture.report()).c_str());  // the response to this sync is lost
+  // The response to this sync is lost.
+  STRCMP_EQUAL("a/1 x1", checkpointsIn(fixture.report()).c_str());
   STRCMP_EQUAL("a/1 x1", checkpointsIn(fixture.sync()).c_str());
   STRCMP_EQUAL("", checkpointsIn(fixture.sync()).c_str());
   pollShowing("x1");
--- a/tests/agent/run_start_tests.cpp
+++ b/tests/agent/run_start_tests.cpp
@@ -39,8 +39,8 @@
 
 TEST(RunStartTests, startCarriedOutLateIsSeenAndReportedStopped) {
   fixture.connectAndStopUnansweredStart();
-  fixture.reply(CallKind::stop,
-                ReplyStatus::ok);  // it had started in the meantime and is being stopped
+  // The run had started in the meantime and is being stopped.
+  fixture.reply(CallKind::stop, ReplyStatus::ok);
   fixture.callsAfter(30);
   fixture.replyToPoll({running("a")});
   STRCMP_EQUAL("", fixture.reportedResults().c_str());
--- a/tests/agent/worker_drain_tests.cpp
+++ b/tests/agent/worker_drain_tests.cpp
@@ -97,8 +97,8 @@
   fixture.connect();
   CHECK(fixture.heartbeatCounted(4));
   CHECK(fixture.drainNotice());
-  CHECK(
-      fixture.heartbeatCounted(5));  // newer and not draining: only the notice announced the drain
+  // Newer and not draining: only the notice announced the drain.
+  CHECK(fixture.heartbeatCounted(5));
   CHECK(fixture.heartbeatCounted(3));  // an overtaken heartbeat
   const auto report = fixture.sync();
   CHECK(report.draining);
