--- a/source/agent/tracked_run.cpp
+++ b/source/agent/tracked_run.cpp
@@ -73,7 +73,7 @@
       running = true;
       return shouldRun;
     case Status::staleRun:
-      maybeStarted = true;  // this run was there before, or a later run is: a poll shows which
+      maybeStarted = true;  // the worker knows this run or a later one: a poll shows which
       requireNewPoll(nextPoll);
       return false;
     case Status::unavailable:
--- a/tests/agent/instance_tracker_tests.cpp
+++ b/tests/agent/instance_tracker_tests.cpp
@@ -43,7 +43,7 @@
 
 TEST(InstanceTrackerTests, overtakenRegistrationChangesNothing) {
   fixture.connect();
-  CHECK(fixture.heartbeatCounted(7));
+  CHECK(fixture.heartbeatNumbered(7));
   auto old = fixture.registration();
   old.sequence = 6;
   old.capacity.cores = 99;
--- a/tests/agent/node_agent_model_tests.cpp
+++ b/tests/agent/node_agent_model_tests.cpp
@@ -14,9 +14,9 @@
 // The first violation of a rule.
 struct Violation {
   std::string text;
-  void note(std::int64_t now, const std::string& what, const TaskRunId& runId) {
+  void note(std::int64_t now, const std::string& description, const TaskRunId& runId) {
     if (text.empty())
-      text = what + ": " + runId.job.value + "/" + std::to_string(runId.runNumber) + " at " +
+      text = description + ": " + runId.job.value + "/" + std::to_string(runId.runNumber) + " at " +
              std::to_string(now);
   }
 };
@@ -43,8 +43,8 @@
   std::map<TaskRunId, RunningTask> running;
   std::vector<Result> results;
   std::map<JobId, std::uint32_t> highestRun;  // a run with this number or a lower one is rejected
-  std::map<JobId, std::uint32_t> confirmedRuns;  // the run whose success was confirmed
-  std::map<TaskRunId, AttemptOutcome> outcomes;  // outcomes of all ended runs
+  std::map<JobId, std::uint32_t> confirmedRuns;  // run number with a confirmed success, by job
+  std::map<TaskRunId, AttemptOutcome> outcomes;  // of ended runs only
   std::set<TaskRunId> started;
 
   WorkerModel(Random& random, Violation& violation, double rate)
@@ -175,8 +175,8 @@
 
   AgentModel(std::uint64_t seed, double rate) : random(seed), worker(random, violation, rate) {}
 
-  void schedule(std::int64_t span, std::function<void()> action) {
-    inFlight.push_back({now + span, std::move(action)});
+  void schedule(std::int64_t delay, std::function<void()> action) {
+    inFlight.push_back({now + delay, std::move(action)});
   }
   void order(OrderKind kind, const TaskRunId& runId) {
     Order newOrder;
@@ -217,10 +217,10 @@
       if (result.outcome == AttemptOutcome::succeeded &&
           worker.outcomes[runId] != AttemptOutcome::succeeded)
         violation.note(now, "reported as succeeded, but it had not", runId);
-      auto open = running.find(runId.job);
-      if (open == running.end() || open->second != runId.runNumber)
+      auto currentRun = running.find(runId.job);
+      if (currentRun == running.end() || currentRun->second != runId.runNumber)
         continue;
-      running.erase(open);
+      running.erase(currentRun);
       if (result.outcome == AttemptOutcome::succeeded)
         succeeded.insert(runId.job);
       else
@@ -297,7 +297,7 @@
       const bool faultFree = now >= until;
       worker.step(now);
       if (!faultFree)
-        drawFaults();
+        injectRandomFaults();
       deliverMessages();
       if (now >= nextHeartbeat) {
         heartbeat();
@@ -316,7 +316,7 @@
  private:
   static constexpr std::int64_t heartbeatInterval = 1500;
 
-  void drawFaults() {
+  void injectRandomFaults() {
     if (random.chance(0.0004))
       leaderUnreachableUntil = now + random.between(100, 9000);
     if (random.chance(0.0004))
@@ -324,8 +324,8 @@
     if (random.chance(0.0006))
       restartAgent();
     if (random.chance(0.003) && !running.empty()) {
-      auto open = std::next(running.begin(), std::ptrdiff_t(random.next() % running.size()));
-      const TaskRunId runId{open->first, 0, 0, 0, open->second};
+      auto currentRun = std::next(running.begin(), std::ptrdiff_t(random.next() % running.size()));
+      const TaskRunId runId{currentRun->first, 0, 0, 0, currentRun->second};
       if (stopped.insert(runId).second)
         order(OrderKind::stop, runId);
     }
--- a/tests/agent/worker_drain_tests.cpp
+++ b/tests/agent/worker_drain_tests.cpp
@@ -95,11 +95,11 @@
 
 TEST(WorkerDrainTests, laterHeartbeatDoesNotRevokeADrain) {
   fixture.connect();
-  CHECK(fixture.heartbeatCounted(4));
+  CHECK(fixture.heartbeatNumbered(4));
   CHECK(fixture.drainNotice());
   // Newer and not draining: only the notice announced the drain.
-  CHECK(fixture.heartbeatCounted(5));
-  CHECK(fixture.heartbeatCounted(3));  // an overtaken heartbeat
+  CHECK(fixture.heartbeatNumbered(5));
+  CHECK(fixture.heartbeatNumbered(3));  // an overtaken heartbeat
   const auto report = fixture.sync();
   CHECK(report.draining);
   LONGS_EQUAL(2000, report.drainTimeout.milliseconds);
--- a/tests/support/node_agent_fixture.hpp
+++ b/tests/support/node_agent_fixture.hpp
@@ -109,7 +109,7 @@
   bool heartbeat(bool draining = false) {
     return agent.onRegistration(registration(draining), time());
   }
-  bool heartbeatCounted(std::uint64_t number) {
+  bool heartbeatNumbered(std::uint64_t number) {
     sequence = number;
     return heartbeat();
   }
