--- a/source/agent/order_stream.cpp
+++ b/source/agent/order_stream.cpp
@@ -1,11 +1,12 @@
+// Merges the order ranges of sync responses, which may overlap or leave gaps.
 #include "agent/order_stream.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// Applied orders are worth a sync of their own after this long; until then the ordinary syncs,
-// about one a second, carry most of them.
+// Applied orders are reported in a separate sync after this delay. Until then the regular syncs,
+// about one per second, carry most of them.
 constexpr Duration appliedReportDelay{400};
 
 }  // namespace
@@ -16,33 +17,34 @@
   if (response.orders.empty())
     return received;
   const OrderNumber before{response.orders.front().number.value - 1};
-  // A new process begins where the leader does.
+  // A new process starts at the first order that the leader sends.
   if (lastReceived == OrderNumber{}) {
     if (response.ordersAfter > lastReceived)
-      return received;  // earlier ones were in a response that did not come: all come again
+      return received;  // earlier orders were in a lost response; the leader sends all of them
+                        // again
     lastReceived = before;
   }
   for (const auto& order : response.orders) {
-    if (!has(order.number))
+    if (!isReceived(order.number))
       received.orders.push_back(&order);
   }
-  addSpan(before, response.orders.back().number);
+  addRange(before, response.orders.back().number);
   return received;
 }
 
-bool OrderStream::has(OrderNumber number) const {
+bool OrderStream::isReceived(OrderNumber number) const {
   return number <= lastReceived ||
-         std::any_of(spansBeyondGap.begin(), spansBeyondGap.end(), [&](const auto& span) {
+         std::any_of(rangesBeyondGap.begin(), rangesBeyondGap.end(), [&](const auto& span) {
            return number > span.first && number <= span.second;
          });
 }
 
-void OrderStream::addSpan(OrderNumber after, OrderNumber upTo) {
-  auto& end = spansBeyondGap[after];
+void OrderStream::addRange(OrderNumber after, OrderNumber upTo) {
+  auto& end = rangesBeyondGap[after];
   end = std::max(end, upTo);
-  while (!spansBeyondGap.empty() && spansBeyondGap.begin()->first <= lastReceived) {
-    lastReceived = std::max(lastReceived, spansBeyondGap.begin()->second);
-    spansBeyondGap.erase(spansBeyondGap.begin());
+  while (!rangesBeyondGap.empty() && rangesBeyondGap.begin()->first <= lastReceived) {
+    lastReceived = std::max(lastReceived, rangesBeyondGap.begin()->second);
+    rangesBeyondGap.erase(rangesBeyondGap.begin());
   }
 }
 
@@ -60,7 +62,7 @@
 }
 
 void OrderStream::reset() {
-  spansBeyondGap.clear();
+  rangesBeyondGap.clear();
   lastReceived = reportedApplied = lastIssued = OrderNumber{};
 }
 
--- a/source/agent/poll_state.cpp
+++ b/source/agent/poll_state.cpp
@@ -1,3 +1,4 @@
+// Numbers the polls, so that the reply to an abandoned poll can be told apart.
 #include "agent/poll_state.hpp"
 
 namespace aniseline {
@@ -5,11 +6,11 @@
 std::uint64_t PollState::begin(MonotonicTime now) {
   pollInFlight = true;
   lastPollAt = now;
-  return ++begun;
+  return ++pollsStarted;
 }
 
 bool PollState::finish(const WorkerCall& call) {
-  if (!pollInFlight || call.callId != begun)
+  if (!pollInFlight || call.callId != pollsStarted)
     return false;
   pollInFlight = false;
   return true;
--- a/source/agent/tracked_run.cpp
+++ b/source/agent/tracked_run.cpp
@@ -1,27 +1,28 @@
+// Derives a run's next call and its retry times from replies and polls.
 #include "agent/tracked_run.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// Delays before a call is made again, by the reply.
-constexpr Duration retryAfterSilence{20};
-// By then a sync has most likely renewed the lease.
-constexpr Duration retryAfterLateStart{50};
+// Delays before a call is retried, by the status of its reply.
+constexpr Duration retryAfterNoResponse{20};
+// A sync has most likely renewed the lease by then.
+constexpr Duration retryAfterDeadlineExceeded{50};
 constexpr Duration retryAfterRejectedStop{100};
-// A newer leader has called the worker: the next sync finds it.
-constexpr Duration retryAfterFence{200};
-// The worker's next registration names the instance that stands there.
+// A newer leader has called the worker; the next sync reaches that leader.
+constexpr Duration retryAfterFenced{200};
+// The worker's next registration identifies the instance at its address.
 constexpr Duration retryAfterInstanceMismatch{300};
-// Doubled with each further reply that the worker is unavailable, four times at most.
+// The delay doubles with each unavailable reply, at most four times.
 constexpr std::int64_t unavailableBackoffMillis = 50;
 constexpr std::uint32_t maxBackoffDoublings = 4;
-// A start is given up after so many of them; a stop never is.
+// A start is abandoned after this many unavailable replies; a stop never is.
 constexpr std::uint32_t maxUnavailableReplies = 3;
 
 }  // namespace
 
-TrackedRun TrackedRun::ordered(const Order& order, MonotonicTime now) {
+TrackedRun TrackedRun::fromStartOrder(const Order& order, MonotonicTime now) {
   TrackedRun run;
   run.startOrder = order;
   run.notBefore = now;
@@ -29,7 +30,7 @@
   return run;
 }
 
-TrackedRun TrackedRun::toBeFenced(const Order& order) {
+TrackedRun TrackedRun::fromStopOrder(const Order& order) {
   TrackedRun run;
   run.startOrder = order;
   run.maybeStarted = true;
@@ -42,22 +43,22 @@
 }
 
 void TrackedRun::requestStop(MonotonicTime now) {
-  wanted = false;
+  shouldRun = false;
   notBefore = now;
 }
 
 TrackedRun::NextStep TrackedRun::nextStep(bool workerDraining) {
-  if (staged && wanted && !workerDraining)
+  if (staged && shouldRun && !workerDraining)
     return NextStep::none;
-  if (wanted && !running && stateKnown && !startAbandoned) {
+  if (shouldRun && !running && stateKnown && !startAbandoned) {
     if (!workerDraining)
       return NextStep::start;
-    // Nothing is started at a worker that drains. docs/design.md 5.7.
+    // No run is started at a draining worker. docs/design.md 5.7.
     if (!maybeStarted)
       return NextStep::reportNeverStarted;
     startAbandoned = true;
   }
-  if ((wanted && !startAbandoned) || stopAcknowledged)
+  if ((shouldRun && !startAbandoned) || stopAcknowledged)
     return NextStep::none;
   return running || maybeStarted ? NextStep::stop : NextStep::reportNeverStarted;
 }
@@ -65,14 +66,14 @@
 bool TrackedRun::onStartReply(WorkerReply::Status status, MonotonicTime now,
                               std::uint64_t nextPoll) {
   using Status = WorkerReply::Status;
-  if (retriedLater(status, now))
+  if (scheduleRetry(status, now))
     return false;
   switch (status) {
     case Status::ok:
       running = true;
-      return wanted;
+      return shouldRun;
     case Status::staleRun:
-      maybeStarted = true;  // it was there before, or a later run is: a poll shows which
+      maybeStarted = true;  // the worker knows this run or a later one: a poll shows which
       requireNewPoll(nextPoll);
       return false;
     case Status::unavailable:
@@ -95,7 +96,7 @@
 void TrackedRun::onStopReply(WorkerReply::Status status, MonotonicTime now,
                              std::uint64_t nextPoll) {
   using Status = WorkerReply::Status;
-  if (retriedLater(status, now))
+  if (scheduleRetry(status, now))
     return;
   switch (status) {
     case Status::ok:
@@ -119,20 +120,20 @@
   }
 }
 
-// Replies after which a start and a stop are both sent again.
-bool TrackedRun::retriedLater(WorkerReply::Status status, MonotonicTime now) {
+// Handles the reply statuses after which both a start and a stop are sent again.
+bool TrackedRun::scheduleRetry(WorkerReply::Status status, MonotonicTime now) {
   using Status = WorkerReply::Status;
   callInFlight = false;
   switch (status) {
     case Status::noResponse:
       maybeStarted = true;
-      retryAfter(retryAfterSilence, now);
+      retryAfter(retryAfterNoResponse, now);
       return true;
     case Status::deadlineExceeded:
-      retryAfter(retryAfterLateStart, now);
+      retryAfter(retryAfterDeadlineExceeded, now);
       return true;
     case Status::fenced:
-      retryAfter(retryAfterFence, now);
+      retryAfter(retryAfterFenced, now);
       return true;
     case Status::instanceMismatch:
       retryAfter(retryAfterInstanceMismatch, now);
@@ -144,7 +145,7 @@
 
 void TrackedRun::requireNewPoll(std::uint64_t nextPoll) {
   stateKnown = false;
-  decidingPoll = nextPoll;
+  firstConclusivePoll = nextPoll;
 }
 
 void TrackedRun::retryWhenAvailable(MonotonicTime now) {
@@ -152,19 +153,20 @@
   retryAfter(Duration{unavailableBackoffMillis << doublings}, now);
 }
 
-bool TrackedRun::onSeenRunning() {
+bool TrackedRun::onListedRunning() {
   running = true;
-  if (!wanted || callInFlight)
+  if (!shouldRun || callInFlight)
     return false;
   stateKnown = true;
   return true;
 }
 
-bool TrackedRun::absenceDecides(std::uint64_t poll) const {
-  return !callInFlight && !stateKnown && poll >= decidingPoll && (stopAcknowledged || wanted);
+bool TrackedRun::isAbsenceConclusive(std::uint64_t poll) const {
+  return !callInFlight && !stateKnown && poll >= firstConclusivePoll &&
+         (stopAcknowledged || shouldRun);
 }
 
-bool TrackedRun::onAbsent() {
+bool TrackedRun::onNotListed() {
   if (stopAcknowledged)
     return true;
   startAbandoned = stateKnown = true;
@@ -173,7 +175,7 @@
 }
 
 std::optional<MonotonicTime> TrackedRun::nextCallAt() const {
-  const bool needsCall = (!running || !wanted) && !stopAcknowledged && !(staged && wanted);
+  const bool needsCall = (!running || !shouldRun) && !stopAcknowledged && !(staged && shouldRun);
   if (callInFlight || !needsCall)
     return std::nullopt;
   return notBefore;
