--- a/source/base/archive.hpp
+++ b/source/base/archive.hpp
@@ -22,7 +22,7 @@
 namespace aniseline {
 
 // In the length of a text: a section that a later version of the format added follows the text.
-inline constexpr std::uint64_t sectionFollows = std::uint64_t(1) << 63;
+inline constexpr std::uint64_t sectionFollowsFlag = std::uint64_t(1) << 63;
 
 // Written as it stands in memory.
 template <class Value>
@@ -71,7 +71,7 @@
   template <class Section>
   void textWithSection(const std::string& text, const Section& section) {
     const bool hasSection = !isAbsent(section);
-    *this << (std::uint64_t(text.size()) | (hasSection ? sectionFollows : 0));
+    *this << (std::uint64_t(text.size()) | (hasSection ? sectionFollowsFlag : 0));
     bytes += text;
     if (hasSection)
       *this << section;
@@ -148,9 +148,9 @@
   void textWithSection(std::string& text, Section& section) {
     std::uint64_t size = 0;
     *this >> size;
-    text = takeBytes(size & ~sectionFollows);
+    text = takeBytes(size & ~sectionFollowsFlag);
     section = Section{};
-    if (size & sectionFollows)
+    if (size & sectionFollowsFlag)
       *this >> section;
   }
 
--- a/source/base/json.hpp
+++ b/source/base/json.hpp
@@ -14,18 +14,18 @@
 inline std::string parseJson(picojson::value& root, const std::string& text, bool whole = false) {
   if (nestedTooDeep(text))
     return "is nested too deep";
-  std::string fault;
+  std::string error;
   auto end = text.begin();
   try {
-    end = picojson::parse(root, text.begin(), text.end(), &fault);
+    end = picojson::parse(root, text.begin(), text.end(), &error);
   } catch (const std::overflow_error&) {
     return "a number is too large";
   }
-  const bool more = std::any_of(
+  const bool hasTrailingText = std::any_of(
       end, text.end(), [](char character) { return !std::isspace((unsigned char)character); });
-  if (fault.empty() && whole && more)
+  if (error.empty() && whole && hasTrailingText)
     return "more follows the value";
-  return fault;
+  return error;
 }
 
 /// A JSON number as an integer, limited to what its type holds and a double
--- a/source/base/json_reader.cpp
+++ b/source/base/json_reader.cpp
@@ -10,20 +10,20 @@
 }  // namespace
 
 JsonObjectReader::JsonObjectReader(const picojson::value& value, std::string path,
-                                   std::vector<ErrorDetail>& faults)
-    : path(std::move(path)), faults(faults) {
+                                   std::vector<ErrorDetail>& errors)
+    : path(std::move(path)), errors(errors) {
   if (value.is<picojson::object>())
     fields = &value.get<picojson::object>();
   else
-    fault("", "must be an object");
+    addError("", "must be an object");
 }
 
 JsonObjectReader::~JsonObjectReader() {
   if (!fields)
     return;
   for (const auto& [field, value] : *fields) {
-    if (!asked.count(field))
-      faults.push_back({path + "/" + field, "is not a known field"});
+    if (!requestedFields.count(field))
+      errors.push_back({path + "/" + field, "is not a known field"});
   }
 }
 
@@ -31,19 +31,19 @@
   return field.empty() ? path : path + "/" + field;
 }
 
-void JsonObjectReader::fault(const std::string& field, const std::string& text) {
-  faults.push_back({pathOf(field), text});
+void JsonObjectReader::addError(const std::string& field, const std::string& text) {
+  errors.push_back({pathOf(field), text});
 }
 
 const picojson::value* JsonObjectReader::find(const std::string& field, Presence presence) {
-  asked.insert(field);
+  requestedFields.insert(field);
   if (!fields)
     return nullptr;
   auto found = fields->find(field);
   if (found != fields->end())
     return &found->second;
   if (presence == Presence::required)
-    fault(field, "is missing");
+    addError(field, "is missing");
   return nullptr;
 }
 
@@ -53,7 +53,7 @@
     return nullptr;
   if (value->is<picojson::array>())
     return &value->get<picojson::array>();
-  fault(field, "must be a list");
+  addError(field, "must be a list");
   return nullptr;
 }
 
@@ -63,12 +63,12 @@
     return nullptr;
   if (value->is<picojson::object>())
     return &value->get<picojson::object>();
-  fault(field, "must be an object");
+  addError(field, "must be an object");
   return nullptr;
 }
 
 std::vector<std::string> JsonObjectReader::texts(const std::string& field,
-                                                 const char* elementFault) {
+                                                 const char* elementError) {
   std::vector<std::string> read;
   const auto* elements = list(field);
   if (!elements)
@@ -77,7 +77,7 @@
     if (element.is<std::string>())
       read.push_back(element.get<std::string>());
     else
-      fault(field, elementFault);
+      addError(field, elementError);
   }
   return read;
 }
@@ -88,7 +88,7 @@
     return "";
   if (value->is<std::string>())
     return value->get<std::string>();
-  fault(field, "must be a string");
+  addError(field, "must be a string");
   return "";
 }
 
@@ -99,39 +99,39 @@
 }
 
 std::uint64_t JsonObjectReader::unsignedInteger(const std::string& field, Presence presence,
-                                                std::uint64_t otherwise) {
+                                                std::uint64_t fallback) {
   const auto* value = find(field, presence);
   if (!value)
-    return otherwise;
+    return fallback;
   const double number = value->is<double>() ? value->get<double>() : -1;
   if (number >= 0 && number <= maxExactInteger && number == std::floor(number))
     return std::uint64_t(number);
-  fault(field, "must be a whole number from 0 on");
-  return otherwise;
+  addError(field, "must be a whole number from 0 on");
+  return fallback;
 }
 
 std::uint32_t JsonObjectReader::unsignedInteger32(const std::string& field, Presence presence,
-                                                  std::uint64_t otherwise) {
+                                                  std::uint64_t fallback) {
   constexpr std::uint64_t highest = std::numeric_limits<std::uint32_t>::max();
-  return std::uint32_t(std::min(unsignedInteger(field, presence, otherwise), highest));
+  return std::uint32_t(std::min(unsignedInteger(field, presence, fallback), highest));
 }
 
 Duration JsonObjectReader::duration(const std::string& field, Presence presence,
-                                    std::uint64_t otherwise) {
-  return Duration{std::int64_t(unsignedInteger(field, presence, otherwise))};
+                                    std::uint64_t fallback) {
+  return Duration{std::int64_t(unsignedInteger(field, presence, fallback))};
 }
 
 std::uint32_t JsonObjectReader::thousandths(const std::string& field, Presence presence) {
-  const std::uint32_t otherwise = presence == Presence::required ? 1 : 0;
+  const std::uint32_t fallback = presence == Presence::required ? 1 : 0;
   const auto* value = find(field, presence);
   if (!value)
-    return otherwise;
+    return fallback;
   const double number = value->is<double>() ? value->get<double>() * 1000 : -1;
   if (number >= 0 && number <= maxThousandths &&
       std::abs(number - std::round(number)) < roundingTolerance)
     return std::uint32_t(std::llround(number));
-  fault(field, "must be a number from 0 on with at most three decimals");
-  return otherwise;
+  addError(field, "must be a number from 0 on with at most three decimals");
+  return fallback;
 }
 
 std::uint64_t JsonObjectReader::decimalText(const std::string& field, Presence presence) {
@@ -145,7 +145,7 @@
     if (errno == 0)
       return parsed;
   }
-  fault(field, "must be a number of 64 bits written as a string of digits");
+  addError(field, "must be a number of 64 bits written as a string of digits");
   return 0;
 }
 
@@ -154,7 +154,7 @@
   if (!value)
     return;
   if (!value->is<std::string>())
-    return fault(field, "must be a string");
+    return addError(field, "must be a string");
   target = value->get<std::string>();
 }
 
@@ -163,33 +163,34 @@
   if (!value)
     return;
   if (!value->is<bool>())
-    return fault(field, "must be true or false");
+    return addError(field, "must be true or false");
   target = value->get<bool>();
 }
 
-void JsonObjectReader::readReal(const std::string& field, double& target, double low, double high) {
+void JsonObjectReader::readReal(const std::string& field, double& target, double minimum,
+                                double maximum) {
   const auto* value = find(field);
   if (!value)
     return;
-  if (!value->is<double>() || value->get<double>() < low || value->get<double>() > high)
-    return fault(field,
-                 "must be a number from " + std::to_string(low) + " to " + std::to_string(high));
+  if (!value->is<double>() || value->get<double>() < minimum || value->get<double>() > maximum)
+    return addError(field, "must be a number from " + std::to_string(minimum) + " to " +
+                               std::to_string(maximum));
   target = value->get<double>();
 }
 
-std::optional<double> JsonObjectReader::integerWithin(const std::string& field, double low,
-                                                      double high) {
+std::optional<double> JsonObjectReader::integerWithin(const std::string& field, double minimum,
+                                                      double maximum) {
   const auto* value = find(field);
   if (!value)
     return std::nullopt;
   const double number = value->is<double>() ? value->get<double>() : 0.5;
   if (number != std::floor(number)) {
-    fault(field, "must be a whole number");
+    addError(field, "must be a whole number");
     return std::nullopt;
   }
-  if (number < low || number > high) {
-    fault(field, "must be from " + std::to_string((long long)low) + " to " +
-                     std::to_string((long long)high));
+  if (number < minimum || number > maximum) {
+    addError(field, "must be from " + std::to_string((long long)minimum) + " to " +
+                        std::to_string((long long)maximum));
     return std::nullopt;
   }
   return number;
--- a/source/base/types.hpp
+++ b/source/base/types.hpp
@@ -164,22 +164,22 @@
 }
 
 // The JSON reader recurses; a text nested deeper than this is not read at all.
-inline bool nestedTooDeep(std::string_view text, int most = 32) {
+inline bool nestedTooDeep(std::string_view text, int maxDepth = 32) {
   int depth = 0;
   bool inString = false;
   for (std::size_t index = 0; index < text.size(); ++index) {
-    const char letter = text[index];
+    const char character = text[index];
     if (inString) {
-      if (letter == '\\')
+      if (character == '\\')
         ++index;
-      else if (letter == '"')
+      else if (character == '"')
         inString = false;
-    } else if (letter == '"')
+    } else if (character == '"')
       inString = true;
-    else if (letter == '[' || letter == '{') {
-      if (++depth > most)
+    else if (character == '[' || character == '{') {
+      if (++depth > maxDepth)
         return true;
-    } else if (letter == ']' || letter == '}')
+    } else if (character == ']' || character == '}')
       --depth;
   }
   return false;
--- a/source/state/api_request.cpp
+++ b/source/state/api_request.cpp
@@ -91,8 +91,8 @@
 }
 
 const Route* findRoute(const std::string& method, const RequestTarget& target) {
-  constexpr std::size_t mostSegments = 4;  // version, subject, id, verb
-  if (target.segments.size() > mostSegments)
+  constexpr std::size_t maxSegments = 4;  // version, subject, id, verb
+  if (target.segments.size() > maxSegments)
     return nullptr;
   const bool isVersion1 = target.segments.size() > 1 && target.segments[0] == "v1";
   std::string pattern = method + " " + (isVersion1 ? target.segments[1] : "");
@@ -117,24 +117,24 @@
 }
 
 // The order's own text stands in one field of the body.
-void readConfigOrder(const picojson::value& root, const char* textField, ApiRequest& request,
-                     std::vector<ErrorDetail>& faults) {
+void readConfigUpdate(const picojson::value& root, const char* textField, ApiRequest& request,
+                      std::vector<ErrorDetail>& errors) {
   using Presence = JsonObjectReader::Presence;
-  JsonObjectReader fields(root, "", faults);
+  JsonObjectReader fields(root, "", errors);
   request.baseVersion = ConfigVersion{fields.unsignedInteger("based_on", Presence::required)};
   if (const auto* text = fields.find(textField, Presence::required))
     request.text = text->serialize();
 }
 
-void readBody(const picojson::value& root, ApiRequest& request, std::vector<ErrorDetail>& faults) {
+void readBody(const picojson::value& root, ApiRequest& request, std::vector<ErrorDetail>& errors) {
   if (request.kind == RequestKind::submitJob)
-    request.job = parseJobSubmission(root, faults);
+    request.job = parseJobSubmission(root, errors);
   if (request.kind == RequestKind::syncWorker)
-    request.report = parseSyncReport(root, request.targetId, faults);
+    request.report = parseSyncReport(root, request.targetId, errors);
   if (request.kind == RequestKind::applyConfig)
-    readConfigOrder(root, "config", request, faults);
+    readConfigUpdate(root, "config", request, errors);
   if (request.kind == RequestKind::patchConfig)
-    readConfigOrder(root, "patch", request, faults);
+    readConfigUpdate(root, "patch", request, errors);
 }
 
 }  // namespace
@@ -158,10 +158,10 @@
   const std::string parseError = parseJson(root, body, true);
   if (!parseError.empty())
     return CoreError::at(CoreError::Kind::invalid, "", "the body is not JSON: " + parseError);
-  std::vector<ErrorDetail> faults;
-  readBody(root, request, faults);
-  if (!faults.empty())
-    return CoreError{CoreError::Kind::invalid, std::move(faults)};
+  std::vector<ErrorDetail> errors;
+  readBody(root, request, errors);
+  if (!errors.empty())
+    return CoreError{CoreError::Kind::invalid, std::move(errors)};
   return request;
 }
 
--- a/source/state/api_response.cpp
+++ b/source/state/api_response.cpp
@@ -5,17 +5,17 @@
 
 namespace {
 
-constexpr Duration unknownRetryDelay{500};
+constexpr Duration unknownOutcomeRetryDelay{500};
 constexpr Duration notAppliedRetryDelay{300};
 constexpr Duration overloadedRetryDelay{1000};
 
-struct ErrorForm {
+struct HttpError {
   int status;
   const char* errorKind;
   Duration retryAfter{0};
 };
 
-ErrorForm formOf(CoreError::Kind kind) {
+HttpError httpErrorFor(CoreError::Kind kind) {
   switch (kind) {
     case CoreError::Kind::invalid:
       break;
@@ -26,7 +26,7 @@
     case CoreError::Kind::notFound:
       return {404, "missing"};
     case CoreError::Kind::outcomeUnknown:
-      return {503, "unknown", unknownRetryDelay};
+      return {503, "unknown", unknownOutcomeRetryDelay};
     case CoreError::Kind::gone:
       return {410, "gone"};
   }
@@ -51,7 +51,7 @@
 }
 
 ApiResponse ApiResponse::outcomeUnknown(const std::string& text) {
-  return error(503, "unknown", text, unknownRetryDelay);
+  return error(503, "unknown", text, unknownOutcomeRetryDelay);
 }
 
 ApiResponse ApiResponse::notApplied(const std::string& text) {
@@ -59,16 +59,16 @@
 }
 
 ApiResponse ApiResponse::fromError(const CoreError& error) {
-  const ErrorForm form = formOf(error.kind);
+  const HttpError httpError = httpErrorFor(error.kind);
   picojson::array details;
   for (const auto& detail : error.details)
     details.push_back(
         json(picojson::object{{"path", json(detail.path)}, {"text", json(detail.text)}}));
-  ApiResponse response = of(
-      form.status,
-      {{"error", json(form.errorKind)}, {"text", json(error.text())}, {"details", json(details)}});
-  response.retryAfter = form.retryAfter;
-  response.errorKind = form.errorKind;
+  ApiResponse response = of(httpError.status, {{"error", json(httpError.errorKind)},
+                                               {"text", json(error.text())},
+                                               {"details", json(details)}});
+  response.retryAfter = httpError.retryAfter;
+  response.errorKind = httpError.errorKind;
   return response;
 }
 
--- a/source/state/attempt_control.cpp
+++ b/source/state/attempt_control.cpp
@@ -6,7 +6,7 @@
 
 // docs/design.md 5.3: what was ordered but may not have reached the worker must
 // not begin when the order is sent again.
-void turnIntoStops(std::deque<Order>& orders, AttemptNumber attempt) {
+void convertToStops(std::deque<Order>& orders, AttemptNumber attempt) {
   for (auto& order : orders) {
     if (order.attempt == attempt)
       order.kind = OrderKind::stop;
@@ -26,7 +26,7 @@
     return;
   const bool wasTrial = found->second.isTrial();
   if (auto worker = tables.workers.find(found->second.worker); worker != tables.workers.end())
-    turnIntoStops(worker->second.unappliedOrders, number);
+    convertToStops(worker->second.unappliedOrders, number);
   tables.eraseAttempt(number);
   if (wasTrial)
     resumeSuspendedFor(number);
@@ -60,7 +60,7 @@
   attempt.state = AttemptState::stopping;
   attempt.suspendedForTrial = AttemptNumber{};
   attempt.exemptFromRetryLimit = accounting == RetryAccounting::exempt;
-  turnIntoStops(tables.workers[attempt.worker].unappliedOrders, attempt.number);
+  convertToStops(tables.workers[attempt.worker].unappliedOrders, attempt.number);
   issueOrder(OrderKind::stop, attempt);
 }
 
--- a/source/state/attempt_index.cpp
+++ b/source/state/attempt_index.cpp
@@ -33,7 +33,7 @@
 void AttemptIndex::remove(const Attempt& attempt) {
   removeFrom(byJob, attempt.job, attempt.number);
   removeFrom(byWorker, attempt.worker, attempt.number);
-  suspendedEver.erase(attempt.number);
+  everSuspendedNumbers.erase(attempt.number);
 }
 
 const std::set<AttemptNumber>& AttemptIndex::ofJob(const JobId& job) const {
--- a/source/state/attempt_index.hpp
+++ b/source/state/attempt_index.hpp
@@ -14,17 +14,17 @@
   void add(const Attempt& attempt);
   void remove(const Attempt& attempt);
   /// To be called for each attempt that is suspended after it was added.
-  void markSuspended(AttemptNumber number) { suspendedEver.insert(number); }
+  void markSuspended(AttemptNumber number) { everSuspendedNumbers.insert(number); }
 
   const std::set<AttemptNumber>& ofJob(const JobId& job) const;
   const std::set<AttemptNumber>& onWorker(const WorkerId& worker) const;
   /// Attempts that are suspended now or were at some time.
-  const std::set<AttemptNumber>& everSuspended() const { return suspendedEver; }
+  const std::set<AttemptNumber>& everSuspended() const { return everSuspendedNumbers; }
 
  private:
   std::map<JobId, std::set<AttemptNumber>> byJob;
   std::map<WorkerId, std::set<AttemptNumber>> byWorker;
-  std::set<AttemptNumber> suspendedEver;
+  std::set<AttemptNumber> everSuspendedNumbers;
 };
 
 }  // namespace aniseline
--- a/source/state/attempt_results.cpp
+++ b/source/state/attempt_results.cpp
@@ -31,11 +31,11 @@
 
 // Does the failure of this attempt point to its worker? A task that has failed before says little,
 // and so does a long-running one that was at work: it ends by failing, wherever it runs.
-bool blamesWorker(const Task& task, const Attempt& attempt, const StepRequirements* requirements,
-                  ClusterTime now) {
-  const bool wasAtWork = attempt.runtimeAt(now) > attempt.runtime;
+bool indicatesWorkerProblem(const Task& task, const Attempt& attempt,
+                            const StepRequirements* requirements, ClusterTime now) {
+  const bool ranPastRequest = attempt.runtimeAt(now) > attempt.runtime;
   const bool longRunning = requirements && requirements->longRunning;
-  return task.failureCount == 0 && !(longRunning && wasAtWork);
+  return task.failureCount == 0 && !(longRunning && ranPastRequest);
 }
 
 bool hasNotStarted(AttemptOutcome outcome) {
@@ -43,9 +43,9 @@
 }
 
 // Does the start of an attempt that ended so count against the retry limit of its task?
-bool usesUpAStart(const Attempt& attempt, AttemptOutcome outcome) {
-  const bool stoppedAtNoCost = attempt.exemptFromRetryLimit && outcome == AttemptOutcome::stopped;
-  return !hasNotStarted(outcome) && !stoppedAtNoCost;
+bool countsAgainstRetryLimit(const Attempt& attempt, AttemptOutcome outcome) {
+  const bool exemptStop = attempt.exemptFromRetryLimit && outcome == AttemptOutcome::stopped;
+  return !hasNotStarted(outcome) && !exemptStop;
 }
 
 }  // namespace
@@ -64,20 +64,20 @@
     return;
   Job& job = foundJob->second;
   Task& task = job.tasks[attempt.taskIndex];
-  updateWorkerStanding(task, attempt, outcome);
+  updateFailureScore(task, attempt, outcome);
   if (outcome == AttemptOutcome::failed)
     jobs.countFailure(job, attempt);
-  if (!usesUpAStart(attempt, outcome) && attempt.countsAsStart && task.countedStarts > 0)
+  if (!countsAgainstRetryLimit(attempt, outcome) && attempt.countsAsStart && task.countedStarts > 0)
     --task.countedStarts;
   if (continueWithOtherCopy(job, task, attempt, outcome))
-    return jobs.updatePhase(job);
+    return jobs.completeIfFinished(job);
   if (outcome == AttemptOutcome::succeeded)
     onSucceeded(job, task, attempt);
   else if (task.currentAttempt == number && outcome == AttemptOutcome::quantumExpired)
     onQuantumExpired(job, task);
   else if (task.currentAttempt == number)
     onUnsuccessful(job, task, attempt, outcome);
-  jobs.updatePhase(job);
+  jobs.completeIfFinished(job);
 }
 
 const StepRequirements* AttemptResults::requirementsOf(const Attempt& attempt) const {
@@ -122,15 +122,16 @@
   return true;
 }
 
-void AttemptResults::updateWorkerStanding(const Task& task, const Attempt& attempt,
-                                          AttemptOutcome outcome) {
+void AttemptResults::updateFailureScore(const Task& task, const Attempt& attempt,
+                                        AttemptOutcome outcome) {
   Worker& worker = tables.workers[attempt.worker];
   std::int64_t score = worker.failureScoreAt(tables.now);
   if (outcome == AttemptOutcome::failed)
-    acquitEarlierWorker(task, attempt);
+    reducePenaltyOfEarlierWorker(task, attempt);
   if (outcome == AttemptOutcome::failed)
-    score += blamesWorker(task, attempt, requirementsOf(attempt), tables.now) ? firstFailurePenalty
-                                                                              : minorFailurePenalty;
+    score += indicatesWorkerProblem(task, attempt, requirementsOf(attempt), tables.now)
+                 ? firstFailurePenalty
+                 : minorFailurePenalty;
   else if (outcome == AttemptOutcome::rejected)
     score += rejectionPenalty;
   else if (outcome != AttemptOutcome::succeeded)
@@ -145,12 +146,12 @@
 
 // A task that fails a second time, on another worker, fails by itself: its first failure is taken
 // back from the worker that was blamed for it.
-void AttemptResults::acquitEarlierWorker(const Task& task, const Attempt& attempt) {
-  const auto blamed = tables.workers.find(task.avoidedWorker);
-  if (task.failureCount != 1 || blamed == tables.workers.end() ||
+void AttemptResults::reducePenaltyOfEarlierWorker(const Task& task, const Attempt& attempt) {
+  const auto earlierWorker = tables.workers.find(task.avoidedWorker);
+  if (task.failureCount != 1 || earlierWorker == tables.workers.end() ||
       task.avoidedWorker == attempt.worker)
     return;
-  Worker& worker = blamed->second;
+  Worker& worker = earlierWorker->second;
   const std::int64_t score = worker.failureScoreAt(tables.now);
   worker.failureScore =
       std::max<std::int64_t>(0, score - firstFailurePenalty + minorFailurePenalty);
@@ -211,13 +212,14 @@
 void AttemptResults::onUnsuccessful(Job& job, Task& task, const Attempt& attempt,
                                     AttemptOutcome outcome) {
   const bool failed = outcome == AttemptOutcome::failed;
-  const bool endedByItself = attempt.selfAssembling && attempt.state != AttemptState::stopping;
-  if ((failed && attempt.gang) || endedByItself)
+  const bool endedWithoutStopOrder =
+      attempt.selfAssembling && attempt.state != AttemptState::stopping;
+  if ((failed && attempt.gang) || endedWithoutStopOrder)
     attempts.abortGang(job.submission.id, attempt.stepIndex, attempt.number);
-  const bool avoidsWorker = failed || outcome == AttemptOutcome::rejected;
+  const bool avoidWorker = failed || outcome == AttemptOutcome::rejected;
   const Duration pause =
       failed && !attempt.exemptFromRetryLimit ? retryPause(job, task) : Duration{0};
-  jobs.requeueTask(job, task, avoidsWorker ? attempt.worker : WorkerId{}, pause);
+  jobs.requeueTask(job, task, avoidWorker ? attempt.worker : WorkerId{}, pause);
 }
 
 Duration AttemptResults::retryPause(const Job& job, const Task& task) const {
@@ -250,7 +252,7 @@
       attempts.abortGang(job.submission.id, attempt.stepIndex, number);
     jobs.requeueTask(job, task, attempt.worker, Duration{0});
   }
-  jobs.updatePhase(job);
+  jobs.completeIfFinished(job);
 }
 
 }  // namespace aniseline
--- a/source/state/attempt_results.hpp
+++ b/source/state/attempt_results.hpp
@@ -24,8 +24,8 @@
   const StepRequirements* requirementsOf(const Attempt& attempt) const;
   AttemptOutcome effectiveOutcome(const Attempt& attempt, AttemptOutcome outcome) const;
   bool stopReplacement(const Attempt& attempt);
-  void updateWorkerStanding(const Task& task, const Attempt& attempt, AttemptOutcome outcome);
-  void acquitEarlierWorker(const Task& task, const Attempt& attempt);
+  void updateFailureScore(const Task& task, const Attempt& attempt, AttemptOutcome outcome);
+  void reducePenaltyOfEarlierWorker(const Task& task, const Attempt& attempt);
   bool continueWithOtherCopy(Job& job, Task& task, const Attempt& attempt, AttemptOutcome outcome);
   void onSucceeded(Job& job, Task& task, const Attempt& attempt);
   void onQuantumExpired(Job& job, Task& task);
--- a/source/state/cluster_config.cpp
+++ b/source/state/cluster_config.cpp
@@ -46,7 +46,7 @@
  public:
   Result<ClusterConfig> read(const picojson::value& root) {
     {
-      JsonObjectReader reader(root, "", faults);
+      JsonObjectReader reader(root, "", errors);
       readPolicies(reader);
       readPlanner(reader);
       reader.readInteger("version", config.version.value, 1, maxJsonInteger);
@@ -55,8 +55,8 @@
       readIngressRoutes(reader);
       readTenants(reader);
     }
-    if (!faults.empty())
-      return CoreError{CoreError::Kind::invalid, std::move(faults)};
+    if (!errors.empty())
+      return CoreError{CoreError::Kind::invalid, std::move(errors)};
     return std::move(config);
   }
 
@@ -70,22 +70,22 @@
   IngressRoute readIngressRoute(const picojson::value& value, const std::string& path);
   void readTenants(JsonObjectReader& reader);
   void readTenant(const std::string& name, const picojson::value& value);
-  static TenantCap readCap(JsonObjectReader& tenant, std::vector<ErrorDetail>& faults);
+  static TenantCap readCap(JsonObjectReader& tenant, std::vector<ErrorDetail>& errors);
 
   ClusterConfig config;
-  std::vector<ErrorDetail> faults;
+  std::vector<ErrorDetail> errors;
 };
 
 void checkExpression(JsonObjectReader& policy, const std::string& field,
                      const std::string& expression) {
-  if (auto fault = PolicyProgram::check(expression))
-    policy.fault(field, *fault);
+  if (auto problem = PolicyProgram::check(expression))
+    policy.addError(field, *problem);
 }
 
 void ConfigReader::readPolicies(JsonObjectReader& reader) {
   if (const auto* policies = reader.object("policies")) {
     for (const auto& [name, value] : *policies) {
-      JsonObjectReader policy(value, "/policies/" + name, faults);
+      JsonObjectReader policy(value, "/policies/" + name, errors);
       PolicyOptions options;
       policy.readText("rank", options.rankExpression);
       policy.readText("may_hold", options.suspendExpression);
@@ -101,7 +101,7 @@
   const auto* value = reader.find("planner");
   if (!value)
     return;
-  JsonObjectReader planner(*value, "/planner", faults);
+  JsonObjectReader planner(*value, "/planner", errors);
   PlannerOptions& options = config.planner;
   planner.readDuration("period_ms", options.period, 5, 10'000);
   planner.readReal("weight_wait", options.weightWait, 0, 1e6);
@@ -121,7 +121,7 @@
   if (!pools)
     return;
   for (const auto& [name, value] : *pools) {
-    JsonObjectReader pool(value, "/pools/" + name, faults);
+    JsonObjectReader pool(value, "/pools/" + name, errors);
     pool.readFlag("guards_room", config.pools[name].enforcesCapacity);
   }
 }
@@ -129,7 +129,7 @@
 void ConfigReader::readQueues(JsonObjectReader& reader) {
   const auto* queues = reader.find("queues");
   if (!queues || !queues->is<picojson::object>() || queues->get<picojson::object>().empty())
-    return reader.fault("queues", "must name at least one queue");
+    return reader.addError("queues", "must name at least one queue");
   std::uint64_t reserved = 0;
   for (const auto& [name, value] : queues->get<picojson::object>()) {
     QueueOptions options = readQueue(name, value);
@@ -137,13 +137,13 @@
     config.queues[options.name] = std::move(options);
   }
   if (reserved >= config.planner.maxOpenJobs)
-    reader.fault("queues", "reserve together all of planner/open_limit");
+    reader.addError("queues", "reserve together all of planner/open_limit");
 }
 
 QueueOptions ConfigReader::readQueue(const std::string& name, const picojson::value& value) {
-  JsonObjectReader queue(value, "/queues/" + name, faults);
+  JsonObjectReader queue(value, "/queues/" + name, errors);
   if (name.empty() || name.size() > maxQueueNameLength)
-    queue.fault("", "a queue's name holds 1 to 64 characters");
+    queue.addError("", "a queue's name holds 1 to 64 characters");
   QueueOptions options;
   options.name = QueueName{name};
   queue.readInteger("urgency", options.priority, -1000, 1000);
@@ -154,15 +154,15 @@
   queue.readDuration("replace_after_ms", options.reassignAfter, 0, oneDay);
   queue.readText("pool", options.pool);
   if (!options.pool.empty() && !config.pools.count(options.pool))
-    queue.fault("pool", "names no pool of this config");
+    queue.addError("pool", "names no pool of this config");
   queue.readInteger("tries", options.maxFailures, 1, 1000);
   queue.readReal("extend", options.latencyTargetFactor, 0, 1e6);
   queue.readDuration("target_ms", options.latencyTargetBase, 0, oneDay);
   queue.readText("policy", options.policy);
   if (!config.policies.count(options.policy))
-    queue.fault("policy", "names no policy of this config");
+    queue.addError("policy", "names no policy of this config");
   if (const auto* trialValue = queue.find("trial")) {
-    JsonObjectReader trial(*trialValue, queue.pathOf("trial"), faults);
+    JsonObjectReader trial(*trialValue, queue.pathOf("trial"), errors);
     trial.readDuration("quantum_ms", options.trial.quantum, 10, oneHour);
     trial.readInteger("memory_mb", options.trial.memory, 1, 1e6);
     trial.readDuration("minimum_run_ms", options.trial.minimumRuntime, 0, oneDay);
@@ -180,18 +180,18 @@
 }
 
 IngressRoute ConfigReader::readIngressRoute(const picojson::value& value, const std::string& path) {
-  JsonObjectReader reader(value, path, faults);
+  JsonObjectReader reader(value, path, errors);
   IngressRoute route;
   reader.readText("host", route.host);
   reader.readText("prefix", route.pathPrefix);
   reader.readText("queue", route.queue.value);
   if (!config.queues.count(route.queue))
-    reader.fault("queue", "names no queue of this config");
+    reader.addError("queue", "names no queue of this config");
   if (reader.flag("public"))
     config.tenants.addPublicRoute(route.host, route.pathPrefix);
   for (const auto& other : config.ingressRoutes) {
     if (other.host == route.host && other.pathPrefix == route.pathPrefix)
-      reader.fault("prefix", "stands twice for this host");
+      reader.addError("prefix", "stands twice for this host");
   }
   return route;
 }
@@ -207,27 +207,27 @@
 }
 
 void ConfigReader::readTenant(const std::string& name, const picojson::value& value) {
-  JsonObjectReader tenant(value, "/tenants/" + name, faults);
+  JsonObjectReader tenant(value, "/tenants/" + name, errors);
   if (name.empty() || name.size() > maxTenantNameLength)
-    tenant.fault("", "a tenant's name holds 1 to 64 characters");
+    tenant.addError("", "a tenant's name holds 1 to 64 characters");
   TenantOptions options;
   for (const auto& key : tenant.texts("api_keys", "must be a text")) {
     if (key.empty())
-      tenant.fault("api_keys", "must not be empty");
+      tenant.addError("api_keys", "must not be empty");
     options.keys.push_back(ApiKeyDigest::of(key));
   }
   tenant.readReal("weight", options.weight, 0, maxTenantWeight);
-  options.cap = readCap(tenant, faults);
-  if (auto fault = config.tenants.add(TenantName{name}, std::move(options)))
-    tenant.fault("api_keys", *fault);
+  options.cap = readCap(tenant, errors);
+  if (auto problem = config.tenants.add(TenantName{name}, std::move(options)))
+    tenant.addError("api_keys", *problem);
 }
 
-TenantCap ConfigReader::readCap(JsonObjectReader& tenant, std::vector<ErrorDetail>& faults) {
+TenantCap ConfigReader::readCap(JsonObjectReader& tenant, std::vector<ErrorDetail>& errors) {
   TenantCap cap;
   const auto* value = tenant.find("cap");
   if (!value)
     return cap;
-  JsonObjectReader reader(*value, tenant.pathOf("cap"), faults);
+  JsonObjectReader reader(*value, tenant.pathOf("cap"), errors);
   double cores = 0;
   reader.readReal("cores", cores, 0, maxCapCores);
   cap.cores = std::uint64_t(std::llround(cores * thousandthsPerCore));
--- a/source/state/config_patch.cpp
+++ b/source/state/config_patch.cpp
@@ -47,10 +47,11 @@
            0;
   }
 
-  std::optional<CoreError> upsert(const picojson::value& given, const std::string& list) override {
-    if (!given.is<picojson::array>())
+  std::optional<CoreError> upsert(const picojson::value& changes,
+                                  const std::string& list) override {
+    if (!changes.is<picojson::array>())
       return invalid("/upsert/" + list, "must be an array, as in the configuration");
-    const auto& additions = given.get<picojson::array>();
+    const auto& additions = changes.get<picojson::array>();
     for (std::size_t index = 0; index < additions.size(); ++index) {
       if (!hasName(additions[index]))
         return invalid(itemPath("upsert", list, index), "must be an object with a name");
@@ -93,10 +94,11 @@
 
   bool remove(const std::string& name) override { return items.erase(name) > 0; }
 
-  std::optional<CoreError> upsert(const picojson::value& given, const std::string& list) override {
-    if (!given.is<picojson::object>())
+  std::optional<CoreError> upsert(const picojson::value& changes,
+                                  const std::string& list) override {
+    if (!changes.is<picojson::object>())
       return invalid("/upsert/" + list, "must be an object, as in the configuration");
-    for (const auto& [name, item] : given.get<picojson::object>()) {
+    for (const auto& [name, item] : changes.get<picojson::object>()) {
       if (!item.is<picojson::object>())
         return invalid("/upsert/" + list + "/" + name, "must be an object");
       items[name] = item;
@@ -151,9 +153,9 @@
 }
 
 ConfigPatch::Removals readRemovals(const picojson::value& value, const picojson::object& lists,
-                                   std::vector<ErrorDetail>& faults) {
+                                   std::vector<ErrorDetail>& errors) {
   ConfigPatch::Removals removals;
-  JsonObjectReader reader(value, "/remove", faults);
+  JsonObjectReader reader(value, "/remove", errors);
   for (const auto& [list, names] : lists)
     removals[list] = reader.texts(list, "must hold names of items");
   return removals;
@@ -167,17 +169,17 @@
   if (!parseError.empty())
     return invalid("", "is not JSON: " + parseError);
   ConfigPatch patch;
-  std::vector<ErrorDetail> faults;
+  std::vector<ErrorDetail> errors;
   {
-    JsonObjectReader reader(root, "", faults);
+    JsonObjectReader reader(root, "", errors);
     reader.readInteger("version", patch.givenVersion.value, 1, maxVersion);
     if (const auto* lists = reader.object("upsert"))
       patch.upserts = *lists;
     if (const auto* lists = reader.object("remove"))
-      patch.removals = readRemovals(*reader.find("remove"), *lists, faults);
+      patch.removals = readRemovals(*reader.find("remove"), *lists, errors);
   }
-  if (!faults.empty())
-    return CoreError{CoreError::Kind::invalid, std::move(faults)};
+  if (!errors.empty())
+    return CoreError{CoreError::Kind::invalid, std::move(errors)};
   return patch;
 }
 
@@ -203,11 +205,11 @@
     if (auto error = removeItems(fields, list, names))
       return std::move(*error);
   }
-  for (const auto& [list, given] : upserts) {
+  for (const auto& [list, changes] : upserts) {
     auto items = findItems(fields, "upsert", list);
     if (!items)
       return items.error();
-    if (auto error = items.value()->upsert(given, list))
+    if (auto error = items.value()->upsert(changes, list))
       return std::move(*error);
   }
   fields.erase("version");
--- a/source/state/job.cpp
+++ b/source/state/job.cpp
@@ -29,17 +29,17 @@
   std::vector<std::int64_t> paths(steps.size());  // milliseconds, up to the end of each step
   std::int64_t longest = 0;
   for (std::size_t stepIndex = 0; stepIndex < steps.size(); ++stepIndex) {
-    std::int64_t before = 0;
+    std::int64_t dependenciesEnd = 0;
     for (const auto& dependency : steps[stepIndex].dependencies) {
       for (std::size_t earlier = 0; earlier < stepIndex; ++earlier) {
         if (steps[earlier].name == dependency)
-          before = std::max(before, paths[earlier]);
+          dependenciesEnd = std::max(dependenciesEnd, paths[earlier]);
       }
     }
     std::int64_t own = 0;
     for (const auto& task : steps[stepIndex].tasks)
       own = std::max(own, task.runtime.milliseconds);
-    paths[stepIndex] = before + own;
+    paths[stepIndex] = dependenciesEnd + own;
     longest = std::max(longest, paths[stepIndex]);
   }
   return Duration{longest};
--- a/source/state/job_events.cpp
+++ b/source/state/job_events.cpp
@@ -55,7 +55,7 @@
     return;
   JobLifecycle lifecycle(tables);
   lifecycle.fail(found->second, event.reason);
-  lifecycle.updatePhase(found->second);
+  lifecycle.completeIfFinished(found->second);
 }
 
 void applyEvent(ClusterTables& tables, const OccurrenceFired& event) {
--- a/source/state/job_json.cpp
+++ b/source/state/job_json.cpp
@@ -15,7 +15,7 @@
 
 class SubmissionReader {
  public:
-  explicit SubmissionReader(std::vector<ErrorDetail>& given) : faults(given) {}
+  explicit SubmissionReader(std::vector<ErrorDetail>& given) : errors(given) {}
   JobSubmission read(const picojson::value& root);
 
  private:
@@ -25,13 +25,13 @@
                  std::vector<TaskRequest>& tasks);
   Timetable readTimetable(const picojson::value& value);
 
-  std::vector<ErrorDetail>& faults;
+  std::vector<ErrorDetail>& errors;
   std::size_t tasksRead = 0;  // of all steps
 };
 
 JobSubmission SubmissionReader::read(const picojson::value& root) {
   JobSubmission job;
-  JsonObjectReader fields(root, "", faults);
+  JsonObjectReader fields(root, "", errors);
   job.id = JobId{fields.text("id", Presence::required)};
   job.queue = QueueName{fields.text("queue", Presence::required)};
   job.payload = fields.text("payload");
@@ -41,13 +41,13 @@
   }
   if (const auto* timetable = fields.find("timetable"))
     job.timetable = readTimetable(*timetable);
-  if (faults.empty())
-    faults = job.validate();
+  if (errors.empty())
+    errors = job.validate();
   return job;
 }
 
 StepRequest SubmissionReader::readStep(const picojson::value& value, std::size_t stepIndex) {
-  JsonObjectReader step(value, "/steps/" + std::to_string(stepIndex), faults);
+  JsonObjectReader step(value, "/steps/" + std::to_string(stepIndex), errors);
   StepRequest request;
   request.name = step.text("name");
   if (request.name.empty())
@@ -77,7 +77,7 @@
 // One entry stands for as many equal tasks as its count says.
 void SubmissionReader::readTasks(const picojson::value& value, const std::string& path,
                                  std::vector<TaskRequest>& tasks) {
-  JsonObjectReader fields(value, path, faults);
+  JsonObjectReader fields(value, path, errors);
   TaskRequest task;
   task.cores = fields.thousandths("cores", Presence::required);
   task.memory = fields.unsignedInteger("memory_mb", Presence::required, 1);
@@ -86,7 +86,7 @@
   task.payload = fields.text("payload");
   const auto count = fields.unsignedInteger("count", Presence::optional, 1);
   if (count < 1 || count > maxTasksRead)
-    return fields.fault("count", "must be from 1 to 2000");
+    return fields.addError("count", "must be from 1 to 2000");
   for (std::uint64_t copy = 0; copy < count && tasksRead <= maxTasksRead; ++copy) {
     tasks.push_back(task);
     ++tasksRead;
@@ -94,11 +94,11 @@
 }
 
 Timetable SubmissionReader::readTimetable(const picojson::value& value) {
-  JsonObjectReader fields(value, "/timetable", faults);
+  JsonObjectReader fields(value, "/timetable", errors);
   Timetable timetable;
   timetable.firstStart = ClusterTime{fields.duration("first_ms", Presence::required).milliseconds};
   if (timetable.firstStart.milliseconds == 0)
-    fields.fault("first_ms", "must be a calendar time above 0");
+    fields.addError("first_ms", "must be a calendar time above 0");
   timetable.interval = fields.duration("every_ms", Presence::optional);
   timetable.count = fields.unsignedInteger32("count", Presence::optional, 1);
   return timetable;
@@ -149,8 +149,8 @@
 
 }  // namespace
 
-JobSubmission parseJobSubmission(const picojson::value& root, std::vector<ErrorDetail>& faults) {
-  return SubmissionReader(faults).read(root);
+JobSubmission parseJobSubmission(const picojson::value& root, std::vector<ErrorDetail>& errors) {
+  return SubmissionReader(errors).read(root);
 }
 
 std::string renderJobSubmission(const JobSubmission& job) {
--- a/source/state/job_lifecycle.cpp
+++ b/source/state/job_lifecycle.cpp
@@ -128,7 +128,7 @@
   });
 }
 
-void JobLifecycle::updatePhase(Job& job) {
+void JobLifecycle::completeIfFinished(Job& job) {
   if (job.isTerminal() || job.state == JobState::scheduled)
     return;
   const bool allSucceeded = std::all_of(job.tasks.begin(), job.tasks.end(), [](const Task& task) {
@@ -201,7 +201,7 @@
   job.state = JobState::cancelling;
   if (!job.terminating)
     fail(job, reason);
-  updatePhase(job);
+  completeIfFinished(job);
 }
 
 }  // namespace aniseline
--- a/source/state/job_lifecycle.hpp
+++ b/source/state/job_lifecycle.hpp
@@ -34,7 +34,7 @@
   void fail(Job& job, const std::string& reason);
   void cancel(Job& job, const std::string& reason);
   /// Ends the job if no task of it is open anywhere. docs/design.md 4.2.
-  void updatePhase(Job& job);
+  void completeIfFinished(Job& job);
 
  private:
   void complete(Job& job, JobState state);
--- a/source/state/job_validation.cpp
+++ b/source/state/job_validation.cpp
@@ -9,12 +9,12 @@
 constexpr std::size_t maxIdLength = 128;
 constexpr std::size_t maxSteps = 64;
 constexpr std::size_t maxStepNameLength = 64;
-constexpr std::size_t maxTasks = 2000;                         // of all steps
-constexpr std::uint32_t maxCores = 65'536'000;                 // thousandths of a core
-constexpr std::uint64_t maxMemory = 1'000'000'000;             // MB
-constexpr std::size_t maxPayload = 4096;                       // bytes
-constexpr std::int64_t maxSpan = 366ll * 86'400'000;           // milliseconds: 366 days
-constexpr std::int64_t endOfCalendar = 253'402'300'799'000ll;  // milliseconds: the year 9999
+constexpr std::size_t maxTasks = 2000;                           // of all steps
+constexpr std::uint32_t maxCores = 65'536'000;                   // thousandths of a core
+constexpr std::uint64_t maxMemory = 1'000'000'000;               // MB
+constexpr std::size_t maxPayload = 4096;                         // bytes
+constexpr std::int64_t maxSpan = 366ll * 86'400'000;             // milliseconds: 366 days
+constexpr std::int64_t maxCalendarTime = 253'402'300'799'000ll;  // milliseconds: the year 9999
 constexpr std::uint32_t maxOccurrences = 10'000;
 constexpr std::int64_t minInterval = 100;  // milliseconds
 
@@ -27,12 +27,12 @@
     checkDependencies();
     if (job.hasTimetable())
       checkTimetable();
-    return std::move(faults);
+    return std::move(errors);
   }
 
  private:
-  void fault(std::string path, std::string text) {
-    faults.push_back({std::move(path), std::move(text)});
+  void addError(std::string path, std::string text) {
+    errors.push_back({std::move(path), std::move(text)});
   }
   static std::string pathOfStep(std::size_t stepIndex) {
     return "/steps/" + std::to_string(stepIndex);
@@ -45,53 +45,53 @@
   void checkTimetable();
 
   const JobSubmission& job;
-  std::vector<ErrorDetail> faults;
+  std::vector<ErrorDetail> errors;
   std::map<std::string, std::size_t> stepIndexes;  // by name
 };
 
 void SubmissionValidator::checkIdentity() {
   const std::string& id = job.id.value;
   if (id.empty() || id.size() > maxIdLength)
-    fault("/id", "holds 1 to 128 characters");
-  const bool valid = std::all_of(id.begin(), id.end(), [](char letter) {
-    return std::isalnum((unsigned char)letter) || std::strchr("-_.:", letter);
+    addError("/id", "holds 1 to 128 characters");
+  const bool valid = std::all_of(id.begin(), id.end(), [](char character) {
+    return std::isalnum((unsigned char)character) || std::strchr("-_.:", character);
   });
   if (!valid)
-    fault("/id", "may hold letters, digits and -_.: only");
+    addError("/id", "may hold letters, digits and -_.: only");
   if (job.queue.value.empty())
-    fault("/queue", "is missing");
+    addError("/queue", "is missing");
 }
 
 void SubmissionValidator::checkSteps() {
   if (job.steps.empty() || job.steps.size() > maxSteps)
-    fault("/steps", "must hold 1 to 64 steps");
+    addError("/steps", "must hold 1 to 64 steps");
   std::size_t total = 0;
   for (std::size_t stepIndex = 0; stepIndex < job.steps.size(); ++stepIndex) {
     const auto& step = job.steps[stepIndex];
     const std::string path = pathOfStep(stepIndex);
     if (step.name.empty() || step.name.size() > maxStepNameLength)
-      fault(path + "/name", "holds 1 to 64 characters");
+      addError(path + "/name", "holds 1 to 64 characters");
     if (!stepIndexes.emplace(step.name, stepIndex).second)
-      fault(path + "/name", "stands twice");
+      addError(path + "/name", "stands twice");
     if (step.tasks.empty())
-      fault(path + "/tasks", "must hold at least one task");
+      addError(path + "/tasks", "must hold at least one task");
     total += step.tasks.size();
     for (std::size_t index = 0; index < step.tasks.size(); ++index)
       checkTask(step.tasks[index], path + "/tasks/" + std::to_string(index));
   }
   if (total > maxTasks)
-    fault("/steps", "hold more than 2000 tasks together");
+    addError("/steps", "hold more than 2000 tasks together");
 }
 
 void SubmissionValidator::checkTask(const TaskRequest& task, const std::string& path) {
   if (task.cores < 1 || task.cores > maxCores)
-    fault(path + "/cores", "must be from 0.001 to 65536");
+    addError(path + "/cores", "must be from 0.001 to 65536");
   if (task.memory < 1 || task.memory > maxMemory)
-    fault(path + "/memory_mb", "must be from 1 to 1000000000");
+    addError(path + "/memory_mb", "must be from 1 to 1000000000");
   if (task.runtime.milliseconds < 1 || task.runtime.milliseconds > maxSpan)
-    fault(path + "/runtime_ms", "must be from 1 ms to 366 days");
+    addError(path + "/runtime_ms", "must be from 1 ms to 366 days");
   if (task.payload.size() > maxPayload)
-    fault(path + "/payload", "holds at most 4096 bytes");
+    addError(path + "/payload", "holds at most 4096 bytes");
 }
 
 void SubmissionValidator::checkDependencies() {
@@ -100,7 +100,7 @@
     for (const auto& name : job.steps[stepIndex].dependencies) {
       auto found = stepIndexes.find(name);
       if (found == stepIndexes.end())
-        fault(pathOfStep(stepIndex) + "/after", "names the unknown step " + name);
+        addError(pathOfStep(stepIndex) + "/after", "names the unknown step " + name);
       else
         dependencies[stepIndex].insert(found->second);
     }
@@ -122,19 +122,19 @@
     progress = removed > 0;
   }
   if (!remaining.empty())
-    fault(pathOfStep(*remaining.begin()) + "/after", "steps wait on each other in a circle");
+    addError(pathOfStep(*remaining.begin()) + "/after", "steps wait on each other in a circle");
 }
 
 void SubmissionValidator::checkTimetable() {
   const Timetable& timetable = job.timetable;
-  if (timetable.firstStart.milliseconds > endOfCalendar)
-    fault("/timetable/first_ms", "is beyond the calendar");
+  if (timetable.firstStart.milliseconds > maxCalendarTime)
+    addError("/timetable/first_ms", "is beyond the calendar");
   if (timetable.count < 1 || timetable.count > maxOccurrences)
-    fault("/timetable/count", "must be from 1 to 10000");
+    addError("/timetable/count", "must be from 1 to 10000");
   if (timetable.count > 1 && timetable.interval.milliseconds < minInterval)
-    fault("/timetable/every_ms", "must be at least 100");
+    addError("/timetable/every_ms", "must be at least 100");
   if (timetable.interval.milliseconds > maxSpan)
-    fault("/timetable/every_ms", "must be at most 366 days");
+    addError("/timetable/every_ms", "must be at most 366 days");
 }
 
 }  // namespace
--- a/source/state/leader_route.cpp
+++ b/source/state/leader_route.cpp
@@ -4,7 +4,7 @@
 namespace aniseline {
 
 std::vector<Address> orderedByZonePreference(const std::vector<GatewayEndpoint>& endpoints,
-                                             const ZoneName& zone, std::uint64_t spread) {
+                                             const ZoneName& zone, std::uint64_t rotation) {
   std::vector<Address> sameZone;
   std::vector<Address> otherZones;
   for (const auto& endpoint : endpoints)
@@ -12,7 +12,7 @@
   for (auto* addresses : {&sameZone, &otherZones}) {
     if (!addresses->empty())
       std::rotate(addresses->begin(),
-                  addresses->begin() + std::ptrdiff_t(spread % addresses->size()),
+                  addresses->begin() + std::ptrdiff_t(rotation % addresses->size()),
                   addresses->end());
   }
   sameZone.insert(sameZone.end(), otherZones.begin(), otherZones.end());
@@ -30,16 +30,18 @@
 }
 
 bool LeaderRoute::admits(const ApiRequest& request, std::size_t inFlight, std::size_t limit) const {
-  const bool plain = request.kind == RequestKind::submitJob &&
-                     !std::count(priorityQueues.begin(), priorityQueues.end(), request.job.queue);
-  return admitsRequest(request.kind, plain, inFlight, limit);
+  const bool ordinarySubmission =
+      request.kind == RequestKind::submitJob &&
+      !std::count(priorityQueues.begin(), priorityQueues.end(), request.job.queue);
+  return admitsRequest(request.kind, ordinarySubmission, inFlight, limit);
 }
 
-bool admitsRequest(RequestKind kind, bool plain, std::size_t inFlight, std::size_t limit) {
+bool admitsRequest(RequestKind kind, bool ordinarySubmission, std::size_t inFlight,
+                   std::size_t limit) {
   // There are as many syncs as workers, and without them nothing completes.
   if (kind == RequestKind::syncWorker)
     return true;
-  return inFlight < (plain ? limit - limit / 5 : limit);
+  return inFlight < (ordinarySubmission ? limit - limit / 5 : limit);
 }
 
 }  // namespace aniseline
--- a/source/state/leader_route.hpp
+++ b/source/state/leader_route.hpp
@@ -22,7 +22,7 @@
 /// of its own zone first, rotated by `spread` so that clients begin at
 /// different ones.
 std::vector<Address> orderedByZonePreference(const std::vector<GatewayEndpoint>& endpoints,
-                                             const ZoneName& zone, std::uint64_t spread);
+                                             const ZoneName& zone, std::uint64_t rotation);
 
 struct LeaderRoute {
   Term term;
@@ -47,7 +47,8 @@
 
 /// The same rule for a request of known kind; `plain` is a submission to no
 /// priority queue.
-bool admitsRequest(RequestKind kind, bool plain, std::size_t inFlight, std::size_t limit);
+bool admitsRequest(RequestKind kind, bool ordinarySubmission, std::size_t inFlight,
+                   std::size_t limit);
 
 }  // namespace aniseline
 
--- a/source/state/policy_switches.hpp
+++ b/source/state/policy_switches.hpp
@@ -35,8 +35,8 @@
 
 class PolicySwitches {
  public:
-  bool isOn(Policy policy) const { return !off.test(std::size_t(policy)); }
-  void turnOff(Policy policy) { off.set(std::size_t(policy)); }
+  bool isOn(Policy policy) const { return !disabled.test(std::size_t(policy)); }
+  void turnOff(Policy policy) { disabled.set(std::size_t(policy)); }
   /// Turns off the policies of these names, which are parted by commas. The first that is none, or
   /// nothing.
   std::optional<std::string> turnOffAll(const std::string& names) {
@@ -51,7 +51,7 @@
   }
 
  private:
-  std::bitset<policyCount> off;
+  std::bitset<policyCount> disabled;
 };
 
 }  // namespace aniseline
--- a/source/state/request_json.hpp
+++ b/source/state/request_json.hpp
@@ -9,10 +9,10 @@
 
 /// Reads a submission. Its faults are appended; only a result without any is to
 /// be used.
-JobSubmission parseJobSubmission(const picojson::value& root, std::vector<ErrorDetail>& faults);
+JobSubmission parseJobSubmission(const picojson::value& root, std::vector<ErrorDetail>& errors);
 /// Reads the report of the worker with this id, in the same way.
 SyncReport parseSyncReport(const picojson::value& root, const std::string& id,
-                           std::vector<ErrorDetail>& faults);
+                           std::vector<ErrorDetail>& errors);
 std::string renderJobSubmission(const JobSubmission& job);
 std::string renderSyncReport(const SyncReport& report);
 
--- a/source/state/sync_json.cpp
+++ b/source/state/sync_json.cpp
@@ -19,9 +19,9 @@
   capacity.cores = fields.thousandths("cores", Presence::required);
   capacity.memory = fields.unsignedInteger("memory_mb", Presence::required);
   if (!capacity.cores || capacity.cores > maxCores)
-    fields.fault("cores", "must be from 0.001 to 65536");
+    fields.addError("cores", "must be from 0.001 to 65536");
   if (!capacity.memory || capacity.memory > maxMemory)
-    fields.fault("memory_mb", "must be from 1 to 1000000000");
+    fields.addError("memory_mb", "must be from 1 to 1000000000");
   capacity.zone = ZoneName{fields.text("zone")};
   capacity.rack = fields.text("rack");
   capacity.honoursLeases = fields.flag("honours_leases");
@@ -32,28 +32,28 @@
   return capacity;
 }
 
-void readResults(JsonObjectReader& fields, std::vector<ErrorDetail>& faults,
+void readResults(JsonObjectReader& fields, std::vector<ErrorDetail>& errors,
                  std::vector<AttemptResult>& results) {
   const auto* listed = fields.list("endings");
   for (std::size_t index = 0; listed && index < std::min(listed->size(), maxResultsRead); ++index) {
-    JsonObjectReader result((*listed)[index], "/endings/" + std::to_string(index), faults);
+    JsonObjectReader result((*listed)[index], "/endings/" + std::to_string(index), errors);
     const AttemptNumber attempt{result.decimalText("attempt", Presence::required)};
     const auto outcome = parseAttemptOutcome(result.text("kind", Presence::required));
     if (outcome)
       results.push_back({attempt, *outcome});
     else
-      result.fault("kind", "is not a known kind of ending");
+      result.addError("kind", "is not a known kind of ending");
   }
 }
 
-Order readOrder(const picojson::value& value, std::size_t index, std::vector<ErrorDetail>& faults) {
-  JsonObjectReader fields(value, "/orders/" + std::to_string(index), faults);
+Order readOrder(const picojson::value& value, std::size_t index, std::vector<ErrorDetail>& errors) {
+  JsonObjectReader fields(value, "/orders/" + std::to_string(index), errors);
   Order order;
   order.number = OrderNumber{fields.decimalText("number", Presence::required)};
   if (const auto kind = parseOrderKind(fields.text("kind", Presence::required)))
     order.kind = *kind;
   else
-    fields.fault("kind", "is not a known kind of order");
+    fields.addError("kind", "is not a known kind of order");
   order.attempt = AttemptNumber{fields.decimalText("attempt", Presence::required)};
   order.job = JobId{fields.text("job")};
   order.taskIndex = fields.unsignedInteger32("task", Presence::optional);
@@ -83,14 +83,14 @@
   return json(rendered);
 }
 
-SyncResponse readResponse(const picojson::value& root, std::vector<ErrorDetail>& faults) {
+SyncResponse readResponse(const picojson::value& root, std::vector<ErrorDetail>& errors) {
   SyncResponse response;
-  JsonObjectReader fields(root, "", faults);
+  JsonObjectReader fields(root, "", errors);
   response.term = Term{fields.decimalText("term", Presence::required)};
   response.lease = fields.duration("lease_ms", Presence::required);
   if (const auto* orders = fields.list("orders", Presence::required)) {
     for (std::size_t index = 0; index < orders->size(); ++index)
-      response.orders.push_back(readOrder((*orders)[index], index, faults));
+      response.orders.push_back(readOrder((*orders)[index], index, errors));
   }
   if (const auto* confirmed = fields.list("confirmed", Presence::required)) {
     for (const auto& attempt : *confirmed) {
@@ -111,22 +111,22 @@
 }  // namespace
 
 SyncReport parseSyncReport(const picojson::value& root, const std::string& id,
-                           std::vector<ErrorDetail>& faults) {
+                           std::vector<ErrorDetail>& errors) {
   SyncReport report;
   report.id = WorkerId{id};
   if (id.empty() || id.size() > maxWorkerIdLength)
-    faults.push_back({"", "a worker's id holds 1 to 64 characters"});
-  JsonObjectReader fields(root, "", faults);
+    errors.push_back({"", "a worker's id holds 1 to 64 characters"});
+  JsonObjectReader fields(root, "", errors);
   report.incarnation = Incarnation{fields.decimalText("incarnation", Presence::required)};
   if (!report.incarnation.value)
-    fields.fault("incarnation", "must not be 0");
+    fields.addError("incarnation", "must not be 0");
   report.capacity = readCapacity(fields);
   report.lastAppliedOrder = OrderNumber{fields.decimalText("last_order", Presence::required)};
   report.draining = fields.flag("leaving");
   report.drainTimeout = fields.duration("leave_within_ms", Presence::optional);
   report.longPollTimeout =
       std::min(fields.duration("wait_ms", Presence::optional), maxLongPollTimeout);
-  readResults(fields, faults, report.results);
+  readResults(fields, errors, report.results);
   return report;
 }
 
@@ -185,10 +185,10 @@
   const std::string parseError = parseJson(root, body);
   if (!parseError.empty())
     return CoreError::at(CoreError::Kind::invalid, "", "the answer is not JSON: " + parseError);
-  std::vector<ErrorDetail> faults;
-  SyncResponse response = readResponse(root, faults);
-  if (!faults.empty())
-    return CoreError{CoreError::Kind::invalid, std::move(faults)};
+  std::vector<ErrorDetail> errors;
+  SyncResponse response = readResponse(root, errors);
+  if (!errors.empty())
+    return CoreError{CoreError::Kind::invalid, std::move(errors)};
   return response;
 }
 
--- a/source/state/tenant_changes.cpp
+++ b/source/state/tenant_changes.cpp
@@ -22,15 +22,15 @@
       if (tables.jobs.at(id).submission.tenant == tenant)
         addJob(id);
     }
-    std::sort(undelivered.rbegin(), undelivered.rend());
+    std::sort(undeliveredNumbers.rbegin(), undeliveredNumbers.rend());
   }
 
-  bool isAbove(const TenantCap& cap) const {
-    return exceeds(held.cores, cap.cores) || exceeds(held.memory, cap.memory) ||
-           exceeds(held.accelerators, cap.accelerators);
+  bool exceedsCap(const TenantCap& cap) const {
+    return exceeds(allocated.cores, cap.cores) || exceeds(allocated.memory, cap.memory) ||
+           exceeds(allocated.accelerators, cap.accelerators);
   }
   // Starts that no worker has reported, the latest first.
-  const std::vector<AttemptNumber>& undeliveredStarts() const { return undelivered; }
+  const std::vector<AttemptNumber>& undeliveredStarts() const { return undeliveredNumbers; }
   void stop(AttemptNumber number) {
     Attempt& attempt = tables.attempts.at(number);
     if (attempt.state != AttemptState::ordered)
@@ -48,17 +48,17 @@
       const Attempt& attempt = tables.attempts.at(number);
       if (attempt.abandoned)
         continue;
-      held.cores += attempt.cores;
-      held.memory += attempt.memory;
-      held.accelerators += attempt.accelerators;
+      allocated.cores += attempt.cores;
+      allocated.memory += attempt.memory;
+      allocated.accelerators += attempt.accelerators;
       if (attempt.state == AttemptState::ordered)
-        undelivered.push_back(number);
+        undeliveredNumbers.push_back(number);
     }
   }
   // One that has begun would wait for the others in vain.
-  void stopGang(const Attempt& part) {
-    const auto numbers = tables.attemptIndex.ofJob(part.job);
-    const std::uint32_t stepIndex = part.stepIndex;
+  void stopGang(const Attempt& member) {
+    const auto numbers = tables.attemptIndex.ofJob(member.job);
+    const std::uint32_t stepIndex = member.stepIndex;
     for (auto number : numbers) {
       Attempt& attempt = tables.attempts.at(number);
       if (attempt.stepIndex == stepIndex && !attempt.abandoned)
@@ -66,21 +66,22 @@
     }
   }
   void stopOne(Attempt& attempt) {
-    held.cores -= attempt.cores;
-    held.memory -= attempt.memory;
-    held.accelerators -= attempt.accelerators;
+    allocated.cores -= attempt.cores;
+    allocated.memory -= attempt.memory;
+    allocated.accelerators -= attempt.accelerators;
     AttemptControl(tables).forceStop(attempt, RetryAccounting::exempt);
   }
 
   ClusterTables& tables;
-  TenantCap held;
-  std::vector<AttemptNumber> undelivered;
+  TenantCap allocated;
+  std::vector<AttemptNumber> undeliveredNumbers;
 };
 
-void stopUndeliveredAbove(ClusterTables& tables, const TenantName& tenant, const TenantCap& cap) {
+void stopUndeliveredStartsAboveCap(ClusterTables& tables, const TenantName& tenant,
+                                   const TenantCap& cap) {
   TenantAttempts attempts(tables, tenant);
   for (auto number : attempts.undeliveredStarts()) {
-    if (!attempts.isAbove(cap))
+    if (!attempts.exceedsCap(cap))
       return;
     attempts.stop(number);
   }
@@ -109,7 +110,7 @@
   for (const auto& [name, options] : tables.config.tenants.all()) {
     const TenantOptions* before = previous.find(name);
     if (isLower(options.cap, before ? before->cap : TenantCap{}))
-      stopUndeliveredAbove(tables, name, options.cap);
+      stopUndeliveredStartsAboveCap(tables, name, options.cap);
   }
 }
 
--- a/source/state/worker_events.cpp
+++ b/source/state/worker_events.cpp
@@ -33,7 +33,7 @@
 }
 
 /// Whether whatever fits the second worker fits the first one too.
-bool covers(const Capacity& known, const Capacity& capacity) {
+bool offersAtLeast(const Capacity& known, const Capacity& capacity) {
   return known.cores >= capacity.cores && known.memory >= capacity.memory &&
          known.accelerators >= capacity.accelerators && known.pool == capacity.pool &&
          std::all_of(capacity.labels.begin(), capacity.labels.end(),
@@ -103,9 +103,9 @@
 
 void applyEvent(ClusterTables& tables, const WorkerRegistered& event) {
   removeOthersOnHost(tables, event);
-  const bool capacityKnown =
-      std::any_of(tables.workers.begin(), tables.workers.end(),
-                  [&](const auto& entry) { return covers(entry.second.capacity, event.capacity); });
+  const bool capacityKnown = std::any_of(
+      tables.workers.begin(), tables.workers.end(),
+      [&](const auto& entry) { return offersAtLeast(entry.second.capacity, event.capacity); });
   tables.updatedWorkers.insert(event.worker);
   Worker& worker = tables.workers[event.worker];
   worker.id = event.worker;
--- a/tests/base/json_tests.cpp
+++ b/tests/base/json_tests.cpp
@@ -10,7 +10,7 @@
 };
 
 // What any process may send: a fault each, never an exception. docs/design.md 9.4.
-TEST(JsonTests, whatIsNoJsonIsAFault) {
+TEST(JsonTests, invalidJsonGivesAnError) {
   STRCMP_EQUAL("", parseJson(root, R"({"a":[1,2]} )", true).c_str());
   STRCMP_EQUAL("a number is too large", parseJson(root, R"({"a":1e999})").c_str());
   STRCMP_EQUAL("a number is too large", parseJson(root, "-1e999").c_str());
@@ -21,7 +21,7 @@
   CHECK(!parseJson(root, "").empty());
 }
 
-TEST(JsonTests, aNumberIsHeldWithinItsType) {
+TEST(JsonTests, numbersAreClampedToTheirType) {
   LONGS_EQUAL(0, clampToInteger<std::uint32_t>(-5));
   LONGS_EQUAL(0xffffffffu, clampToInteger<std::uint32_t>(1e300));
   LONGS_EQUAL(0, clampToInteger<std::uint64_t>(-1));
@@ -32,7 +32,7 @@
 
 // An exception there ended the process: a gateway's answer that of a worker, a file that of an
 // operator's command.
-TEST(JsonTests, readersTakeTooLargeNumbersForFaults) {
+TEST(JsonTests, readersRejectTooLargeNumbers) {
   CHECK(!SyncResponse::parse(R"({"term":"1","lease_ms":1e999})").has_value());
   CHECK(!ClusterConfig::parse(R"({"queues":1e999})").has_value());
   CHECK(!ApiRequest::parse("POST", "/v1/jobs", R"({"id":1e999})").has_value());
--- a/tests/scheduling/starvation_guard_tests.cpp
+++ b/tests/scheduling/starvation_guard_tests.cpp
@@ -28,7 +28,7 @@
   // the next plan, for so long.
   std::string startedBy(Duration passedOverFor) {
     const Plan plan = cluster.planner.makePlan(cluster.clusterState, ClusterTime{cluster.now},
-                                               cluster.silences, false, hints);
+                                               cluster.contactAges, false, hints);
     hints.passedOverFor.clear();
     for (const auto& unit : plan.passedOver)
       hints.passedOverFor[unit] = passedOverFor;
--- a/tests/scheduling/tenant_cap_tests.cpp
+++ b/tests/scheduling/tenant_cap_tests.cpp
@@ -160,7 +160,7 @@
 TEST(TenantCapPlanTests, whatACapHoldsBackWantsNoHeadroom) {
   submit("flood", "small", ClusterStateFixture::step(50), "urgent");
   const Plan plan =
-      fixture.planner.makePlan(fixture.clusterState, ClusterTime{fixture.now}, fixture.silences);
+      fixture.planner.makePlan(fixture.clusterState, ClusterTime{fixture.now}, fixture.contactAges);
   LONGS_EQUAL(4000, plan.urgentDemand.at("press"));
   LONGS_EQUAL(46, plan.heldByTenantCap);
 }
@@ -169,7 +169,7 @@
   submit("job", "small", 5);
   fixture.planAndRun();
   const Plan plan = fixture.planner.makePlan(fixture.clusterState, ClusterTime{fixture.now},
-                                             fixture.silences, true);
+                                             fixture.contactAges, true);
   LONGS_EQUAL(1, plan.explanations.size());
   STRCMP_EQUAL("its tenant runs as much as its cap allows", plan.explanations[0].text.c_str());
 }
@@ -182,7 +182,7 @@
   hints.maxPassedOverTime = Duration{2000};
   hints.passedOverFor[{JobId{"waits"}, std::nullopt}] = Duration{9000};
   const Plan plan = fixture.planner.makePlan(fixture.clusterState, ClusterTime{fixture.now},
-                                             fixture.silences, false, hints);
+                                             fixture.contactAges, false, hints);
   LONGS_EQUAL(0, plan.record.actions.size());
   LONGS_EQUAL(0, plan.passedOver.size());
 }
@@ -196,7 +196,7 @@
   capacity.memory = 4096;
   capacity.honoursLeases = true;
   paper.apply(WorkerRegistered{WorkerId{"a"}, Incarnation{1}, capacity});
-  paper.silences[WorkerId{"a"}] = Duration{0};
+  paper.contactAges[WorkerId{"a"}] = Duration{0};
   const auto submitTo = [&](const std::string& id, const std::string& tenant) {
     JobSubmission job;
     job.id = JobId{id};
--- a/tests/state/api_request_tests.cpp
+++ b/tests/state/api_request_tests.cpp
@@ -4,14 +4,14 @@
 #include <CppUTest/TestHarness.h>
 using namespace aniseline;
 
-TEST_GROUP(ExchangeTests){};
+TEST_GROUP(ApiRequestTests){};
 
-TEST(ExchangeTests, badBodiesAreNamedAndNothingElse) {
+TEST(ApiRequestTests, invalidRequestsAreRejectedWithThePathOfTheError) {
   struct Case {
     const char* method;
     const char* target;
     const char* body;
-    const char* part;
+    const char* expectedText;
   };
   const Case cases[] = {
       {"POST", "/v1/jobs", "{", "not JSON"},
@@ -36,30 +36,30 @@
       {"PATCH", "/v1/jobs", "", "there is no"},
       {"GET", "/v1/jobs/a/b/c", "", "there is no"},
   };
-  for (const auto& bad : cases) {
-    auto parsed = ApiRequest::parse(bad.method, bad.target, bad.body);
-    CHECK_TEXT(!parsed.has_value(), bad.body);
-    CHECK_TEXT(parsed.error().text().find(bad.part) != std::string::npos,
+  for (const auto& invalid : cases) {
+    auto parsed = ApiRequest::parse(invalid.method, invalid.target, invalid.body);
+    CHECK_TEXT(!parsed.has_value(), invalid.body);
+    CHECK_TEXT(parsed.error().text().find(invalid.expectedText) != std::string::npos,
                parsed.error().text().c_str());
   }
 }
 
-TEST(ExchangeTests, aFloodOfOtherWorkLeavesRoomForUrgent) {
-  LeaderRoute view;
-  view.priorityQueues = {QueueName{"proofs"}};
-  ApiRequest plain, urgent, sync;
-  plain.kind = urgent.kind = RequestKind::submitJob;
-  plain.job.queue = QueueName{"plates"};
+TEST(ApiRequestTests, ordinarySubmissionsLeaveCapacityForPriorityQueues) {
+  LeaderRoute route;
+  route.priorityQueues = {QueueName{"proofs"}};
+  ApiRequest ordinary, urgent, sync;
+  ordinary.kind = urgent.kind = RequestKind::submitJob;
+  ordinary.job.queue = QueueName{"plates"};
   urgent.job.queue = QueueName{"proofs"};
   sync.kind = RequestKind::syncWorker;
-  CHECK(view.admits(plain, 79, 100));
-  CHECK(!view.admits(plain, 80, 100));
-  CHECK(view.admits(urgent, 99, 100));
-  CHECK(!view.admits(urgent, 100, 100));
-  CHECK(view.admits(sync, 1000, 100));
+  CHECK(route.admits(ordinary, 79, 100));
+  CHECK(!route.admits(ordinary, 80, 100));
+  CHECK(route.admits(urgent, 99, 100));
+  CHECK(!route.admits(urgent, 100, 100));
+  CHECK(route.admits(sync, 1000, 100));
 }
 
-TEST(ExchangeTests, aJobSurvivesItsOwnRendering) {
+TEST(ApiRequestTests, renderedSubmissionParsesToTheSameJob) {
   auto parsed = ApiRequest::parse(
       "POST", "/v1/jobs",
       R"({"id":"a","queue":"q","steps":[{"name":"x","gang":true,"tasks":[{"count":3,"cores":2,"memory_mb":5,"runtime_ms":7,"payload":"p"}]}]})");
--- a/tests/state/called_worker_state_tests.cpp
+++ b/tests/state/called_worker_state_tests.cpp
@@ -53,9 +53,9 @@
       apply(
           WorkerSynced{WorkerId{id}, clusterState.workers().at(WorkerId{id}).lastIssuedOrder, {}});
   }
-  void end(const char* worker, std::uint64_t attempt, AttemptOutcome kind) {
+  void endAttempt(const char* worker, std::uint64_t attempt, AttemptOutcome outcome) {
     apply(WorkerSynced{
-        WorkerId{worker}, OrderNumber{}, {AttemptResult{AttemptNumber{attempt}, kind}}});
+        WorkerId{worker}, OrderNumber{}, {AttemptResult{AttemptNumber{attempt}, outcome}}});
   }
   JobState state() const { return clusterState.jobs().at(JobId{"a"}).state; }
 };
@@ -66,21 +66,21 @@
 
 // Also when another member's success was void: else that member would wait alone for ever.
 TEST(CalledWorkerStateTests, oneSuccessCountsForTheWholeGang) {
-  GangFixture given;
-  given.place(1, {0, 1});
-  given.end("v", 1, AttemptOutcome::stopped);
-  given.end("w", 2, AttemptOutcome::succeeded);
-  CHECK(given.state() == JobState::succeeded);
+  GangFixture fixture;
+  fixture.place(1, {0, 1});
+  fixture.endAttempt("v", 1, AttemptOutcome::stopped);
+  fixture.endAttempt("w", 2, AttemptOutcome::succeeded);
+  CHECK(fixture.state() == JobState::succeeded);
 }
 TEST(CalledWorkerStateTests, lateSuccessOfAGangStopsItsReplacement) {
-  GangFixture given;
-  given.place(1, {0, 1});
-  given.end("v", 1, AttemptOutcome::stopped);
-  given.place(2, {0});
-  given.end("w", 2, AttemptOutcome::succeeded);
-  CHECK(given.clusterState.attempts().at(AttemptNumber{3}).state == AttemptState::stopping);
-  given.end("v", 3, AttemptOutcome::stopped);
-  CHECK(given.state() == JobState::succeeded);
+  GangFixture fixture;
+  fixture.place(1, {0, 1});
+  fixture.endAttempt("v", 1, AttemptOutcome::stopped);
+  fixture.place(2, {0});
+  fixture.endAttempt("w", 2, AttemptOutcome::succeeded);
+  CHECK(fixture.clusterState.attempts().at(AttemptNumber{3}).state == AttemptState::stopping);
+  fixture.endAttempt("v", 3, AttemptOutcome::stopped);
+  CHECK(fixture.state() == JobState::succeeded);
 }
 
 // docs/design.md 5.7.
--- a/tests/state/cluster_config_tests.cpp
+++ b/tests/state/cluster_config_tests.cpp
@@ -5,9 +5,9 @@
 #include <CppUTest/TestHarness.h>
 using namespace aniseline;
 
-TEST_GROUP(ConfigTests){};
+TEST_GROUP(ClusterConfigTests){};
 
-TEST(ConfigTests, takesAWholeDescription) {
+TEST(ClusterConfigTests, parsesACompleteConfiguration) {
   auto config = ClusterConfig::parse(
       R"({"policies":{"short":{"rank":"expansion + urgency","may_hold":"runtime > 0.1"}},
         "queues":{"proofs":{"urgency":9,"retries":2,"policy":"short","trial":{"quantum_ms":5000}}}})");
@@ -17,7 +17,7 @@
               config.value().findQueue(QueueName{"proofs"})->trial.minimumRuntime.milliseconds);
 }
 
-TEST(ConfigTests, namesEveryFaultByItsPath) {
+TEST(ClusterConfigTests, reportsEveryErrorWithItsPath) {
   auto config = ClusterConfig::parse(R"({"policies":{"odd":{"rank":"wait +"}},
         "queues":{"proofs":{"urgency":"high","retries":-1,"colour":1,"policy":"none"}}})");
   CHECK(!config.has_value());
--- a/tests/state/cluster_state_fixture.hpp
+++ b/tests/state/cluster_state_fixture.hpp
@@ -11,7 +11,7 @@
   ClusterState clusterState;
   Planner planner;
   std::int64_t now = 1000;
-  LastContactAges silences;
+  LastContactAges contactAges;
 
   static constexpr const char* configText =
       R"({"planner":{"trials":false,"urgency_first":true,"far":1.5,"known_after_ms":3000},
@@ -40,38 +40,38 @@
     std::uint64_t incarnation = 1;
   };
   void registerWorker(const std::string& id) { registerWorker(id, WorkerOptions{}); }
-  void registerWorker(const std::string& id, const WorkerOptions& place) {
+  void registerWorker(const std::string& id, const WorkerOptions& options) {
     Capacity capacity;
-    capacity.cores = place.cores;
+    capacity.cores = options.cores;
     capacity.memory = 32'768;
-    capacity.rack = place.rack;
-    capacity.pool = place.pool;
-    capacity.labels = place.labels;
-    if (!place.rack.empty())
-      capacity.labels.push_back(place.rack);
-    capacity.accelerators = place.accelerators;
-    capacity.host = place.host.empty() ? id : place.host;
+    capacity.rack = options.rack;
+    capacity.pool = options.pool;
+    capacity.labels = options.labels;
+    if (!options.rack.empty())
+      capacity.labels.push_back(options.rack);
+    capacity.accelerators = options.accelerators;
+    capacity.host = options.host.empty() ? id : options.host;
     capacity.honoursLeases = capacity.killsOnLeaseExpiry = capacity.selfAssemblingGangs = true;
     capacity.supportsSuspend = false;
-    apply(WorkerRegistered{WorkerId{id}, Incarnation{place.incarnation}, capacity});
-    silences[WorkerId{id}] = Duration{0};
+    apply(WorkerRegistered{WorkerId{id}, Incarnation{options.incarnation}, capacity});
+    contactAges[WorkerId{id}] = Duration{0};
   }
   static StepRequest step(std::size_t tasks, std::uint32_t cores = 1000,
-                          StepRequirements needs = {}, bool gang = false,
+                          StepRequirements stepRequirements = {}, bool gang = false,
                           std::int64_t runtime = 10'000) {
     TaskRequest task;
     task.cores = cores;
     task.memory = 100;
     task.runtime = Duration{runtime};
-    StepRequest made;
-    made.gang = gang;
-    made.tasks.assign(tasks, task);
-    made.requirements = std::move(needs);
-    return made;
+    StepRequest result;
+    result.gang = gang;
+    result.tasks.assign(tasks, task);
+    result.requirements = std::move(stepRequirements);
+    return result;
   }
   static StepRequest gang(std::size_t tasks, std::uint32_t cores = 1000,
-                          StepRequirements needs = {}) {
-    return step(tasks, cores, std::move(needs), true);
+                          StepRequirements stepRequirements = {}) {
+    return step(tasks, cores, std::move(stepRequirements), true);
   }
   void submit(const std::string& id, std::vector<StepRequest> steps, const std::string& queue = "q",
               Timetable timetable = {}) {
@@ -79,24 +79,24 @@
     job.id = JobId{id};
     job.queue = QueueName{queue};
     job.timetable = timetable;
-    for (auto& each : steps) {
-      each.name = std::to_string(job.steps.size());
-      job.steps.push_back(std::move(each));
+    for (auto& stepRequest : steps) {
+      stepRequest.name = std::to_string(job.steps.size());
+      job.steps.push_back(std::move(stepRequest));
     }
     apply(JobAccepted{std::move(job)});
   }
   // What a plan does, in one line; folded, but not applied by the workers.
   std::string plan() {
-    auto made = planner.makePlan(clusterState, ClusterTime{now}, silences);
+    auto result = planner.makePlan(clusterState, ClusterTime{now}, contactAges);
     std::string text;
-    for (const auto& action : made.record.actions) {
+    for (const auto& action : result.record.actions) {
       static const char* const names[] = {"start ", "stage ", "go ", "hold ", "stop "};
       const auto& job =
           action.job.value.empty() ? clusterState.attempts().at(action.attempt).job : action.job;
       text += (text.empty() ? "" : ", ") + std::string(names[int(action.kind)]) + job.value +
               " on " + action.worker.value;
     }
-    apply(made.record);
+    apply(result.record);
     return text;
   }
   void applyOrders() {
@@ -115,21 +115,23 @@
   std::string workerOf(const std::string& id, std::size_t task = 0) const {
     return clusterState.attempts().at(attempt(id, task)).worker.value;
   }
-  void endAttempt(AttemptNumber number, AttemptOutcome kind, const std::string& saved = "") {
-    apply(WorkerSynced{clusterState.attempts().at(number).worker, {}, {{number, kind, saved}}});
+  void endAttempt(AttemptNumber number, AttemptOutcome outcome,
+                  const std::string& checkpoint = "") {
+    apply(WorkerSynced{
+        clusterState.attempts().at(number).worker, {}, {{number, outcome, checkpoint}}});
   }
-  void endAttempt(const std::string& id, AttemptOutcome kind = AttemptOutcome::succeeded,
-                  std::size_t task = 0, const std::string& saved = "") {
-    endAttempt(attempt(id, task), kind, saved);
+  void endAttempt(const std::string& id, AttemptOutcome outcome = AttemptOutcome::succeeded,
+                  std::size_t task = 0, const std::string& checkpoint = "") {
+    endAttempt(attempt(id, task), outcome, checkpoint);
   }
-  void saveCheckpoint(const std::string& id, std::size_t task, const std::string& saved) {
+  void saveCheckpoint(const std::string& id, std::size_t task, const std::string& checkpoint) {
     WorkerSynced synced{clusterState.attempts().at(attempt(id, task)).worker, {}, {}};
-    synced.checkpoints.emplace_back(attempt(id, task), saved);
+    synced.checkpoints.emplace_back(attempt(id, task), checkpoint);
     apply(std::move(synced));
   }
   const Job& job(const std::string& id) const { return clusterState.jobs().at(JobId{id}); }
-  const Task& task(const std::string& id, std::size_t place = 0) const {
-    return job(id).tasks.at(place);
+  const Task& task(const std::string& id, std::size_t index = 0) const {
+    return job(id).tasks.at(index);
   }
   std::string state(const std::string& id) const { return name(job(id).state); }
   std::string tasks(const std::string& id) const {
--- a/tests/state/cluster_state_index_tests.cpp
+++ b/tests/state/cluster_state_index_tests.cpp
@@ -6,31 +6,31 @@
 
 namespace {
 
-std::vector<AttemptNumber> walk(const ClusterState& clusterState,
-                                const std::function<bool(const Attempt&)>& wanted) {
+std::vector<AttemptNumber> scanAttempts(const ClusterState& clusterState,
+                                        const std::function<bool(const Attempt&)>& predicate) {
   std::vector<AttemptNumber> found;
   for (const auto& [number, attempt] : clusterState.attempts())
-    if (wanted(attempt))
+    if (predicate(attempt))
       found.push_back(number);
   return found;
 }
 
 // The fold's own definition of a name, by a walk.
-AttemptNumber walkNamed(const ClusterState& clusterState, const WorkerId& worker,
-                        const TaskRunId& name) {
-  auto job = clusterState.jobs().find(name.job);
+AttemptNumber scanForRun(const ClusterState& clusterState, const WorkerId& worker,
+                         const TaskRunId& run) {
+  auto job = clusterState.jobs().find(run.job);
   if (job != clusterState.jobs().end() && job->second.submission.hasTimetable())
-    job = clusterState.jobs().find(JobId{name.job.value + "@" + std::to_string(name.occurrence)});
+    job = clusterState.jobs().find(JobId{run.job.value + "@" + std::to_string(run.occurrence)});
   if (job == clusterState.jobs().end())
     return AttemptNumber{};
-  const std::size_t place = job->second.taskIndexOf(name.stepIndex, name.indexInStep);
-  if (place >= job->second.tasks.size())
+  const std::size_t index = job->second.taskIndexOf(run.stepIndex, run.indexInStep);
+  if (index >= job->second.tasks.size())
     return AttemptNumber{};
-  const auto all = walk(clusterState, [&](const Attempt& attempt) {
-    return attempt.runNumber == name.runNumber && attempt.worker == worker &&
-           attempt.job == job->first && attempt.taskIndex == place;
+  const auto all = scanAttempts(clusterState, [&](const Attempt& attempt) {
+    return attempt.runNumber == run.runNumber && attempt.worker == worker &&
+           attempt.job == job->first && attempt.taskIndex == index;
   });
-  const AttemptNumber current = job->second.tasks[place].currentAttempt;
+  const AttemptNumber current = job->second.tasks[index].currentAttempt;
   if (std::count(all.begin(), all.end(), current))
     return current;
   return all.empty() ? AttemptNumber{} : all.front();
@@ -40,20 +40,21 @@
     R"({"planner":{"trials":true,"urgency_first":true,"known_after_ms":3000},
     "pools":{"press":{}},"queues":{"q":{"pool":"press","tries":2},"plain":{"pool":"press","retries":1}}})";
 
-struct Wanderer {
-  ClusterStateFixture bench{configText};
+struct RandomOperations {
+  ClusterStateFixture fixture{configText};
   Random random;
   std::set<JobId> jobs;
-  std::set<std::pair<WorkerId, TaskRunId>> names;  // also of attempts that are closed by now
-  std::uint64_t submitted = 0, incarnation = 1, holds = 0, lost = 0, ended = 0;
-  explicit Wanderer(std::uint64_t seed) : random(seed) {
-    for (int place = 0; place < 5; ++place)
-      bench.registerWorker(worker(place));
+  std::set<std::pair<WorkerId, TaskRunId>> runs;  // also of attempts that are closed by now
+  std::uint64_t submitted = 0, incarnation = 1, suspendCount = 0, abandonedCount = 0,
+                closedCount = 0;
+  explicit RandomOperations(std::uint64_t seed) : random(seed) {
+    for (int index = 0; index < 5; ++index)
+      fixture.registerWorker(worker(index));
   }
-  static std::string worker(std::int64_t place) { return "worker" + std::to_string(place); }
+  static std::string worker(std::int64_t index) { return "worker" + std::to_string(index); }
   WorkerId anyWorker() { return WorkerId{worker(random.between(0, 4))}; }
   std::optional<AttemptNumber> anyAttempt() {
-    const auto& attempts = bench.clusterState.attempts();
+    const auto& attempts = fixture.clusterState.attempts();
     if (attempts.empty())
       return std::nullopt;
     return std::next(attempts.begin(), random.between(0, std::int64_t(attempts.size()) - 1))->first;
@@ -76,19 +77,19 @@
     }
     const Timetable timetable =
         random.chance(0.2) ? Timetable{ClusterTime{5000}, Duration{1000}, 3} : Timetable{};
-    bench.submit(id, std::move(steps), random.chance(0.5) ? "q" : "plain", timetable);
+    fixture.submit(id, std::move(steps), random.chance(0.5) ? "q" : "plain", timetable);
     if (timetable.firstStart.milliseconds)
-      bench.apply(OccurrenceFired{JobId{id}});
+      fixture.apply(OccurrenceFired{JobId{id}});
   }
   // A trial of a waiting task, and what runs there held for it.
-  void trial() {
-    for (const auto& [id, job] : bench.clusterState.jobs())
+  void startTrial() {
+    for (const auto& [id, job] : fixture.clusterState.jobs())
       for (std::uint32_t task = 0; task < job.tasks.size(); ++task) {
         if (job.isTerminal() || job.terminating || job.tasks[task].state != TaskState::pending ||
             job.stepOf(job.tasks[task]).gang)
           continue;
         Action start;
-        start.attempt = bench.clusterState.lastAttempt().next();
+        start.attempt = fixture.clusterState.lastAttempt().next();
         start.job = id;
         start.taskIndex = task;
         start.worker = anyWorker();
@@ -96,117 +97,119 @@
         start.quantum = Duration{500};
         std::vector<Action> actions{start};
         for (auto number :
-             bench.clusterState.attemptsOn(random.chance(0.7) ? start.worker : anyWorker())) {
-          if (bench.clusterState.attempts().at(number).state != AttemptState::running)
+             fixture.clusterState.attemptsOn(random.chance(0.7) ? start.worker : anyWorker())) {
+          if (fixture.clusterState.attempts().at(number).state != AttemptState::running)
             continue;
-          Action hold;
-          hold.kind = ActionKind::suspend;
-          hold.attempt = number;
-          hold.suspendedForTrial = start.attempt;
-          actions.push_back(hold);
-          ++holds;
+          Action suspendAction;
+          suspendAction.kind = ActionKind::suspend;
+          suspendAction.attempt = number;
+          suspendAction.suspendedForTrial = start.attempt;
+          actions.push_back(suspendAction);
+          ++suspendCount;
         }
-        return bench.apply(PlanMade{bench.clusterState.lastPlan().next(), actions, {}});
+        return fixture.apply(PlanMade{fixture.clusterState.lastPlan().next(), actions, {}});
       }
   }
-  void copy() {
+  void startRedundantCopy() {
     const auto number = anyAttempt();
     if (!number)
       return;
-    const Attempt attempt = bench.clusterState.attempts().at(*number);
-    auto job = bench.clusterState.jobs().find(attempt.job);
-    if (job == bench.clusterState.jobs().end() || job->second.tasks.empty() ||
+    const Attempt attempt = fixture.clusterState.attempts().at(*number);
+    auto job = fixture.clusterState.jobs().find(attempt.job);
+    if (job == fixture.clusterState.jobs().end() || job->second.tasks.empty() ||
         !job->second.submission.steps[attempt.stepIndex].requirements.redundant || attempt.gang)
       return;
     if (job->second.tasks[attempt.taskIndex].currentAttempt != *number ||
         job->second.tasks[attempt.taskIndex].redundantAttempt.value || job->second.terminating)
       return;
     Action start;
-    start.attempt = bench.clusterState.lastAttempt().next();
+    start.attempt = fixture.clusterState.lastAttempt().next();
     start.job = attempt.job;
     start.taskIndex = attempt.taskIndex;
     start.worker = anyWorker();
     start.redundantCopy = true;
-    bench.apply(PlanMade{bench.clusterState.lastPlan().next(), {start}, {}});
+    fixture.apply(PlanMade{fixture.clusterState.lastPlan().next(), {start}, {}});
   }
-  void end() {
+  void closeAnAttempt() {
     const auto number = anyAttempt();
     if (!number)
       return;
-    ++ended;
-    bench.endAttempt(*number, AttemptOutcome(random.between(0, 5)));
+    ++closedCount;
+    fixture.endAttempt(*number, AttemptOutcome(random.between(0, 5)));
   }
-  void silent() {
+  void makeUnreachable() {
     const WorkerId id = anyWorker();
-    WorkerUnreachable silence{id, {}};
-    for (auto number : bench.clusterState.attemptsOn(id))
+    WorkerUnreachable unreachable{id, {}};
+    for (auto number : fixture.clusterState.attemptsOn(id))
       if (random.chance(0.6))
-        silence.abandoned.push_back(number);
-    lost += silence.abandoned.size();
-    bench.apply(silence);
+        unreachable.abandoned.push_back(number);
+    abandonedCount += unreachable.abandoned.size();
+    fixture.apply(unreachable);
     if (random.chance(0.5))
-      bench.apply(WorkerReconnected{id});
+      fixture.apply(WorkerReconnected{id});
   }
-  void turn() {
-    bench.now += random.between(1, 400);
+  void runOne() {
+    fixture.now += random.between(1, 400);
     const auto kind = random.between(0, 99);
     if (kind < 20)
       submit();
     else if (kind < 40)
-      bench.planAndRun();
+      fixture.planAndRun();
     else if (kind < 65)
-      end();
+      closeAnAttempt();
     else if (kind < 72)
-      trial();
+      startTrial();
     else if (kind < 78)
-      copy();
+      startRedundantCopy();
     else if (kind < 83)
-      silent();
+      makeUnreachable();
     else if (kind < 85)
-      bench.apply(WorkerRemoved{anyWorker(), "declared"});
+      fixture.apply(WorkerRemoved{anyWorker(), "declared"});
     else if (kind < 89) {
-      ClusterStateFixture::WorkerOptions place;
-      place.incarnation = ++incarnation;
-      bench.registerWorker(anyWorker().value, place);
+      ClusterStateFixture::WorkerOptions index;
+      index.incarnation = ++incarnation;
+      fixture.registerWorker(anyWorker().value, index);
     } else if (kind < 91)
-      bench.apply(WorkerDrainStarted{anyWorker(), Duration{500}, false});
+      fixture.apply(WorkerDrainStarted{anyWorker(), Duration{500}, false});
     else if (kind < 92)
-      bench.apply(WorkerDrainDeadlinePassed{anyWorker()});
+      fixture.apply(WorkerDrainDeadlinePassed{anyWorker()});
     else if (kind < 94)
-      bench.apply(WorkerReconnected{anyWorker()});
+      fixture.apply(WorkerReconnected{anyWorker()});
     else if (kind < 96)
-      bench.apply(JobCancelled{anyJob()});
+      fixture.apply(JobCancelled{anyJob()});
     else if (kind < 98)
-      bench.apply(JobFailed{anyJob(), "drawn"});
+      fixture.apply(JobFailed{anyJob(), "drawn"});
     else {
-      JobsExpired forgotten;
-      for (const auto& [id, job] : bench.clusterState.jobs())
-        (random.chance(0.5) ? forgotten.jobs : forgotten.compacted).push_back(id);
-      bench.apply(forgotten);
+      JobsExpired expired;
+      for (const auto& [id, job] : fixture.clusterState.jobs())
+        (random.chance(0.5) ? expired.jobs : expired.compacted).push_back(id);
+      fixture.apply(expired);
     }
-    for (const auto& [id, job] : bench.clusterState.jobs())
+    for (const auto& [id, job] : fixture.clusterState.jobs())
       jobs.insert(id);
-    for (const auto& [number, attempt] : bench.clusterState.attempts()) {
+    for (const auto& [number, attempt] : fixture.clusterState.attempts()) {
       Order order;
       order.job = attempt.job;
       order.stepIndex = attempt.stepIndex;
       order.indexInStep = attempt.indexInStep;
       order.runNumber = attempt.runNumber;
-      names.emplace(attempt.worker, TaskRunId::of(order));
+      runs.emplace(attempt.worker, TaskRunId::of(order));
     }
   }
   void check(const ClusterState& clusterState) const {
     for (const auto& id : jobs)
       for (auto scope : {AttemptScope::withoutAbandoned, AttemptScope::all})
-        CHECK(clusterState.attemptsOf(id, scope) == walk(clusterState, [&](const Attempt& attempt) {
+        CHECK(clusterState.attemptsOf(id, scope) ==
+              scanAttempts(clusterState, [&](const Attempt& attempt) {
                 return attempt.job == id && (scope == AttemptScope::all || !attempt.abandoned);
               }));
-    for (int place = 0; place < 5; ++place)
-      CHECK(clusterState.attemptsOn(WorkerId{worker(place)}) ==
-            walk(clusterState,
-                 [&](const Attempt& attempt) { return attempt.worker.value == worker(place); }));
-    for (const auto& [worker, name] : names)
-      CHECK(clusterState.findAttempt(worker, name) == walkNamed(clusterState, worker, name));
+    for (int index = 0; index < 5; ++index)
+      CHECK(clusterState.attemptsOn(WorkerId{worker(index)}) ==
+            scanAttempts(clusterState, [&](const Attempt& attempt) {
+              return attempt.worker.value == worker(index);
+            }));
+    for (const auto& [worker, run] : runs)
+      CHECK(clusterState.findAttempt(worker, run) == scanForRun(clusterState, worker, run));
     // Whoever waits for a trial is resumed with its end. docs/design.md 7.5.
     for (const auto& [number, attempt] : clusterState.attempts())
       CHECK(attempt.state != AttemptState::suspended ||
@@ -216,53 +219,54 @@
 
 }  // namespace
 
-TEST_GROUP(ClusterStateIndices){};
+TEST_GROUP(ClusterStateIndexTests){};
 
-TEST(ClusterStateIndices, findWhatAWalkFinds) {
-  std::uint64_t holds = 0, lost = 0, ended = 0;
+TEST(ClusterStateIndexTests, lookupsMatchAFullScan) {
+  std::uint64_t suspendCount = 0, abandonedCount = 0, closedCount = 0;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-    Wanderer wanderer(seed);
-    for (int turn = 0; turn < 150; ++turn) {
-      wanderer.turn();
-      wanderer.check(wanderer.bench.clusterState);
+    RandomOperations operations(seed);
+    for (int runOne = 0; runOne < 150; ++runOne) {
+      operations.runOne();
+      operations.check(operations.fixture.clusterState);
     }
-    holds += wanderer.holds, lost += wanderer.lost, ended += wanderer.ended;
+    suspendCount += operations.suspendCount, abandonedCount += operations.abandonedCount,
+        closedCount += operations.closedCount;
   }
-  CHECK(holds > 20 && lost > 20 && ended > 100);
+  CHECK(suspendCount > 20 && abandonedCount > 20 && closedCount > 100);
 }
 
 // The indices are not in a view: they are made anew when one is read, and what is folded next finds
 // the same.
-TEST(ClusterStateIndices, areMadeAnewFromAView) {
+TEST(ClusterStateIndexTests, indexesAreRebuiltFromASnapshot) {
   for (std::uint64_t seed = 20; seed <= 26; ++seed) {
-    Wanderer wanderer(seed);
-    for (int turn = 0; turn < 120; ++turn) {
-      wanderer.turn();
-      if (turn % 20 != 19)
+    RandomOperations operations(seed);
+    for (int runOne = 0; runOne < 120; ++runOne) {
+      operations.runOne();
+      if (runOne % 20 != 19)
         continue;
-      const std::string before = pack(wanderer.bench.clusterState);
-      wanderer.bench.clusterState = unpack<ClusterState>(before).value();
-      CHECK(pack(wanderer.bench.clusterState) == before);
-      wanderer.check(wanderer.bench.clusterState);
+      const std::string before = pack(operations.fixture.clusterState);
+      operations.fixture.clusterState = unpack<ClusterState>(before).value();
+      CHECK(pack(operations.fixture.clusterState) == before);
+      operations.check(operations.fixture.clusterState);
     }
   }
 }
 
 // A follower folds what it reads, and begins from a view now and then; it comes to the very state
 // of the leader, who folds what it made.
-TEST(ClusterStateIndices, aFollowerThatReadsAndBeginsFromViewsIsNoOther) {
+TEST(ClusterStateIndexTests, followerThatRestoresSnapshotsStaysIdentical) {
   for (std::uint64_t seed = 40; seed <= 60; ++seed) {
-    Wanderer wanderer(seed);
-    ClusterState follower = unpack<ClusterState>(pack(wanderer.bench.clusterState)).value();
-    std::uint64_t folds = 0;
-    wanderer.bench.onApplied = [&](const LogRecord& record) {
+    RandomOperations operations(seed);
+    ClusterState follower = unpack<ClusterState>(pack(operations.fixture.clusterState)).value();
+    std::uint64_t appliedCount = 0;
+    operations.fixture.onApplied = [&](const LogRecord& record) {
       follower.apply(unpack<LogRecord>(pack(record)).value());
-      if (++folds % 17 == 0)
+      if (++appliedCount % 17 == 0)
         follower = unpack<ClusterState>(pack(follower)).value();
     };
-    for (int turn = 0; turn < 200; ++turn) {
-      wanderer.turn();
-      CHECK(pack(follower) == pack(wanderer.bench.clusterState));
+    for (int runOne = 0; runOne < 200; ++runOne) {
+      operations.runOne();
+      CHECK(pack(follower) == pack(operations.fixture.clusterState));
     }
   }
 }
--- a/tests/state/config_patch_tests.cpp
+++ b/tests/state/config_patch_tests.cpp
@@ -7,23 +7,23 @@
 
 namespace {
 
-const char* const listed = R"({"version":5,"routes":[{"name":"a","ms":1},{"name":"b","ms":2}],
+const char* const arrayConfig = R"({"version":5,"routes":[{"name":"a","ms":1},{"name":"b","ms":2}],
 "services":[{"name":"s"}],"limits":{"bytes":7}})";
-const char* const byName = R"({"queues":{"proofs":{"retries":1},"plates":{}},"pools":{}})";
+const char* const objectConfig = R"({"queues":{"proofs":{"retries":1},"plates":{}},"pools":{}})";
 
-Result<std::string> patched(const std::string& base, const std::string& patch) {
+Result<std::string> applyPatch(const std::string& base, const std::string& patch) {
   auto parsed = ConfigPatch::parse(patch);
   if (!parsed)
     return parsed.error();
   return parsed.value().applyTo(base);
 }
-std::string textOf(const std::string& base, const std::string& patch) {
-  const auto text = patched(base, patch);
+std::string patchedTextOf(const std::string& base, const std::string& patch) {
+  const auto text = applyPatch(base, patch);
   return text ? text.value() : "error at " + text.error().details.at(0).path;
 }
 // The path of the first fault; "none" if the patch fits.
-std::string faultOf(const std::string& base, const std::string& patch) {
-  const auto text = patched(base, patch);
+std::string errorPathOf(const std::string& base, const std::string& patch) {
+  const auto text = applyPatch(base, patch);
   return text ? "none" : text.error().details.at(0).path;
 }
 
@@ -31,50 +31,53 @@
 
 TEST_GROUP(ConfigPatchTests){};
 
-TEST(ConfigPatchTests, anItemIsReplacedInItsPlaceAndANewOneGoesToTheEnd) {
+TEST(ConfigPatchTests, replacedItemsKeepTheirPlaceAndNewOnesAreAppended) {
   STRCMP_EQUAL(
       R"({"limits":{"bytes":7},"routes":[{"ms":9,"name":"a"},{"ms":2,"name":"b"},{"name":"c"}],"services":[{"name":"s"}],"version":9})",
-      textOf(listed, R"({"version":9,"upsert":{"routes":[{"name":"c"},{"name":"a","ms":9}]}})")
+      patchedTextOf(arrayConfig,
+                    R"({"version":9,"upsert":{"routes":[{"name":"c"},{"name":"a","ms":9}]}})")
           .c_str());
 }
 
 TEST(ConfigPatchTests, itemsAreRemovedByName) {
   STRCMP_EQUAL(
       R"({"limits":{"bytes":7},"routes":[{"ms":2,"name":"b"}],"services":[],"version":6})",
-      textOf(listed, R"({"version":6,"remove":{"routes":["a"],"services":["s"]}})").c_str());
+      patchedTextOf(arrayConfig, R"({"version":6,"remove":{"routes":["a"],"services":["s"]}})")
+          .c_str());
 }
 
-TEST(ConfigPatchTests, whatIsRemovedAndGivenAnewMovesToTheEnd) {
+TEST(ConfigPatchTests, itemsRemovedAndUpsertedMoveToTheEnd) {
   STRCMP_EQUAL(
       R"({"routes":[{"name":"b"},{"name":"a"}],"version":2})",
-      textOf(R"({"routes":[{"name":"a"},{"name":"b"}]})",
-             R"({"version":2,"upsert":{"routes":[{"name":"a"}]},"remove":{"routes":["a"]}})")
+      patchedTextOf(R"({"routes":[{"name":"a"},{"name":"b"}]})",
+                    R"({"version":2,"upsert":{"routes":[{"name":"a"}]},"remove":{"routes":["a"]}})")
           .c_str());
 }
 
-TEST(ConfigPatchTests, itemsByNameKeepTheirForm) {
+TEST(ConfigPatchTests, objectsOfNamedItemsStayObjects) {
   STRCMP_EQUAL(
       R"({"pools":{},"queues":{"dielines":{"tries":2},"proofs":{"retries":3}}})",
-      textOf(
-          byName,
+      patchedTextOf(
+          objectConfig,
           R"({"upsert":{"queues":{"proofs":{"retries":3},"dielines":{"tries":2}}},"remove":{"queues":["plates"]}})")
           .c_str());
 }
 
 // The base's version is not that of the patched configuration, which the leader numbers.
-TEST(ConfigPatchTests, aPatchWithoutVersionLeavesNone) {
-  STRCMP_EQUAL(R"({"queues":{}})", textOf(R"({"version":5,"queues":{}})", "{}").c_str());
+TEST(ConfigPatchTests, patchWithoutVersionRemovesTheVersion) {
+  STRCMP_EQUAL(R"({"queues":{}})", patchedTextOf(R"({"version":5,"queues":{}})", "{}").c_str());
 }
 
-TEST(ConfigPatchTests, numbersKeepTheirValue) {
-  STRCMP_EQUAL(R"({"routes":[{"name":"a","x":262144,"y":1.5}],"version":1})",
-               textOf(R"({"routes":[]})",
-                      R"({"version":1,"upsert":{"routes":[{"name":"a","x":262144,"y":1.5}]}})")
-                   .c_str());
+TEST(ConfigPatchTests, numbersKeepTheirValues) {
+  STRCMP_EQUAL(
+      R"({"routes":[{"name":"a","x":262144,"y":1.5}],"version":1})",
+      patchedTextOf(R"({"routes":[]})",
+                    R"({"version":1,"upsert":{"routes":[{"name":"a","x":262144,"y":1.5}]}})")
+          .c_str());
 }
 
-TEST(ConfigPatchTests, whatDoesNotFitTheBaseIsNamedByItsPath) {
-  const std::pair<const char*, const char*> faults[] = {
+TEST(ConfigPatchTests, mismatchesWithTheBaseAreReportedByPath) {
+  const std::pair<const char*, const char*> cases[] = {
       {R"({"version":6,"remove":{"routes":["a","c"]}})", "/remove/routes/1"},
       {R"({"version":6,"remove":{"rowtes":["a"]}})", "/remove/rowtes"},
       {R"({"version":6,"upsert":{"rowtes":[{"name":"a"}]}})", "/upsert/rowtes"},
@@ -87,18 +90,19 @@
       {R"({"version":6,"upsert":{"routes":[{"name":7}]}})", "/upsert/routes/0"},
       {R"({"version":6,"upsert":{"routes":[{"name":"c"},{"name":"c"}]}})", "/upsert/routes/1/name"},
   };
-  for (const auto& [patch, path] : faults)
-    STRCMP_EQUAL(path, faultOf(listed, patch).c_str());
+  for (const auto& [patch, path] : cases)
+    STRCMP_EQUAL(path, errorPathOf(arrayConfig, patch).c_str());
   STRCMP_EQUAL("/upsert/queues",
-               faultOf(byName, R"({"upsert":{"queues":[{"name":"a"}]}})").c_str());
-  STRCMP_EQUAL("/upsert/queues/a", faultOf(byName, R"({"upsert":{"queues":{"a":1}}})").c_str());
-  STRCMP_EQUAL("/upsert/a/0/name",
-               faultOf(R"({"a":[{"name":"x"},{"name":"x"}]})", R"({"upsert":{"a":[{"name":"x"}]}})")
-                   .c_str());
+               errorPathOf(objectConfig, R"({"upsert":{"queues":[{"name":"a"}]}})").c_str());
+  STRCMP_EQUAL("/upsert/queues/a",
+               errorPathOf(objectConfig, R"({"upsert":{"queues":{"a":1}}})").c_str());
+  STRCMP_EQUAL("/upsert/a/0/name", errorPathOf(R"({"a":[{"name":"x"},{"name":"x"}]})",
+                                               R"({"upsert":{"a":[{"name":"x"}]}})")
+                                       .c_str());
 }
 
-TEST(ConfigPatchTests, aPatchThatIsNoneIsRefusedByItself) {
-  const std::pair<const char*, const char*> faults[] = {
+TEST(ConfigPatchTests, invalidPatchesAreRejectedByParse) {
+  const std::pair<const char*, const char*> cases[] = {
       {"", ""},
       {"[]", ""},
       {R"({"version":6} x)", ""},
@@ -109,19 +113,19 @@
       {R"({"version":6,"remove":{"routes":[1]}})", "/remove/routes"},
       {R"({"version":6,"upserts":{}})", "/upserts"},
   };
-  for (const auto& [patch, path] : faults) {
+  for (const auto& [patch, path] : cases) {
     const auto parsed = ConfigPatch::parse(patch);
     CHECK(!parsed);
     STRCMP_EQUAL(path, parsed.error().details.at(0).path.c_str());
   }
 }
 
-TEST(ConfigPatchTests, thereIsNothingToPatchBeforeTheFirstConfiguration) {
-  STRCMP_EQUAL("", faultOf("", R"({"version":1})").c_str());
+TEST(ConfigPatchTests, patchNeedsAnExistingConfiguration) {
+  STRCMP_EQUAL("", errorPathOf("", R"({"version":1})").c_str());
 }
 
 // A whole configuration of the same text is another order.
-TEST(ConfigPatchTests, theDigestOfAPatchIsItsOwn) {
+TEST(ConfigPatchTests, patchDigestDiffersFromConfigurationDigest) {
   CHECK(!(ConfigPatch::digestOf("{}") == TextDigest::of("{}")));
   CHECK(ConfigPatch::digestOf("{}") == ConfigPatch::digestOf("{}"));
   STRCMP_EQUAL(configPatchDigest("{\"a\": 1}").c_str(), configPatchDigest("{\"a\":1}").c_str());
--- a/tests/state/job_tests.cpp
+++ b/tests/state/job_tests.cpp
@@ -5,7 +5,7 @@
 
 TEST_GROUP(JobTests){};
 
-TEST(JobTests, refusesCirclesUnknownStepsAndZeros) {
+TEST(JobTests, validationRejectsCyclesUnknownStepsAndZeroCores) {
   JobSubmission job;
   job.id = JobId{"a"};
   job.queue = QueueName{"q"};
@@ -14,8 +14,8 @@
   job.steps = {{"one", {"two"}, false, {TaskRequest{}}},
                {"two", {"one"}, false, {zero}},
                {"three", {"nine"}, false, {TaskRequest{}}}};
-  std::string all = CoreError{CoreError::Kind::invalid, job.validate()}.text();
-  CHECK(all.find("circle") != std::string::npos);
-  CHECK(all.find("unknown step nine") != std::string::npos);
-  CHECK(all.find("/steps/1/tasks/0/cores") != std::string::npos);
+  std::string errors = CoreError{CoreError::Kind::invalid, job.validate()}.text();
+  CHECK(errors.find("circle") != std::string::npos);
+  CHECK(errors.find("unknown step nine") != std::string::npos);
+  CHECK(errors.find("/steps/1/tasks/0/cores") != std::string::npos);
 }
--- a/tests/state/tenants_tests.cpp
+++ b/tests/state/tenants_tests.cpp
@@ -13,7 +13,7 @@
       "tenants":{"north":{"api_keys":["k1","k2"],"weight":3,"cap":{"cores":2.5,"memory_mb":800,"accelerators":1}},
                  "south":{"api_keys":["k3"]}}})";
 
-std::string faultsOf(const std::string& tenants) {
+std::string errorsOf(const std::string& tenants) {
   const auto parsed = ClusterConfig::parse(R"({"queues":{"q":{}},"tenants":)" + tenants + "}");
   return parsed ? "" : parsed.error().text();
 }
@@ -22,7 +22,7 @@
 
 TEST_GROUP(TenantsTests){};
 
-TEST(TenantsTests, aConfigNamesTenantsWithTheirKeysAndCaps) {
+TEST(TenantsTests, configurationDefinesTenantsWithKeysAndCaps) {
   const auto parsed = ClusterConfig::parse(withTenants);
   CHECK(parsed.has_value());
   const TenantDirectory& tenants = parsed.value().tenants;
@@ -39,31 +39,31 @@
   CHECK_FALSE(tenants.find(TenantName{"south"})->cap.isLimited());
 }
 
-TEST(TenantsTests, noKeyIsNoTenantsKey) {
+TEST(TenantsTests, emptyKeysMatchNoTenant) {
   const auto parsed = ClusterConfig::parse(withTenants);
   CHECK(parsed.value().tenants.findByKey(ApiKeyDigest::of("")) == nullptr);
   CHECK(parsed.value().tenants.findByKey(ApiKeyDigest{}) == nullptr);
 }
 
-TEST(TenantsTests, routesAskForKeysUnlessTheyArePublicOrThereAreNoTenants) {
+TEST(TenantsTests, routesRequireKeysUnlessPublicOrWithoutTenants) {
   const auto parsed = ClusterConfig::parse(withTenants);
   CHECK(parsed.value().tenants.requiresKeyFor("h", "/a/"));
   CHECK_FALSE(parsed.value().tenants.requiresKeyFor("h", "/b/"));
   const auto open = ClusterConfig::parse(R"({"queues":{"q":{}}})");
   CHECK_FALSE(open.value().tenants.requiresKeyFor("h", "/a/"));
-  const auto closed = ClusterConfig::parse(R"({"queues":{"q":{}},"tenants":{}})");
-  CHECK(closed.value().tenants.requiresKeyFor("h", "/a/"));
+  const auto withEmptyTenants = ClusterConfig::parse(R"({"queues":{"q":{}},"tenants":{}})");
+  CHECK(withEmptyTenants.value().tenants.requiresKeyFor("h", "/a/"));
 }
 
-TEST(TenantsTests, aKeyOfTwoTenantsAndOtherFaultsAreRefusedByTheirPath) {
+TEST(TenantsTests, duplicateKeysAndOtherErrorsAreReportedByPath) {
   STRCMP_EQUAL("/tenants/south/api_keys: has a key that tenant north has too",
-               faultsOf(R"({"north":{"api_keys":["k"]},"south":{"api_keys":["k"]}})").c_str());
-  CHECK(faultsOf(R"({"north":{"api_keys":[7]}})").find("/tenants/north/api_keys") == 0);
-  CHECK(faultsOf(R"({"north":{"api_keys":[""]}})").find("/tenants/north/api_keys") == 0);
-  CHECK(faultsOf(R"({"north":{"cap":{"cores":-1}}})").find("/tenants/north/cap/cores") == 0);
-  CHECK(faultsOf(R"({"north":{"cap":{"watts":1}}})").find("/tenants/north/cap") == 0);
-  CHECK(faultsOf(R"({"north":{"key":"k"}})").find("/tenants/north") == 0);
-  STRCMP_EQUAL("", faultsOf(R"({"north":{"api_keys":["k","l"]},"south":{}})").c_str());
+               errorsOf(R"({"north":{"api_keys":["k"]},"south":{"api_keys":["k"]}})").c_str());
+  CHECK(errorsOf(R"({"north":{"api_keys":[7]}})").find("/tenants/north/api_keys") == 0);
+  CHECK(errorsOf(R"({"north":{"api_keys":[""]}})").find("/tenants/north/api_keys") == 0);
+  CHECK(errorsOf(R"({"north":{"cap":{"cores":-1}}})").find("/tenants/north/cap/cores") == 0);
+  CHECK(errorsOf(R"({"north":{"cap":{"watts":1}}})").find("/tenants/north/cap") == 0);
+  CHECK(errorsOf(R"({"north":{"key":"k"}})").find("/tenants/north") == 0);
+  STRCMP_EQUAL("", errorsOf(R"({"north":{"api_keys":["k","l"]},"south":{}})").c_str());
 }
 
 TEST(TenantsTests, keysAreStoredAsDigestsOnly) {
@@ -71,7 +71,7 @@
   CHECK(pack(parsed.value().tenants).find("k1") == std::string::npos);
 }
 
-TEST(TenantsTests, aConfigWithTenantsIsReadAsItWasWritten) {
+TEST(TenantsTests, serializedConfigurationWithTenantsRoundTrips) {
   const auto parsed = ClusterConfig::parse(withTenants);
   const auto read = unpack<ClusterConfig>(pack(parsed.value()));
   CHECK(read.has_value());
@@ -81,7 +81,7 @@
 }
 
 // Stored data of clusters without tenants keeps its bytes; stored_data_tests.cpp reads some.
-TEST(TenantsTests, withoutTenantsTheBytesAreThoseOfTheTextAlone) {
+TEST(TenantsTests, withoutTenantsSerializedBytesAreUnchanged) {
   JobSubmission job;
   job.payload = "work";
   const std::string withoutTenant = pack(job);
@@ -94,7 +94,7 @@
 }
 
 // As a program that knows no sections would read it.
-TEST(TenantsTests, aReaderWithoutSectionsRefusesThemRatherThanMisreadsThem) {
+TEST(TenantsTests, readerWithoutSectionSupportRejectsThem) {
   JobSubmission job;
   job.tenant = TenantName{"north"};
   OutputArchive archive;
@@ -139,7 +139,7 @@
   }
 };
 
-TEST(TenantChangesTests, aRemovedTenantWithOpenJobsKeepsItsCapWithoutKeys) {
+TEST(TenantChangesTests, removedTenantWithOpenJobsKeepsItsCapWithoutKeys) {
   submit("job", "north", 1);
   configure(R"({"south":{"api_keys":["k3"]}})");
   CHECK(tenant("north") != nullptr);
@@ -152,12 +152,12 @@
   CHECK(tenant("north") == nullptr);
 }
 
-TEST(TenantChangesTests, aRemovedTenantWithoutOpenJobsIsGone) {
+TEST(TenantChangesTests, removedTenantWithoutOpenJobsIsDropped) {
   configure(R"({"south":{"api_keys":["k3"]}})");
   CHECK(tenant("north") == nullptr);
 }
 
-TEST(TenantChangesTests, anotherTenantMayTakeTheKeysOfARemovedOne) {
+TEST(TenantChangesTests, anotherTenantMayUseTheKeysOfARemovedOne) {
   submit("job", "north", 1);
   configure(R"({"south":{"api_keys":["k1"]}})");
   STRCMP_EQUAL(
@@ -167,7 +167,7 @@
 
 // Their orders may not have reached the worker, which may be cut off: it would start them long
 // after the change.
-TEST(TenantChangesTests, startsThatNoWorkerReportedAreTakenBackWhenACapIsLowered) {
+TEST(TenantChangesTests, unreportedStartsAreStoppedWhenACapIsLowered) {
   submit("job", "south", 6);
   fixture.plan();
   LONGS_EQUAL(6, attemptsIn(AttemptState::ordered));
@@ -181,7 +181,7 @@
   LONGS_EQUAL(2, starts);
 }
 
-TEST(TenantChangesTests, whatRunsGoesOnWhenACapIsLowered) {
+TEST(TenantChangesTests, runningAttemptsContinueWhenACapIsLowered) {
   submit("job", "south", 6);
   fixture.planAndRun();
   configure(R"({"south":{"api_keys":["k3"],"cap":{"cores":2}}})");
@@ -189,7 +189,7 @@
   STRCMP_EQUAL("", fixture.plan().c_str());
 }
 
-TEST(TenantChangesTests, aStartThatIsTakenBackCountsForNothing) {
+TEST(TenantChangesTests, startStoppedByACapIsNotCounted) {
   submit("job", "south", 1);
   fixture.plan();
   const AttemptNumber attempt = fixture.attempt("job");
@@ -201,7 +201,7 @@
   LONGS_EQUAL(0, task.failureCount);
 }
 
-TEST(TenantChangesTests, aGangIsTakenBackWhole) {
+TEST(TenantChangesTests, gangsAreStoppedAsAWhole) {
   submit("gang", "south", 3, true);
   fixture.plan();
   LONGS_EQUAL(3, attemptsIn(AttemptState::ordered));
@@ -209,7 +209,7 @@
   LONGS_EQUAL(3, attemptsIn(AttemptState::stopping));
 }
 
-TEST(TenantChangesTests, otherTenantsWorkAndHigherCapsTakeNothingBack) {
+TEST(TenantChangesTests, otherTenantsAndHigherCapsStopNothing) {
   submit("south-job", "south", 2);
   submit("north-job", "north", 2);
   fixture.plan();
