--- a/source/base/archive.hpp
+++ b/source/base/archive.hpp
@@ -1,7 +1,8 @@
-// Archives of Boost.Serialization over bytes in memory. docs/design.md 9.3.
-// Boost's binary archives set up a stream, a locale and a registry of types and objects for each
-// record, and know each variant by its class and its object. These hold values only: no class ids,
-// versions or tracking; numbers as they stand in memory.
+// Input and output archives for Boost.Serialization that work on a byte string in memory.
+// docs/design.md 9.3.
+// Boost's own binary archives set up a stream, a locale and a registry of types and objects for
+// every record, and write class and object ids for each variant. These archives write plain values
+// only: no class ids, versions or object tracking, and numbers in their in-memory representation.
 #ifndef ANISELINE_BASE_ARCHIVE_HPP
 #define ANISELINE_BASE_ARCHIVE_HPP
 #include <cstdint>
@@ -21,10 +22,11 @@
 
 namespace aniseline {
 
-// In the length of a text: a section that a later version of the format added follows the text.
+// Flag bit in the length of a string: the string is followed by a section that a later version of
+// the format added.
 inline constexpr std::uint64_t sectionFollowsFlag = std::uint64_t(1) << 63;
 
-// Written as it stands in memory.
+// Types whose in-memory representation is written unchanged.
 template <class Value>
 concept PlainNumber = std::is_arithmetic_v<Value> || std::is_enum_v<Value>;
 
@@ -80,7 +82,8 @@
   std::string bytes;
 };
 
-// Bytes that end too early or name what there is not are an exception.
+// Reads values from bytes that outlive the archive. Throws std::runtime_error if the bytes end too
+// early or hold an unknown variant index or an invalid flag.
 class InputArchive {
  public:
   using is_saving = boost::mpl::false_;
@@ -115,7 +118,7 @@
     std::uint32_t which = 0;
     *this >> which;
     if (which >= sizeof...(Kinds))
-      throw std::runtime_error("kind " + std::to_string(which) + " is not known");
+      throw std::runtime_error("variant index " + std::to_string(which) + " is unknown");
     loads[which](*this, value);
     return *this;
   }
@@ -123,7 +126,7 @@
     std::uint8_t byte = 0;
     *this >> byte;
     if (byte > 1)
-      throw std::runtime_error("a flag is neither true nor false");
+      throw std::runtime_error("a boolean is neither 0 nor 1");
     flag = byte == 1;
     return *this;
   }
@@ -133,12 +136,13 @@
     text = takeBytes(size);
     return *this;
   }
-  // Every item takes a byte at least, so a false size reserves no room for what can't come.
+  // Each element takes at least one byte, so a corrupt count larger than the remaining bytes is
+  // rejected before memory is reserved for it.
   InputArchive& operator>>(boost::serialization::collection_size_type& size) {
     std::uint64_t count = 0;
     *this >> count;
     if (count > remaining.size())
-      throw std::runtime_error("the bytes end too early");
+      throw std::runtime_error("unexpected end of data");
     size = boost::serialization::collection_size_type(count);
     return *this;
   }
@@ -163,7 +167,7 @@
   }
   std::string_view takeBytes(std::uint64_t size) {
     if (size > remaining.size())
-      throw std::runtime_error("the bytes end too early");
+      throw std::runtime_error("unexpected end of data");
     const auto taken = remaining.substr(0, size);
     remaining.remove_prefix(size);
     return taken;
@@ -171,10 +175,10 @@
   std::string_view remaining;
 };
 
-/// A text and, only where it is not absent, a section that the format did not have at first.
-/// Without one the bytes are those of the text alone, so what was stored before is read and written
-/// as ever; a program that does not know the section finds the text's length past the end of the
-/// bytes and refuses the record. docs/design.md 9.3.
+/// Serializes a string and, if it is not absent, a section that was added to the format later.
+/// Without a section the bytes equal those of the string alone, so previously stored data stays
+/// readable and is written unchanged. A program that does not know the section sees a string length
+/// beyond the end of the bytes and rejects the record. docs/design.md 9.3.
 template <class Archive, class Section>
 void serializeTextWithSection(Archive& archive, std::string& text, Section& section) {
   archive.textWithSection(text, section);
--- a/source/base/enum_names.hpp
+++ b/source/base/enum_names.hpp
@@ -1,4 +1,5 @@
-// Names of enum constants on the wire, as arrays by position.
+// Conversion of names, as used on the wire, to enum constants. Names are arrays indexed by the
+// constant's value.
 #ifndef ANISELINE_BASE_ENUM_NAMES_HPP
 #define ANISELINE_BASE_ENUM_NAMES_HPP
 #include <cstddef>
@@ -7,8 +8,7 @@
 
 namespace aniseline {
 
-/// The constant whose name stands in `names`; nothing if the text is none of
-/// them.
+/// Returns the constant with this name, or nothing if `names` does not contain the text.
 template <class Enum, std::size_t Count>
 std::optional<Enum> enumFromName(const char* const (&names)[Count], const std::string& text) {
   for (std::size_t index = 0; index < Count; ++index) {
--- a/source/base/json.hpp
+++ b/source/base/json.hpp
@@ -1,5 +1,5 @@
-// JSON from outside is a value or a fault, never an exception; and values of
-// JSON made from our own types. docs/design.md 9.4.
+// Parses untrusted JSON without throwing and builds JSON values from the project's own types.
+// docs/design.md 9.4.
 #ifndef ANISELINE_BASE_JSON_HPP
 #define ANISELINE_BASE_JSON_HPP
 #include "base/types.hpp"
@@ -8,9 +8,9 @@
 
 namespace aniseline {
 
-/// Reads the text as picojson::parse does. Returns the fault, or an empty text.
-/// With `whole` only white space may follow the value. picojson itself throws
-/// at a number that no double holds, such as 1e999.
+/// Parses the text with picojson::parse and returns the error, or an empty string on success. With
+/// `whole`, only white space may follow the value. picojson itself throws on numbers that a double
+/// cannot represent, such as 1e999; this function returns an error instead.
 inline std::string parseJson(picojson::value& root, const std::string& text, bool whole = false) {
   if (nestedTooDeep(text))
     return "is nested too deep";
@@ -24,12 +24,12 @@
   const bool hasTrailingText = std::any_of(
       end, text.end(), [](char character) { return !std::isspace((unsigned char)character); });
   if (error.empty() && whole && hasTrailingText)
-    return "more follows the value";
+    return "unexpected text after the value";
   return error;
 }
 
-/// A JSON number as an integer, limited to what its type holds and a double
-/// holds exactly.
+/// Converts a JSON number to an integer, clamped to the range of the type and to the integers that
+/// a double represents exactly.
 template <class Integer>
 Integer clampToInteger(double number) {
   constexpr double maxExactInteger = 9007199254740992.0;  // 2^53
@@ -47,7 +47,8 @@
 inline picojson::value json(bool flag) {
   return picojson::value(flag);
 }
-/// 64-bit numbers that must be exact are written as text instead.
+/// Numbers pass through a double, so 64-bit numbers that must be exact are written as strings
+/// instead.
 template <class Number>
 requires(std::is_arithmetic_v<Number> && !std::is_same_v<Number, bool>) picojson::value
     json(Number number) {
--- a/source/base/json_reader.cpp
+++ b/source/base/json_reader.cpp
@@ -1,12 +1,14 @@
+// Type checks and error messages of the JSON object reader.
 #include "base/json_reader.hpp"
 
 namespace aniseline {
 
 namespace {
-constexpr double maxExactInteger = 9007199254740992.0;  // 2^53: a double holds no more exactly
-constexpr double maxThousandths = 4e9;                  // below 2^32
-constexpr double roundingTolerance = 1e-4;              // of a thousandth
-constexpr std::size_t maxDecimalDigits = 20;            // of 64 bits
+// 2^53: a double represents no larger integers exactly
+constexpr double maxExactInteger = 9007199254740992.0;
+constexpr double maxThousandths = 4e9;        // below 2^32
+constexpr double roundingTolerance = 1e-4;    // in thousandths
+constexpr std::size_t maxDecimalDigits = 20;  // of a 64-bit number
 }  // namespace
 
 JsonObjectReader::JsonObjectReader(const picojson::value& value, std::string path,
@@ -106,7 +108,7 @@
   const double number = value->is<double>() ? value->get<double>() : -1;
   if (number >= 0 && number <= maxExactInteger && number == std::floor(number))
     return std::uint64_t(number);
-  addError(field, "must be a whole number from 0 on");
+  addError(field, "must be a non-negative integer");
   return fallback;
 }
 
@@ -130,7 +132,7 @@
   if (number >= 0 && number <= maxThousandths &&
       std::abs(number - std::round(number)) < roundingTolerance)
     return std::uint32_t(std::llround(number));
-  addError(field, "must be a number from 0 on with at most three decimals");
+  addError(field, "must be a non-negative number with at most three decimals");
   return fallback;
 }
 
@@ -145,7 +147,7 @@
     if (errno == 0)
       return parsed;
   }
-  addError(field, "must be a number of 64 bits written as a string of digits");
+  addError(field, "must be a 64-bit number written as a string of digits");
   return 0;
 }
 
@@ -185,7 +187,7 @@
     return std::nullopt;
   const double number = value->is<double>() ? value->get<double>() : 0.5;
   if (number != std::floor(number)) {
-    addError(field, "must be a whole number");
+    addError(field, "must be an integer");
     return std::nullopt;
   }
   if (number < minimum || number > maximum) {
--- a/source/base/types.hpp
+++ b/source/base/types.hpp
@@ -1,4 +1,5 @@
-// The project's one common header: small types, errors, archives. docs/design.md 2.
+// Types used throughout the project: ids, times, errors, packing to bytes, and seeded random
+// numbers. Precompiled for the whole tree. docs/design.md 2.
 #ifndef ANISELINE_BASE_TYPES_HPP
 #define ANISELINE_BASE_TYPES_HPP
 #include <algorithm>
@@ -39,7 +40,7 @@
 
 namespace outcome = BOOST_OUTCOME_V2_NAMESPACE;
 
-// StrongId types (docs/design.md 2.1): each id, version and time is its own type.
+// Base of the id types: each kind of id or version is a type of its own. docs/design.md 2.1.
 template <class Tag, class Value = std::uint64_t>
 struct StrongId {
   Value value{};
@@ -87,7 +88,7 @@
   }
 };
 
-// A point on some clock; the tag keeps the clocks apart.
+// A point in time; the tag makes times of different clocks distinct types.
 template <class Clock>
 struct TimePoint {
   std::int64_t milliseconds = 0;
@@ -103,12 +104,13 @@
     archive& milliseconds;
   }
 };
-using MonotonicTime = TimePoint<struct MonotonicClock>;  // one process' monotonic clock
-using WallTime = TimePoint<struct WallClock>;  // one machine's calendar clock, never trusted alone
+using MonotonicTime = TimePoint<struct MonotonicClock>;  // the monotonic clock of one process
+// the calendar clock of one machine, never trusted alone
+using WallTime = TimePoint<struct WallClock>;
 using ClusterTime =
-    TimePoint<struct ClusterClock>;  // agreed by the controllers, docs/design.md 3.6
+    TimePoint<struct ClusterClock>;  // the clock agreed by the controllers, docs/design.md 3.6
 
-// Errors of the core layer; the edges turn theirs into these (docs/design.md 2.3).
+// Errors of the core layer. Outer layers convert their own errors to these. docs/design.md 2.3.
 struct ErrorDetail {
   std::string path;
   std::string text;
@@ -139,8 +141,8 @@
   return sum.checksum();
 }
 
-// The whole's format is checked once a file and once a frame, not in each record.
-// docs/design.md 9.3.
+// Serializes a value to bytes. The format version is checked once per file and once per frame, not
+// in each record. docs/design.md 9.3.
 template <class Value>
 std::string pack(const Value& value) {
   OutputArchive archive;
@@ -148,8 +150,8 @@
   return std::move(archive.bytes);
 }
 
-// Unpacks bytes that a checksum has already vouched for; a mismatch in shape is an error, not a
-// crash.
+// Deserializes bytes whose checksum has already been verified. Malformed bytes give an error
+// instead of an exception.
 template <class Value>
 Result<Value> unpack(std::string_view bytes) {
   try {
@@ -163,7 +165,8 @@
   }
 }
 
-// The JSON reader recurses; a text nested deeper than this is not read at all.
+// Reports whether a JSON text is nested deeper than `maxDepth`. The JSON parser is recursive, so
+// such texts are rejected before parsing.
 inline bool nestedTooDeep(std::string_view text, int maxDepth = 32) {
   int depth = 0;
   bool inString = false;
@@ -185,7 +188,7 @@
   return false;
 }
 
-// splitmix64: seeded draws that are the same on every machine.
+// The splitmix64 generator: for a given seed its numbers are the same on every machine.
 struct Random {
   std::uint64_t state;
   explicit Random(std::uint64_t seed) : state(seed) {}
--- a/source/state/api_request.cpp
+++ b/source/state/api_request.cpp
@@ -1,3 +1,4 @@
+// Routing and parsing of HTTP requests to the public interface.
 #include "state/api_request.hpp"
 #include "base/json_reader.hpp"
 
@@ -32,10 +33,10 @@
 constexpr std::int64_t defaultDrainTimeout = 30'000;  // milliseconds
 constexpr std::int64_t maxDrainTimeout = 86'400'000;  // milliseconds: a day
 
-/// The target of a request line, such as /v1/jobs/ID/phase?limit=10.
+/// The parsed target of a request line, such as /v1/jobs/ID/phase?limit=10.
 struct RequestTarget {
   std::string path;
-  std::vector<std::string> segments;  // of the path, without empty ones
+  std::vector<std::string> segments;  // segments of the path, without empty ones
   std::map<std::string, std::string> query;
 
   explicit RequestTarget(const std::string& target) : path(target.substr(0, target.find('?'))) {
@@ -63,7 +64,7 @@
   bool hasBody = false;
 };
 
-// By method, subject, "/*" in place of an id, and verb. docs/api.md.
+// Routes keyed by method, resource, "/*" in place of an id, and action. docs/api.md.
 const std::map<std::string, Route>& routes() {
   static const std::map<std::string, Route> all = {
       {"POST jobs", {RequestKind::submitJob, true}},
@@ -91,7 +92,7 @@
 }
 
 const Route* findRoute(const std::string& method, const RequestTarget& target) {
-  constexpr std::size_t maxSegments = 4;  // version, subject, id, verb
+  constexpr std::size_t maxSegments = 4;  // version, resource, id, action
   if (target.segments.size() > maxSegments)
     return nullptr;
   const bool isVersion1 = target.segments.size() > 1 && target.segments[0] == "v1";
@@ -116,7 +117,8 @@
         std::strtoll(query["within_ms"].c_str(), nullptr, 10), 0, maxDrainTimeout)};
 }
 
-// The order's own text stands in one field of the body.
+// Reads a configuration update. `textField` is the field of the body that contains the
+// configuration or the patch.
 void readConfigUpdate(const picojson::value& root, const char* textField, ApiRequest& request,
                       std::vector<ErrorDetail>& errors) {
   using Presence = JsonObjectReader::Presence;
--- a/source/state/api_request.hpp
+++ b/source/state/api_request.hpp
@@ -1,6 +1,6 @@
-// What callers, workers and operators request, as typed messages; and their
-// reading from HTTP and JSON. Gateways and agents make them, the leader answers
-// them (api_response.hpp). docs/api.md, docs/design.md 8.
+// Requests of clients, workers and operators as typed messages, and their parsing from HTTP and
+// JSON. Gateways and agents create them and the leader answers them (api_response.hpp).
+// docs/api.md, docs/design.md 8.
 #ifndef ANISELINE_STATE_API_REQUEST_HPP
 #define ANISELINE_STATE_API_REQUEST_HPP
 #include "base/json.hpp"
@@ -19,8 +19,8 @@
   applyConfig,
   showConfig,
   syncWorker,
-  workerShutdown,  // by the worker itself
-  drainWorker,     // by an operator
+  workerShutdown,  // sent by the worker itself
+  drainWorker,     // sent by an operator
   undrainWorker,
   removeWorker,
   listWorkers,
@@ -36,44 +36,42 @@
   listTenants
 };
 const char* name(RequestKind kind);
-/// Whether it is an operator's order about the configuration.
+/// Reports whether the request changes the configuration.
 bool changesConfig(RequestKind kind);
 
 struct ApiRequest {
   RequestKind kind = RequestKind::showCounters;
-  std::string targetId;  // of the job, worker or controller that the request is about
-  std::string text;      // of a configuration or a patch of it, or the queue or state to list
+  std::string targetId;  // id of the job, worker or controller that the request is about
+  std::string text;      // text of a configuration or patch, or the queue or state to list
   ConfigVersion baseVersion;
-  std::uint64_t limit = 100;  // entries of a list
+  std::uint64_t limit = 100;  // maximum number of list entries
   Duration drainTimeout{0};
   JobSubmission job;
   SyncReport report;
-  // Of a request that came through an ingress route; the configuration in force
-  // maps them to a queue. docs/design.md 6.6.
+  // Host and path of a request that came through an ingress route; the current configuration maps
+  // them to a queue. docs/design.md 6.6.
   std::string host;
   std::string path;
-  std::string packedConfig;      // a packed ClusterConfig, in place of a text
-  ApiKeyDigest apiKey;           // of the client
+  std::string packedConfig;      // a packed ClusterConfig, used instead of `text`
+  ApiKeyDigest apiKey;           // API key of the client
   Duration clientTimeout{2500};  // how long the client waits; not forwarded
   bool viaIngress() const { return !path.empty(); }
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& kind& targetId& text& baseVersion& limit& drainTimeout& host& path& packedConfig&
         apiKey;
-    // What only some kinds carry is not sent with the others.
+    // The fields below are sent only with the kinds of request that use them.
     if (kind == RequestKind::submitJob)
       archive& job;
     if (kind == RequestKind::syncWorker)
       archive& report;
   }
-  /// Reads a request of the public interface. The error names every fault in
-  /// it.
+  /// Parses a request of the public interface. The error lists all errors with their paths.
   static Result<ApiRequest> parse(const std::string& method, const std::string& target,
                                   const std::string& body);
 };
 
-/// The size of a request's texts and payloads in bytes; beside these it is
-/// small.
+/// Returns the approximate size of a request in bytes: its texts and payloads, which dominate it.
 std::size_t payloadBytes(const ApiRequest& request);
 
 }  // namespace aniseline
--- a/source/state/api_response.cpp
+++ b/source/state/api_response.cpp
@@ -1,3 +1,4 @@
+// Construction of API responses, and the HTTP status and retry delay of each error.
 #include "state/api_response.hpp"
 #include "base/json.hpp"
 
--- a/source/state/api_response.hpp
+++ b/source/state/api_response.hpp
@@ -1,5 +1,4 @@
-// What a request is answered with, and the errors of the public interface.
-// docs/api.md.
+// Responses to API requests, and the errors of the public interface. docs/api.md.
 #ifndef ANISELINE_STATE_API_RESPONSE_HPP
 #define ANISELINE_STATE_API_RESPONSE_HPP
 #include "base/types.hpp"
@@ -8,13 +7,13 @@
 namespace aniseline {
 
 struct ApiResponse {
-  int status = 200;  // of HTTP
+  int status = 200;  // HTTP status code
   std::string body;  // JSON
   Duration retryAfter{0};
-  std::string errorKind;  // as in the body; empty: no error
-  std::string phase;      // of a job, for those who read no JSON
+  std::string errorKind;  // the error kind in the body; empty: no error
+  std::string phase;      // phase of a job, for callers that do not parse JSON
   std::uint64_t pendingJobCount = 0;
-  bool notLeader = false;  // nothing was done; ask the leader named here
+  bool notLeader = false;  // nothing was applied; retry at the leader named here
   Address leader;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -24,9 +23,9 @@
   static ApiResponse error(int status, const std::string& errorKind, const std::string& text,
                            Duration retryAfter = Duration{0});
   static ApiResponse fromError(const CoreError& error);
-  /// Whether the request was applied is not known.
+  /// Returns the error for a request that may or may not have been applied.
   static ApiResponse outcomeUnknown(const std::string& text);
-  /// Nothing was applied: the request can be sent again.
+  /// Returns the error for a request that was not applied and can be sent again.
   static ApiResponse notApplied(const std::string& text);
 };
 
--- a/source/state/attempt.cpp
+++ b/source/state/attempt.cpp
@@ -1,3 +1,4 @@
+// Names of attempt states and outcomes on the wire.
 #include "state/attempt.hpp"
 #include "base/enum_names.hpp"
 
--- a/source/state/attempt_control.cpp
+++ b/source/state/attempt_control.cpp
@@ -1,11 +1,12 @@
+// Suspending, stopping and removing attempts.
 #include "state/attempt_control.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// docs/design.md 5.3: what was ordered but may not have reached the worker must
-// not begin when the order is sent again.
+// docs/design.md 5.3: turns all unapplied orders about an attempt into stops. An order that may not
+// have reached the worker must not start the attempt when it is resent.
 void convertToStops(std::deque<Order>& orders, AttemptNumber attempt) {
   for (auto& order : orders) {
     if (order.attempt == attempt)
--- a/source/state/attempt_control.hpp
+++ b/source/state/attempt_control.hpp
@@ -1,14 +1,13 @@
-// Changes attempts and issues the orders about them to their workers. Knows
-// nothing of what that means to their jobs (job_lifecycle.hpp,
-// attempt_results.hpp). docs/design.md 5.3.
+// Changes the state of attempts and issues the orders about them to their workers. The effects on
+// tasks and jobs are handled elsewhere (job_lifecycle.hpp, attempt_results.hpp). docs/design.md
+// 5.3.
 #ifndef ANISELINE_STATE_ATTEMPT_CONTROL_HPP
 #define ANISELINE_STATE_ATTEMPT_CONTROL_HPP
 #include "state/cluster_tables.hpp"
 
 namespace aniseline {
 
-/// Whether an attempt that the scheduler stops uses up some of its task's retry
-/// limit.
+/// Whether an attempt that the scheduler stops counts against its task's retry limit.
 enum class RetryAccounting : std::uint8_t { counted, exempt };
 
 class AttemptControl {
@@ -16,16 +15,14 @@
   explicit AttemptControl(ClusterTables& given) : tables(given) {}
 
   Order& issueOrder(OrderKind kind, const Attempt& attempt);
-  /// Removes an attempt that is closed. What was suspended for it, if it was a
-  /// trial, resumes.
+  /// Removes a closed attempt. If it was a trial, resumes the attempts that were suspended for it.
   void remove(AttemptNumber number);
   void suspend(Attempt& attempt, AttemptNumber trial);
-  /// Orders a stop, unless one is under way.
+  /// Orders the worker to stop the attempt, unless it is already stopping.
   void forceStop(Attempt& attempt, RetryAccounting accounting);
-  /// Stops both copies of a task but for `except`.
+  /// Stops both copies of a task, except the attempt `except`.
   void stopOtherCopies(const Task& task, AttemptNumber except);
-  /// Stops all attempts of a gang but for `except` and those that are
-  /// abandoned.
+  /// Stops all attempts of a gang except `except` and abandoned ones.
   void abortGang(const JobId& job, std::uint32_t stepIndex, AttemptNumber except);
 
  private:
--- a/source/state/attempt_index.cpp
+++ b/source/state/attempt_index.cpp
@@ -1,3 +1,4 @@
+// Maintenance and lookup of the indexes over attempts.
 #include "state/attempt_index.hpp"
 
 namespace aniseline {
--- a/source/state/attempt_result.hpp
+++ b/source/state/attempt_result.hpp
@@ -1,5 +1,5 @@
-// How an attempt ended, by its number and by the run identity that workers know
-// it by. docs/design.md 4.7.
+// Results of attempts, identified by attempt number or by the run id that workers use.
+// docs/design.md 4.7.
 #ifndef ANISELINE_STATE_ATTEMPT_RESULT_HPP
 #define ANISELINE_STATE_ATTEMPT_RESULT_HPP
 #include "state/occurrence.hpp"
@@ -7,8 +7,8 @@
 
 namespace aniseline {
 
-/// `neverStarted`: the worker stopped it before it ran. `rejected`: the worker
-/// refused to start it.
+/// `neverStarted`: the worker stopped the attempt before it ran. `rejected`: the worker refused to
+/// start it.
 enum class AttemptOutcome : std::uint8_t {
   succeeded,
   failed,
@@ -18,7 +18,7 @@
   rejected
 };
 const char* name(AttemptOutcome outcome);
-/// The outcome with this name on the wire; nothing if there is none.
+/// Returns the outcome with this name on the wire, or nothing if there is none.
 std::optional<AttemptOutcome> parseAttemptOutcome(const std::string& text);
 
 struct AttemptResult {
@@ -31,8 +31,8 @@
   }
 };
 
-/// Identifies one run of a task on the wire; agents know attempts by nothing
-/// else. Of an occurrence of a timetable the job is the timetable's.
+/// Identifies one run of a task on the wire; agents know attempts by this id only. For an
+/// occurrence, `job` is the id of its timetable.
 struct TaskRunId {
   JobId job;
   std::uint32_t occurrence = 0;
@@ -65,7 +65,7 @@
   }
 };
 
-/// A checkpoint of a run that goes on.
+/// A checkpoint saved by a run that has not ended.
 struct TaskCheckpoint {
   TaskRunId runId;
   std::string checkpoint;
--- a/source/state/attempt_results.cpp
+++ b/source/state/attempt_results.cpp
@@ -1,36 +1,38 @@
+// Effects of attempt results on tasks, jobs and the failure scores of workers.
 #include "state/attempt_results.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// Failure scores, docs/design.md 5.6: a worker's standing among those that
-// could take a task.
+// Penalties added to the failure score of a worker, which ranks it among the workers that could run
+// a task. docs/design.md 5.6.
 constexpr std::int64_t maxFailureScore = 1000;
 constexpr std::int64_t firstFailurePenalty = 250;
-// Of a failure that says little about the worker.
+// Penalty for a failure that says little about the worker.
 constexpr std::int64_t minorFailurePenalty = 50;
-// Far over the requested run time: once may be the submitter's mistake,
-// repeatedly it is a slow worker.
+// Penalty for a run far longer than requested: a single one may be the submitter's mistake,
+// repeated ones indicate a slow worker.
 constexpr std::int64_t overrunPenalty = 125;
-// The worker lacks capacity that it was taken to have, or is unhealthy.
+// Penalty for a rejected start: the worker lacks capacity that it was assumed to have, or is
+// unhealthy.
 constexpr std::int64_t rejectionPenalty = 100;
 
-// An attempt has overrun when it took more than twice its requested run time
-// and this much.
+// An attempt has overrun if it took more than twice its requested run time plus this tolerance.
 constexpr std::int64_t overrunTolerance = 1000;  // milliseconds
 
-// A task that failed is retried after a pause that doubles with each failure.
+// A failed task is retried after a pause that doubles with each failure.
 constexpr std::int64_t firstRetryPause = 100;  // milliseconds
 constexpr std::int64_t maxRetryPause = 2000;   // milliseconds
-constexpr std::uint32_t maxDoublings = 6;      // reaches past the longest pause
+constexpr std::uint32_t maxDoublings = 6;      // enough doublings to exceed the maximum pause
 
 bool hasOverrun(const Attempt& attempt, ClusterTime now) {
   return attempt.runtimeAt(now).milliseconds > 2 * attempt.runtime.milliseconds + overrunTolerance;
 }
 
-// Does the failure of this attempt point to its worker? A task that has failed before says little,
-// and so does a long-running one that was at work: it ends by failing, wherever it runs.
+// Reports whether the failure of this attempt indicates a problem of its worker. The failure of a
+// task that has failed before says little. So does that of a long-running task that ran past its
+// requested run time: such a task ends by failing on any worker.
 bool indicatesWorkerProblem(const Task& task, const Attempt& attempt,
                             const StepRequirements* requirements, ClusterTime now) {
   const bool ranPastRequest = attempt.runtimeAt(now) > attempt.runtime;
@@ -42,7 +44,8 @@
   return outcome == AttemptOutcome::neverStarted || outcome == AttemptOutcome::rejected;
 }
 
-// Does the start of an attempt that ended so count against the retry limit of its task?
+// Reports whether the start of an attempt with this outcome counts against the retry limit of its
+// task.
 bool countsAgainstRetryLimit(const Attempt& attempt, AttemptOutcome outcome) {
   const bool exemptStop = attempt.exemptFromRetryLimit && outcome == AttemptOutcome::stopped;
   return !hasNotStarted(outcome) && !exemptStop;
@@ -89,22 +92,22 @@
 
 AttemptOutcome AttemptResults::effectiveOutcome(const Attempt& attempt,
                                                 AttemptOutcome outcome) const {
-  // docs/design.md 5.5: what a worker that kills on lease expiry reports of the
-  // time before is void once its attempt was abandoned.
+  // docs/design.md 5.5: if a worker kills its attempts on lease expiry, results that it reports for
+  // an abandoned attempt are void.
   if (attempt.abandoned && !hasNotStarted(outcome) &&
       tables.workers[attempt.worker].capacity.killsOnLeaseExpiry)
     return AttemptOutcome::stopped;
-  // A long-running task is started again however it ends.
+  // A long-running task is restarted whatever its outcome.
   const auto* requirements = requirementsOf(attempt);
   if (outcome == AttemptOutcome::succeeded && requirements && requirements->longRunning)
     return AttemptOutcome::stopped;
   return outcome;
 }
 
-// docs/design.md 5.5: a success that is reported late wins over whatever took
-// the task's place. That is stopped first, and the success stays unconfirmed
-// until it has: nothing of the task starts or resumes after the confirmation.
-// Returns whether there is anything to stop.
+// docs/design.md 5.5: a success that is reported late takes precedence over the attempt that
+// replaced it. The replacement is stopped first, and the success stays unconfirmed until it has
+// stopped, so that no attempt of the task starts or resumes after the confirmation. Returns whether
+// a replacement had to be stopped.
 bool AttemptResults::stopReplacement(const Attempt& attempt) {
   auto foundJob = tables.jobs.find(attempt.job);
   const auto* requirements = requirementsOf(attempt);
@@ -144,8 +147,8 @@
   worker.failureScoredAt = tables.now;
 }
 
-// A task that fails a second time, on another worker, fails by itself: its first failure is taken
-// back from the worker that was blamed for it.
+// A task that fails a second time, on another worker, is itself at fault: the penalty of the worker
+// on which it failed first is reduced to the minor penalty.
 void AttemptResults::reducePenaltyOfEarlierWorker(const Task& task, const Attempt& attempt) {
   const auto earlierWorker = tables.workers.find(task.avoidedWorker);
   if (task.failureCount != 1 || earlierWorker == tables.workers.end() ||
@@ -158,9 +161,8 @@
   worker.failureScoredAt = tables.now;
 }
 
-// Of two redundant copies the first success counts; one that ends otherwise
-// leaves the task to the other. Returns whether the attempt's result has no
-// further effect on its task.
+// Handles the result of a redundant copy: the first success counts, and any other outcome leaves
+// the task to the other copy. Returns whether the result has no further effect on the task.
 bool AttemptResults::continueWithOtherCopy(Job& job, Task& task, const Attempt& attempt,
                                            AttemptOutcome outcome) {
   const bool redundant = job.stepOf(task).requirements.redundant;
@@ -170,8 +172,7 @@
     attempts.stopOtherCopies(task, attempt.number);
     return false;
   }
-  // The retry limit is the task's, however many copies use it: the other copy
-  // is stopped with the job.
+  // The retry limit applies to the task, not to each copy: the other copy is stopped with the job.
   if (redundant && outcome == AttemptOutcome::failed && jobs.retriesExhausted(job, task) &&
       (isCurrent || isOtherCopy)) {
     task.redundantAttempt = AttemptNumber{};
@@ -223,8 +224,8 @@
 }
 
 Duration AttemptResults::retryPause(const Job& job, const Task& task) const {
-  // Where failures are limited there is no need to wait: the retry goes to
-  // another worker, and there are only so many.
+  // Queues that limit failures retry without a pause: the retry goes to another worker, and the
+  // number of retries is small.
   const auto* queue = tables.config.findQueue(job.submission.queue);
   if (queue && queue->maxFailures)
     return Duration{0};
--- a/source/state/attempt_results.hpp
+++ b/source/state/attempt_results.hpp
@@ -1,6 +1,5 @@
-// What the result of an attempt, or giving up on one, means to its task, its
-// job and the standing of its worker. Used by the functions that apply events.
-// docs/design.md 4.4, 5.5, 5.6.
+// Applies the result of an attempt, or its abandonment, to its task, its job and the failure score
+// of its worker. Used by the functions that apply events. docs/design.md 4.4, 5.5, 5.6.
 #ifndef ANISELINE_STATE_ATTEMPT_RESULTS_HPP
 #define ANISELINE_STATE_ATTEMPT_RESULTS_HPP
 #include "state/job_lifecycle.hpp"
@@ -11,16 +10,16 @@
  public:
   explicit AttemptResults(ClusterTables& given) : tables(given), attempts(given), jobs(given) {}
 
-  /// Closes an attempt. One that is closed already is left alone, since results
-  /// are sent until they are confirmed.
+  /// Closes an attempt with its result. Does nothing for an attempt that is already closed, since
+  /// workers resend results until they are confirmed.
   void close(AttemptNumber number, AttemptOutcome outcome);
-  /// The worker is taken to have lost this attempt, or to keep it suspended for
-  /// good: the task is placed anew, while the attempt keeps its worker's
-  /// resources until its result is known. docs/design.md 5.5.
+  /// Abandons an attempt that its worker is assumed to have lost or to keep suspended indefinitely:
+  /// the task may be placed again, while the attempt keeps its worker's resources until its result
+  /// is known. docs/design.md 5.5.
   void abandon(AttemptNumber number);
 
  private:
-  /// The requirements of the attempt's step; null if its job is no longer kept.
+  /// Returns the requirements of the attempt's step, or null if its job is no longer kept.
   const StepRequirements* requirementsOf(const Attempt& attempt) const;
   AttemptOutcome effectiveOutcome(const Attempt& attempt, AttemptOutcome outcome) const;
   bool stopReplacement(const Attempt& attempt);
--- a/source/state/capacity.hpp
+++ b/source/state/capacity.hpp
@@ -1,6 +1,5 @@
-// What a worker offers: its resources, its location and its abilities. Reported
-// by the worker at registration and kept in the replicated state.
-// docs/design.md 5.
+// The resources, location and capabilities of a worker. Reported by the worker at registration and
+// kept in the replicated state. docs/design.md 5.
 #ifndef ANISELINE_STATE_CAPACITY_HPP
 #define ANISELINE_STATE_CAPACITY_HPP
 #include "base/types.hpp"
@@ -13,21 +12,20 @@
   ZoneName zone;
   std::string rack;
   bool honoursLeases = false;     // suspends or kills its tasks when its lease expires
-  bool enforcesCapacity = false;  // rejects a start that exceeds its free capacity
+  bool enforcesCapacity = false;  // rejects starts that exceed its free capacity
   std::uint32_t accelerators = 0;
-  std::string pool{};  // a queue names the pool that its tasks run in; empty:
-                       // the default pool
+  // The pool to which the worker belongs; a queue names the pool that runs its tasks. Empty: the
+  // default pool.
+  std::string pool{};
   std::vector<std::string> labels{};
-  std::string host{};           // at most one worker per host. docs/design.md 5.8
-  bool supportsSuspend = true;  // false: a suspend order is carried out as a stop
-  // Kills all attempts when its lease expires; a result from before that which
-  // was not confirmed is void.
+  std::string host{};           // at most one worker runs per host. docs/design.md 5.8
+  bool supportsSuspend = true;  // false: the worker carries out a suspend order as a stop
+  // Kills all attempts when its lease expires; unconfirmed results from before the expiry are void.
   bool killsOnLeaseExpiry = false;
-  // The members of a gang find each other by themselves: they are started at
-  // once, not staged.
+  // The members of a gang find each other themselves, so they are started at once without staging.
   bool selfAssemblingGangs = false;
   bool operator==(const Capacity&) const = default;
-  /// Whether the worker carries the label; every worker carries the empty one.
+  /// Reports whether the worker has the label; every worker has the empty label.
   bool hasLabel(const std::string& label) const {
     return label.empty() || std::find(labels.begin(), labels.end(), label) != labels.end();
   }
--- a/source/state/cluster_config.cpp
+++ b/source/state/cluster_config.cpp
@@ -1,3 +1,4 @@
+// Lookup in the configuration, and its parsing and validation.
 #include "state/cluster_config.hpp"
 #include "base/json_reader.hpp"
 #include "state/config_history.hpp"
@@ -41,7 +42,7 @@
 constexpr double oneDay = 86'400'000;                  // milliseconds
 constexpr double oneYear = 366 * oneDay;
 
-/// Reads the sections of a configuration, each after those that it refers to.
+/// Parses the sections of a configuration; each section is read after those that it refers to.
 class ConfigReader {
  public:
   Result<ClusterConfig> read(const picojson::value& root) {
@@ -137,13 +138,13 @@
     config.queues[options.name] = std::move(options);
   }
   if (reserved >= config.planner.maxOpenJobs)
-    reader.addError("queues", "reserve together all of planner/open_limit");
+    reader.addError("queues", "together reserve all of planner/open_limit");
 }
 
 QueueOptions ConfigReader::readQueue(const std::string& name, const picojson::value& value) {
   JsonObjectReader queue(value, "/queues/" + name, errors);
   if (name.empty() || name.size() > maxQueueNameLength)
-    queue.addError("", "a queue's name holds 1 to 64 characters");
+    queue.addError("", "a queue name must have 1 to 64 characters");
   QueueOptions options;
   options.name = QueueName{name};
   queue.readInteger("urgency", options.priority, -1000, 1000);
@@ -154,13 +155,13 @@
   queue.readDuration("replace_after_ms", options.reassignAfter, 0, oneDay);
   queue.readText("pool", options.pool);
   if (!options.pool.empty() && !config.pools.count(options.pool))
-    queue.addError("pool", "names no pool of this config");
+    queue.addError("pool", "is not a pool of this configuration");
   queue.readInteger("tries", options.maxFailures, 1, 1000);
   queue.readReal("extend", options.latencyTargetFactor, 0, 1e6);
   queue.readDuration("target_ms", options.latencyTargetBase, 0, oneDay);
   queue.readText("policy", options.policy);
   if (!config.policies.count(options.policy))
-    queue.addError("policy", "names no policy of this config");
+    queue.addError("policy", "is not a policy of this configuration");
   if (const auto* trialValue = queue.find("trial")) {
     JsonObjectReader trial(*trialValue, queue.pathOf("trial"), errors);
     trial.readDuration("quantum_ms", options.trial.quantum, 10, oneHour);
@@ -186,17 +187,17 @@
   reader.readText("prefix", route.pathPrefix);
   reader.readText("queue", route.queue.value);
   if (!config.queues.count(route.queue))
-    reader.addError("queue", "names no queue of this config");
+    reader.addError("queue", "is not a queue of this configuration");
   if (reader.flag("public"))
     config.tenants.addPublicRoute(route.host, route.pathPrefix);
   for (const auto& other : config.ingressRoutes) {
     if (other.host == route.host && other.pathPrefix == route.pathPrefix)
-      reader.addError("prefix", "stands twice for this host");
+      reader.addError("prefix", "occurs twice for this host");
   }
   return route;
 }
 
-// A config that has the section asks for keys, even where it names no tenant.
+// A configuration with this section requires keys, even if it defines no tenant.
 void ConfigReader::readTenants(JsonObjectReader& reader) {
   const auto* tenants = reader.object("tenants");
   if (!tenants)
@@ -209,9 +210,9 @@
 void ConfigReader::readTenant(const std::string& name, const picojson::value& value) {
   JsonObjectReader tenant(value, "/tenants/" + name, errors);
   if (name.empty() || name.size() > maxTenantNameLength)
-    tenant.addError("", "a tenant's name holds 1 to 64 characters");
+    tenant.addError("", "a tenant name must have 1 to 64 characters");
   TenantOptions options;
-  for (const auto& key : tenant.texts("api_keys", "must be a text")) {
+  for (const auto& key : tenant.texts("api_keys", "must be a string")) {
     if (key.empty())
       tenant.addError("api_keys", "must not be empty");
     options.keys.push_back(ApiKeyDigest::of(key));
@@ -240,7 +241,8 @@
 
 Result<ClusterConfig> ClusterConfig::parse(const std::string& text) {
   if (text.size() > maxConfigBytes)
-    return CoreError::at(CoreError::Kind::invalid, "", "a config may hold at most 262144 bytes");
+    return CoreError::at(CoreError::Kind::invalid, "",
+                         "a configuration may have at most 262144 bytes");
   if (nestedTooDeep(text))
     return CoreError::at(CoreError::Kind::invalid, "", "is nested too deep");
   picojson::value root;
--- a/source/state/cluster_config.hpp
+++ b/source/state/cluster_config.hpp
@@ -1,6 +1,6 @@
-// The configuration: the operators' whole description of queues, policies,
-// pools, ingress routes and planner options. Replicated through the log; every
-// part is replaced at once. docs/design.md 6.
+// The cluster configuration: queues, policies, pools, ingress routes, tenants and planner options,
+// as written by operators. It is replicated through the log and always replaced as a whole.
+// docs/design.md 6.
 #ifndef ANISELINE_STATE_CLUSTER_CONFIG_HPP
 #define ANISELINE_STATE_CLUSTER_CONFIG_HPP
 #include "base/types.hpp"
@@ -9,8 +9,7 @@
 
 namespace aniseline {
 
-/// Short first runs of tasks, by which jobs that fail early are found out.
-/// docs/paper.md.
+/// Options of trials: short first runs of tasks that detect jobs which fail early. docs/paper.md.
 struct TrialOptions {
   Duration quantum{60'000};          // paper section 3: one minute
   std::uint64_t memory = 1024;       // MB, paper section 3: one gigabyte
@@ -24,30 +23,29 @@
 struct QueueOptions {
   QueueName name;
   std::int64_t priority = 0;
-  std::uint32_t maxRetries = 0;  // starts of a task beyond the first, unless `maxFailures` is set
-  std::uint64_t maxOpenJobs = 1000;    // beyond it a submission is rejected
-  std::uint64_t reservedOpenJobs = 0;  // of PlannerOptions::maxOpenJobs, for this queue only
+  std::uint32_t maxRetries = 0;  // starts of a task after the first, unless `maxFailures` is set
+  std::uint64_t maxOpenJobs = 1000;    // further submissions are rejected
+  std::uint64_t reservedOpenJobs = 0;  // share of PlannerOptions::maxOpenJobs for this queue only
   TrialOptions trial;
-  Duration hardRuntimeLimit{0};  // 0: a task that overruns its request goes on
-  // How long beyond lease and margin an unreachable worker's tasks wait before
-  // they are started elsewhere.
+  Duration hardRuntimeLimit{0};  // 0: tasks may run past their requested run time without limit
+  // How long the tasks of an unreachable worker wait, after its lease and the safety margin, before
+  // they are restarted elsewhere.
   Duration reassignAfter{0};
   std::string policy = "default";
-  std::string pool;  // of the workers its tasks run on; empty: the default pool
-  // Not 0: how often a task may fail; nothing else counts against it.
+  std::string pool;  // the pool of workers that run its tasks; empty: the default pool
+  // Not 0: the number of failures after which a task fails; nothing else counts against the limit.
   // docs/design.md 4.4.
   std::uint32_t maxFailures = 0;
-  // The latency target of a job: the factor times its critical path, plus the
-  // base.
+  // The latency target of a job is its critical path times the factor, plus the base.
   double latencyTargetFactor = 1.0;
   Duration latencyTargetBase{0};
   bool hasLatencyTarget() const { return latencyTargetBase.milliseconds > 0; }
-  /// In milliseconds, for a job with that critical path.
+  /// Returns the latency target in milliseconds of a job with this critical path.
   double latencyTarget(Duration criticalPath) const {
     return latencyTargetFactor * double(criticalPath.milliseconds) +
            double(latencyTargetBase.milliseconds);
   }
-  // Removed from the configuration while it had open jobs: completes them and
+  // The queue was removed from the configuration while it had open jobs: it completes them and
   // admits no new ones.
   bool closedToSubmissions = false;
   template <class Archive>
@@ -66,8 +64,8 @@
   }
 };
 
-/// Maps requests by host and path to a queue: the longest matching prefix of
-/// the path wins.
+/// Maps requests by host and path to a queue. The route with the longest matching path prefix is
+/// used.
 struct IngressRoute {
   std::string host;
   std::string pathPrefix;
@@ -79,9 +77,9 @@
 };
 
 struct PolicyOptions {
-  // The rank of a job that waits: the highest goes first.
+  // The rank of a waiting job; the job with the highest rank is scheduled first.
   std::string rankExpression = "weight_wait * wait + weight_expansion * expansion";
-  // Not 0: a running attempt may be suspended for a trial.
+  // A value other than 0 allows a running attempt to be suspended for a trial.
   std::string suspendExpression = "1";
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -90,25 +88,24 @@
 };
 
 struct PlannerOptions {
-  Duration period{50};         // between plans
+  Duration period{50};         // interval between plans
   double weightWait = 0.0167;  // paper table 3, LXF&W-backfill
   double weightExpansion = 1.0;
   bool trialsEnabled = true;
-  // MB of each worker that only trials may use; 0 is the paper's design.
+  // Memory of each worker, in MB, that only trials may use; 0 is the paper's design.
   std::uint64_t reservedTrialMemory = 0;
   std::uint64_t maxOpenJobs = 20'000;
   Duration finishedJobRetention{3'600'000};
-  // Jobs that are kept; beyond it the earliest ended go first.
+  // The maximum number of jobs kept; above it, those that ended first are dropped first.
   // docs/design.md 4.5.
   std::uint64_t maxRetainedJobs = 300'000;
-  // The work of a queue of higher priority goes before all of lower priority,
-  // whatever its rank.
+  // Jobs of a queue with higher priority go before all jobs with lower priority, whatever their
+  // rank.
   bool strictPriority = false;
-  // Factor on the run time of a task away from its data, or from the rack of
-  // its step.
+  // Factor on the run time of a task that runs away from its data or from the rack of its step.
   double remoteSlowdown = 1.0;
-  // How long the workers' capacities must have been as they are before a job is
-  // rejected as too large.
+  // How long the workers' capacities must have been stable before a job may be rejected as too
+  // large.
   Duration capacitySettleTime{30'000};
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -124,15 +121,15 @@
   PlannerOptions planner;
   std::map<std::string, PoolOptions> pools;
   std::vector<IngressRoute> ingressRoutes;
-  std::string text;  // as the operator wrote it
+  std::string text;  // the text as written by the operator
   TenantDirectory tenants;
 
-  /// Null if there is no such queue.
+  /// Returns null if there is no such queue.
   const QueueOptions* findQueue(const QueueName& name) const;
-  /// The route of a request; null if there is none.
+  /// Returns the route of a request, or null if there is none.
   const IngressRoute* findIngressRoute(const std::string& host, const std::string& path) const;
-  /// Reads a configuration in JSON. Either it is valid as a whole, or the error
-  /// names each fault by its path.
+  /// Parses a configuration in JSON. If any part is invalid, the error lists all errors with their
+  /// paths.
   static Result<ClusterConfig> parse(const std::string& text);
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -141,13 +138,12 @@
   }
 };
 
-/// Reads the text of a configuration: ClusterConfig::parse, or an adapter's
-/// reader where operators write another form.
+/// Parses the text of a configuration: ClusterConfig::parse, or the parser of an adapter whose
+/// operators use another format.
 using ConfigParser = std::function<Result<ClusterConfig>(const std::string& text)>;
 
-/// The TextDigest, as text, of a configuration's JSON without regard to white
-/// space; empty if the text is not JSON. Configuration updates are identified
-/// by it.
+/// Returns the TextDigest, as text, of a configuration's JSON with white space ignored, or an empty
+/// string if the text is not JSON. The digest identifies a configuration update.
 std::string configDigest(const std::string& text);
 
 }  // namespace aniseline
--- a/source/state/cluster_state.cpp
+++ b/source/state/cluster_state.cpp
@@ -1,3 +1,4 @@
+// Applying log records to the cluster state, and lookups in it.
 #include "state/cluster_state.hpp"
 #include "state/event_appliers.hpp"
 
@@ -44,7 +45,8 @@
   if (auto current = tables.attempts.find(currentNumber);
       current != tables.attempts.end() && isOfRun(current->second))
     return currentNumber;
-  // Not the task's current one: abandoned, or of a gang that has completed.
+  // The run is not the task's current attempt: it is abandoned, or belongs to a gang that has
+  // completed.
   for (auto number : tables.attemptIndex.ofJob(job->first)) {
     if (isOfRun(tables.attempts.at(number)))
       return number;
--- a/source/state/cluster_tables.cpp
+++ b/source/state/cluster_tables.cpp
@@ -1,3 +1,4 @@
+// Updates of the attempts together with their indexes.
 #include "state/cluster_tables.hpp"
 
 namespace aniseline {
--- a/source/state/cluster_tables.hpp
+++ b/source/state/cluster_tables.hpp
@@ -1,6 +1,6 @@
-// The tables of the replicated cluster state, as plain data. Owned by
-// ClusterState, which lets others read them; changed only by the functions that
-// apply events (event_appliers.hpp). docs/design.md 3.2.
+// The tables of the replicated cluster state, as plain data. Owned by ClusterState, which gives
+// read access to them; modified only by the functions that apply events (event_appliers.hpp).
+// docs/design.md 3.2.
 #ifndef ANISELINE_STATE_CLUSTER_TABLES_HPP
 #define ANISELINE_STATE_CLUSTER_TABLES_HPP
 #include "state/attempt_index.hpp"
@@ -8,9 +8,9 @@
 
 namespace aniseline {
 
-/// Totals since the cluster was founded, for operators.
+/// Counters since the cluster was bootstrapped, for operators.
 struct Counters {
-  std::uint64_t admitted = 0;  // jobs, as are the next three
+  std::uint64_t admitted = 0;  // this and the next three count jobs
   std::uint64_t cancelled = 0;
   std::uint64_t succeeded = 0;
   std::uint64_t failed = 0;
@@ -31,11 +31,11 @@
 };
 
 struct ClusterTables {
-  ClusterTime now;  // of the latest record; never goes back
+  ClusterTime now;  // time of the latest record; never decreases
   ClusterConfig config;
   ConfigHistory configHistory;
   std::map<JobId, Job> jobs;
-  std::set<JobId> openJobs;  // that are not in a terminal state, timetables included
+  std::set<JobId> openJobs;  // jobs not in a terminal state, including timetables
   std::map<QueueName, std::uint64_t> openJobsByQueue;
   std::map<WorkerId, Worker> workers;
   std::map<AttemptNumber, Attempt> attempts;
@@ -43,25 +43,25 @@
   PlanNumber lastPlan;
   Reservation reservation;
   Counters counters;
-  std::set<ControllerId> controllersToReplace;  // as requested by operators
-  // Controllers that were replaced on request, the earliest first, so that a
-  // repeated request is recognised.
+  std::set<ControllerId> controllersToReplace;  // requested by operators
+  // Controllers that were replaced on request, oldest first, so that a repeated request is
+  // recognised.
   std::deque<ControllerId> replacedControllers;
-  // When a worker of a capacity not yet known registered.
+  // The latest time at which a worker registered with a capacity that no known worker covered.
   ClusterTime capacityChangedAt;
 
-  // Derived from the tables above, and not serialized.
-  std::set<std::pair<ClusterTime, JobId>> jobsByEndTime;  // that are in a terminal state
+  // Derived from the tables above and not serialized.
+  std::set<std::pair<ClusterTime, JobId>> jobsByEndTime;  // jobs in a terminal state
   AttemptIndex attemptIndex;
-  // Workers that registered or were issued an order since the reader emptied
-  // it; not serialized.
+  // Workers that registered or were issued an order since ClusterState::takeUpdatedWorkers() was
+  // last called; not serialized.
   std::set<WorkerId> updatedWorkers;
 
-  /// Adds an attempt, or replaces the one of the same number.
+  /// Adds an attempt, or replaces the one with the same number.
   void addAttempt(const Attempt& attempt);
-  /// Removes an attempt that there is, without any other effect.
+  /// Removes an existing attempt, without any other effect.
   void eraseAttempt(AttemptNumber number);
-  /// Fills the derived tables of a state that was read.
+  /// Rebuilds the derived tables after the state was deserialized.
   void rebuildIndexes();
 
   template <class Archive>
--- a/source/state/config_events.cpp
+++ b/source/state/config_events.cpp
@@ -1,4 +1,4 @@
-// Events about the configuration and about controllers. docs/design.md 6.
+// Applies the events about the configuration and controllers. docs/design.md 6.
 #include "state/cluster_state.hpp"
 #include "state/event_appliers.hpp"
 #include "state/tenant_changes.hpp"
@@ -10,7 +10,7 @@
 void applyEvent(ClusterTables& tables, const ConfigCommitted& event) {
   const auto previous = std::exchange(tables.config, event.config);
   tables.configHistory.record({event.config.version, previous.version, event.digest});
-  // docs/design.md 6.4: a queue that is no longer configured but has open jobs
+  // docs/design.md 6.4: a queue that was removed from the configuration while it has open jobs
   // completes them and admits no new ones.
   for (const auto& [name, options] : previous.queues) {
     if (tables.config.queues.count(name) || tables.openJobsByQueue[name] == 0)
--- a/source/state/config_history.cpp
+++ b/source/state/config_history.cpp
@@ -1,3 +1,4 @@
+// Text digests, and the recording and lookup of configuration updates.
 #include "state/config_history.hpp"
 #include <boost/endian/conversion.hpp>
 #include <boost/uuid/name_generator_sha1.hpp>
@@ -5,7 +6,7 @@
 namespace aniseline {
 
 TextDigest TextDigest::of(const std::string& text) {
-  // Only the digest matters, not its namespace, so that is the nil UUID.
+  // The nil UUID serves as the namespace, since only the digest of the text is of interest.
   const boost::uuids::name_generator_sha1 generate{boost::uuids::uuid{}};
   const boost::uuids::uuid id = generate(text);
   return TextDigest{boost::endian::load_big_u64(id.data), boost::endian::load_big_u64(id.data + 8)};
@@ -18,9 +19,9 @@
 }
 
 ConfigHistory::LookupResult ConfigHistory::find(const ConfigUpdate& update) const {
-  // One that names its version is found by that, whatever it builds on: the
-  // text under a version is the configuration. One that names none is found by
-  // its base version, on which one update at most was applied.
+  // An update with a version is found by its version, whatever its base version, because a version
+  // identifies the text of a configuration. An update without a version is found by its base
+  // version, to which at most one update was applied.
   const bool namesVersion = update.version.value > 0;
   const auto key = namesVersion ? &ConfigUpdate::version : &ConfigUpdate::baseVersion;
   const auto found = std::lower_bound(recentUpdates.begin(), recentUpdates.end(), update,
@@ -30,8 +31,7 @@
   if (found != recentUpdates.end() && (*found).*key == update.*key)
     return found->digest == update.digest ? LookupResult{Outcome::applied, found->version}
                                           : LookupResult{Outcome::notApplied, ConfigVersion{}};
-  // What was dropped had both a lower version and a lower base version than the
-  // earliest kept.
+  // Dropped updates had both a lower version and a lower base version than the oldest one kept.
   const bool older = !recentUpdates.empty() &&
                      update.baseVersion < recentUpdates.front().baseVersion &&
                      (!namesVersion || update.version < recentUpdates.front().version);
--- a/source/state/config_history.hpp
+++ b/source/state/config_history.hpp
@@ -1,15 +1,14 @@
-// Which configuration updates were applied, so that one which is sent again
-// after its response was lost is answered by what became of it, and not by what
-// is in force meanwhile. docs/design.md 6.1.
+// History of applied configuration updates. An update that is resent because its response was lost
+// is answered by its own outcome, not by the current configuration. docs/design.md 6.1.
 #ifndef ANISELINE_STATE_CONFIG_HISTORY_HPP
 #define ANISELINE_STATE_CONFIG_HISTORY_HPP
 #include "base/types.hpp"
 
 namespace aniseline {
 
-/// Tells texts apart: the name-based UUID of a text (RFC 9562, version 5: 122
-/// bits of its SHA-1). Two different texts share one by accident about once in
-/// 2^61 texts, which a checksum of 32 bits would reach after some ten thousand.
+/// Identifies a text: the name-based UUID of the text (RFC 9562, version 5: 122 bits of its SHA-1).
+/// The chance of a collision is about one in 2^61 texts; a 32-bit checksum would collide after some
+/// ten thousand texts.
 struct TextDigest {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
@@ -22,12 +21,11 @@
   }
 };
 
-/// An operator's request to put a configuration in force: what identifies it
-/// when it is repeated.
+/// An operator's request to apply a configuration: the fields that identify it when it is repeated.
 struct ConfigUpdate {
-  ConfigVersion version;      // 0: the leader numbers it
-  ConfigVersion baseVersion;  // the version that it builds on
-  TextDigest digest;          // of the text as the operator wrote it
+  ConfigVersion version;      // 0: the leader assigns it
+  ConfigVersion baseVersion;  // the version that it replaces
+  TextDigest digest;          // digest of the text as written by the operator
   bool operator==(const ConfigUpdate&) const = default;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -35,20 +33,19 @@
   }
 };
 
-/// The latest updates that were applied; part of the replicated state. Versions
-/// rise, and each update builds on the version before it, so that both its
-/// versions and its base versions are sorted, and a version or a base version
-/// belongs to one update at most.
+/// The latest applied updates; part of the replicated state. Versions increase and each update
+/// replaces the version before it, so both versions and base versions are sorted, and each belongs
+/// to at most one update.
 class ConfigHistory {
  public:
-  // Updates kept: an operator gives up long before so many others were applied
-  // after its own. At 32 bytes each they add 128 KiB to a snapshot at most.
+  // Maximum number of updates kept: operators give up long before so many later updates have been
+  // applied. At 32 bytes each they add at most 128 KiB to a snapshot.
   static constexpr std::size_t maxUpdates = 4096;
 
   enum class Outcome : std::uint8_t {
-    applied,     // this very update, under the version that is found with it
-    notApplied,  // surely not
-    tooOld       // older than all that is kept: it is not known any more
+    applied,     // this update was applied, with the version in the result
+    notApplied,  // the update was certainly not applied
+    tooOld       // older than all updates kept, so its outcome is unknown
   };
   struct LookupResult {
     Outcome outcome = Outcome::notApplied;
@@ -57,7 +54,7 @@
 
   void record(const ConfigUpdate& update);
   LookupResult find(const ConfigUpdate& update) const;
-  /// The earliest first.
+  /// Returns the updates, oldest first.
   const std::deque<ConfigUpdate>& updates() const { return recentUpdates; }
 
   template <class Archive>
--- a/source/state/config_patch.cpp
+++ b/source/state/config_patch.cpp
@@ -1,3 +1,4 @@
+// Parsing of configuration patches and their application to a base configuration.
 #include "state/config_patch.hpp"
 #include "base/json_reader.hpp"
 
@@ -6,7 +7,7 @@
 namespace {
 
 constexpr double maxVersion = 9007199254740991.0;  // 2^53 - 1: exact in a double
-// Keeps the digests of patches apart from those of whole configurations.
+// Distinguishes digests of patches from those of whole configurations.
 constexpr const char* digestPrefix = "config patch:";
 
 CoreError invalid(std::string path, std::string text) {
@@ -26,13 +27,13 @@
   return "/" + section + "/" + list + "/" + std::to_string(index);
 }
 
-/// The items of one list of a configuration, in either of its two forms.
+/// The named items of one list of a configuration, in either of its two forms.
 class NamedItems {
  public:
-  /// Null if the value is not a list of objects.
+  /// Returns null if the value is not a list of objects.
   static std::unique_ptr<NamedItems> over(picojson::value& list);
   virtual ~NamedItems() = default;
-  /// False if there is no such item.
+  /// Returns false if there is no such item.
   virtual bool remove(const std::string& name) = 0;
   virtual std::optional<CoreError> upsert(const picojson::value& items,
                                           const std::string& list) = 0;
@@ -69,7 +70,7 @@
   std::optional<CoreError> upsertItem(const picojson::value& item, const std::string& path) {
     const std::string& name = nameOf(item).get<std::string>();
     if (!upserted.insert(name).second)
-      return invalid(path + "/name", "stands twice in the patch");
+      return invalid(path + "/name", "occurs twice in the patch");
     const auto matches = [&](const picojson::value& other) {
       return isNamed(other, name);
     };
@@ -129,7 +130,7 @@
   return std::make_unique<ItemsByName>(items);
 }
 
-/// Finds a list of the base; the error stands under the patch's section.
+/// Finds a list of the base. The path of the error is in the patch's section.
 Result<std::unique_ptr<NamedItems>> findItems(picojson::object& root, const std::string& section,
                                               const std::string& list) {
   const auto found = root.find(list);
@@ -157,7 +158,7 @@
   ConfigPatch::Removals removals;
   JsonObjectReader reader(value, "/remove", errors);
   for (const auto& [list, names] : lists)
-    removals[list] = reader.texts(list, "must hold names of items");
+    removals[list] = reader.texts(list, "must contain names of items");
   return removals;
 }
 
@@ -194,12 +195,12 @@
   return ConfigPatch::digestOf(root.serialize()).text();
 }
 
-// Removals go first: a name that is removed and added in one patch moves to the
-// end of its list.
+// Removals are applied first, so an item that is both removed and added moves to the end of its
+// list.
 Result<std::string> ConfigPatch::applyTo(const std::string& baseText) const {
   picojson::value root;
   if (!parseJson(root, baseText).empty() || !root.is<picojson::object>())
-    return invalid("", "there is no configuration that could be patched");
+    return invalid("", "there is no configuration to patch");
   auto& fields = root.get<picojson::object>();
   for (const auto& [list, names] : removals) {
     if (auto error = removeItems(fields, list, names))
--- a/source/state/event.hpp
+++ b/source/state/event.hpp
@@ -1,6 +1,6 @@
-// The events of the replicated log. All state is a fold of them:
-// ClusterState::apply. A record's bytes are the event's number in `Event` and
-// its fields in their order; neither may change. docs/design.md 3.2.
+// The events of the replicated log. ClusterState::apply derives the whole state from them. A record
+// is serialized as the event's index in `Event` followed by its fields in order; neither may
+// change. docs/design.md 3.2.
 #ifndef ANISELINE_STATE_EVENT_HPP
 #define ANISELINE_STATE_EVENT_HPP
 #include "state/config_history.hpp"
@@ -9,7 +9,7 @@
 
 namespace aniseline {
 
-/// The first entry of a new leader.
+/// The first entry of a new leader's term.
 struct LeaderStarted {
   template <class Archive>
   void serialize(Archive&, unsigned) {}
@@ -17,7 +17,7 @@
 
 struct ConfigCommitted {
   ClusterConfig config;
-  TextDigest digest;  // of its text
+  TextDigest digest;  // digest of the configuration's text
   ConfigCommitted() = default;
   explicit ConfigCommitted(ClusterConfig given)
       : config(std::move(given)), digest(TextDigest::of(config.text)) {}
@@ -35,7 +35,7 @@
   }
 };
 
-/// Requested by its submitter or an operator.
+/// The submitter or an operator requested to cancel the job.
 struct JobCancelled {
   JobId job;
   template <class Archive>
@@ -44,7 +44,7 @@
   }
 };
 
-/// The next start of a timetable has come.
+/// The next start time of a timetable has been reached.
 struct OccurrenceFired {
   JobId job;  // the timetable
   template <class Archive>
@@ -53,10 +53,12 @@
   }
 };
 
-/// What ended some time ago is dropped or compacted. docs/design.md 4.5.
+/// Jobs and workers that ended some time ago are dropped, or jobs are compacted. docs/design.md
+/// 4.5.
 struct JobsExpired {
   std::vector<JobId> jobs;
-  std::vector<JobId> compacted;  // only what answers a repeated submission or a look is kept
+  // Reduced to the data that answers repeated submissions and queries.
+  std::vector<JobId> compacted;
   std::vector<WorkerId> workers;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -64,7 +66,7 @@
   }
 };
 
-/// A new worker, a new incarnation of one, or a changed capacity.
+/// A new worker registered, or a known one with a new incarnation or a changed capacity.
 struct WorkerRegistered {
   WorkerId worker;
   Incarnation incarnation;
@@ -75,23 +77,24 @@
   }
 };
 
-/// What a worker's sync brought that is new.
+/// The new information in a worker's sync.
 struct WorkerSynced {
   WorkerId worker;
   OrderNumber lastAppliedOrder;
   std::vector<AttemptResult> results;
-  std::vector<std::pair<AttemptNumber, std::string>> checkpoints{};  // of attempts that go on
+  // Checkpoints of attempts that have not ended.
+  std::vector<std::pair<AttemptNumber, std::string>> checkpoints{};
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& worker& lastAppliedOrder& results& checkpoints;
   }
 };
 
-/// The worker is to get no new work and to be empty at the end of the timeout.
+/// The worker gets no new work and must be empty when the timeout ends.
 struct WorkerDrainStarted {
   WorkerId worker;
   Duration timeout;
-  bool byOperator = false;  // false: the worker shuts down
+  bool byOperator = false;  // false: the worker is shutting down
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& worker& timeout& byOperator;
@@ -106,7 +109,7 @@
   }
 };
 
-/// It was unreachable and is heard again, or an operator ended its drain.
+/// An unreachable worker has synced again, or an operator ended its drain.
 struct WorkerReconnected {
   WorkerId worker;
   template <class Archive>
@@ -117,14 +120,15 @@
 
 struct WorkerUnreachable {
   WorkerId worker;
-  std::vector<AttemptNumber> abandoned;  // whose queues do not wait for it any longer
+  // Attempts to restart elsewhere, because their queue's limit has passed.
+  std::vector<AttemptNumber> abandoned;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& worker& abandoned;
   }
 };
 
-/// It will not come back.
+/// The worker is removed for good.
 struct WorkerRemoved {
   WorkerId worker;
   std::string reason;
@@ -134,7 +138,7 @@
   }
 };
 
-/// The job can never succeed.
+/// The job fails because it can never succeed.
 struct JobFailed {
   JobId job;
   std::string reason;
@@ -144,8 +148,8 @@
   }
 };
 
-/// An operator requested that a learner take the controller's place; or this
-/// has been done.
+/// An operator requested that a learner replace the controller; with `completed`, it has replaced
+/// it.
 struct ControllerReplacementRequested {
   ControllerId controller;
   bool completed = false;
@@ -164,14 +168,14 @@
   }
 };
 
-/// The reserved start of one step; there is at most one at a time.
-/// docs/paper.md 3.
+/// The reserved start of one step; there is at most one reservation at a time. docs/paper.md 3.
 struct Reservation {
   JobId job;  // empty: none
   std::uint32_t stepIndex = 0;
   ClusterTime start;
   std::vector<Placement> placements;
-  std::uint32_t timesMoved = 0;  // by tasks that overran their requests
+  // How often running tasks that overran their requested run times delayed it.
+  std::uint32_t timesMoved = 0;
   bool isActive() const { return !job.value.empty(); }
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -181,8 +185,7 @@
 
 enum class ActionKind : std::uint8_t { start, stage, launch, suspend, stop };
 
-/// One decision of a plan. The fields from `job` to `memory` are set for starts
-/// and stages.
+/// One decision of a plan. The fields from `job` to `memory` are set only for starts and stages.
 struct Action {
   ActionKind kind = ActionKind::start;
   AttemptNumber attempt;
@@ -192,9 +195,9 @@
   bool trial = false;
   Duration quantum;
   std::uint64_t memory = 0;         // MB
-  AttemptNumber suspendedForTrial;  // of a suspend: the trial that it makes way for
-  std::uint32_t runNumber = 0;      // of a start
-  bool redundantCopy = false;       // of a start: a copy beside the current attempt
+  AttemptNumber suspendedForTrial;  // for a suspend: the trial that takes its place
+  std::uint32_t runNumber = 0;      // for a start
+  bool redundantCopy = false;       // for a start: a copy beside the current attempt
   std::string reason;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
--- a/source/state/event_appliers.hpp
+++ b/source/state/event_appliers.hpp
@@ -1,14 +1,13 @@
-// Applies the events of the log to the tables of the cluster state, one
-// function an event. Called by ClusterState::apply only. An event that names
-// something unknown, or that comes too late, has no effect. docs/design.md 3.2,
-// 4, 5.
+// Functions that apply the events of the log to the tables of the cluster state, one for each type
+// of event. Called only by ClusterState::apply. An event that names an unknown object or arrives
+// too late has no effect. docs/design.md 3.2, 4, 5.
 #ifndef ANISELINE_STATE_EVENT_APPLIERS_HPP
 #define ANISELINE_STATE_EVENT_APPLIERS_HPP
 #include "state/cluster_tables.hpp"
 
 namespace aniseline {
 
-// config_events.cpp: configuration and controllers.
+// config_events.cpp: the configuration and controllers.
 void applyEvent(ClusterTables& tables, const LeaderStarted& event);
 void applyEvent(ClusterTables& tables, const ConfigCommitted& event);
 void applyEvent(ClusterTables& tables, const ControllerReplacementRequested& event);
--- a/source/state/job.cpp
+++ b/source/state/job.cpp
@@ -1,3 +1,4 @@
+// Names of job and task states, and operations on the tasks of a job.
 #include "state/job.hpp"
 
 namespace aniseline {
@@ -26,7 +27,8 @@
 }
 
 Duration JobSubmission::criticalPath() const {
-  std::vector<std::int64_t> paths(steps.size());  // milliseconds, up to the end of each step
+  // Milliseconds from the start of the job to the end of each step.
+  std::vector<std::int64_t> paths(steps.size());
   std::int64_t longest = 0;
   for (std::size_t stepIndex = 0; stepIndex < steps.size(); ++stepIndex) {
     std::int64_t dependenciesEnd = 0;
@@ -84,7 +86,7 @@
 void Job::releaseReadyTasks(ClusterTime now) {
   if (state != JobState::active || terminating)
     return;
-  std::map<std::string_view, bool> complete;  // by the name of the step
+  std::map<std::string_view, bool> complete;  // by step name
   for (std::uint32_t stepIndex = 0; stepIndex < submission.steps.size(); ++stepIndex)
     complete.emplace(submission.steps[stepIndex].name, isStepComplete(stepIndex));
   for (auto& task : tasks) {
--- a/source/state/job.hpp
+++ b/source/state/job.hpp
@@ -1,20 +1,19 @@
-// Jobs: what is submitted, and the states that a job and its tasks go through.
-// docs/design.md 4.
+// Jobs: the submission, and the states of a job and its tasks. docs/design.md 4.
 #ifndef ANISELINE_STATE_JOB_HPP
 #define ANISELINE_STATE_JOB_HPP
 #include "state/cluster_config.hpp"
 
 namespace aniseline {
 
-/// Work: thousandths of a core times milliseconds of requested runtime. Large requests exceed 64
-/// bits.
+/// An amount of work: thousandths of a core times milliseconds of requested run time. Large
+/// requests exceed 64 bits.
 using CoreMilliseconds = double;
 
 struct TaskRequest {
   std::uint32_t cores = 1;   // thousandths of a core
   std::uint64_t memory = 1;  // MB
-  Duration runtime{1000};    // estimated by the submitter
-  std::string payload;       // empty: the job's
+  Duration runtime{1000};    // run time as estimated by the submitter
+  std::string payload;       // empty: the payload of the job is used
   std::uint32_t accelerators = 0;
   CoreMilliseconds work() const { return double(cores) * double(runtime.milliseconds); }
   bool operator==(const TaskRequest&) const = default;
@@ -24,19 +23,17 @@
   }
 };
 
-/// Where the tasks of a step may or should run, and how. docs/design.md 4.6.
+/// Placement constraints and execution options of a step. docs/design.md 4.6.
 struct StepRequirements {
   std::string requiredLabel;  // empty: any worker
-  // The rack that holds the data: elsewhere a task takes `remoteSlowdown` times
-  // as long.
+  // The rack that holds the data; on other racks a task takes `remoteSlowdown` times as long.
   std::string preferredRack;
-  std::uint32_t maxPerWorker = 0;  // tasks of the step on one worker at a time; 0: no limit
-  // The tasks take `remoteSlowdown` times as long when they are on more than
-  // one rack.
+  std::uint32_t maxPerWorker = 0;  // most tasks of the step on one worker at a time; 0: no limit
+  // Tasks that are spread over several racks take `remoteSlowdown` times as long.
   bool sameRack = false;
-  bool redundant = false;     // copies of a task may run side by side; the first success counts
-  bool longRunning = false;   // runs until the job is cancelled; restarted however it ends
-  bool checkpointed = false;  // saves its progress as checkpoints
+  bool redundant = false;     // copies of a task may run in parallel; the first success counts
+  bool longRunning = false;   // runs until the job is cancelled; restarted whatever its outcome
+  bool checkpointed = false;  // saves its progress in checkpoints
   bool operator==(const StepRequirements&) const = default;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -46,20 +43,20 @@
 };
 
 struct StepRequest {
-  // Tasks of a step that are read at most for one run of equal ones: far past
-  // what is valid.
+  // The maximum number of tasks read for one group of equal tasks; far more than a valid submission
+  // may have.
   static constexpr std::uint32_t maxEqualTasks = 100'000;
 
   std::string name;
   std::vector<std::string> dependencies;  // names of steps that must succeed first
-  bool gang = false;                      // its tasks run at the same time or not at all
+  bool gang = false;                      // its tasks run all at the same time or not at all
   std::vector<TaskRequest> tasks;
   StepRequirements requirements{};
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& name& dependencies& gang& requirements;
-    // Equal tasks in a row are written once, with their count: a step of a
-    // thousand is as short as one of two.
+    // Consecutive equal tasks are written once, with their count, so that a step of a thousand
+    // equal tasks takes no more space than one of two.
     std::vector<std::pair<std::uint32_t, TaskRequest>> runs;
     if constexpr (Archive::is_saving::value)
       runs = runsOfEqualTasks();
@@ -75,7 +72,7 @@
   std::vector<std::pair<std::uint32_t, TaskRequest>> runsOfEqualTasks() const;
 };
 
-/// Fires a job again and again. Calendar time.
+/// Starts a job periodically, at calendar times. Each start is an occurrence, a job of its own.
 struct Timetable {
   ClusterTime firstStart;  // 0: no timetable
   Duration interval{0};
@@ -91,16 +88,15 @@
   QueueName queue;
   std::vector<StepRequest> steps;
   Timetable timetable;
-  std::string payload;  // of every task that has none of its own
-  TenantName tenant;    // set by the leader, from the key; empty: of no tenant
+  std::string payload;  // the default for tasks that have no payload of their own
+  TenantName tenant;    // set by the leader from the API key; empty: no tenant
   bool hasTimetable() const { return timetable.firstStart.milliseconds > 0; }
-  /// The longest sum of requested run times along steps that depend on each
-  /// other.
+  /// Returns the largest sum of requested run times along any chain of dependent steps.
   Duration criticalPath() const;
-  /// Tells apart submissions of the same id.
+  /// Returns a checksum that distinguishes submissions with the same id.
   std::uint32_t digest() const { return checksum(pack(*this)); }
-  /// Violations of the rules that need no state: shape, sizes, cycles, unknown
-  /// steps.
+  /// Returns the violations of all rules that can be checked without cluster state: format, sizes,
+  /// cycles, unknown steps.
   std::vector<ErrorDetail> validate() const;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -118,24 +114,24 @@
   std::uint32_t stepIndex = 0;
   std::uint32_t indexInStep = 0;
   TaskState state = TaskState::blocked;
-  std::uint32_t countedStarts = 0;  // against the retry limit. docs/design.md 4.4
+  std::uint32_t countedStarts = 0;  // starts that count against the retry limit. docs/design.md 4.4
   bool trialStarted = false;
-  bool trialExpired = false;     // its trial was not enough: it waits for a full allocation
+  bool trialExpired = false;     // its trial was too short: it waits for a full allocation
   AttemptNumber currentAttempt;  // 0: none
   ClusterTime readyAt;
   ClusterTime notBefore;
-  WorkerId avoidedWorker;  // where it failed last
-  // An earlier attempt turned out to have succeeded. docs/design.md 5.5.
+  WorkerId avoidedWorker;  // the worker on which it failed last
+  // An earlier attempt, already replaced, was reported as succeeded. docs/design.md 5.5.
   bool succeededEarlier = false;
-  // Starts of any kind so far; workers know a start by this number.
+  // The number of starts of any kind so far. Workers identify a start by this number.
   // docs/design.md 4.7.
   std::uint32_t runNumber = 0;
-  std::uint32_t failureCount = 0;   // runs that failed; a gang's are counted by its first task
-  std::uint32_t lastFailedRun = 0;  // the last run that was counted among them
-  AttemptNumber redundantAttempt;   // of a redundant step: a copy beside the
-                                    // current attempt
-  std::string checkpoint;           // the latest one
-  std::uint32_t checkpointRun = 0;  // the run that it came from
+  std::uint32_t failureCount = 0;   // failed runs; those of a gang are counted on its first task
+  std::uint32_t lastFailedRun = 0;  // the last run counted in `failureCount`
+  // In a redundant step: a copy that runs beside the current attempt.
+  AttemptNumber redundantAttempt;
+  std::string checkpoint;           // the latest checkpoint
+  std::uint32_t checkpointRun = 0;  // the run that saved `checkpoint`
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& stepIndex& indexInStep& state& countedStarts& trialStarted& trialExpired&
@@ -146,17 +142,17 @@
 
 struct Job {
   JobSubmission submission;
-  std::uint32_t digest = 0;  // of the submission
+  std::uint32_t digest = 0;  // checksum of the submission
   JobState state = JobState::active;
   std::string reason;        // why it failed or was cancelled
-  bool terminating = false;  // it will fail or be cancelled, but an attempt of it is still open
+  bool terminating = false;  // it will fail or be cancelled once its open attempts are closed
   ClusterTime admittedAt;
   ClusterTime endedAt;
-  std::vector<Task> tasks;  // of all steps, in the order of the submission
+  std::vector<Task> tasks;  // tasks of all steps, in the order of the submission
   std::uint32_t firedOccurrences = 0;
-  std::uint32_t openOccurrences = 0;  // of those fired
-  // Not 0: the job is in a terminal state, and its steps and tasks are no
-  // longer kept. docs/design.md 4.5.
+  std::uint32_t openOccurrences = 0;  // fired occurrences that have not ended
+  // Not 0: the job is in a terminal state and its steps and tasks have been discarded; this is
+  // their number. docs/design.md 4.5.
   std::uint32_t compactedTaskCount = 0;
 
   bool isTerminal() const {
@@ -170,15 +166,15 @@
   const std::string& payloadOf(const Task& task) const {
     return requestOf(task).payload.empty() ? submission.payload : requestOf(task).payload;
   }
-  /// The index in `tasks` of a step's task; the size of `tasks` if there is
-  /// none.
+  /// Returns the index in `tasks` of a task of a step, or the size of `tasks` if there is no such
+  /// task.
   std::size_t taskIndexOf(std::uint32_t stepIndex, std::uint32_t indexInStep) const;
-  /// Of the tasks that wait for a start or for another step.
+  /// Returns the work of all tasks that are pending or blocked.
   CoreMilliseconds workToStart() const;
   bool isStepComplete(std::uint32_t stepIndex) const;
-  /// Fills `tasks` from the submission; to be called once.
+  /// Fills `tasks` from the submission. Must be called only once.
   void addTasks();
-  /// Tasks whose step's dependencies have succeeded become pending.
+  /// Makes blocked tasks pending if all dependencies of their step have succeeded.
   void releaseReadyTasks(ClusterTime now);
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
--- a/source/state/job_events.cpp
+++ b/source/state/job_events.cpp
@@ -1,4 +1,4 @@
-// Events about jobs. docs/design.md 4.
+// Applies the events about jobs. docs/design.md 4.
 #include "state/event_appliers.hpp"
 #include "state/job_lifecycle.hpp"
 #include "state/occurrence.hpp"
@@ -15,8 +15,8 @@
   tables.jobs.erase(found);
 }
 
-// docs/design.md 4.5: of a job that ended a while ago only what answers a
-// repeated submission or a look at it is kept.
+// docs/design.md 4.5: reduces a job that ended some time ago to the data that answers repeated
+// submissions and queries.
 void compactJob(ClusterTables& tables, const JobId& id) {
   auto found = tables.jobs.find(id);
   if (found == tables.jobs.end() || !found->second.isTerminal() ||
--- a/source/state/job_json.cpp
+++ b/source/state/job_json.cpp
@@ -1,3 +1,4 @@
+// JSON encoding and decoding of job submissions.
 #include "base/json_reader.hpp"
 #include "state/request_json.hpp"
 
@@ -7,9 +8,8 @@
 
 using Presence = JsonObjectReader::Presence;
 
-// Steps that are read at all, and tasks after which no more are read: both just
-// past what JobSubmission::validate accepts, so that a fault is reported
-// without the memory for all of them.
+// Limits on the steps and tasks that are read. They exceed what JobSubmission::validate accepts, so
+// an oversized submission is reported as invalid without allocating memory for all of it.
 constexpr std::size_t maxStepsRead = 1000;
 constexpr std::size_t maxTasksRead = 2000;
 
@@ -26,7 +26,7 @@
   Timetable readTimetable(const picojson::value& value);
 
   std::vector<ErrorDetail>& errors;
-  std::size_t tasksRead = 0;  // of all steps
+  std::size_t tasksRead = 0;  // in all steps
 };
 
 JobSubmission SubmissionReader::read(const picojson::value& root) {
@@ -54,7 +54,7 @@
     request.name = std::to_string(stepIndex);
   request.gang = step.flag("gang");
   request.requirements = readRequirements(step);
-  request.dependencies = step.texts("after", "must hold names of steps");
+  request.dependencies = step.texts("after", "must contain names of steps");
   if (const auto* tasks = step.list("tasks", Presence::required)) {
     for (std::size_t index = 0; index < tasks->size() && tasksRead <= maxTasksRead; ++index)
       readTasks((*tasks)[index], step.pathOf("tasks") + "/" + std::to_string(index), request.tasks);
@@ -74,7 +74,7 @@
   return requirements;
 }
 
-// One entry stands for as many equal tasks as its count says.
+// Reads one entry of the task list, which represents as many equal tasks as its count.
 void SubmissionReader::readTasks(const picojson::value& value, const std::string& path,
                                  std::vector<TaskRequest>& tasks) {
   JsonObjectReader fields(value, path, errors);
--- a/source/state/job_lifecycle.cpp
+++ b/source/state/job_lifecycle.cpp
@@ -1,3 +1,4 @@
+// State transitions of jobs, tasks and timetables.
 #include "state/job_lifecycle.hpp"
 #include "state/occurrence.hpp"
 
@@ -49,8 +50,8 @@
   fail(job, "task " + std::to_string(taskIndex) + " used up its retries");
 }
 
-// docs/design.md 4.4: a queue with `maxFailures` counts failures, any other
-// counts starts; a long-running step counts nothing.
+// docs/design.md 4.4: queues with `maxFailures` limit the failures of a task, other queues its
+// starts. A long-running step has no limit.
 bool JobLifecycle::retriesExhausted(const Job& job, const Task& task) const {
   const auto& step = job.stepOf(task);
   if (step.requirements.longRunning)
@@ -70,7 +71,7 @@
 void JobLifecycle::countFailure(Job& job, const Attempt& attempt) {
   Task& task = accountedTask(job, attempt);
   if (attempt.gang && attempt.runNumber && task.lastFailedRun >= attempt.runNumber)
-    return;  // one failure is counted for each run of a gang
+    return;  // each run of a gang counts as one failure at most
   task.lastFailedRun = attempt.runNumber;
   ++task.failureCount;
 }
@@ -117,8 +118,8 @@
   }
 }
 
-// A redundant copy that is being stopped after another one succeeded keeps its
-// worker's resources, but not its job open.
+// A redundant copy that is being stopped after another copy succeeded keeps its worker's resources
+// but does not keep its job open.
 bool JobLifecycle::allAttemptsClosed(const Job& job, bool allSucceeded) const {
   const auto& numbers = tables.attemptIndex.ofJob(job.submission.id);
   return std::all_of(numbers.begin(), numbers.end(), [&](AttemptNumber number) {
@@ -159,8 +160,8 @@
   onOccurrenceCompleted(job);
 }
 
-// docs/design.md 4.1: a timetable ends when all its occurrences have, and fails
-// with the first that fails.
+// docs/design.md 4.1: a timetable ends when all its occurrences have ended, and fails with the
+// first occurrence that fails.
 void JobLifecycle::onOccurrenceCompleted(const Job& occurrence) {
   const auto id = OccurrenceId::parse(occurrence.submission.id);
   if (!id)
--- a/source/state/job_lifecycle.hpp
+++ b/source/state/job_lifecycle.hpp
@@ -1,6 +1,5 @@
-// The life of a job and its tasks: admission, completion, retries, failure,
-// cancellation and the occurrences of timetables. Used by the functions that
-// apply events. docs/design.md 4.
+// The lifecycle of jobs and tasks: admission, completion, retries, failure, cancellation and the
+// occurrences of timetables. Used by the functions that apply events. docs/design.md 4.
 #ifndef ANISELINE_STATE_JOB_LIFECYCLE_HPP
 #define ANISELINE_STATE_JOB_LIFECYCLE_HPP
 #include "state/attempt_control.hpp"
@@ -11,29 +10,28 @@
  public:
   explicit JobLifecycle(ClusterTables& given) : tables(given), attempts(given) {}
 
-  /// Adds a job, unless its id is taken.
+  /// Adds a job, unless its id is already in use.
   void admit(const JobSubmission& submission);
   void completeTask(Job& job, Task& task);
-  /// After an attempt that came to nothing: the task waits again, not before
-  /// `pause` has passed and preferably elsewhere; or, with its retries
-  /// exhausted, it fails and its job with it. docs/design.md 4.4.
+  /// Requeues a task after an unsuccessful attempt: not before `pause` has passed and preferably on
+  /// another worker than `avoidedWorker`. If its retries are exhausted, the task and its job fail.
+  /// docs/design.md 4.4.
   void requeueTask(Job& job, Task& task, const WorkerId& avoidedWorker, Duration pause);
   bool retriesExhausted(const Job& job, const Task& task) const;
-  /// Fails a task for which no retry is left, and its job.
+  /// Fails a task that has no retries left, and its job.
   void failTask(Job& job, Task& task);
   void countFailure(Job& job, const Attempt& attempt);
-  /// The members of a gang that assembles itself succeed together: one success
-  /// counts for all, also where another member's own result was void, and
-  /// whatever was started in a member's place is stopped.
+  /// Completes all members of a self-assembling gang after the success of one. This includes
+  /// members whose own result was void; attempts started as their replacements are stopped.
   void completeGang(Job& job, const Attempt& attempt);
-  /// A checkpoint belongs to its task, or to the whole gang; that of an earlier
-  /// run never replaces that of a later one.
+  /// Stores the checkpoint of a task, or of the whole gang for a gang member. A checkpoint of an
+  /// earlier run never replaces that of a later one.
   void recordCheckpoint(const Attempt& attempt, const std::string& checkpoint);
-  /// The job will fail: what is pending does not start, and what runs is
-  /// stopped.
+  /// Marks the job as failing: pending tasks are not started and running attempts are stopped.
   void fail(Job& job, const std::string& reason);
   void cancel(Job& job, const std::string& reason);
-  /// Ends the job if no task of it is open anywhere. docs/design.md 4.2.
+  /// Ends the job if none of its tasks has an open attempt and it has either succeeded or is
+  /// terminating. docs/design.md 4.2.
   void completeIfFinished(Job& job);
 
  private:
@@ -41,7 +39,8 @@
   void onOccurrenceCompleted(const Job& occurrence);
   void cancelOccurrences(const Job& timetable, const std::string& reason);
   bool allAttemptsClosed(const Job& job, bool allSucceeded) const;
-  /// Of a gang its first task keeps what belongs to all.
+  /// Returns the task that holds failure counts and checkpoints for an attempt: for a gang, its
+  /// first task.
   Task& accountedTask(Job& job, const Attempt& attempt) const;
 
   ClusterTables& tables;
--- a/source/state/job_validation.cpp
+++ b/source/state/job_validation.cpp
@@ -1,4 +1,4 @@
-// The rules for a submission that need no state: shape, sizes, dependencies.
+// Validation rules for submissions that need no cluster state: format, sizes, dependencies.
 // docs/api.md 2.
 #include "state/job.hpp"
 
@@ -9,7 +9,7 @@
 constexpr std::size_t maxIdLength = 128;
 constexpr std::size_t maxSteps = 64;
 constexpr std::size_t maxStepNameLength = 64;
-constexpr std::size_t maxTasks = 2000;                           // of all steps
+constexpr std::size_t maxTasks = 2000;                           // in all steps
 constexpr std::uint32_t maxCores = 65'536'000;                   // thousandths of a core
 constexpr std::uint64_t maxMemory = 1'000'000'000;               // MB
 constexpr std::size_t maxPayload = 4096;                         // bytes
@@ -52,35 +52,35 @@
 void SubmissionValidator::checkIdentity() {
   const std::string& id = job.id.value;
   if (id.empty() || id.size() > maxIdLength)
-    addError("/id", "holds 1 to 128 characters");
+    addError("/id", "must have 1 to 128 characters");
   const bool valid = std::all_of(id.begin(), id.end(), [](char character) {
     return std::isalnum((unsigned char)character) || std::strchr("-_.:", character);
   });
   if (!valid)
-    addError("/id", "may hold letters, digits and -_.: only");
+    addError("/id", "may contain only letters, digits and -_.:");
   if (job.queue.value.empty())
     addError("/queue", "is missing");
 }
 
 void SubmissionValidator::checkSteps() {
   if (job.steps.empty() || job.steps.size() > maxSteps)
-    addError("/steps", "must hold 1 to 64 steps");
+    addError("/steps", "must contain 1 to 64 steps");
   std::size_t total = 0;
   for (std::size_t stepIndex = 0; stepIndex < job.steps.size(); ++stepIndex) {
     const auto& step = job.steps[stepIndex];
     const std::string path = pathOfStep(stepIndex);
     if (step.name.empty() || step.name.size() > maxStepNameLength)
-      addError(path + "/name", "holds 1 to 64 characters");
+      addError(path + "/name", "must have 1 to 64 characters");
     if (!stepIndexes.emplace(step.name, stepIndex).second)
-      addError(path + "/name", "stands twice");
+      addError(path + "/name", "is the name of another step");
     if (step.tasks.empty())
-      addError(path + "/tasks", "must hold at least one task");
+      addError(path + "/tasks", "must contain at least one task");
     total += step.tasks.size();
     for (std::size_t index = 0; index < step.tasks.size(); ++index)
       checkTask(step.tasks[index], path + "/tasks/" + std::to_string(index));
   }
   if (total > maxTasks)
-    addError("/steps", "hold more than 2000 tasks together");
+    addError("/steps", "must not contain more than 2000 tasks in total");
 }
 
 void SubmissionValidator::checkTask(const TaskRequest& task, const std::string& path) {
@@ -91,7 +91,7 @@
   if (task.runtime.milliseconds < 1 || task.runtime.milliseconds > maxSpan)
     addError(path + "/runtime_ms", "must be from 1 ms to 366 days");
   if (task.payload.size() > maxPayload)
-    addError(path + "/payload", "holds at most 4096 bytes");
+    addError(path + "/payload", "must have at most 4096 bytes");
 }
 
 void SubmissionValidator::checkDependencies() {
@@ -108,8 +108,8 @@
   checkCycles(std::move(dependencies));
 }
 
-// Removes steps whose dependencies are all removed, until none is left or none
-// can be removed.
+// Repeatedly removes steps whose dependencies have all been removed. Steps that cannot be removed
+// are part of a cycle or depend on one.
 void SubmissionValidator::checkCycles(std::vector<std::set<std::size_t>> dependencies) {
   std::set<std::size_t> remaining;
   for (std::size_t stepIndex = 0; stepIndex < dependencies.size(); ++stepIndex)
@@ -122,13 +122,13 @@
     progress = removed > 0;
   }
   if (!remaining.empty())
-    addError(pathOfStep(*remaining.begin()) + "/after", "steps wait on each other in a circle");
+    addError(pathOfStep(*remaining.begin()) + "/after", "steps depend on each other in a cycle");
 }
 
 void SubmissionValidator::checkTimetable() {
   const Timetable& timetable = job.timetable;
   if (timetable.firstStart.milliseconds > maxCalendarTime)
-    addError("/timetable/first_ms", "is beyond the calendar");
+    addError("/timetable/first_ms", "must not be after the year 9999");
   if (timetable.count < 1 || timetable.count > maxOccurrences)
     addError("/timetable/count", "must be from 1 to 10000");
   if (timetable.count > 1 && timetable.interval.milliseconds < minInterval)
--- a/source/state/leader_route.cpp
+++ b/source/state/leader_route.cpp
@@ -1,3 +1,4 @@
+// Address ordering, merging of routes, and request admission.
 #include "state/leader_route.hpp"
 #include "state/api_request.hpp"
 
@@ -38,7 +39,8 @@
 
 bool admitsRequest(RequestKind kind, bool ordinarySubmission, std::size_t inFlight,
                    std::size_t limit) {
-  // There are as many syncs as workers, and without them nothing completes.
+  // Syncs are always admitted: their number is bounded by that of the workers, and no task
+  // completes without them.
   if (kind == RequestKind::syncWorker)
     return true;
   return inFlight < (ordinarySubmission ? limit - limit / 5 : limit);
--- a/source/state/leader_route.hpp
+++ b/source/state/leader_route.hpp
@@ -1,5 +1,5 @@
-// What gateways know of the cluster: the way to its leader, and which requests
-// to admit under load. docs/design.md 9.2, 10.
+// The routing data of gateways: the current leader, the other controllers and gateways, and the
+// rule for admitting requests under load. docs/design.md 9.2, 10.
 #ifndef ANISELINE_STATE_LEADER_ROUTE_HPP
 #define ANISELINE_STATE_LEADER_ROUTE_HPP
 #include "base/types.hpp"
@@ -9,7 +9,7 @@
 enum class RequestKind : std::uint8_t;
 struct ApiRequest;
 
-/// A gateway as others reach it.
+/// The address and zone of a gateway.
 struct GatewayEndpoint {
   Address address;
   ZoneName zone;
@@ -18,9 +18,9 @@
     archive& address& zone;
   }
 };
-/// Addresses in the order in which a process of a zone should try them: those
-/// of its own zone first, rotated by `spread` so that clients begin at
-/// different ones.
+/// Returns the addresses in the order in which a process in `zone` should try them: those of its
+/// own zone first. Each group is rotated by `rotation`, so that clients start with different
+/// addresses.
 std::vector<Address> orderedByZonePreference(const std::vector<GatewayEndpoint>& endpoints,
                                              const ZoneName& zone, std::uint64_t rotation);
 
@@ -28,16 +28,15 @@
   Term term;
   Address leader;
   std::vector<Address> controllers;
-  std::vector<GatewayEndpoint> gateways;  // for workers and callers
+  std::vector<GatewayEndpoint> gateways;  // for workers and clients
   ConfigVersion config;
-  std::vector<QueueName> priorityQueues;  // whose submissions are the last to be rejected
-  /// Takes over what another process knows, unless that is older; the version
-  /// of the configuration never goes back. Returns whether it was taken.
-  /// docs/design.md 6.5.
+  std::vector<QueueName> priorityQueues;  // queues whose submissions are the last to be rejected
+  /// Adopts the route known to another process, unless it is older; the configuration version never
+  /// decreases. Reports whether the route was adopted. docs/design.md 6.5.
   bool mergeNewer(LeaderRoute other);
-  /// Whether another request is admitted while `inFlight` of `limit` are in
-  /// flight. A fifth is kept for submissions to priority queues and for all
-  /// that is no submission. docs/design.md 10.
+  /// Reports whether another request is admitted while `inFlight` requests of at most `limit` are
+  /// in progress. One fifth of the limit is reserved for submissions to priority queues and for
+  /// requests other than submissions. docs/design.md 10.
   bool admits(const ApiRequest& request, std::size_t inFlight, std::size_t limit) const;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -45,8 +44,8 @@
   }
 };
 
-/// The same rule for a request of known kind; `plain` is a submission to no
-/// priority queue.
+/// Applies the same rule to a request of a known kind; `ordinarySubmission` is a submission to a
+/// queue that is not a priority queue.
 bool admitsRequest(RequestKind kind, bool ordinarySubmission, std::size_t inFlight,
                    std::size_t limit);
 
--- a/source/state/order.cpp
+++ b/source/state/order.cpp
@@ -1,3 +1,4 @@
+// Names of order kinds on the wire.
 #include "state/order.hpp"
 #include "base/enum_names.hpp"
 
--- a/source/state/plan_events.cpp
+++ b/source/state/plan_events.cpp
@@ -1,5 +1,5 @@
-// The planner's decisions: starts, suspends and stops of attempts, and the
-// reservation. docs/design.md 5.
+// Applies the planner's decisions: starts, suspends and stops of attempts, and the reservation.
+// docs/design.md 5.
 #include "state/event_appliers.hpp"
 #include "state/job_lifecycle.hpp"
 #include "state/stop_reasons.hpp"
--- a/source/state/policy_program.cpp
+++ b/source/state/policy_program.cpp
@@ -1,3 +1,4 @@
+// Compilation and evaluation of policy expressions with muParser.
 #include "state/policy_program.hpp"
 #include <cmath>
 #include <muParser.h>
@@ -9,8 +10,8 @@
   mu::Parser parser;
 };
 
-// docs/design.md 6.3: programs are short expressions over numbers, so their
-// cost is bounded by their length.
+// docs/design.md 6.3: programs are short numeric expressions, so their cost is bounded by their
+// length.
 PolicyProgram::PolicyProgram(const std::string& text)
     : implementation(std::make_unique<Implementation>()) {
   auto& parser = implementation->parser;
@@ -44,11 +45,11 @@
 std::optional<std::string> PolicyProgram::check(const std::string& text) {
   constexpr std::size_t maxLength = 400;
   if (text.size() > maxLength)
-    return "a policy program may hold at most 400 characters";
+    return "a policy program may have at most 400 characters";
   if (text.find('=') != std::string::npos && text.find("==") == std::string::npos &&
       text.find("<=") == std::string::npos && text.find(">=") == std::string::npos &&
       text.find("!=") == std::string::npos)
-    return "a policy program may not assign";
+    return "a policy program must not assign";
   try {
     PolicyProgram program(text);
     auto& parser = program.implementation->parser;
@@ -56,7 +57,7 @@
     program.implementation->inputs = {0.1, 0.2, 1.5, 1, 1024, 1, 1.5, 0.1, 0.0167, 1};
     const double withTypicalInputs = parser.Eval();
     if (!std::isfinite(withTypicalInputs) && !std::isfinite(withZeros))
-      return "gives no finite number";
+      return "does not give a finite number";
   } catch (const mu::Parser::exception_type& error) {
     return error.GetMsg();
   }
--- a/source/state/policy_program.hpp
+++ b/source/state/policy_program.hpp
@@ -1,5 +1,5 @@
-// Policy programs: the operators' expressions that rank jobs and decide on
-// suspensions, compiled by muParser. docs/design.md 6.3.
+// Policy programs: expressions written by operators that rank jobs and decide on suspensions,
+// compiled by muParser. docs/design.md 6.3.
 #ifndef ANISELINE_STATE_POLICY_PROGRAM_HPP
 #define ANISELINE_STATE_POLICY_PROGRAM_HPP
 #include <memory>
@@ -8,8 +8,7 @@
 
 namespace aniseline {
 
-/// A compiled expression. Not to be shared between threads, not even for
-/// reading.
+/// A compiled expression. Must not be shared between threads, not even for evaluation.
 class PolicyProgram {
  public:
   /// The variables of an expression. Times are in hours, memory in MB.
@@ -25,13 +24,13 @@
     double weightWait = 0;
     double weightExpansion = 0;
   };
-  /// Throws muParser's exception for a text that `check` has a fault for.
+  /// Throws muParser's exception if the text is not a valid expression; see check().
   explicit PolicyProgram(const std::string& text);
   PolicyProgram(PolicyProgram&&) noexcept;
   ~PolicyProgram();
-  /// The value for these inputs; 0 where it is not a finite number.
+  /// Returns the value for these inputs, or 0 if it is not a finite number.
   double evaluate(const Inputs& inputs) const;
-  /// What is wrong with an expression; nothing if it is valid.
+  /// Returns the error in an expression, or nothing if it is valid.
   static std::optional<std::string> check(const std::string& text);
 
  private:
--- a/source/state/policy_switches.hpp
+++ b/source/state/policy_switches.hpp
@@ -1,5 +1,6 @@
-// Which policies take part in a plan. All do, but for experiments that measure what one is worth:
-// controllers take the names of those to leave out with `--without`. docs/decisions-under-load.md.
+// Switches for scheduling policies. All policies are enabled by default; experiments disable some
+// to measure their effect, with the `--without` option of the controllers.
+// docs/decisions-under-load.md.
 #ifndef ANISELINE_STATE_POLICY_SWITCHES_HPP
 #define ANISELINE_STATE_POLICY_SWITCHES_HPP
 #include <algorithm>
@@ -13,21 +14,21 @@
 namespace aniseline {
 
 enum class Policy : std::uint8_t {
-  urgentHeadroom,        // design.md 7.8
-  latencyOrder,          // design.md 7.8: what can be in time goes first, what is past use last
-  boundedWaiting,        // design.md 7.9
+  urgentHeadroom,  // design.md 7.8
+  latencyOrder,    // design.md 7.8: jobs that can meet their target first, those far past it last
+  boundedWaiting,  // design.md 7.9
   checkpointPreemption,  // design.md 7.10
   rackBalance,           // design.md 7.11
   localityWait,          // design.md 7.11
   redundantCopies,       // design.md 7.7
-  slowWorkers,           // design.md 5.6: by pace
-  failingWorkers,        // design.md 5.6: by results
-  reservedStart,         // paper.md 3, and with it the limits on backfill
-  backlogAdmission,      // design.md 10: jobs that would wait past all use are rejected
+  slowWorkers,           // design.md 5.6: detected by their speed
+  failingWorkers,        // design.md 5.6: detected by results of attempts
+  reservedStart,         // paper.md 3, including the limits on backfill
+  backlogAdmission,      // design.md 10: rejects jobs whose wait would be too long to be of use
   shortestRemainingWork  // design.md 7.12
 };
 inline constexpr std::size_t policyCount = 12;
-/// As `--without` takes it.
+/// The names of the policies for `--without`.
 inline constexpr std::array<const char*, policyCount> policyNames = {
     "urgent-headroom", "latency-order",  "bounded-waiting",   "checkpoint-preemption",
     "rack-balance",    "locality-wait",  "redundant-copies",  "slow-workers",
@@ -37,7 +38,7 @@
  public:
   bool isOn(Policy policy) const { return !disabled.test(std::size_t(policy)); }
   void turnOff(Policy policy) { disabled.set(std::size_t(policy)); }
-  /// Turns off the policies of these names, which are parted by commas. The first that is none, or
+  /// Turns off the policies in a comma-separated list of names. Returns the first unknown name, or
   /// nothing.
   std::optional<std::string> turnOffAll(const std::string& names) {
     std::istringstream stream(names);
--- a/source/state/request_json.hpp
+++ b/source/state/request_json.hpp
@@ -1,4 +1,4 @@
-// JSON of submissions and of sync reports, both ways. docs/api.md 2, 3.
+// JSON encoding and decoding of job submissions and sync reports. docs/api.md 2, 3.
 #ifndef ANISELINE_STATE_REQUEST_JSON_HPP
 #define ANISELINE_STATE_REQUEST_JSON_HPP
 #include "state/job.hpp"
@@ -7,10 +7,10 @@
 
 namespace aniseline {
 
-/// Reads a submission. Its faults are appended; only a result without any is to
-/// be used.
+/// Parses a submission and appends its errors. The result may be used only if there are none.
 JobSubmission parseJobSubmission(const picojson::value& root, std::vector<ErrorDetail>& errors);
-/// Reads the report of the worker with this id, in the same way.
+/// Parses the sync report of the worker with this id and appends its errors. The result may be used
+/// only if there are none.
 SyncReport parseSyncReport(const picojson::value& root, const std::string& id,
                            std::vector<ErrorDetail>& errors);
 std::string renderJobSubmission(const JobSubmission& job);
--- a/source/state/stop_reasons.hpp
+++ b/source/state/stop_reasons.hpp
@@ -1,14 +1,15 @@
-// Why a plan stops an attempt, as the log of events names it. Stops for some of these reasons use
-// up nothing of a task's retry limit. docs/design.md 4.4.
+// The reasons for which a plan stops an attempt, as recorded in the event log. Stops for some of
+// these reasons do not count against a task's retry limit. docs/design.md 4.4.
 #ifndef ANISELINE_STATE_STOP_REASONS_HPP
 #define ANISELINE_STATE_STOP_REASONS_HPP
 
 namespace aniseline::stop_reasons {
 
-inline constexpr const char* stagingTimedOut = "staging";  // a gang could not be launched in time
-inline constexpr const char* startUnconfirmed = "alone";   // the other parts of a gang may not run
+inline constexpr const char* stagingTimedOut = "staging";  // the gang could not be launched in time
+// The other members of the gang may not be running.
+inline constexpr const char* startUnconfirmed = "alone";
 inline constexpr const char* preempted =
-    "preempted";  // its progress is saved; others need its room
+    "preempted";  // its progress is saved and its resources are needed by other tasks
 
 }  // namespace aniseline::stop_reasons
 
--- a/source/state/sync_json.cpp
+++ b/source/state/sync_json.cpp
@@ -1,3 +1,4 @@
+// JSON encoding and decoding of sync reports and sync responses.
 #include "base/json_reader.hpp"
 #include "state/request_json.hpp"
 #include "state/sync_response.hpp"
@@ -11,7 +12,7 @@
 constexpr std::size_t maxWorkerIdLength = 64;
 constexpr std::uint32_t maxCores = 65'536'000;      // thousandths of a core
 constexpr std::uint64_t maxMemory = 1'000'000'000;  // MB
-constexpr std::size_t maxResultsRead = 10'000;      // far more than a worker runs at a time
+constexpr std::size_t maxResultsRead = 10'000;  // far more attempts than a worker runs at a time
 constexpr Duration maxLongPollTimeout{2000};
 
 Capacity readCapacity(JsonObjectReader& fields) {
@@ -28,7 +29,7 @@
   capacity.enforcesCapacity = fields.flag("guards_room");
   capacity.accelerators = fields.unsignedInteger32("accelerators", Presence::optional);
   capacity.pool = fields.text("pool");
-  capacity.labels = fields.texts("labels", "must hold strings");
+  capacity.labels = fields.texts("labels", "must contain strings");
   return capacity;
 }
 
@@ -115,7 +116,7 @@
   SyncReport report;
   report.id = WorkerId{id};
   if (id.empty() || id.size() > maxWorkerIdLength)
-    errors.push_back({"", "a worker's id holds 1 to 64 characters"});
+    errors.push_back({"", "a worker id must have 1 to 64 characters"});
   JsonObjectReader fields(root, "", errors);
   report.incarnation = Incarnation{fields.decimalText("incarnation", Presence::required)};
   if (!report.incarnation.value)
@@ -180,11 +181,11 @@
 
 Result<SyncResponse> SyncResponse::parse(const std::string& body) {
   if (nestedTooDeep(body))
-    return CoreError::at(CoreError::Kind::invalid, "", "the answer is nested too deep");
+    return CoreError::at(CoreError::Kind::invalid, "", "the response is nested too deep");
   picojson::value root;
   const std::string parseError = parseJson(root, body);
   if (!parseError.empty())
-    return CoreError::at(CoreError::Kind::invalid, "", "the answer is not JSON: " + parseError);
+    return CoreError::at(CoreError::Kind::invalid, "", "the response is not JSON: " + parseError);
   std::vector<ErrorDetail> errors;
   SyncResponse response = readResponse(root, errors);
   if (!errors.empty())
--- a/source/state/sync_report.hpp
+++ b/source/state/sync_report.hpp
@@ -1,4 +1,4 @@
-// What a worker or its agent reports to the leader in a sync. docs/api.md 3.
+// The report that a worker or its agent sends to the leader in a sync. docs/api.md 3.
 #ifndef ANISELINE_STATE_SYNC_REPORT_HPP
 #define ANISELINE_STATE_SYNC_REPORT_HPP
 #include "state/attempt_result.hpp"
@@ -14,17 +14,16 @@
   std::vector<AttemptResult> results;
   bool draining = false;
   Duration drainTimeout{0};
-  Duration longPollTimeout{0};    // how long the response may be delayed while there is no news
-  OrderNumber lastReceivedOrder;  // of an agent, which may not have applied it yet
-  // Of an agent: its worker does not answer. No lease is wanted, since it could
-  // not be passed on.
+  Duration longPollTimeout{0};    // how long the response may be delayed if there is nothing new
+  OrderNumber lastReceivedOrder;  // from an agent, which may not have applied it yet
+  // From an agent: its worker does not respond. The agent wants no lease, since it could not pass
+  // it on.
   bool unresponsive = false;
-  // Of an unresponsive worker: its tasks stop no later than this from now on.
+  // For an unresponsive worker: its tasks stop within this time.
   Duration remainingLease{0};
-  MonotonicTime reportedAt;  // by the agent's own clock, since reports may
-                             // overtake each other
-  // Of an agent: the response's body is a packed SyncResponse, and results and
-  // checkpoints are identified by TaskRunId.
+  MonotonicTime reportedAt;  // by the agent's own clock; orders reports that overtake each other.
+  // From an agent: the response body must be a packed SyncResponse, and results and checkpoints are
+  // identified by TaskRunId.
   bool wantsPackedResponse = false;
   std::vector<TaskRunResult> runResults;
   std::vector<TaskCheckpoint> checkpoints;
--- a/source/state/sync_response.hpp
+++ b/source/state/sync_response.hpp
@@ -1,5 +1,4 @@
-// What a worker's sync is answered with, and its JSON, both ways.
-// docs/api.md 3.
+// The response to a worker's sync, with its JSON encoding and decoding. docs/api.md 3.
 #ifndef ANISELINE_STATE_SYNC_RESPONSE_HPP
 #define ANISELINE_STATE_SYNC_RESPONSE_HPP
 #include "state/order.hpp"
@@ -10,12 +9,14 @@
 struct SyncResponse {
   Term term;
   std::vector<Order> orders;
-  std::vector<AttemptNumber> confirmedAttempts;  // whose results need not be reported again
+  // Attempts whose results need not be reported again.
+  std::vector<AttemptNumber> confirmedAttempts;
   Duration lease{3000};
   std::vector<Address> gateways;
-  std::uint32_t finalResultCount = 0;  // how many of the report's runResults, from the first on
-  // Of an agent's: `orders` are all that are open beyond this one; earlier ones
-  // were in another response.
+  // The number of leading entries of the report's runResults that are final.
+  std::uint32_t finalResultCount = 0;
+  // For an agent: `orders` are all open orders after this one; earlier ones were in another
+  // response.
   OrderNumber ordersAfter;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
--- a/source/state/tenant_changes.cpp
+++ b/source/state/tenant_changes.cpp
@@ -1,3 +1,4 @@
+// Enforcement of lowered tenant caps, and preservation of the caps of removed tenants.
 #include "state/tenant_changes.hpp"
 #include "state/attempt_control.hpp"
 
@@ -14,7 +15,7 @@
          isLower(cap.accelerators, before.accelerators);
 }
 
-// The attempts of one tenant that may run, and what they hold together.
+// The attempts of one tenant that are not abandoned, and the resources allocated to them.
 class TenantAttempts {
  public:
   TenantAttempts(ClusterTables& tables, const TenantName& tenant) : tables(tables) {
@@ -29,7 +30,7 @@
     return exceeds(allocated.cores, cap.cores) || exceeds(allocated.memory, cap.memory) ||
            exceeds(allocated.accelerators, cap.accelerators);
   }
-  // Starts that no worker has reported, the latest first.
+  // Returns the starts that no worker has reported yet, the latest first.
   const std::vector<AttemptNumber>& undeliveredStarts() const { return undeliveredNumbers; }
   void stop(AttemptNumber number) {
     Attempt& attempt = tables.attempts.at(number);
@@ -55,7 +56,8 @@
         undeliveredNumbers.push_back(number);
     }
   }
-  // One that has begun would wait for the others in vain.
+  // Stops the whole gang, including members that have begun: they would wait for the stopped
+  // members forever.
   void stopGang(const Attempt& member) {
     const auto numbers = tables.attemptIndex.ofJob(member.job);
     const std::uint32_t stepIndex = member.stepIndex;
--- a/source/state/tenants.cpp
+++ b/source/state/tenants.cpp
@@ -1,13 +1,14 @@
+// API key digests and the lookup of tenants.
 #include "state/tenants.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// Keeps the digests of keys apart from those of texts.
+// Distinguishes digests of keys from those of other texts.
 constexpr const char* digestPrefix = "api key:";
 
-// Takes as long for equal digests as for any others.
+// Compares two digests in a time that does not depend on their values.
 bool equalInConstantTime(const ApiKeyDigest& left, const ApiKeyDigest& right) {
   const std::uint64_t difference =
       (left.digest.high ^ right.digest.high) | (left.digest.low ^ right.digest.low);
--- a/source/state/tenants.hpp
+++ b/source/state/tenants.hpp
@@ -1,6 +1,6 @@
-// Tenants: whose key a client's request needs, and how much of a tenant's work may run at once. A
-// part of the configuration, so that keys and caps come into force with it and at the same place in
-// the log. docs/design.md 6.7.
+// Tenants: the API keys that client requests need, and caps on the resources that a tenant's work
+// may use at once. Tenants are part of the configuration, so keys and caps take effect with it, at
+// one position in the log. docs/design.md 6.7.
 #ifndef ANISELINE_STATE_TENANTS_HPP
 #define ANISELINE_STATE_TENANTS_HPP
 #include "state/config_history.hpp"
@@ -8,16 +8,16 @@
 namespace aniseline {
 
 using TenantName = StrongId<struct TenantNameTag, std::string>;
-/// Is there nothing to serialize? See serializeTextWithSection().
+/// Reports whether there is nothing to serialize. See serializeTextWithSection().
 inline bool isAbsent(const TenantName& name) {
   return name.value.empty();
 }
 
-/// The digest by which a key is known. Keys themselves stand in no table, message or log; only the
-/// configuration's text, which its operator may read back, holds them.
+/// The digest that identifies an API key. Keys themselves appear in no table, message or log; only
+/// the configuration's text, which its operator may read back, contains them.
 struct ApiKeyDigest {
-  TextDigest digest;  // zero: no key was given
-  /// Zero for an empty key.
+  TextDigest digest;  // zero: no key
+  /// Returns the zero digest for an empty key.
   static ApiKeyDigest of(const std::string& key);
   bool isGiven() const { return digest != TextDigest{}; }
   bool operator==(const ApiKeyDigest&) const = default;
@@ -27,7 +27,7 @@
   }
 };
 
-/// What a tenant's attempts may hold together, on all workers. 0: no limit.
+/// The resources that all attempts of a tenant may use together, on all workers. 0: no limit.
 struct TenantCap {
   std::uint64_t cores = 0;   // thousandths of a core
   std::uint64_t memory = 0;  // MB
@@ -41,7 +41,8 @@
 
 struct TenantOptions {
   std::vector<ApiKeyDigest> keys;
-  double weight = 1;  // of its share when all is full; not used yet, docs/ROADMAP.md 3
+  // Weight of the tenant's share under contention; not used yet, docs/ROADMAP.md 3.
+  double weight = 1;
   TenantCap cap;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -49,13 +50,13 @@
   }
 };
 
-/// The tenants of a configuration. A configuration without a list of tenants asks for no keys.
+/// The tenants of a configuration. A configuration without a list of tenants requires no keys.
 class TenantDirectory {
  public:
-  /// From now on every ingress route that is not public asks for a key.
+  /// Makes every ingress route that is not public require a key.
   void requireKeys() { keysRequired = true; }
   bool requiresKeys() const { return keysRequired; }
-  /// The route of that host and prefix asks for no key.
+  /// Exempts the route with this host and prefix from keys.
   void addPublicRoute(const std::string& host, const std::string& pathPrefix) {
     publicRoutes.emplace(host, pathPrefix);
   }
@@ -63,21 +64,21 @@
     return keysRequired && !publicRoutes.count({host, pathPrefix});
   }
 
-  /// What is wrong with the tenant, if anything: its name is taken, or another tenant has one of
-  /// its keys. It is added only if nothing is.
+  /// Adds a tenant. Returns an error and adds nothing if the name is in use or another tenant has
+  /// one of the keys.
   std::optional<std::string> add(const TenantName& name, TenantOptions options);
-  /// Keeps the cap of a tenant that the configuration no longer names while jobs of it are open; it
-  /// has no keys.
+  /// Keeps a tenant that the configuration no longer names, with its cap but without keys, while it
+  /// has open jobs.
   void keepWithoutKeys(const TenantName& name, TenantOptions options);
 
   const std::map<TenantName, TenantOptions>& all() const { return tenants; }
-  /// Null if there is no such tenant.
+  /// Returns null if there is no such tenant.
   const TenantOptions* find(const TenantName& name) const;
-  /// The tenant that a key belongs to; null for a key that none has. Compares with every key
-  /// whatever is found, so that the time it takes tells nothing of any of them.
+  /// Returns the tenant that owns the key, or null if none does. Always compares with every key, so
+  /// that the time taken reveals nothing about the keys.
   const TenantName* findByKey(const ApiKeyDigest& key) const;
 
-  /// Of all tenants.
+  /// Returns the number of keys of all tenants.
   std::size_t keyCount() const;
 
   bool isEmpty() const { return !keysRequired && tenants.empty() && publicRoutes.empty(); }
--- a/source/state/worker.cpp
+++ b/source/state/worker.cpp
@@ -1,3 +1,4 @@
+// Names of worker states and the creation of orders.
 #include "state/worker.hpp"
 
 namespace aniseline {
--- a/source/state/worker_events.cpp
+++ b/source/state/worker_events.cpp
@@ -1,4 +1,4 @@
-// Events about workers. docs/design.md 5.
+// Applies the events about workers. docs/design.md 5.
 #include "state/attempt_results.hpp"
 #include "state/event_appliers.hpp"
 
@@ -6,8 +6,7 @@
 
 namespace {
 
-// Earlier incarnations that are remembered, so that a late sync of one is
-// recognised.
+// The number of earlier incarnations that are remembered, so that a late sync of one is recognised.
 constexpr std::size_t maxRetiredIncarnations = 16;
 
 void closeAllAttempts(ClusterTables& tables, const WorkerId& worker) {
@@ -20,8 +19,8 @@
   }
 }
 
-// docs/design.md 5.8: there is one worker a host, so that another one there is
-// gone.
+// docs/design.md 5.8: a host runs one worker at a time, so a new worker on a host replaces any
+// other one there.
 void removeOthersOnHost(ClusterTables& tables, const WorkerRegistered& event) {
   if (event.capacity.host.empty())
     return;
@@ -32,7 +31,7 @@
   }
 }
 
-/// Whether whatever fits the second worker fits the first one too.
+/// Reports whether every task that fits the second worker also fits the first one.
 bool offersAtLeast(const Capacity& known, const Capacity& capacity) {
   return known.cores >= capacity.cores && known.memory >= capacity.memory &&
          known.accelerators >= capacity.accelerators && known.pool == capacity.pool &&
@@ -85,8 +84,7 @@
   }
 }
 
-// Stops an attempt because its worker is drained; the other members of its gang
-// stop with it.
+// Stops an attempt because its worker is drained, together with the other members of its gang.
 void stopForDrain(ClusterTables& tables, Attempt& attempt, RetryAccounting accounting) {
   AttemptControl attempts(tables);
   if (attempt.gang)
@@ -146,8 +144,7 @@
     worker.state = WorkerState::draining;
   worker.drainDeadline = tables.now + event.timeout;
   worker.drainDeadlinePassed = false;
-  // docs/design.md 5.7: what it has not yet reported as started is withdrawn at
-  // once.
+  // docs/design.md 5.7: starts that the worker has not yet reported are withdrawn at once.
   for (auto number : std::set<AttemptNumber>(tables.attemptIndex.onWorker(event.worker))) {
     Attempt& attempt = tables.attempts.at(number);
     if (!isReportedAsStarted(attempt))
@@ -173,8 +170,7 @@
     return;
   Worker& worker = found->second;
   worker.lastSeenAt = tables.now;
-  // docs/design.md 5.7: one that became unreachable while it drained goes on
-  // draining.
+  // docs/design.md 5.7: a worker that became unreachable while draining continues to drain.
   if (worker.state == WorkerState::unreachable && worker.drainDeadline != ClusterTime{}) {
     worker.state = WorkerState::draining;
     return;
--- a/tests/base/json_tests.cpp
+++ b/tests/base/json_tests.cpp
@@ -15,7 +15,7 @@
   STRCMP_EQUAL("a number is too large", parseJson(root, R"({"a":1e999})").c_str());
   STRCMP_EQUAL("a number is too large", parseJson(root, "-1e999").c_str());
   STRCMP_EQUAL("is nested too deep", parseJson(root, std::string(100'000, '[')).c_str());
-  STRCMP_EQUAL("more follows the value", parseJson(root, "1 x", true).c_str());
+  STRCMP_EQUAL("unexpected text after the value", parseJson(root, "1 x", true).c_str());
   STRCMP_EQUAL("", parseJson(root, "1 x").c_str());
   CHECK(!parseJson(root, "{").empty());
   CHECK(!parseJson(root, "").empty());
--- a/tests/state/job_tests.cpp
+++ b/tests/state/job_tests.cpp
@@ -15,7 +15,7 @@
                {"two", {"one"}, false, {zero}},
                {"three", {"nine"}, false, {TaskRequest{}}}};
   std::string errors = CoreError{CoreError::Kind::invalid, job.validate()}.text();
-  CHECK(errors.find("circle") != std::string::npos);
+  CHECK(errors.find("cycle") != std::string::npos);
   CHECK(errors.find("unknown step nine") != std::string::npos);
   CHECK(errors.find("/steps/1/tasks/0/cores") != std::string::npos);
 }
