--- a/tests/base/json_tests.cpp
+++ b/tests/base/json_tests.cpp
@@ -1,3 +1,5 @@
+// Tests of JSON parsing: untrusted text gives errors instead of exceptions, and numbers are
+// clamped.
 #include "base/json.hpp"
 #include "net/json_worker_protocol.hpp"
 #include "state/cluster_config.hpp"
@@ -9,7 +11,7 @@
   picojson::value root;
 };
 
-// What any process may send: a fault each, never an exception. docs/design.md 9.4.
+// Any process may send these texts: each must give an error, not an exception. docs/design.md 9.4.
 TEST(JsonTests, invalidJsonGivesAnError) {
   STRCMP_EQUAL("", parseJson(root, R"({"a":[1,2]} )", true).c_str());
   STRCMP_EQUAL("a number is too large", parseJson(root, R"({"a":1e999})").c_str());
@@ -30,8 +32,8 @@
   LONGS_EQUAL(-7, clampToInteger<std::int64_t>(-7.9));
 }
 
-// An exception there ended the process: a gateway's answer that of a worker, a file that of an
-// operator's command.
+// Guards against exceptions that ended the process: in a gateway on the response of a worker, and
+// in an operator's command on a file.
 TEST(JsonTests, readersRejectTooLargeNumbers) {
   CHECK(!SyncResponse::parse(R"({"term":"1","lease_ms":1e999})").has_value());
   CHECK(!ClusterConfig::parse(R"({"queues":1e999})").has_value());
--- a/tests/state/api_request_tests.cpp
+++ b/tests/state/api_request_tests.cpp
@@ -1,3 +1,4 @@
+// Tests of parsing API requests, rendering submissions, and admitting requests under load.
 #include "state/api_request.hpp"
 #include <cmath>
 
--- a/tests/state/called_worker_state_tests.cpp
+++ b/tests/state/called_worker_state_tests.cpp
@@ -1,5 +1,5 @@
-// What the cluster state makes of results and drains of workers that are called.
-// docs/design.md 5.7, 5.8, 7.4.
+// Tests of how the cluster state handles results and drains of workers that an agent calls, rather
+// than workers that sync themselves. docs/design.md 5.7, 5.8, 7.4.
 #include "state/cluster_state.hpp"
 #include <CppUTest/TestHarness.h>
 
@@ -17,7 +17,8 @@
   return capacity;
 }
 
-// A cluster state with two workers at which gangs assemble themselves, and one job: a gang of two.
+// A cluster state with two workers on which gangs assemble themselves, and one job: a gang of two
+// tasks.
 struct GangFixture {
   ClusterState clusterState;
   std::int64_t now = 0;
@@ -35,7 +36,7 @@
     apply(JobAccepted{job});
   }
   void apply(Event event) { clusterState.apply(LogRecord{ClusterTime{++now}, std::move(event)}); }
-  // Starts of one run, of task 0 on v and of task 1 on w.
+  // Starts the given tasks with this run number: task 0 on worker v, task 1 on worker w.
   void place(std::uint32_t run, std::vector<std::uint32_t> tasks) {
     PlanMade plan;
     for (auto task : tasks) {
@@ -64,7 +65,8 @@
 
 TEST_GROUP(CalledWorkerStateTests){};
 
-// Also when another member's success was void: else that member would wait alone for ever.
+// Holds also if the success of another member was void; otherwise that member would run again and
+// wait for the others forever.
 TEST(CalledWorkerStateTests, oneSuccessCountsForTheWholeGang) {
   GangFixture fixture;
   fixture.place(1, {0, 1});
@@ -83,7 +85,7 @@
   CHECK(fixture.state() == JobState::succeeded);
 }
 
-// docs/design.md 5.7.
+// docs/design.md 5.7: a worker that became unreachable while draining continues to drain.
 TEST(CalledWorkerStateTests, drainingWorkerIsStillDrainingAfterItReconnects) {
   ClusterState clusterState;
   std::int64_t now = 1000;
@@ -97,13 +99,13 @@
   apply(WorkerUnreachable{id, {}});
   apply(WorkerReconnected{id});
   CHECK(worker.state == WorkerState::draining);
-  // Also when the drain began while it was unreachable.
+  // The same holds if the drain began while the worker was unreachable.
   apply(WorkerRegistered{id, Incarnation{2}, calledWorkerCapacity()});
   apply(WorkerUnreachable{id, {}});
   apply(WorkerDrainStarted{id, Duration{2000}, false});
   apply(WorkerReconnected{id});
   CHECK(worker.state == WorkerState::draining);
-  // An operator ends the drain, and an unreachable time does not bring it back.
+  // After an operator ends the drain, becoming unreachable does not resume it.
   apply(WorkerReconnected{id});
   CHECK(worker.state == WorkerState::available);
   apply(WorkerUnreachable{id, {}});
--- a/tests/state/cluster_config_tests.cpp
+++ b/tests/state/cluster_config_tests.cpp
@@ -1,3 +1,4 @@
+// Tests of parsing the cluster configuration.
 #include "state/cluster_config.hpp"
 #include <muParser.h>
 #include <cmath>
--- a/tests/state/cluster_state_fixture.hpp
+++ b/tests/state/cluster_state_fixture.hpp
@@ -1,5 +1,6 @@
-// A cluster state made by events alone, as in the daemons, on workers that are called: no pause,
-// own clock, gangs that assemble themselves.
+// Test fixture with a cluster state that is changed by events only, as in the daemons, and a
+// planner. Its workers are called by agents: they cannot suspend tasks, they kill them on lease
+// expiry, and their gangs assemble themselves. Time advances only when a test sets it.
 #ifndef ANISELINE_TESTS_STATE_CLUSTER_STATE_FIXTURE_HPP
 #define ANISELINE_TESTS_STATE_CLUSTER_STATE_FIXTURE_HPP
 #include "scheduling/planner.hpp"
@@ -23,7 +24,7 @@
     parsed.value().version = ConfigVersion{1};
     apply(ConfigCommitted{parsed.value()});
   }
-  std::function<void(const LogRecord&)> onApplied;  // whoever keeps a copy
+  std::function<void(const LogRecord&)> onApplied;  // called after each applied record
   void apply(Event event) {
     const LogRecord record{ClusterTime{now}, std::move(event)};
     clusterState.apply(record);
@@ -85,7 +86,8 @@
     }
     apply(JobAccepted{std::move(job)});
   }
-  // What a plan does, in one line; folded, but not applied by the workers.
+  // Makes and applies a plan and returns its actions as one line of text. The workers do not apply
+  // the orders until applyOrders() is called.
   std::string plan() {
     auto result = planner.makePlan(clusterState, ClusterTime{now}, contactAges);
     std::string text;
@@ -108,7 +110,7 @@
     applyOrders();
     return text;
   }
-  // The attempt that a task has now, or had last where it was kept.
+  // Returns the current attempt of a task, or its last one if the state still keeps that.
   AttemptNumber attempt(const std::string& id, std::size_t task = 0) const {
     return clusterState.jobs().at(JobId{id}).tasks.at(task).currentAttempt;
   }
@@ -140,7 +142,7 @@
       text += (text.empty() ? "" : " ") + std::string(name(task.state));
     return text;
   }
-  // The order that a worker was given last, for the attempt of a task.
+  // Returns the last order issued to the worker.
   const Order& lastOrder(const std::string& worker) const {
     return clusterState.workers().at(WorkerId{worker}).unappliedOrders.back();
   }
--- a/tests/state/cluster_state_index_tests.cpp
+++ b/tests/state/cluster_state_index_tests.cpp
@@ -1,5 +1,5 @@
-// What the cluster state finds by its indices is what a walk over all attempts finds, whatever was
-// folded. docs/design.md 4.7, 5.1.
+// Tests that lookups through the indexes of the cluster state find the same attempts as a full
+// scan, after any sequence of events. docs/design.md 4.7, 5.1.
 #include "state/cluster_state_fixture.hpp"
 
 using namespace aniseline;
@@ -15,7 +15,7 @@
   return found;
 }
 
-// The fold's own definition of a name, by a walk.
+// Finds the attempt of a run by a full scan, as a reference for ClusterState::findAttempt.
 AttemptNumber scanForRun(const ClusterState& clusterState, const WorkerId& worker,
                          const TaskRunId& run) {
   auto job = clusterState.jobs().find(run.job);
@@ -44,7 +44,7 @@
   ClusterStateFixture fixture{configText};
   Random random;
   std::set<JobId> jobs;
-  std::set<std::pair<WorkerId, TaskRunId>> runs;  // also of attempts that are closed by now
+  std::set<std::pair<WorkerId, TaskRunId>> runs;  // includes runs of closed attempts
   std::uint64_t submitted = 0, incarnation = 1, suspendCount = 0, abandonedCount = 0,
                 closedCount = 0;
   explicit RandomOperations(std::uint64_t seed) : random(seed) {
@@ -81,7 +81,7 @@
     if (timetable.firstStart.milliseconds)
       fixture.apply(OccurrenceFired{JobId{id}});
   }
-  // A trial of a waiting task, and what runs there held for it.
+  // Starts a trial of a pending task and suspends running attempts for it.
   void startTrial() {
     for (const auto& [id, job] : fixture.clusterState.jobs())
       for (std::uint32_t task = 0; task < job.tasks.size(); ++task) {
@@ -210,7 +210,7 @@
             }));
     for (const auto& [worker, run] : runs)
       CHECK(clusterState.findAttempt(worker, run) == scanForRun(clusterState, worker, run));
-    // Whoever waits for a trial is resumed with its end. docs/design.md 7.5.
+    // Attempts suspended for a trial are resumed when it ends. docs/design.md 7.5.
     for (const auto& [number, attempt] : clusterState.attempts())
       CHECK(attempt.state != AttemptState::suspended ||
             clusterState.attempts().count(attempt.suspendedForTrial));
@@ -235,8 +235,8 @@
   CHECK(suspendCount > 20 && abandonedCount > 20 && closedCount > 100);
 }
 
-// The indices are not in a view: they are made anew when one is read, and what is folded next finds
-// the same.
+// Indexes are not part of a snapshot. They are rebuilt when one is read, and stay correct under
+// later events.
 TEST(ClusterStateIndexTests, indexesAreRebuiltFromASnapshot) {
   for (std::uint64_t seed = 20; seed <= 26; ++seed) {
     RandomOperations operations(seed);
@@ -252,8 +252,8 @@
   }
 }
 
-// A follower folds what it reads, and begins from a view now and then; it comes to the very state
-// of the leader, who folds what it made.
+// A follower applies the records it reads and restores a snapshot now and then. Its state must stay
+// identical to that of the leader, which applies the records it created.
 TEST(ClusterStateIndexTests, followerThatRestoresSnapshotsStaysIdentical) {
   for (std::uint64_t seed = 40; seed <= 60; ++seed) {
     RandomOperations operations(seed);
--- a/tests/state/cluster_state_tests.cpp
+++ b/tests/state/cluster_state_tests.cpp
@@ -1,5 +1,5 @@
-// The fold of the log: gangs that assemble themselves, tries, what lasts, timetables, checkpoints,
-// lives. docs/design.md 4, 5.
+// Tests of the cluster state: self-assembling gangs, retry limits, long-running steps, timetables,
+// infeasible jobs, checkpoints, workers and redundant copies. docs/design.md 4, 5.
 #include "scheduling/feasibility.hpp"
 #include "state/cluster_state_fixture.hpp"
 
@@ -7,15 +7,15 @@
 
 namespace {
 
-StepRequirements longRunningStep() {
-  StepRequirements needs;
-  needs.longRunning = true;
-  return needs;
+StepRequirements longRunningRequirements() {
+  StepRequirements stepRequirements;
+  stepRequirements.longRunning = true;
+  return stepRequirements;
 }
-StepRequirements checkpointedStep() {
-  StepRequirements needs;
-  needs.checkpointed = true;
-  return needs;
+StepRequirements checkpointedRequirements() {
+  StepRequirements stepRequirements;
+  stepRequirements.checkpointed = true;
+  return stepRequirements;
 }
 
 }  // namespace
@@ -55,7 +55,7 @@
   const AttemptNumber other = fixture.attempt("gang", 2);
   fixture.endAttempt("gang", AttemptOutcome::succeeded, 1);
   STRCMP_EQUAL("done done done", fixture.tasks("gang").c_str());
-  STRCMP_EQUAL("open", fixture.state("gang").c_str());  // the others still take their room
+  STRCMP_EQUAL("open", fixture.state("gang").c_str());  // the other attempts still occupy resources
   LONGS_EQUAL(2, fixture.openAttempts("gang"));
   CHECK_FALSE(fixture.stopOrdered(other));
   for (auto number : fixture.clusterState.attemptsOf(JobId{"gang"}, AttemptScope::all))
@@ -86,8 +86,8 @@
   fixture.endAttempt("gang", AttemptOutcome::failed, 0);
   CHECK(fixture.stopOrdered(second));
   CHECK(fixture.stopOrdered(third));
-  STRCMP_EQUAL("", fixture.plan().c_str());            // not before all of it is back
-  fixture.endAttempt(second, AttemptOutcome::failed);  // failed on its own before the stop came
+  STRCMP_EQUAL("", fixture.plan().c_str());  // not before all attempts of the gang are closed
+  fixture.endAttempt(second, AttemptOutcome::failed);  // failed by itself before the stop arrived
   fixture.endAttempt(third, AttemptOutcome::stopped);
   LONGS_EQUAL(1, fixture.task("gang", 0).failureCount);
   STRCMP_EQUAL("waiting waiting waiting", fixture.tasks("gang").c_str());
@@ -103,11 +103,11 @@
     fixture.now += 60'000;
     fixture.planAndRun();
   }
-  STRCMP_EQUAL("failed", fixture.state("gang").c_str());  // three runs of it failed
+  STRCMP_EQUAL("failed", fixture.state("gang").c_str());  // three of its runs failed
   CHECK(!fixture.job("gang").reason.empty());
 }
 
-// `broken` of one part may be told before the failure that broke it.
+// A member that stopped because another failed may be reported before that failure.
 TEST(ClusterStateGangs, memberStoppedBeforeTheFailureIsNotCounted) {
   ClusterStateFixture fixture;
   fixture.registerWorker("a");
@@ -139,7 +139,7 @@
 TEST(ClusterStateGangs, checkpointsBelongToTheWholeGang) {
   ClusterStateFixture fixture;
   fixture.registerWorker("a");
-  fixture.submit("gang", {ClusterStateFixture::gang(2, 1000, checkpointedStep())});
+  fixture.submit("gang", {ClusterStateFixture::gang(2, 1000, checkpointedRequirements())});
   fixture.planAndRun();
   fixture.saveCheckpoint("gang", 1, "x1");
   fixture.endAttempt("gang", AttemptOutcome::failed, 1);
@@ -157,7 +157,7 @@
 
 TEST_GROUP(ClusterStateRetryLimit){};
 
-// docs/design.md 4.4: with `tries` only runs that ended as failed count.
+// docs/design.md 4.4: in a queue with `tries`, only failed runs count.
 TEST(ClusterStateRetryLimit, countsFailedRunsOnly) {
   ClusterStateFixture fixture;
   fixture.registerWorker("a");
@@ -195,16 +195,15 @@
     STRCMP_EQUAL("waiting", fixture.tasks("job").c_str());
     fixture.now += 60'000;
     fixture.apply(WorkerReconnected{workerId});
-    fixture.endAttempt(
-        number, count % 2 ? AttemptOutcome::failed
-                          : AttemptOutcome::stopped);  // told late: void, for its hold had lapsed
+    // The result is reported late and is void, because the lease had expired.
+    fixture.endAttempt(number, count % 2 ? AttemptOutcome::failed : AttemptOutcome::stopped);
     STRCMP_EQUAL("waiting", fixture.tasks("job").c_str());
   }
   LONGS_EQUAL(0, fixture.task("job").failureCount);
 }
 
-// docs/design.md 5.5: given up means that its hold had lapsed; a clean ending told late is void
-// too.
+// docs/design.md 5.5: an abandoned attempt's lease has expired, so a success that is reported late
+// is void as well.
 TEST(ClusterStateRetryLimit, successReportedAfterLeaseExpiryIsIgnored) {
   ClusterStateFixture fixture;
   fixture.registerWorker("a");
@@ -238,7 +237,7 @@
 TEST(ClusterStateLongRunning, restartsAfterAnyOutcome) {
   ClusterStateFixture fixture;
   fixture.registerWorker("a");
-  fixture.submit("job", {ClusterStateFixture::step(2, 1000, longRunningStep())});
+  fixture.submit("job", {ClusterStateFixture::step(2, 1000, longRunningRequirements())});
   for (int count = 0; count < 20; ++count) {
     CHECK(fixture.planAndRun().find("start job on a") != std::string::npos);
     fixture.endAttempt("job",
@@ -260,7 +259,7 @@
 TEST(ClusterStateLongRunning, gangsRestartAsAWhole) {
   ClusterStateFixture fixture;
   fixture.registerWorker("a");
-  fixture.submit("job", {ClusterStateFixture::gang(2, 1000, longRunningStep())});
+  fixture.submit("job", {ClusterStateFixture::gang(2, 1000, longRunningRequirements())});
   fixture.planAndRun();
   const AttemptNumber second = fixture.attempt("job", 1);
   fixture.endAttempt("job", AttemptOutcome::succeeded, 0);
@@ -282,7 +281,7 @@
   STRCMP_EQUAL("", fixture.plan().c_str());
   for (int count = 0; count < 3; ++count)
     fixture.apply(OccurrenceFired{JobId{"job"}});
-  fixture.planAndRun();  // they overlap
+  fixture.planAndRun();  // the occurrences overlap
   fixture.endAttempt("job@2");
   fixture.endAttempt("job@0");
   STRCMP_EQUAL("finished", fixture.state("job@2").c_str());
@@ -382,14 +381,15 @@
     return infeasibilityReason(fixture.clusterState, job, job.steps[0]).has_value();
   };
   auto withLabel = [](const std::string& label) {
-    StepRequirements needs;
-    needs.requiredLabel = label;
-    return needs;
+    StepRequirements stepRequirements;
+    stepRequirements.requiredLabel = label;
+    return stepRequirements;
   };
-  CHECK_FALSE(isInfeasible(ClusterStateFixture::step(9, 4000)));  // one after the other
+  // Tasks that are not a gang can run one after another.
+  CHECK_FALSE(isInfeasible(ClusterStateFixture::step(9, 4000)));
   CHECK(isInfeasible(ClusterStateFixture::step(1, 4001)));
-  CHECK_FALSE(
-      isInfeasible(ClusterStateFixture::step(1, 4001), "other"));  // the other pool's worker
+  // It fits the worker of the other pool.
+  CHECK_FALSE(isInfeasible(ClusterStateFixture::step(1, 4001), "other"));
   CHECK_FALSE(isInfeasible(ClusterStateFixture::step(1, 1000, withLabel("colour"))));
   CHECK(isInfeasible(ClusterStateFixture::step(1, 1000, withLabel("absent"))));
   auto acceleratorStep = ClusterStateFixture::step(1);
@@ -404,8 +404,8 @@
   onePerWorker.maxPerWorker = 1;
   CHECK_FALSE(isInfeasible(ClusterStateFixture::gang(2, 1000, onePerWorker)));
   CHECK(isInfeasible(ClusterStateFixture::gang(3, 1000, onePerWorker)));
-  CHECK_FALSE(
-      isInfeasible(ClusterStateFixture::step(3, 1000, onePerWorker)));  // one after the other
+  // Tasks that are not a gang can run one after another.
+  CHECK_FALSE(isInfeasible(ClusterStateFixture::step(3, 1000, onePerWorker)));
 }
 
 TEST(ClusterStateInfeasibleJobs, failedOccurrenceFailsItsTimetable) {
@@ -423,7 +423,7 @@
 TEST(ClusterStateCheckpoints, passedToTheNextStartOfTheTask) {
   ClusterStateFixture fixture;
   fixture.registerWorker("a");
-  fixture.submit("job", {ClusterStateFixture::step(2, 1000, checkpointedStep())});
+  fixture.submit("job", {ClusterStateFixture::step(2, 1000, checkpointedRequirements())});
   fixture.planAndRun();
   fixture.saveCheckpoint("job", 0, "x1");
   fixture.endAttempt("job", AttemptOutcome::stopped, 0, "x2");
@@ -435,14 +435,14 @@
     if (order.kind == OrderKind::start && order.runNumber == 2)
       checkpoints[order.indexInStep] = order.checkpoint;
   STRCMP_EQUAL("x2", checkpoints.at(0).c_str());
-  STRCMP_EQUAL("", checkpoints.at(1).c_str());  // another task's is none of its own
+  STRCMP_EQUAL("", checkpoints.at(1).c_str());  // checkpoints of other tasks are not used
 }
 
 TEST(ClusterStateCheckpoints, checkpointOfAnEarlierRunNeverReplacesALaterOne) {
   ClusterStateFixture fixture;
   fixture.registerWorker("a");
   fixture.registerWorker("b");
-  fixture.submit("job", {ClusterStateFixture::step(1, 1000, checkpointedStep())});
+  fixture.submit("job", {ClusterStateFixture::step(1, 1000, checkpointedRequirements())});
   fixture.planAndRun();
   const AttemptNumber first = fixture.attempt("job");
   fixture.saveCheckpoint("job", 0, "x1");
@@ -452,8 +452,8 @@
   fixture.saveCheckpoint("job", 0, "y2");
   fixture.endAttempt(first, AttemptOutcome::stopped, "x9");
   STRCMP_EQUAL("y2", fixture.task("job").checkpoint.c_str());
-  fixture.endAttempt("job", AttemptOutcome::stopped, 0,
-                     "");  // one that says nothing takes nothing away
+  // An empty checkpoint does not replace the last one.
+  fixture.endAttempt("job", AttemptOutcome::stopped, 0, "");
   STRCMP_EQUAL("y2", fixture.task("job").checkpoint.c_str());
 }
 
@@ -480,8 +480,8 @@
   fixture.registerWorker("life-1", {.host = "h1"});
   fixture.submit("job", {ClusterStateFixture::step(1)});
   fixture.planAndRun();
-  fixture.registerWorker("life-1",
-                         {.cores = 8000, .host = "h1"});  // it says something else of itself
+  // The worker registers again with a changed capacity.
+  fixture.registerWorker("life-1", {.cores = 8000, .host = "h1"});
   STRCMP_EQUAL("placed", fixture.tasks("job").c_str());
   LONGS_EQUAL(1, fixture.openAttempts("job"));
 }
@@ -507,13 +507,13 @@
   CHECK(findRun(workerId, "job", 0, 0, 1, 1) == fixture.attempt("job", 1));
   LONGS_EQUAL(0, findRun(workerId == "a" ? "b" : "a", "job", 0, 0, 1, 1).value);
   LONGS_EQUAL(0, findRun(workerId, "job", 0, 0, 1, 2).value);
-  LONGS_EQUAL(0, findRun(workerId, "job", 0, 1, 0, 1).value);  // its step waits
+  LONGS_EQUAL(0, findRun(workerId, "job", 0, 1, 0, 1).value);  // its step is still blocked
   LONGS_EQUAL(0, findRun(workerId, "job", 0, 9, 0, 1).value);
   LONGS_EQUAL(0, findRun(workerId, "job", 0, 0, 9, 1).value);
   LONGS_EQUAL(0, findRun(workerId, "nobody", 0, 0, 0, 1).value);
   CHECK(findRun(fixture.workerOf("timed@1"), "timed", 1, 0, 0, 1) == fixture.attempt("timed@1"));
   LONGS_EQUAL(0, findRun(fixture.workerOf("timed@1"), "timed", 2, 0, 0, 1).value);
-  // Given up, it is found until its ending is known.
+  // An abandoned attempt is found until its result is known.
   const AttemptNumber first = fixture.attempt("job", 1);
   fixture.apply(WorkerUnreachable{WorkerId{workerId}, {first}});
   fixture.planAndRun();
@@ -521,7 +521,7 @@
   CHECK(findRun(workerId, "job", 0, 0, 1, 1) == first);
   fixture.endAttempt(first, AttemptOutcome::stopped);
   LONGS_EQUAL(0, findRun(workerId, "job", 0, 0, 1, 1).value);
-  // So is the part of a gang that is done.
+  // So is the attempt of a gang member whose task has already succeeded.
   fixture.apply(WorkerReconnected{WorkerId{workerId}});
   fixture.submit("gang", {ClusterStateFixture::gang(2)});
   fixture.planAndRun();
@@ -550,7 +550,7 @@
 TEST(ClusterStateWorkers, serializedStateRoundTrips) {
   ClusterStateFixture fixture;
   fixture.registerWorker("a");
-  fixture.submit("gang", {ClusterStateFixture::gang(2, 1000, checkpointedStep())});
+  fixture.submit("gang", {ClusterStateFixture::gang(2, 1000, checkpointedRequirements())});
   fixture.submit("timed", {ClusterStateFixture::step(1)}, "q",
                  Timetable{ClusterTime{5000}, Duration{1000}, 3});
   fixture.apply(OccurrenceFired{JobId{"timed"}});
@@ -562,8 +562,8 @@
   STRCMP_EQUAL("x1", read.value().jobs().at(JobId{"gang"}).tasks[0].checkpoint.c_str());
 }
 
-// They end well together, and one such ending counts for all: also for a part whose worker went
-// before it could tell.
+// The members of a gang succeed together and one success counts for all, including a member whose
+// worker was removed before it reported a result.
 TEST(ClusterStateGangs, oneSuccessCompletesAMemberOfARemovedWorker) {
   ClusterStateFixture fixture;
   fixture.registerWorker("a", {.cores = 1000});
@@ -575,18 +575,18 @@
   fixture.apply(WorkerRemoved{WorkerId{"b"}, "crashed"});
   STRCMP_EQUAL("placed waiting", fixture.tasks("gang").c_str());
   CHECK(fixture.stopOrdered(first));
-  fixture.endAttempt(first, AttemptOutcome::succeeded);  // it had ended before the stop came
+  fixture.endAttempt(first, AttemptOutcome::succeeded);  // it had succeeded before the stop arrived
   STRCMP_EQUAL("done done", fixture.tasks("gang").c_str());
   STRCMP_EQUAL("finished", fixture.state("gang").c_str());
   STRCMP_EQUAL("", fixture.plan().c_str());
 }
 
-// A task whose turn has come and that has room is not kept waiting for 3 s, however often it failed
-// or was stopped before.
+// A task that is next in order and fits a worker must not wait 3 s, however often it failed or was
+// stopped before.
 TEST(ClusterStateLongRunning, retryPauseIsBounded) {
   ClusterStateFixture fixture;
   fixture.registerWorker("a");
-  fixture.submit("job", {ClusterStateFixture::step(1, 1000, longRunningStep())});
+  fixture.submit("job", {ClusterStateFixture::step(1, 1000, longRunningRequirements())});
   for (int count = 0; count < 10; ++count) {
     fixture.planAndRun();
     fixture.endAttempt("job", AttemptOutcome::failed);
@@ -615,9 +615,9 @@
       ("waits " + std::to_string(pause.milliseconds) + " ms after its first failure").c_str());
 }
 
-// docs/design.md 5.3: an order of a start whose ending is known must not begin when it is given
-// again. An agent that was killed gets all orders that are not applied, and one before this may
-// still be open; the task runs elsewhere by then.
+// docs/design.md 5.3: the start order of a closed attempt must not start it when the order is
+// resent. A restarted agent receives all unapplied orders again, including those behind an order
+// that is still open, while the task may already run elsewhere.
 TEST(ClusterStateWorkers, startOrderOfAClosedAttemptBecomesAStop) {
   ClusterStateFixture fixture;
   fixture.registerWorker("a");
@@ -625,8 +625,8 @@
   fixture.submit("first", {ClusterStateFixture::step(1)});
   fixture.submit("second", {ClusterStateFixture::step(1)});
   STRCMP_EQUAL("start first on a, start second on a", fixture.plan().c_str());
-  fixture.endAttempt("second",
-                     AttemptOutcome::rejected);  // it had no room; the first still gets no answer
+  // The worker has no free capacity for it. The first order is still unanswered.
+  fixture.endAttempt("second", AttemptOutcome::rejected);
   STRCMP_EQUAL("start second on b", fixture.plan().c_str());
   for (const auto& order : fixture.clusterState.workers().at(WorkerId{"a"}).unappliedOrders)
     CHECK_TEXT(order.job.value != "second" || order.kind != OrderKind::start,
@@ -636,11 +636,11 @@
 TEST_GROUP(ClusterStateRedundantCopies) {
   ClusterStateFixture fixture;
   void setup() override {
-    StepRequirements needs;
-    needs.redundant = true;
+    StepRequirements stepRequirements;
+    stepRequirements.redundant = true;
     fixture.registerWorker("first", {.cores = 8000});
     fixture.registerWorker("other", {.cores = 8000});
-    fixture.submit("copied", {ClusterStateFixture::step(1, 1000, needs, false, 100)});
+    fixture.submit("copied", {ClusterStateFixture::step(1, 1000, stepRequirements, false, 100)});
   }
   void start(std::uint64_t attempt, const char* worker, bool isRedundantCopy) {
     Action action;
@@ -654,8 +654,8 @@
   }
 };
 
-// docs/incidents.md 3: copies that fail use their task's tries, also while the first run stands
-// still.
+// docs/incidents.md 3: the failures of redundant copies count against their task's limit, even
+// while the first copy hangs.
 TEST(ClusterStateRedundantCopies, failedCopiesCountAgainstTheirTask) {
   start(1, "first", false);
   for (std::uint64_t copy = 2; copy <= 4; ++copy) {
@@ -669,8 +669,8 @@
   STRCMP_EQUAL("failed", fixture.state("copied").c_str());
 }
 
-// Of two copies the first clean ending counts: the job is over at once, and the other keeps its
-// room until it has stopped.
+// Of two copies the first success counts: the job ends at once, and the other copy keeps its
+// resources until it has stopped.
 TEST(ClusterStateRedundantCopies, firstSuccessCompletesTheTask) {
   start(1, "first", false);
   start(2, "other", true);
@@ -682,11 +682,11 @@
   STRCMP_EQUAL("finished", fixture.state("copied").c_str());
 }
 
-// docs/incidents.md 14: what a drain stops may be of a job that has expired meanwhile.
+// docs/incidents.md 14: a drain may stop an attempt whose job has expired in the meantime.
 TEST(ClusterStateRedundantCopies, drainOfAnAttemptWhoseJobExpiredAddsNoJob) {
-  StepRequirements needs;
-  needs.redundant = true;
-  fixture.submit("pair", {ClusterStateFixture::gang(2, 5000, needs)});
+  StepRequirements stepRequirements;
+  stepRequirements.redundant = true;
+  fixture.submit("pair", {ClusterStateFixture::gang(2, 5000, stepRequirements)});
   fixture.planAndRun();
   const std::string drained = fixture.workerOf("pair", 1);
   fixture.apply(WorkerDrainStarted{WorkerId{drained}, Duration{500}, false});
@@ -707,9 +707,9 @@
     fixture.registerWorker("a");
   }
   std::int64_t scoreAfterFailureAt(std::int64_t elapsed, bool longRunning) {
-    StepRequirements needs;
-    needs.longRunning = longRunning;
-    fixture.submit("job", {ClusterStateFixture::step(1, 1000, needs, false, 500)});
+    StepRequirements stepRequirements;
+    stepRequirements.longRunning = longRunning;
+    fixture.submit("job", {ClusterStateFixture::step(1, 1000, stepRequirements, false, 500)});
     fixture.planAndRun();
     fixture.now += elapsed;
     fixture.endAttempt("job", AttemptOutcome::failed);
@@ -723,8 +723,8 @@
   LONGS_EQUAL(250, scoreAfterFailureAt(2000, false));
 }
 
-// docs/incidents.md 14: it ends by failing wherever it runs, so that two of them would leave a
-// sound worker without work.
+// docs/incidents.md 14: a long-running task ends by failing on any worker, so two of them would
+// otherwise leave a healthy worker without work.
 TEST(ClusterStateWorkerStanding, failureOfALongRunningTaskAtWorkCountsLittle) {
   LONGS_EQUAL(50, scoreAfterFailureAt(2000, true));
 }
@@ -733,7 +733,7 @@
   LONGS_EQUAL(250, scoreAfterFailureAt(400, true));
 }
 
-// A task that fails on a second worker too fails by itself.
+// A task that also fails on a second worker is itself at fault.
 TEST(ClusterStateWorkerStanding, failureOnASecondWorkerReducesTheFirstPenalty) {
   fixture.registerWorker("b");
   fixture.submit("job", {ClusterStateFixture::step(1)});
--- a/tests/state/config_history_tests.cpp
+++ b/tests/state/config_history_tests.cpp
@@ -1,3 +1,4 @@
+// Tests of the history of configuration updates and of text digests.
 #include "state/config_history.hpp"
 
 #include <CppUTest/TestHarness.h>
@@ -30,7 +31,7 @@
   CHECK(found(update(0, 12)) == Outcome::notApplied);
 }
 
-// The two texts have the same checksum of 32 bits.
+// The two texts have the same 32-bit checksum.
 TEST(ConfigHistoryTests, textsWithTheSameChecksumAreDistinct) {
   const std::string one = "plumless", other = "buckeroo";
   LONGS_EQUAL(checksum(one), checksum(other));
@@ -38,8 +39,8 @@
   CHECK(found(update(5, 0, other)) == Outcome::notApplied);
 }
 
-// Nobody can tell whether what is older than all that is kept was taken; what would be among the
-// kept ones was not.
+// For updates older than all kept ones the outcome is unknown. Updates within the kept range that
+// are not found were not applied.
 TEST(ConfigHistoryTests, updatesOlderThanTheHistoryAreTooOld) {
   const std::uint64_t dropped = 10, count = ConfigHistory::maxUpdates + dropped;
   for (std::uint64_t version = 1; version <= count; ++version)
@@ -50,14 +51,15 @@
   CHECK(found(update(0, earliest - 2)) == Outcome::applied);
   CHECK(found(update(earliest - 2, earliest - 4)) == Outcome::tooOld);
   CHECK(found(update(0, earliest - 4)) == Outcome::tooOld);
-  CHECK(found(update(earliest - 2, earliest)) == Outcome::notApplied);  // its base is kept
+  // Its base version is within the kept range.
+  CHECK(found(update(earliest - 2, earliest)) == Outcome::notApplied);
   CHECK(found(update(earliest + 1, earliest - 4)) == Outcome::notApplied);
   const auto copy = unpack<ConfigHistory>(pack(history));
   CHECK(copy.value().find(update(2 * count, 2 * count - 2)).outcome == Outcome::applied);
 }
 
 TEST(ConfigHistoryTests, digestIsTheNameBasedUuid) {
-  // Of the nil namespace and "www.example.com", as Python's uuid.uuid5 gives it.
+  // For the nil namespace and "www.example.com", as computed by Python's uuid.uuid5.
   const TextDigest digest = TextDigest::of("www.example.com");
   CHECK(digest.high == 0x399fc331be2b5b56);
   CHECK(digest.low == 0xb676d6f38dae5aaa);
--- a/tests/state/config_patch_tests.cpp
+++ b/tests/state/config_patch_tests.cpp
@@ -1,4 +1,4 @@
-// Patches of the configuration: what they make of a text, and what they do not fit.
+// Tests of configuration patches: their effect on a configuration's text, and mismatches with it.
 // docs/design.md 6.1.
 #include "state/config_patch.hpp"
 #include <CppUTest/TestHarness.h>
@@ -21,7 +21,7 @@
   const auto text = applyPatch(base, patch);
   return text ? text.value() : "error at " + text.error().details.at(0).path;
 }
-// The path of the first fault; "none" if the patch fits.
+// Returns the path of the first error, or "none" if the patch fits the base.
 std::string errorPathOf(const std::string& base, const std::string& patch) {
   const auto text = applyPatch(base, patch);
   return text ? "none" : text.error().details.at(0).path;
@@ -63,7 +63,7 @@
           .c_str());
 }
 
-// The base's version is not that of the patched configuration, which the leader numbers.
+// A patched configuration must not inherit the version of its base; the leader assigns a new one.
 TEST(ConfigPatchTests, patchWithoutVersionRemovesTheVersion) {
   STRCMP_EQUAL(R"({"queues":{}})", patchedTextOf(R"({"version":5,"queues":{}})", "{}").c_str());
 }
@@ -124,7 +124,7 @@
   STRCMP_EQUAL("", errorPathOf("", R"({"version":1})").c_str());
 }
 
-// A whole configuration of the same text is another order.
+// A whole configuration with the same text is a different update.
 TEST(ConfigPatchTests, patchDigestDiffersFromConfigurationDigest) {
   CHECK(!(ConfigPatch::digestOf("{}") == TextDigest::of("{}")));
   CHECK(ConfigPatch::digestOf("{}") == ConfigPatch::digestOf("{}"));
--- a/tests/state/job_tests.cpp
+++ b/tests/state/job_tests.cpp
@@ -1,3 +1,4 @@
+// Tests of the validation of job submissions.
 #include "state/job.hpp"
 
 #include <CppUTest/TestHarness.h>
--- a/tests/state/tenants_tests.cpp
+++ b/tests/state/tenants_tests.cpp
@@ -1,5 +1,5 @@
-// Tenants in the configuration: keys, caps, what is refused, and how they are stored.
-// docs/design.md 6.7.
+// Tests of tenants in the configuration: keys, caps, validation, serialization, and the effect of
+// changes on existing work. docs/design.md 6.7.
 #include "state/cluster_state_fixture.hpp"
 #include "state/tenants.hpp"
 
@@ -80,7 +80,8 @@
   CHECK_FALSE(read.value().tenants.requiresKeyFor("h", "/b/"));
 }
 
-// Stored data of clusters without tenants keeps its bytes; stored_data_tests.cpp reads some.
+// Stored data of clusters without tenants keeps its format; stored_data_tests.cpp reads examples of
+// it.
 TEST(TenantsTests, withoutTenantsSerializedBytesAreUnchanged) {
   JobSubmission job;
   job.payload = "work";
@@ -93,7 +94,7 @@
   CHECK(unpack<JobSubmission>(withoutTenant).value().tenant == TenantName{});
 }
 
-// As a program that knows no sections would read it.
+// Reads the bytes as a program without support for sections would.
 TEST(TenantsTests, readerWithoutSectionSupportRejectsThem) {
   JobSubmission job;
   job.tenant = TenantName{"north"};
@@ -146,7 +147,7 @@
   LONGS_EQUAL(0, tenant("north")->keys.size());
   LONGS_EQUAL(2500, tenant("north")->cap.cores);
   CHECK(fixture.clusterState.config().tenants.findByKey(ApiKeyDigest::of("k1")) == nullptr);
-  // Until its jobs have ended.
+  // The tenant is kept only until its jobs have ended.
   fixture.apply(JobCancelled{JobId{"job"}});
   configure(R"({"south":{"api_keys":["k3"]}})");
   CHECK(tenant("north") == nullptr);
@@ -165,8 +166,8 @@
       fixture.clusterState.config().tenants.findByKey(ApiKeyDigest::of("k1"))->value.c_str());
 }
 
-// Their orders may not have reached the worker, which may be cut off: it would start them long
-// after the change.
+// The orders of unreported starts may not have reached the worker, for example because it is cut
+// off. It would then start them long after the change.
 TEST(TenantChangesTests, unreportedStartsAreStoppedWhenACapIsLowered) {
   submit("job", "south", 6);
   fixture.plan();
