--- a/source/base/json.hpp
+++ b/source/base/json.hpp
@@ -12,7 +12,7 @@
 /// `whole`, only white space may follow the value. picojson itself throws on numbers that a double
 /// cannot represent, such as 1e999; this function returns an error instead.
 inline std::string parseJson(picojson::value& root, const std::string& text, bool whole = false) {
-  if (nestedTooDeep(text))
+  if (isNestedTooDeeply(text))
     return "is nested too deep";
   std::string error;
   auto end = text.begin();
--- a/source/base/types.hpp
+++ b/source/base/types.hpp
@@ -45,7 +45,7 @@
 struct StrongId {
   Value value{};
   StrongId() = default;
-  explicit StrongId(Value given) : value(std::move(given)) {}
+  explicit StrongId(Value initialValue) : value(std::move(initialValue)) {}
   auto operator<=>(const StrongId&) const = default;
   bool operator==(const StrongId&) const = default;
   StrongId next() const requires std::is_integral_v<Value> { return StrongId{value + 1}; }
@@ -76,7 +76,7 @@
 struct Duration {
   std::int64_t milliseconds = 0;
   Duration() = default;
-  explicit constexpr Duration(std::int64_t given) : milliseconds(given) {}
+  explicit constexpr Duration(std::int64_t initialValue) : milliseconds(initialValue) {}
   auto operator<=>(const Duration&) const = default;
   bool operator==(const Duration&) const = default;
   Duration operator+(Duration other) const { return Duration{milliseconds + other.milliseconds}; }
@@ -93,7 +93,7 @@
 struct TimePoint {
   std::int64_t milliseconds = 0;
   TimePoint() = default;
-  explicit constexpr TimePoint(std::int64_t given) : milliseconds(given) {}
+  explicit constexpr TimePoint(std::int64_t initialValue) : milliseconds(initialValue) {}
   auto operator<=>(const TimePoint&) const = default;
   bool operator==(const TimePoint&) const = default;
   TimePoint operator+(Duration span) const { return TimePoint{milliseconds + span.milliseconds}; }
@@ -167,7 +167,7 @@
 
 // Reports whether a JSON text is nested deeper than `maxDepth`. The JSON parser is recursive, so
 // such texts are rejected before parsing.
-inline bool nestedTooDeep(std::string_view text, int maxDepth = 32) {
+inline bool isNestedTooDeeply(std::string_view text, int maxDepth = 32) {
   int depth = 0;
   bool inString = false;
   for (std::size_t index = 0; index < text.size(); ++index) {
--- a/source/state/api_request.cpp
+++ b/source/state/api_request.cpp
@@ -154,7 +154,7 @@
   readQuery(parsedTarget.query, request);
   if (!route->hasBody)
     return request;
-  if (nestedTooDeep(body))
+  if (isNestedTooDeeply(body))
     return CoreError::at(CoreError::Kind::invalid, "", "the body is nested too deep");
   picojson::value root;
   const std::string parseError = parseJson(root, body, true);
--- a/source/state/api_response.cpp
+++ b/source/state/api_response.cpp
@@ -10,13 +10,13 @@
 constexpr Duration notAppliedRetryDelay{300};
 constexpr Duration overloadedRetryDelay{1000};
 
-struct HttpError {
+struct ErrorResponse {
   int status;
   const char* errorKind;
   Duration retryAfter{0};
 };
 
-HttpError httpErrorFor(CoreError::Kind kind) {
+ErrorResponse errorResponseFor(CoreError::Kind kind) {
   switch (kind) {
     case CoreError::Kind::invalid:
       break;
@@ -60,16 +60,16 @@
 }
 
 ApiResponse ApiResponse::fromError(const CoreError& error) {
-  const HttpError httpError = httpErrorFor(error.kind);
+  const ErrorResponse errorResponse = errorResponseFor(error.kind);
   picojson::array details;
   for (const auto& detail : error.details)
     details.push_back(
         json(picojson::object{{"path", json(detail.path)}, {"text", json(detail.text)}}));
-  ApiResponse response = of(httpError.status, {{"error", json(httpError.errorKind)},
-                                               {"text", json(error.text())},
-                                               {"details", json(details)}});
-  response.retryAfter = httpError.retryAfter;
-  response.errorKind = httpError.errorKind;
+  ApiResponse response = of(errorResponse.status, {{"error", json(errorResponse.errorKind)},
+                                                   {"text", json(error.text())},
+                                                   {"details", json(details)}});
+  response.retryAfter = errorResponse.retryAfter;
+  response.errorKind = errorResponse.errorKind;
   return response;
 }
 
--- a/source/state/attempt_control.hpp
+++ b/source/state/attempt_control.hpp
@@ -12,7 +12,7 @@
 
 class AttemptControl {
  public:
-  explicit AttemptControl(ClusterTables& given) : tables(given) {}
+  explicit AttemptControl(ClusterTables& clusterTables) : tables(clusterTables) {}
 
   Order& issueOrder(OrderKind kind, const Attempt& attempt);
   /// Removes a closed attempt. If it was a trial, resumes the attempts that were suspended for it.
--- a/source/state/attempt_results.hpp
+++ b/source/state/attempt_results.hpp
@@ -8,7 +8,8 @@
 
 class AttemptResults {
  public:
-  explicit AttemptResults(ClusterTables& given) : tables(given), attempts(given), jobs(given) {}
+  explicit AttemptResults(ClusterTables& clusterTables)
+      : tables(clusterTables), attempts(clusterTables), jobs(clusterTables) {}
 
   /// Closes an attempt with its result. Does nothing for an attempt that is already closed, since
   /// workers resend results until they are confirmed.
--- a/source/state/cluster_config.cpp
+++ b/source/state/cluster_config.cpp
@@ -243,7 +243,7 @@
   if (text.size() > maxConfigBytes)
     return CoreError::at(CoreError::Kind::invalid, "",
                          "a configuration may have at most 262144 bytes");
-  if (nestedTooDeep(text))
+  if (isNestedTooDeeply(text))
     return CoreError::at(CoreError::Kind::invalid, "", "is nested too deep");
   picojson::value root;
   const std::string parseError = parseJson(root, text);
--- a/source/state/cluster_config.hpp
+++ b/source/state/cluster_config.hpp
@@ -24,8 +24,9 @@
   QueueName name;
   std::int64_t priority = 0;
   std::uint32_t maxRetries = 0;  // starts of a task after the first, unless `maxFailures` is set
-  std::uint64_t maxOpenJobs = 1000;    // further submissions are rejected
-  std::uint64_t reservedOpenJobs = 0;  // share of PlannerOptions::maxOpenJobs for this queue only
+  std::uint64_t maxOpenJobs = 1000;  // with so many open jobs further submissions are rejected
+  // The part of PlannerOptions::maxOpenJobs that is kept for this queue only.
+  std::uint64_t reservedOpenJobs = 0;
   TrialOptions trial;
   Duration hardRuntimeLimit{0};  // 0: tasks may run past their requested run time without limit
   // How long the tasks of an unreachable worker wait, after its lease and the safety margin, before
--- a/source/state/event.hpp
+++ b/source/state/event.hpp
@@ -19,8 +19,8 @@
   ClusterConfig config;
   TextDigest digest;  // digest of the configuration's text
   ConfigCommitted() = default;
-  explicit ConfigCommitted(ClusterConfig given)
-      : config(std::move(given)), digest(TextDigest::of(config.text)) {}
+  explicit ConfigCommitted(ClusterConfig committedConfig)
+      : config(std::move(committedConfig)), digest(TextDigest::of(config.text)) {}
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& config& digest;
@@ -120,7 +120,8 @@
 
 struct WorkerUnreachable {
   WorkerId worker;
-  // Attempts to restart elsewhere, because their queue's limit has passed.
+  // Attempts whose tasks may restart elsewhere: their queue's QueueOptions::reassignAfter has
+  // passed.
   std::vector<AttemptNumber> abandoned;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
--- a/source/state/job_json.cpp
+++ b/source/state/job_json.cpp
@@ -15,7 +15,7 @@
 
 class SubmissionReader {
  public:
-  explicit SubmissionReader(std::vector<ErrorDetail>& given) : errors(given) {}
+  explicit SubmissionReader(std::vector<ErrorDetail>& errorList) : errors(errorList) {}
   JobSubmission read(const picojson::value& root);
 
  private:
--- a/source/state/job_lifecycle.hpp
+++ b/source/state/job_lifecycle.hpp
@@ -8,7 +8,8 @@
 
 class JobLifecycle {
  public:
-  explicit JobLifecycle(ClusterTables& given) : tables(given), attempts(given) {}
+  explicit JobLifecycle(ClusterTables& clusterTables)
+      : tables(clusterTables), attempts(clusterTables) {}
 
   /// Adds a job, unless its id is already in use.
   void admit(const JobSubmission& submission);
--- a/source/state/job_validation.cpp
+++ b/source/state/job_validation.cpp
@@ -20,7 +20,7 @@
 
 class SubmissionValidator {
  public:
-  explicit SubmissionValidator(const JobSubmission& given) : job(given) {}
+  explicit SubmissionValidator(const JobSubmission& submission) : job(submission) {}
   std::vector<ErrorDetail> run() {
     checkIdentity();
     checkSteps();
--- a/source/state/order.hpp
+++ b/source/state/order.hpp
@@ -23,7 +23,7 @@
   std::uint32_t cores = 0;      // thousandths of a core
   std::uint64_t memory = 0;     // MB
   Duration runtime;             // as requested
-  Duration quantum;  // Not 0: a trial, which the worker itself stops after this much run time.
+  Duration quantum;  // not 0: a trial, which the worker itself stops after this much run time
   std::string payload;
   // With the job, these fields identify the run to the worker. docs/design.md 4.7.
   std::uint32_t stepIndex = 0;
--- a/source/state/policy_switches.hpp
+++ b/source/state/policy_switches.hpp
@@ -15,8 +15,8 @@
 
 enum class Policy : std::uint8_t {
   urgentHeadroom,  // design.md 7.8
-  latencyOrder,    // design.md 7.8: jobs that can meet their target first, those far past it last
-  boundedWaiting,  // design.md 7.9
+  latencyOrder,  // design.md 7.8: jobs that can be in time first, those too late to be of use last
+  boundedWaiting,        // design.md 7.9
   checkpointPreemption,  // design.md 7.10
   rackBalance,           // design.md 7.11
   localityWait,          // design.md 7.11
--- a/source/state/sync_json.cpp
+++ b/source/state/sync_json.cpp
@@ -35,9 +35,10 @@
 
 void readResults(JsonObjectReader& fields, std::vector<ErrorDetail>& errors,
                  std::vector<AttemptResult>& results) {
-  const auto* listed = fields.list("endings");
-  for (std::size_t index = 0; listed && index < std::min(listed->size(), maxResultsRead); ++index) {
-    JsonObjectReader result((*listed)[index], "/endings/" + std::to_string(index), errors);
+  const auto* entries = fields.list("endings");
+  for (std::size_t index = 0; entries && index < std::min(entries->size(), maxResultsRead);
+       ++index) {
+    JsonObjectReader result((*entries)[index], "/endings/" + std::to_string(index), errors);
     const AttemptNumber attempt{result.decimalText("attempt", Presence::required)};
     const auto outcome = parseAttemptOutcome(result.text("kind", Presence::required));
     if (outcome)
@@ -180,7 +181,7 @@
 }
 
 Result<SyncResponse> SyncResponse::parse(const std::string& body) {
-  if (nestedTooDeep(body))
+  if (isNestedTooDeeply(body))
     return CoreError::at(CoreError::Kind::invalid, "", "the response is nested too deep");
   picojson::value root;
   const std::string parseError = parseJson(root, body);
--- a/source/state/sync_report.hpp
+++ b/source/state/sync_report.hpp
@@ -21,7 +21,7 @@
   bool unresponsive = false;
   // For an unresponsive worker: its tasks stop within this time.
   Duration remainingLease{0};
-  MonotonicTime reportedAt;  // by the agent's own clock; orders reports that overtake each other.
+  MonotonicTime reportedAt;  // by the agent's own clock; orders reports that overtake each other
   // From an agent: the response body must be a packed SyncResponse, and results and checkpoints are
   // identified by TaskRunId.
   bool wantsPackedResponse = false;
