--- a/source/state/api_request.cpp
+++ b/source/state/api_request.cpp
@@ -1,3 +1,4 @@
+// Routing and parsing of HTTP requests to the public interface.
 #include "state/api_request.hpp"
 #include "base/json_reader.hpp"
 
@@ -32,10 +33,10 @@
 constexpr std::int64_t defaultDrainTimeout = 30'000;  // milliseconds
 constexpr std::int64_t maxDrainTimeout = 86'400'000;  // milliseconds: a day
 
-/// The target of a request line, such as /v1/jobs/ID/phase?limit=10.
+/// The parsed target of a request line, such as /v1/jobs/ID/phase?limit=10.
 struct RequestTarget {
   std::string path;
-  std::vector<std::string> segments;  // of the path, without empty ones
+  std::vector<std::string> segments;  // segments of the path, without empty ones
   std::map<std::string, std::string> query;
 
   explicit RequestTarget(const std::string& target) : path(target.substr(0, target.find('?'))) {
@@ -63,7 +64,7 @@
   bool hasBody = false;
 };
 
-// By method, subject, "/*" in place of an id, and verb. docs/api.md.
+// Routes keyed by method, resource, "/*" in place of an id, and action. docs/api.md.
 const std::map<std::string, Route>& routes() {
   static const std::map<std::string, Route> all = {
       {"POST jobs", {RequestKind::submitJob, true}},
@@ -91,8 +92,8 @@
 }
 
 const Route* findRoute(const std::string& method, const RequestTarget& target) {
-  constexpr std::size_t mostSegments = 4;  // version, subject, id, verb
-  if (target.segments.size() > mostSegments)
+  constexpr std::size_t maxSegments = 4;  // version, resource, id, action
+  if (target.segments.size() > maxSegments)
     return nullptr;
   const bool isVersion1 = target.segments.size() > 1 && target.segments[0] == "v1";
   std::string pattern = method + " " + (isVersion1 ? target.segments[1] : "");
@@ -116,25 +117,26 @@
         std::strtoll(query["within_ms"].c_str(), nullptr, 10), 0, maxDrainTimeout)};
 }
 
-// The order's own text stands in one field of the body.
-void readConfigOrder(const picojson::value& root, const char* textField, ApiRequest& request,
-                     std::vector<ErrorDetail>& faults) {
+// Reads a configuration update. `textField` is the field of the body that contains the
+// configuration or the patch.
+void readConfigUpdate(const picojson::value& root, const char* textField, ApiRequest& request,
+                      std::vector<ErrorDetail>& errors) {
   using Presence = JsonObjectReader::Presence;
-  JsonObjectReader fields(root, "", faults);
+  JsonObjectReader fields(root, "", errors);
   request.baseVersion = ConfigVersion{fields.unsignedInteger("based_on", Presence::required)};
   if (const auto* text = fields.find(textField, Presence::required))
     request.text = text->serialize();
 }
 
-void readBody(const picojson::value& root, ApiRequest& request, std::vector<ErrorDetail>& faults) {
+void readBody(const picojson::value& root, ApiRequest& request, std::vector<ErrorDetail>& errors) {
   if (request.kind == RequestKind::submitJob)
-    request.job = parseJobSubmission(root, faults);
+    request.job = parseJobSubmission(root, errors);
   if (request.kind == RequestKind::syncWorker)
-    request.report = parseSyncReport(root, request.targetId, faults);
+    request.report = parseSyncReport(root, request.targetId, errors);
   if (request.kind == RequestKind::applyConfig)
-    readConfigOrder(root, "config", request, faults);
+    readConfigUpdate(root, "config", request, errors);
   if (request.kind == RequestKind::patchConfig)
-    readConfigOrder(root, "patch", request, faults);
+    readConfigUpdate(root, "patch", request, errors);
 }
 
 }  // namespace
@@ -152,16 +154,16 @@
   readQuery(parsedTarget.query, request);
   if (!route->hasBody)
     return request;
-  if (nestedTooDeep(body))
+  if (isNestedTooDeeply(body))
     return CoreError::at(CoreError::Kind::invalid, "", "the body is nested too deep");
   picojson::value root;
   const std::string parseError = parseJson(root, body, true);
   if (!parseError.empty())
     return CoreError::at(CoreError::Kind::invalid, "", "the body is not JSON: " + parseError);
-  std::vector<ErrorDetail> faults;
-  readBody(root, request, faults);
-  if (!faults.empty())
-    return CoreError{CoreError::Kind::invalid, std::move(faults)};
+  std::vector<ErrorDetail> errors;
+  readBody(root, request, errors);
+  if (!errors.empty())
+    return CoreError{CoreError::Kind::invalid, std::move(errors)};
   return request;
 }
 
--- a/source/state/api_response.cpp
+++ b/source/state/api_response.cpp
@@ -1,3 +1,4 @@
+// Construction of API responses, and the HTTP status and retry delay of each error.
 #include "state/api_response.hpp"
 #include "base/json.hpp"
 
@@ -5,17 +6,17 @@
 
 namespace {
 
-constexpr Duration unknownRetryDelay{500};
+constexpr Duration unknownOutcomeRetryDelay{500};
 constexpr Duration notAppliedRetryDelay{300};
 constexpr Duration overloadedRetryDelay{1000};
 
-struct ErrorForm {
+struct ErrorResponse {
   int status;
   const char* errorKind;
   Duration retryAfter{0};
 };
 
-ErrorForm formOf(CoreError::Kind kind) {
+ErrorResponse errorResponseFor(CoreError::Kind kind) {
   switch (kind) {
     case CoreError::Kind::invalid:
       break;
@@ -26,7 +27,7 @@
     case CoreError::Kind::notFound:
       return {404, "missing"};
     case CoreError::Kind::outcomeUnknown:
-      return {503, "unknown", unknownRetryDelay};
+      return {503, "unknown", unknownOutcomeRetryDelay};
     case CoreError::Kind::gone:
       return {410, "gone"};
   }
@@ -51,7 +52,7 @@
 }
 
 ApiResponse ApiResponse::outcomeUnknown(const std::string& text) {
-  return error(503, "unknown", text, unknownRetryDelay);
+  return error(503, "unknown", text, unknownOutcomeRetryDelay);
 }
 
 ApiResponse ApiResponse::notApplied(const std::string& text) {
@@ -59,16 +60,16 @@
 }
 
 ApiResponse ApiResponse::fromError(const CoreError& error) {
-  const ErrorForm form = formOf(error.kind);
+  const ErrorResponse errorResponse = errorResponseFor(error.kind);
   picojson::array details;
   for (const auto& detail : error.details)
     details.push_back(
         json(picojson::object{{"path", json(detail.path)}, {"text", json(detail.text)}}));
-  ApiResponse response = of(
-      form.status,
-      {{"error", json(form.errorKind)}, {"text", json(error.text())}, {"details", json(details)}});
-  response.retryAfter = form.retryAfter;
-  response.errorKind = form.errorKind;
+  ApiResponse response = of(errorResponse.status, {{"error", json(errorResponse.errorKind)},
+                                                   {"text", json(error.text())},
+                                                   {"details", json(details)}});
+  response.retryAfter = errorResponse.retryAfter;
+  response.errorKind = errorResponse.errorKind;
   return response;
 }
 
--- a/source/state/attempt_index.cpp
+++ b/source/state/attempt_index.cpp
@@ -1,3 +1,4 @@
+// Maintenance and lookup of the indexes over attempts.
 #include "state/attempt_index.hpp"
 
 namespace aniseline {
@@ -33,7 +34,7 @@
 void AttemptIndex::remove(const Attempt& attempt) {
   removeFrom(byJob, attempt.job, attempt.number);
   removeFrom(byWorker, attempt.worker, attempt.number);
-  suspendedEver.erase(attempt.number);
+  everSuspendedNumbers.erase(attempt.number);
 }
 
 const std::set<AttemptNumber>& AttemptIndex::ofJob(const JobId& job) const {
--- a/source/state/config_patch.cpp
+++ b/source/state/config_patch.cpp
@@ -1,3 +1,4 @@
+// Parsing of configuration patches and their application to a base configuration.
 #include "state/config_patch.hpp"
 #include "base/json_reader.hpp"
 
@@ -6,7 +7,7 @@
 namespace {
 
 constexpr double maxVersion = 9007199254740991.0;  // 2^53 - 1: exact in a double
-// Keeps the digests of patches apart from those of whole configurations.
+// Distinguishes digests of patches from those of whole configurations.
 constexpr const char* digestPrefix = "config patch:";
 
 CoreError invalid(std::string path, std::string text) {
@@ -26,13 +27,13 @@
   return "/" + section + "/" + list + "/" + std::to_string(index);
 }
 
-/// The items of one list of a configuration, in either of its two forms.
+/// The named items of one list of a configuration, in either of its two forms.
 class NamedItems {
  public:
-  /// Null if the value is not a list of objects.
+  /// Returns null if the value is not a list of objects.
   static std::unique_ptr<NamedItems> over(picojson::value& list);
   virtual ~NamedItems() = default;
-  /// False if there is no such item.
+  /// Returns false if there is no such item.
   virtual bool remove(const std::string& name) = 0;
   virtual std::optional<CoreError> upsert(const picojson::value& items,
                                           const std::string& list) = 0;
@@ -47,10 +48,11 @@
            0;
   }
 
-  std::optional<CoreError> upsert(const picojson::value& given, const std::string& list) override {
-    if (!given.is<picojson::array>())
+  std::optional<CoreError> upsert(const picojson::value& changes,
+                                  const std::string& list) override {
+    if (!changes.is<picojson::array>())
       return invalid("/upsert/" + list, "must be an array, as in the configuration");
-    const auto& additions = given.get<picojson::array>();
+    const auto& additions = changes.get<picojson::array>();
     for (std::size_t index = 0; index < additions.size(); ++index) {
       if (!hasName(additions[index]))
         return invalid(itemPath("upsert", list, index), "must be an object with a name");
@@ -68,7 +70,7 @@
   std::optional<CoreError> upsertItem(const picojson::value& item, const std::string& path) {
     const std::string& name = nameOf(item).get<std::string>();
     if (!upserted.insert(name).second)
-      return invalid(path + "/name", "stands twice in the patch");
+      return invalid(path + "/name", "occurs twice in the patch");
     const auto matches = [&](const picojson::value& other) {
       return isNamed(other, name);
     };
@@ -93,10 +95,11 @@
 
   bool remove(const std::string& name) override { return items.erase(name) > 0; }
 
-  std::optional<CoreError> upsert(const picojson::value& given, const std::string& list) override {
-    if (!given.is<picojson::object>())
+  std::optional<CoreError> upsert(const picojson::value& changes,
+                                  const std::string& list) override {
+    if (!changes.is<picojson::object>())
       return invalid("/upsert/" + list, "must be an object, as in the configuration");
-    for (const auto& [name, item] : given.get<picojson::object>()) {
+    for (const auto& [name, item] : changes.get<picojson::object>()) {
       if (!item.is<picojson::object>())
         return invalid("/upsert/" + list + "/" + name, "must be an object");
       items[name] = item;
@@ -127,7 +130,7 @@
   return std::make_unique<ItemsByName>(items);
 }
 
-/// Finds a list of the base; the error stands under the patch's section.
+/// Finds a list of the base. The path of the error is in the patch's section.
 Result<std::unique_ptr<NamedItems>> findItems(picojson::object& root, const std::string& section,
                                               const std::string& list) {
   const auto found = root.find(list);
@@ -151,11 +154,11 @@
 }
 
 ConfigPatch::Removals readRemovals(const picojson::value& value, const picojson::object& lists,
-                                   std::vector<ErrorDetail>& faults) {
+                                   std::vector<ErrorDetail>& errors) {
   ConfigPatch::Removals removals;
-  JsonObjectReader reader(value, "/remove", faults);
+  JsonObjectReader reader(value, "/remove", errors);
   for (const auto& [list, names] : lists)
-    removals[list] = reader.texts(list, "must hold names of items");
+    removals[list] = reader.texts(list, "must contain names of items");
   return removals;
 }
 
@@ -167,17 +170,17 @@
   if (!parseError.empty())
     return invalid("", "is not JSON: " + parseError);
   ConfigPatch patch;
-  std::vector<ErrorDetail> faults;
+  std::vector<ErrorDetail> errors;
   {
-    JsonObjectReader reader(root, "", faults);
+    JsonObjectReader reader(root, "", errors);
     reader.readInteger("version", patch.givenVersion.value, 1, maxVersion);
     if (const auto* lists = reader.object("upsert"))
       patch.upserts = *lists;
     if (const auto* lists = reader.object("remove"))
-      patch.removals = readRemovals(*reader.find("remove"), *lists, faults);
+      patch.removals = readRemovals(*reader.find("remove"), *lists, errors);
   }
-  if (!faults.empty())
-    return CoreError{CoreError::Kind::invalid, std::move(faults)};
+  if (!errors.empty())
+    return CoreError{CoreError::Kind::invalid, std::move(errors)};
   return patch;
 }
 
@@ -192,22 +195,22 @@
   return ConfigPatch::digestOf(root.serialize()).text();
 }
 
-// Removals go first: a name that is removed and added in one patch moves to the
-// end of its list.
+// Removals are applied first, so an item that is both removed and added moves to the end of its
+// list.
 Result<std::string> ConfigPatch::applyTo(const std::string& baseText) const {
   picojson::value root;
   if (!parseJson(root, baseText).empty() || !root.is<picojson::object>())
-    return invalid("", "there is no configuration that could be patched");
+    return invalid("", "there is no configuration to patch");
   auto& fields = root.get<picojson::object>();
   for (const auto& [list, names] : removals) {
     if (auto error = removeItems(fields, list, names))
       return std::move(*error);
   }
-  for (const auto& [list, given] : upserts) {
+  for (const auto& [list, changes] : upserts) {
     auto items = findItems(fields, "upsert", list);
     if (!items)
       return items.error();
-    if (auto error = items.value()->upsert(given, list))
+    if (auto error = items.value()->upsert(changes, list))
       return std::move(*error);
   }
   fields.erase("version");
--- a/source/state/tenant_changes.cpp
+++ b/source/state/tenant_changes.cpp
@@ -1,3 +1,4 @@
+// Enforcement of lowered tenant caps, and preservation of the caps of removed tenants.
 #include "state/tenant_changes.hpp"
 #include "state/attempt_control.hpp"
 
@@ -14,7 +15,7 @@
          isLower(cap.accelerators, before.accelerators);
 }
 
-// The attempts of one tenant that may run, and what they hold together.
+// The attempts of one tenant that are not abandoned, and the resources allocated to them.
 class TenantAttempts {
  public:
   TenantAttempts(ClusterTables& tables, const TenantName& tenant) : tables(tables) {
@@ -22,15 +23,15 @@
       if (tables.jobs.at(id).submission.tenant == tenant)
         addJob(id);
     }
-    std::sort(undelivered.rbegin(), undelivered.rend());
+    std::sort(undeliveredNumbers.rbegin(), undeliveredNumbers.rend());
   }
 
-  bool isAbove(const TenantCap& cap) const {
-    return exceeds(held.cores, cap.cores) || exceeds(held.memory, cap.memory) ||
-           exceeds(held.accelerators, cap.accelerators);
+  bool exceedsCap(const TenantCap& cap) const {
+    return exceeds(allocated.cores, cap.cores) || exceeds(allocated.memory, cap.memory) ||
+           exceeds(allocated.accelerators, cap.accelerators);
   }
-  // Starts that no worker has reported, the latest first.
-  const std::vector<AttemptNumber>& undeliveredStarts() const { return undelivered; }
+  // Returns the starts that no worker has reported yet, the latest first.
+  const std::vector<AttemptNumber>& undeliveredStarts() const { return undeliveredNumbers; }
   void stop(AttemptNumber number) {
     Attempt& attempt = tables.attempts.at(number);
     if (attempt.state != AttemptState::ordered)
@@ -48,17 +49,18 @@
       const Attempt& attempt = tables.attempts.at(number);
       if (attempt.abandoned)
         continue;
-      held.cores += attempt.cores;
-      held.memory += attempt.memory;
-      held.accelerators += attempt.accelerators;
+      allocated.cores += attempt.cores;
+      allocated.memory += attempt.memory;
+      allocated.accelerators += attempt.accelerators;
       if (attempt.state == AttemptState::ordered)
-        undelivered.push_back(number);
+        undeliveredNumbers.push_back(number);
     }
   }
-  // One that has begun would wait for the others in vain.
-  void stopGang(const Attempt& part) {
-    const auto numbers = tables.attemptIndex.ofJob(part.job);
-    const std::uint32_t stepIndex = part.stepIndex;
+  // Stops the whole gang, including members that have begun: they would wait for the stopped
+  // members forever.
+  void stopGang(const Attempt& member) {
+    const auto numbers = tables.attemptIndex.ofJob(member.job);
+    const std::uint32_t stepIndex = member.stepIndex;
     for (auto number : numbers) {
       Attempt& attempt = tables.attempts.at(number);
       if (attempt.stepIndex == stepIndex && !attempt.abandoned)
@@ -66,21 +68,22 @@
     }
   }
   void stopOne(Attempt& attempt) {
-    held.cores -= attempt.cores;
-    held.memory -= attempt.memory;
-    held.accelerators -= attempt.accelerators;
+    allocated.cores -= attempt.cores;
+    allocated.memory -= attempt.memory;
+    allocated.accelerators -= attempt.accelerators;
     AttemptControl(tables).forceStop(attempt, RetryAccounting::exempt);
   }
 
   ClusterTables& tables;
-  TenantCap held;
-  std::vector<AttemptNumber> undelivered;
+  TenantCap allocated;
+  std::vector<AttemptNumber> undeliveredNumbers;
 };
 
-void stopUndeliveredAbove(ClusterTables& tables, const TenantName& tenant, const TenantCap& cap) {
+void stopUndeliveredStartsAboveCap(ClusterTables& tables, const TenantName& tenant,
+                                   const TenantCap& cap) {
   TenantAttempts attempts(tables, tenant);
   for (auto number : attempts.undeliveredStarts()) {
-    if (!attempts.isAbove(cap))
+    if (!attempts.exceedsCap(cap))
       return;
     attempts.stop(number);
   }
@@ -109,7 +112,7 @@
   for (const auto& [name, options] : tables.config.tenants.all()) {
     const TenantOptions* before = previous.find(name);
     if (isLower(options.cap, before ? before->cap : TenantCap{}))
-      stopUndeliveredAbove(tables, name, options.cap);
+      stopUndeliveredStartsAboveCap(tables, name, options.cap);
   }
 }
 
--- a/tests/state/tenants_tests.cpp
+++ b/tests/state/tenants_tests.cpp
@@ -1,5 +1,5 @@
-// Tenants in the configuration: keys, caps, what is refused, and how they are stored.
-// docs/design.md 6.7.
+// Tests of tenants in the configuration: keys, caps, validation, serialization, and the effect of
+// changes on existing work. docs/design.md 6.7.
 #include "state/cluster_state_fixture.hpp"
 #include "state/tenants.hpp"
 
@@ -13,7 +13,7 @@
       "tenants":{"north":{"api_keys":["k1","k2"],"weight":3,"cap":{"cores":2.5,"memory_mb":800,"accelerators":1}},
                  "south":{"api_keys":["k3"]}}})";
 
-std::string faultsOf(const std::string& tenants) {
+std::string errorsOf(const std::string& tenants) {
   const auto parsed = ClusterConfig::parse(R"({"queues":{"q":{}},"tenants":)" + tenants + "}");
   return parsed ? "" : parsed.error().text();
 }
@@ -22,7 +22,7 @@
 
 TEST_GROUP(TenantsTests){};
 
-TEST(TenantsTests, aConfigNamesTenantsWithTheirKeysAndCaps) {
+TEST(TenantsTests, configurationDefinesTenantsWithKeysAndCaps) {
   const auto parsed = ClusterConfig::parse(withTenants);
   CHECK(parsed.has_value());
   const TenantDirectory& tenants = parsed.value().tenants;
@@ -39,31 +39,31 @@
   CHECK_FALSE(tenants.find(TenantName{"south"})->cap.isLimited());
 }
 
-TEST(TenantsTests, noKeyIsNoTenantsKey) {
+TEST(TenantsTests, emptyKeysMatchNoTenant) {
   const auto parsed = ClusterConfig::parse(withTenants);
   CHECK(parsed.value().tenants.findByKey(ApiKeyDigest::of("")) == nullptr);
   CHECK(parsed.value().tenants.findByKey(ApiKeyDigest{}) == nullptr);
 }
 
-TEST(TenantsTests, routesAskForKeysUnlessTheyArePublicOrThereAreNoTenants) {
+TEST(TenantsTests, routesRequireKeysUnlessPublicOrWithoutTenants) {
   const auto parsed = ClusterConfig::parse(withTenants);
   CHECK(parsed.value().tenants.requiresKeyFor("h", "/a/"));
   CHECK_FALSE(parsed.value().tenants.requiresKeyFor("h", "/b/"));
   const auto open = ClusterConfig::parse(R"({"queues":{"q":{}}})");
   CHECK_FALSE(open.value().tenants.requiresKeyFor("h", "/a/"));
-  const auto closed = ClusterConfig::parse(R"({"queues":{"q":{}},"tenants":{}})");
-  CHECK(closed.value().tenants.requiresKeyFor("h", "/a/"));
+  const auto withEmptyTenants = ClusterConfig::parse(R"({"queues":{"q":{}},"tenants":{}})");
+  CHECK(withEmptyTenants.value().tenants.requiresKeyFor("h", "/a/"));
 }
 
-TEST(TenantsTests, aKeyOfTwoTenantsAndOtherFaultsAreRefusedByTheirPath) {
+TEST(TenantsTests, duplicateKeysAndOtherErrorsAreReportedByPath) {
   STRCMP_EQUAL("/tenants/south/api_keys: has a key that tenant north has too",
-               faultsOf(R"({"north":{"api_keys":["k"]},"south":{"api_keys":["k"]}})").c_str());
-  CHECK(faultsOf(R"({"north":{"api_keys":[7]}})").find("/tenants/north/api_keys") == 0);
-  CHECK(faultsOf(R"({"north":{"api_keys":[""]}})").find("/tenants/north/api_keys") == 0);
-  CHECK(faultsOf(R"({"north":{"cap":{"cores":-1}}})").find("/tenants/north/cap/cores") == 0);
-  CHECK(faultsOf(R"({"north":{"cap":{"watts":1}}})").find("/tenants/north/cap") == 0);
-  CHECK(faultsOf(R"({"north":{"key":"k"}})").find("/tenants/north") == 0);
-  STRCMP_EQUAL("", faultsOf(R"({"north":{"api_keys":["k","l"]},"south":{}})").c_str());
+               errorsOf(R"({"north":{"api_keys":["k"]},"south":{"api_keys":["k"]}})").c_str());
+  CHECK(errorsOf(R"({"north":{"api_keys":[7]}})").find("/tenants/north/api_keys") == 0);
+  CHECK(errorsOf(R"({"north":{"api_keys":[""]}})").find("/tenants/north/api_keys") == 0);
+  CHECK(errorsOf(R"({"north":{"cap":{"cores":-1}}})").find("/tenants/north/cap/cores") == 0);
+  CHECK(errorsOf(R"({"north":{"cap":{"watts":1}}})").find("/tenants/north/cap") == 0);
+  CHECK(errorsOf(R"({"north":{"key":"k"}})").find("/tenants/north") == 0);
+  STRCMP_EQUAL("", errorsOf(R"({"north":{"api_keys":["k","l"]},"south":{}})").c_str());
 }
 
 TEST(TenantsTests, keysAreStoredAsDigestsOnly) {
@@ -71,7 +71,7 @@
   CHECK(pack(parsed.value().tenants).find("k1") == std::string::npos);
 }
 
-TEST(TenantsTests, aConfigWithTenantsIsReadAsItWasWritten) {
+TEST(TenantsTests, serializedConfigurationWithTenantsRoundTrips) {
   const auto parsed = ClusterConfig::parse(withTenants);
   const auto read = unpack<ClusterConfig>(pack(parsed.value()));
   CHECK(read.has_value());
@@ -80,8 +80,9 @@
   CHECK_FALSE(read.value().tenants.requiresKeyFor("h", "/b/"));
 }
 
-// Stored data of clusters without tenants keeps its bytes; stored_data_tests.cpp reads some.
-TEST(TenantsTests, withoutTenantsTheBytesAreThoseOfTheTextAlone) {
+// Stored data of clusters without tenants keeps its format; stored_data_tests.cpp reads examples of
+// it.
+TEST(TenantsTests, withoutTenantsSerializedBytesAreUnchanged) {
   JobSubmission job;
   job.payload = "work";
   const std::string withoutTenant = pack(job);
@@ -93,8 +94,8 @@
   CHECK(unpack<JobSubmission>(withoutTenant).value().tenant == TenantName{});
 }
 
-// As a program that knows no sections would read it.
-TEST(TenantsTests, aReaderWithoutSectionsRefusesThemRatherThanMisreadsThem) {
+// Reads the bytes as a program without support for sections would.
+TEST(TenantsTests, readerWithoutSectionSupportRejectsThem) {
   JobSubmission job;
   job.tenant = TenantName{"north"};
   OutputArchive archive;
@@ -139,25 +140,25 @@
   }
 };
 
-TEST(TenantChangesTests, aRemovedTenantWithOpenJobsKeepsItsCapWithoutKeys) {
+TEST(TenantChangesTests, removedTenantWithOpenJobsKeepsItsCapWithoutKeys) {
   submit("job", "north", 1);
   configure(R"({"south":{"api_keys":["k3"]}})");
   CHECK(tenant("north") != nullptr);
   LONGS_EQUAL(0, tenant("north")->keys.size());
   LONGS_EQUAL(2500, tenant("north")->cap.cores);
   CHECK(fixture.clusterState.config().tenants.findByKey(ApiKeyDigest::of("k1")) == nullptr);
-  // Until its jobs have ended.
+  // The tenant is kept only until its jobs have ended.
   fixture.apply(JobCancelled{JobId{"job"}});
   configure(R"({"south":{"api_keys":["k3"]}})");
   CHECK(tenant("north") == nullptr);
 }
 
-TEST(TenantChangesTests, aRemovedTenantWithoutOpenJobsIsGone) {
+TEST(TenantChangesTests, removedTenantWithoutOpenJobsIsDropped) {
   configure(R"({"south":{"api_keys":["k3"]}})");
   CHECK(tenant("north") == nullptr);
 }
 
-TEST(TenantChangesTests, anotherTenantMayTakeTheKeysOfARemovedOne) {
+TEST(TenantChangesTests, anotherTenantMayUseTheKeysOfARemovedOne) {
   submit("job", "north", 1);
   configure(R"({"south":{"api_keys":["k1"]}})");
   STRCMP_EQUAL(
@@ -165,9 +166,9 @@
       fixture.clusterState.config().tenants.findByKey(ApiKeyDigest::of("k1"))->value.c_str());
 }
 
-// Their orders may not have reached the worker, which may be cut off: it would start them long
-// after the change.
-TEST(TenantChangesTests, startsThatNoWorkerReportedAreTakenBackWhenACapIsLowered) {
+// The orders of unreported starts may not have reached the worker, for example because it is cut
+// off. It would then start them long after the change.
+TEST(TenantChangesTests, unreportedStartsAreStoppedWhenACapIsLowered) {
   submit("job", "south", 6);
   fixture.plan();
   LONGS_EQUAL(6, attemptsIn(AttemptState::ordered));
@@ -181,7 +182,7 @@
   LONGS_EQUAL(2, starts);
 }
 
-TEST(TenantChangesTests, whatRunsGoesOnWhenACapIsLowered) {
+TEST(TenantChangesTests, runningAttemptsContinueWhenACapIsLowered) {
   submit("job", "south", 6);
   fixture.planAndRun();
   configure(R"({"south":{"api_keys":["k3"],"cap":{"cores":2}}})");
@@ -189,7 +190,7 @@
   STRCMP_EQUAL("", fixture.plan().c_str());
 }
 
-TEST(TenantChangesTests, aStartThatIsTakenBackCountsForNothing) {
+TEST(TenantChangesTests, startStoppedByACapIsNotCounted) {
   submit("job", "south", 1);
   fixture.plan();
   const AttemptNumber attempt = fixture.attempt("job");
@@ -201,7 +202,7 @@
   LONGS_EQUAL(0, task.failureCount);
 }
 
-TEST(TenantChangesTests, aGangIsTakenBackWhole) {
+TEST(TenantChangesTests, gangsAreStoppedAsAWhole) {
   submit("gang", "south", 3, true);
   fixture.plan();
   LONGS_EQUAL(3, attemptsIn(AttemptState::ordered));
@@ -209,7 +210,7 @@
   LONGS_EQUAL(3, attemptsIn(AttemptState::stopping));
 }
 
-TEST(TenantChangesTests, otherTenantsWorkAndHigherCapsTakeNothingBack) {
+TEST(TenantChangesTests, otherTenantsAndHigherCapsStopNothing) {
   submit("south-job", "south", 2);
   submit("north-job", "north", 2);
   fixture.plan();
