--- a/source/controller/backlog_estimator.cpp
+++ b/source/controller/backlog_estimator.cpp
@@ -1,4 +1,4 @@
-// The waiting work of each pool against its cores. docs/design.md 10.
+// Compares the waiting work of each pool with its cores. docs/design.md 10.
 #include "controller/backlog_estimator.hpp"
 #include <cmath>
 #include <numeric>
@@ -6,13 +6,13 @@
 namespace aniseline {
 
 namespace {
-// Counting all that waits costs time, so it is done this often; what is
-// admitted between is added.
+// Counting all waiting work is expensive, so it is repeated only at this interval. Work admitted in
+// between is added to the last count.
 constexpr Duration refreshInterval{200};
-// A job that would wait more than this multiple of its target is rejected, and
-// is asked to come back when it would wait for the second. It would end later
-// still, by its own run and by what comes after it and goes before it; past
-// three times its target it would be of no use.
+// A job is rejected if it would wait longer than the first multiple of its latency target, and is
+// asked to retry when its wait would have dropped to the second. Its end is later than its start by
+// its own run time and by newer work that is planned before it; after three times its target the
+// result would be of no use.
 constexpr double rejectAtTargets = 1.5;
 constexpr double comeBackAtTargets = 0.75;
 constexpr std::int64_t minRetryDelayMs = 500;
@@ -55,7 +55,8 @@
   waitingWork[{queue.pool, tenant}][queue.priority][sizeClassOf(work)] += work;
 }
 
-// That of a higher priority, or of the queue's own and of jobs that are no larger.
+// Work counts if its priority is higher, or if it has the same priority and belongs to a job that
+// is not larger.
 CoreMilliseconds BacklogEstimator::workBefore(const WorkByPriority& waiting,
                                               const QueueOptions& queue, CoreMilliseconds jobWork) {
   CoreMilliseconds work = 0;
@@ -69,8 +70,8 @@
   return work;
 }
 
-// What a cap keeps from running delays nobody but its own tenant: of each other tenant's work no
-// more counts than its cap lets run within the horizon.
+// Work held back by a tenant's cap delays only that tenant. Of every other tenant, the estimate
+// therefore counts no more work than its cap lets run within the horizon.
 double BacklogEstimator::delayOf(const JobSubmission& job, const QueueOptions& queue,
                                  const ClusterState& state, double horizon) const {
   CoreMilliseconds before = 0;
--- a/source/controller/config_service.cpp
+++ b/source/controller/config_service.cpp
@@ -1,5 +1,4 @@
-// Operators' configurations: accepted, rejected, or acknowledged again.
-// docs/design.md 6.1.
+// Version checks, parsing and acceptance of configuration updates. docs/design.md 6.1.
 #include "controller/config_service.hpp"
 #include "state/config_patch.hpp"
 
@@ -11,7 +10,7 @@
   return ApiResponse::of(200, {{"version", json(version.value)}});
 }
 
-// An order that was accepted is acknowledged again, whatever came after it: its
+// An update that was accepted is acknowledged again, even after later updates, because the first
 // response may have been lost.
 std::optional<ApiResponse> responseToKnownOrder(const ConfigUpdate& order,
                                                 const ConfigHistory& history) {
@@ -43,8 +42,8 @@
                     "must be above the current one, " + std::to_string(current.value)));
 }
 
-// The answer to an order that is not to be logged: it was before, or it can't
-// be by its versions.
+// Returns the response to an update that must not be logged: it has been applied before, or its
+// versions do not allow it.
 std::optional<ApiResponse> answerWithoutChange(const ConfigUpdate& order,
                                                const ClusterState& state) {
   const ConfigVersion current = state.config().version;
@@ -83,8 +82,8 @@
   return accept(std::move(event), state.config().version);
 }
 
-// The patch is applied to the configuration that the leader's log ends with, at
-// which the event is appended, so nothing can come between them.
+// The patch is applied to the configuration at the end of the leader's log. The resulting event is
+// appended at that same position, so no other update can come in between.
 RequestDecision decideConfigPatch(const ApiRequest& request, const ClusterState& state,
                                   const ConfigParser& parse) {
   const auto patch = ConfigPatch::parse(request.text);
--- a/source/controller/config_service.hpp
+++ b/source/controller/config_service.hpp
@@ -1,6 +1,5 @@
-// Decides about configurations and patches that operators apply: accepted,
-// rejected, or acknowledged again when the same order comes twice.
-// docs/design.md 6.1.
+// Decides on configurations and patches submitted by operators: they are accepted, rejected, or
+// acknowledged again if the same update is repeated. docs/design.md 6.1.
 #ifndef ANISELINE_CONTROLLER_CONFIG_SERVICE_HPP
 #define ANISELINE_CONTROLLER_CONFIG_SERVICE_HPP
 #include "controller/request_decision.hpp"
@@ -9,8 +8,8 @@
 namespace aniseline {
 
 RequestDecision decideConfigOrder(const ApiRequest& request, const ClusterState& state);
-/// `parse` reads the text of a whole configuration, in the form in which the
-/// operators of this cluster write it.
+// `parse` reads the text of a complete configuration in the format that the operators of this
+// cluster use.
 RequestDecision decideConfigPatch(const ApiRequest& request, const ClusterState& state,
                                   const ConfigParser& parse);
 
--- a/source/controller/controller.cpp
+++ b/source/controller/controller.cpp
@@ -1,4 +1,4 @@
-// One step of a controller, its role, and what a serving leader does.
+// The steps of a controller, its changes of role, and the periodic work of a serving leader.
 // docs/design.md 3, 8.
 #include "controller/controller.hpp"
 #include "controller/read_views.hpp"
@@ -8,11 +8,11 @@
 namespace {
 
 constexpr Duration expiryCheckInterval{1000};
-// A client may send a key that was revoked as often as it likes.
+// Limits the log volume, because a client may send a revoked key as often as it likes.
 constexpr Duration rejectedKeysReportInterval{1000};
 
-// Whether an event may bring the end of a lease or of a drain nearer than was
-// reckoned.
+// Reports whether an event can make a lease or a drain end earlier than the deadlines computed so
+// far.
 bool affectsWorkerDeadlines(const Event& event) {
   const auto& type = event.type();
   return type == typeid(WorkerRegistered) || type == typeid(WorkerDrainStarted) ||
@@ -20,8 +20,8 @@
          type == typeid(WorkerUnreachable) || type == typeid(WorkerRemoved);
 }
 
-// Whether an event may bring an occurrence of a timetable nearer than was
-// reckoned.
+// Reports whether an event can make a timetable occurrence due earlier than the time computed so
+// far.
 bool affectsTimetables(const Event& event) {
   const auto* accepted = boost::get<JobAccepted>(&event);
   return event.type() == typeid(OccurrenceFired) ||
@@ -60,7 +60,7 @@
     runPlanner();
     reviewMembership();
     reportRejectedKeys();
-    followRaft(wall);  // so that what was proposed leaves at once
+    followRaft(wall);  // sends out the new proposals in this same step
   }
   if (isLeading()) {
     respondToPolls();
@@ -83,7 +83,7 @@
     stopLeading();
 }
 
-// What a leader knows of its own, and does not log, begins anew.
+// Resets the leader's own knowledge, which is not replicated.
 void Controller::startLeading() {
   stateMachine.startLeading();
   clock.restart(speculative().now(), now);
--- a/source/controller/controller.hpp
+++ b/source/controller/controller.hpp
@@ -1,24 +1,21 @@
-// The control plane's core: one controller without sockets, files, clocks or
-// threads. It joins Raft, the replicated state and the services of a leader,
-// and does in a step what is due. Whoever drives it (the daemon's fiber thread,
-// the simulator, a test) hands in messages, requests and the time, calls
-// `step`, and takes the effects: messages, disk records, snapshot work and
-// responses. Not thread-safe: every call comes from the one thread that drives
-// it. docs/design.md 1.2, 3, 8.
+// The core of the control plane: a single controller without sockets, files, clocks or threads. It
+// combines Raft, the replicated state and the services of a leader. Its driver (the daemon's fiber
+// thread, the simulator or a test) passes in messages, requests and the current time, calls `step`,
+// and then collects the effects: messages, disk records, snapshot work and responses. Not
+// thread-safe: all calls must come from the thread that drives it. docs/design.md 1.2, 3, 8.
 //
-// What it consists of, each with its own state:
-//   ReplicatedStateMachine  committed and speculative state, proposals,
-//   snapshots RequestTable            pending requests, long polls, deadlines,
-//   memory bounds SyncResponder           what workers that wait for orders are
-//   answered LeaseManager            contacts with workers, leases, drains
-//   MembershipManager       which controllers vote and learn
-//   PlanningDriver          when a plan is made, and its hints
-//   JobAdmission            which jobs are accepted
-//   TimetableScheduler, JobRetention, OpenJobMonitor,
-//   JobLatencyTracker                                  jobs over time
-//   GatewayRegistry         gateways heard from lately
-// Configurations are decided by config_service.hpp, and read_views.hpp shows
-// the state.
+// Components, each with its own state:
+//   ReplicatedStateMachine  committed and speculative state, proposals, snapshots
+//   RequestTable            pending requests, long polls, deadlines, memory limits
+//   SyncResponder           responses to the long polls of workers
+//   LeaseManager            contacts with workers, leases, drains
+//   MembershipManager       which controllers are voters and which are learners
+//   PlanningDriver          when the planner runs, and its hints
+//   JobAdmission            which submitted jobs are accepted
+//   TimetableScheduler, JobRetention, OpenJobMonitor, JobLatencyTracker
+//                           jobs over time
+//   GatewayRegistry         recently active gateways
+// Configurations are validated in config_service.hpp, and read_views.hpp renders the state.
 #ifndef ANISELINE_CONTROLLER_CONTROLLER_HPP
 #define ANISELINE_CONTROLLER_CONTROLLER_HPP
 #include "controller/gateway_registry.hpp"
@@ -39,7 +36,7 @@
 
 namespace aniseline {
 
-// A request with its response, for whoever brought the request.
+// A response together with the number of the request that it answers.
 struct CompletedRequest {
   RequestNumber number;
   ApiResponse response;
@@ -47,35 +44,35 @@
 
 class Controller {
  public:
-  // `restored` are the disk records of this identity, in their order; none for
-  // a blank one.
+  // `restored` holds the disk records of this identity in the order in which they were written; it
+  // is empty for a blank identity.
   Controller(Member self, const ControllerOptions& options, std::uint64_t seed,
              const std::vector<WriteAheadRecord>& restored, MonotonicTime now);
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
 
-  // Does all that is due now. Time never goes back: an earlier `now` counts as
-  // the latest one.
+  // Performs all work that is due at `now`. Time never moves backwards: an earlier `now` is
+  // replaced by the latest one seen.
   void step(MonotonicTime now, WallTime wall);
   void receive(const PeerMessage& message, MonotonicTime now) { raft.receive(message, now); }
-  // The disk record of this version, and all before it, are durable.
+  // Reports that the disk record of this version and all earlier ones are durable.
   void onRecordSynced(DiskVersion version, MonotonicTime now) { raft.onWriteSynced(version, now); }
-  // Takes a request, which gets exactly one response: rejected at once where
-  // this controller does not lead or has no room for it, else handled in the
-  // next step.
+  // Accepts a request, which receives exactly one response. The request is rejected at once if this
+  // controller is not the leader or has no capacity for it; otherwise it is handled in the next
+  // step.
   void submitRequest(RequestNumber number, ApiRequest request, MonotonicTime now);
-  // Founds a cluster of this one controller. Only for a blank identity.
+  // Creates a cluster that consists of this controller only. Allowed only for a blank identity.
   void bootstrap(MonotonicTime now) { raft.bootstrap(now); }
-  // A blank identity asks this leader to take it in as a learner.
+  // Makes a blank identity ask this leader to add it to the cluster as a learner.
   void join(const Address& leader) { raft.setJoinAddress(leader); }
   void transferLeadership(MonotonicTime now) { raft.transferLeadership(now); }
   void recordGateway(const GatewayEndpoint& gateway, MonotonicTime now) {
     gateways.recordContact(gateway, now);
   }
-  // The snapshot writer has packed a state that takeSnapshotWork asked for.
+  // Takes the state that the snapshot writer has packed in response to takeSnapshotWork.
   void onSnapshotPacked(PackedSnapshot snapshot);
 
-  // Effects of the calls before; each is handed out once.
+  // These functions return the effects of the preceding calls; each effect is returned once.
   std::vector<PeerMessage> takeMessages() { return raft.takeMessages(); }
   std::optional<WriteAheadRecord> takeWrite() { return raft.takeWrite(); }
   SnapshotWork takeSnapshotWork() { return stateMachine.snapshots().takeWork(); }
@@ -84,21 +81,20 @@
   const RaftNode& raftNode() const { return raft; }
   const ControllerOptions& controllerOptions() const { return options; }
   const ClusterState& committed() const { return stateMachine.committed(); }
-  // Texts of pending requests and of proposals not committed yet.
+  // Returns the size in bytes of the texts of pending requests and of uncommitted proposals.
   std::size_t pendingBytes() const {
     return requests.retainedBytes() + stateMachine.proposalBytes();
   }
   LeaderRoute route(MonotonicTime now) const;
-  // A record or snapshot can't be decoded. Steps do nothing any more, and the
-  // process must end.
+  // Reports whether a record or snapshot could not be decoded. In that case `step` no longer does
+  // anything, and the process must exit.
   bool hasUnreadableState() const { return stateMachine.hasUnreadableState(); }
 
-  // Emitted within the calls above, on the caller's thread; slots must not call
-  // the controller.
+  // Emitted during the calls above, on the caller's thread. Slots must not call the controller.
   LogEventSignal logEvent;
 
  private:
-  // Following Raft, and leadership.
+  // Following the Raft log, and changes of leadership.
   void followRaft(WallTime wall);
   void onRoleChange();
   void startLeading();
@@ -108,11 +104,11 @@
   bool isLeading() const { return stateMachine.isLeading(); }
   const ClusterState& speculative() const { return stateMachine.speculative(); }
   ClusterTime clusterNow() const { return clock.at(now); }
-  // Every change of the state goes through here: it is proposed, and visible to
-  // handlers at once.
+  // Proposes an event. Every state change goes through this function; handlers see its effect at
+  // once.
   void append(Event event);
 
-  // What a serving leader does in each step.
+  // The work that a serving leader does in each step.
   void handleQueuedRequests();
   void expireLeases();
   void fireTimetables();
@@ -122,21 +118,20 @@
   void reviewMembership();
   void reportRejectedKeys();
 
-  // Requests: one handler a kind, dispatched by handleRequest.
+  // Request handlers, one for each kind; handleRequest dispatches to them.
   bool hasRequestCapacity(const ApiRequest& request) const;
   bool fitsMemoryLimit(const ApiRequest& request) const;
   void handleRequest(PendingRequest& pending);
   void handleReadRequest(PendingRequest& pending);
-  // What is wrong with a request before it is looked at by its kind, if
-  // anything.
+  // Validates a request before it is dispatched by kind. Returns the rejection, if any.
   std::optional<ApiResponse> rejectionOnArrival(ApiRequest& request);
-  // Completes a request that came by an ingress route with its queue and job;
-  // what is wrong with it, if anything.
+  // Fills in the queue and job of a request that came through an ingress route. Returns the
+  // rejection, if any.
   std::optional<ApiResponse> resolveIngressRoute(ApiRequest& request);
-  // Names the tenant of a request that needs a key; a rejection if it has none
-  // that is known.
+  // Sets the tenant of a request that requires an API key. Returns a rejection if the key is
+  // missing or unknown.
   std::optional<ApiResponse> authenticate(ApiRequest& request);
-  // A rejection if the request is about a job of another tenant.
+  // Returns a rejection if the request refers to a job of another tenant.
   std::optional<ApiResponse> checkOwner(const ApiRequest& request) const;
   void handleSubmit(PendingRequest& pending);
   void handleCancel(PendingRequest& pending);
@@ -167,7 +162,7 @@
   LeaderClock clock;
   bool isServing = false;
   MonotonicTime nextExpiryCheck;
-  std::uint64_t rejectedKeys = 0;  // requests, since they were reported last
+  std::uint64_t rejectedKeys = 0;  // requests since the last report
   MonotonicTime nextKeyReport;
   ReplicatedStateMachine stateMachine;
   RequestTable requests;
--- a/source/controller/gateway_registry.cpp
+++ b/source/controller/gateway_registry.cpp
@@ -1,11 +1,11 @@
-// Gateways heard from lately.
+// Expiry of gateway contacts.
 #include "controller/gateway_registry.hpp"
 
 namespace aniseline {
 
 namespace {
-// A gateway asks for the route five times a second; one unheard for this long
-// is gone.
+// A gateway requests the route five times a second, so one that was not heard from for this long is
+// gone.
 constexpr Duration gatewayTimeout{10'000};
 }  // namespace
 
--- a/source/controller/gateway_registry.hpp
+++ b/source/controller/gateway_registry.hpp
@@ -1,6 +1,6 @@
-// The gateways that have asked this controller for the route, and when. Every
-// controller keeps its own registry, in memory only; it is what workers and
-// callers learn of gateways. docs/design.md 9.2.
+// The gateways that have requested the route from this controller, with the time of their last
+// request. Every controller keeps its own registry in memory; workers and clients learn of gateways
+// through it. docs/design.md 9.2.
 #ifndef ANISELINE_CONTROLLER_GATEWAY_REGISTRY_HPP
 #define ANISELINE_CONTROLLER_GATEWAY_REGISTRY_HPP
 #include "state/api_request.hpp"
@@ -17,7 +17,7 @@
   void recordContact(const GatewayEndpoint& gateway, MonotonicTime now) {
     gateways[gateway.address] = {gateway.zone, now};
   }
-  // Those heard from lately, by address.
+  // Returns the gateways heard from recently, ordered by address.
   std::vector<GatewayEndpoint> live(MonotonicTime now) const;
   void removeStale(MonotonicTime now);
   const std::map<Address, Gateway>& all() const { return gateways; }
--- a/source/controller/job_admission.cpp
+++ b/source/controller/job_admission.cpp
@@ -1,4 +1,4 @@
-// Admission of jobs. docs/design.md 10.
+// The checks applied to a submitted job, in order. docs/design.md 10.
 #include "controller/job_admission.hpp"
 #include "scheduling/feasibility.hpp"
 
@@ -17,9 +17,8 @@
       CoreError::at(CoreError::Kind::invalid, std::move(path), std::move(text)));
 }
 
-// A request that came by an ingress route names no queue, so a job that was
-// accepted is still the same one when it comes again after the route was given
-// to another queue.
+// A request from an ingress route names no queue. A repeated submission therefore counts as the
+// same job even if the route was assigned to another queue in the meantime.
 bool isSameSubmission(const ApiRequest& request, const Job& known) {
   if (!request.viaIngress())
     return known.digest == request.job.digest();
@@ -35,7 +34,7 @@
   return ApiResponse::error(409, "conflict", "job " + id.value + " exists with other content");
 }
 
-// Of the limit on open jobs, what is kept free for queues other than this one.
+// Returns the part of the limit on open jobs that is reserved for queues other than this one.
 std::uint64_t reservedForOthers(const ClusterState& state, const QueueName& queue) {
   std::uint64_t reserved = 0;
   for (const auto& [name, options] : state.config().queues) {
@@ -53,8 +52,8 @@
          state.openJobsOf(name) >= queue.maxOpenJobs;
 }
 
-// A job that can never run is rejected when its queue is named; by an ingress
-// route it is accepted and fails, with the same cause.
+// A job that can never run is rejected if the request names its queue. If it came through an
+// ingress route, it is accepted and fails later with the same cause.
 std::optional<ApiResponse> neverRunnableResponse(const ApiRequest& request,
                                                  const ClusterState& state) {
   if (request.viaIngress())
--- a/source/controller/job_admission.hpp
+++ b/source/controller/job_admission.hpp
@@ -1,7 +1,6 @@
-// Decides about submitted jobs: accepted again when they are known, rejected
-// when the configuration does not allow them, when they can never run, when
-// there are too many, or when they would begin too late to be of use.
-// docs/design.md 10.
+// Decides on submitted jobs. A job that is already known is acknowledged again. A job is rejected
+// if the configuration does not allow it, if it can never run, if there are too many open jobs, or
+// if it would start too late to be useful. docs/design.md 10.
 #ifndef ANISELINE_CONTROLLER_JOB_ADMISSION_HPP
 #define ANISELINE_CONTROLLER_JOB_ADMISSION_HPP
 #include "controller/backlog_estimator.hpp"
@@ -13,7 +12,7 @@
 class JobAdmission {
  public:
   explicit JobAdmission(PolicySwitches policies) : policies(policies) {}
-  // At the beginning of a leadership.
+  // Resets the backlog estimate at the start of a leadership.
   void restart() { backlog.clear(); }
   RequestDecision decide(const ApiRequest& request, const ClusterState& state, MonotonicTime now);
 
--- a/source/controller/job_latency_tracker.cpp
+++ b/source/controller/job_latency_tracker.cpp
@@ -1,11 +1,11 @@
-// Where the time of late jobs went. docs/design.md 4.8.
+// Collects ended runs and builds the critical chain of late jobs. docs/design.md 4.8.
 #include "controller/job_latency_tracker.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// Open jobs that are followed; of more the later ones are not explained.
+// Limit on the number of tracked open jobs. Jobs beyond this limit are not explained.
 constexpr std::size_t maxTrackedJobs = 4000;
 
 bool runsRemotely(const StepRequirements& requirements, const Worker& worker) {
@@ -47,7 +47,7 @@
     run.orderedAt = ended.orderedAt;
     run.endedAt = at;
     Runs& runs = runsByJob[ended.job];
-    // A task that is tried again keeps the time at which it was ready first.
+    // The next run of a retried task is ready as soon as its previous run has ended.
     for (const auto& earlier : runs) {
       if (earlier.taskIndex == run.taskIndex)
         run.readyAt = std::max(run.readyAt, earlier.endedAt);
@@ -75,8 +75,9 @@
   touched.clear();
 }
 
-// The chain is walked from the last run back: each run waited for the one that ended last before it
-// became ready, be it a failed run of its task or one of a step that it depends on.
+// Walks the chain backwards from the last run. Each run waited for the run that ended last before
+// it became ready: either a failed run of the same task, or a run of a step that its own step
+// depends on.
 void JobLatencyTracker::reportIfLate(const Job& job, const QueueOptions& queue,
                                      const Runs& runs) const {
   const Duration target = latencyTargetOf(job, queue);
--- a/source/controller/job_latency_tracker.hpp
+++ b/source/controller/job_latency_tracker.hpp
@@ -1,7 +1,8 @@
-// Says of each job that ended after its latency target where its time went: along the chain of runs
-// that its end had to wait for, how long each waited for a start and how long it ran. The leader's
-// own knowledge, not logged in the replicated log: it begins anew with each leadership. Owned by
-// Controller; costs nothing unless it is switched on. docs/on-call.md, docs/design.md 4.8.
+// Explains why a job ended after its latency target: for each run in the chain that delayed the
+// job's end, reports how long the run waited for its start and how long it took. The data is local
+// to the leader, is not written to the replicated log, and is reset at the start of each
+// leadership. Owned by Controller; has no cost unless it is enabled. docs/on-call.md,
+// docs/design.md 4.8.
 #ifndef ANISELINE_CONTROLLER_JOB_LATENCY_TRACKER_HPP
 #define ANISELINE_CONTROLLER_JOB_LATENCY_TRACKER_HPP
 #include "controller/log_event.hpp"
@@ -14,9 +15,9 @@
   explicit JobLatencyTracker(const LogEventSignal& events) : events(events) {}
 
   void clear() { runsByJob.clear(); }
-  /// To be called before the event is applied: notes the runs whose results it brings.
+  // Records the runs whose results the event contains. Must be called before the event is applied.
   void recordResults(const ClusterState& before, const Event& event, ClusterTime at);
-  /// To be called after it was applied: reports the jobs that ended by it.
+  // Reports the jobs that the event has ended. Must be called after the event was applied.
   void reportEnded(const ClusterState& after);
 
  private:
@@ -37,7 +38,7 @@
 
   const LogEventSignal& events;
   std::map<JobId, Runs> runsByJob;  // of open jobs
-  std::vector<JobId> touched;       // by the event that is being applied
+  std::vector<JobId> touched;       // jobs with results in the event that is being applied
 };
 
 }  // namespace aniseline
--- a/source/controller/job_retention.cpp
+++ b/source/controller/job_retention.cpp
@@ -1,15 +1,15 @@
-// How long finished jobs are kept. docs/design.md 4.5.
+// Limits on the number and age of finished jobs. docs/design.md 4.5.
 #include "controller/job_retention.hpp"
 
 namespace aniseline {
 
 namespace {
-constexpr Duration keptComplete{60'000};       // after its end; then a job is reduced
-constexpr std::size_t maxJobsPerEvent = 2000;  // so that one log entry stays small
+constexpr Duration keptComplete{60'000};       // time from a job's end until it is compacted
+constexpr std::size_t maxJobsPerEvent = 2000;  // bounds the size of a log entry
 }  // namespace
 
-// Finished work never causes new work to be rejected: past the limit the
-// earliest goes.
+// Finished jobs never cause new jobs to be rejected: when the limit is exceeded, the jobs that
+// ended first are removed.
 void JobRetention::collectExpired(const ClusterState& state, ClusterTime clusterNow,
                                   JobsExpired& expired) const {
   const auto& limits = state.config().planner;
--- a/source/controller/job_retention.hpp
+++ b/source/controller/job_retention.hpp
@@ -1,6 +1,6 @@
-// Decides which finished jobs, and workers that are gone, are removed from the
-// cluster state, and which finished jobs are reduced to what a repeated request
-// needs. docs/design.md 4.5.
+// Selects the finished jobs and the removed workers that are to be deleted from the cluster state,
+// and the finished jobs that are to be compacted to the data needed to answer repeated requests.
+// docs/design.md 4.5.
 #ifndef ANISELINE_CONTROLLER_JOB_RETENTION_HPP
 #define ANISELINE_CONTROLLER_JOB_RETENTION_HPP
 #include "state/cluster_state.hpp"
@@ -9,10 +9,10 @@
 
 class JobRetention {
  public:
-  // At the beginning of a leadership.
+  // Resets the progress of compaction at the start of a leadership.
   void restart() { shortenedThrough = ClusterTime{}; }
-  // What is to be removed now, a bounded number at a time; nothing when there
-  // is none.
+  // Returns the items to delete or compact now, limited in number. Returns nothing if there are
+  // none.
   std::optional<JobsExpired> collect(const ClusterState& state, ClusterTime clusterNow);
 
  private:
@@ -20,7 +20,7 @@
                       JobsExpired& expired) const;
   void collectShortened(const ClusterState& state, ClusterTime clusterNow, JobsExpired& expired);
 
-  ClusterTime shortenedThrough;  // jobs that ended before this time are reduced already
+  ClusterTime shortenedThrough;  // jobs that ended before this time are already compacted
 };
 
 }  // namespace aniseline
--- a/source/controller/lease_manager.cpp
+++ b/source/controller/lease_manager.cpp
@@ -1,16 +1,15 @@
-// Contacts with workers, and the expiry of leases and drains.
-// docs/design.md 5.4 to 5.8.
+// Worker contacts, and the expiry of leases and drains. docs/design.md 5.4 to 5.8.
 #include "controller/lease_manager.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// What the planner is told of an unresponsive worker, however lately its agent
-// was heard: long enough for it to get no work.
+// The contact age reported to the planner for an unresponsive worker, even if its agent was heard
+// from recently. It is long enough that the worker receives no tasks.
 constexpr Duration unresponsiveUnheardDuration{60'000};
-// No report is held up for longer: an agent's clock that is further behind was
-// started anew with its machine.
+// The longest time by which a report can be delayed. An agent whose clock is further behind was
+// restarted together with its machine.
 constexpr Duration maxReportDelay{10'000};
 
 bool drainPending(const Worker& worker) {
@@ -29,9 +28,8 @@
   deadlinesStale = true;
 }
 
-// A worker that is unresponsive is not in touch, whoever speaks for it: no
-// lease is granted, and its tasks are given up when the last lease is over.
-// docs/design.md 5.8.
+// An unresponsive worker is treated as out of contact even if its agent reports: it gets no new
+// lease, and its tasks are abandoned when its last lease ends. docs/design.md 5.8.
 LeaseManager::ReportEffect LeaseManager::recordReport(const SyncReport& report, MonotonicTime now) {
   ReportEffect effect;
   MonotonicTime& latest = latestReports[report.id];
@@ -111,8 +109,8 @@
   return now >= leaseExpiry(worker);
 }
 
-// Whether an attempt on a worker that is unreachable is given up by now: its
-// queue may ask for more patience. docs/design.md 5.5.
+// Reports whether an attempt on an unreachable worker is to be abandoned by now. The attempt's
+// queue can be configured to wait longer. docs/design.md 5.5.
 bool LeaseManager::isLost(const Attempt& attempt, const ClusterState& state,
                           MonotonicTime now) const {
   if (attempt.abandoned)
--- a/source/controller/lease_manager.hpp
+++ b/source/controller/lease_manager.hpp
@@ -1,8 +1,8 @@
-// The leader's view of which workers are in touch: when each was last heard
-// from, which of them their agents report as unresponsive, and when leases and
-// drains run out. It decides which workers become unreachable or gone; the
-// controller logs that. Its state is the leader's own, by its monotonic clock,
-// and begins anew with each leadership. docs/design.md 5.4 to 5.8.
+// The leader's view of worker connectivity: the time of each worker's last contact, the workers
+// that their agents report as unresponsive, and the expiry of leases and drains. It determines
+// which workers become unreachable or are removed; the controller logs the resulting events. The
+// state is local to the leader, uses its monotonic clock, and is reset at the start of each
+// leadership. docs/design.md 5.4 to 5.8.
 #ifndef ANISELINE_CONTROLLER_LEASE_MANAGER_HPP
 #define ANISELINE_CONTROLLER_LEASE_MANAGER_HPP
 #include "controller/options.hpp"
@@ -13,33 +13,34 @@
 
 class LeaseManager {
  public:
-  // How a report changed what is known of its worker.
+  // The effect of a report on what is known about its worker.
   struct ReportEffect {
-    bool overtaken = false;        // an agent's later report came before this one: it says nothing
-    bool responsiveAgain = false;  // the worker answers its agent again
+    // a later report of the same agent arrived first, so this one is ignored
+    bool overtaken = false;
+    bool responsiveAgain = false;  // the worker responds to its agent again
   };
 
   explicit LeaseManager(const ControllerOptions& options) : options(options) {}
 
-  // At the beginning of a leadership every worker counts as heard from just
-  // now.
+  // Resets the state at the start of a leadership, when every worker counts as heard from just now.
   void restart(MonotonicTime now);
-  // A worker, its state or its drain deadline has changed: the next expiries
-  // are found anew.
+  // Called when a worker, its state or its drain deadline has changed. The next expiry times are
+  // then recomputed.
   void invalidateDeadlines() { deadlinesStale = true; }
 
   ReportEffect recordReport(const SyncReport& report, MonotonicTime now);
-  // The agent of its host has reported another instance later: this report was
-  // held up on its way, and its instance is over. docs/design.md 5.8.
+  // Reports whether the agent on the same host has already reported another instance with a later
+  // timestamp. In that case this report was delayed in transit, and its instance has ended.
+  // docs/design.md 5.8.
   bool isOvertakenByAnotherInstance(const SyncReport& report) const;
   MonotonicTime lastContact(const WorkerId& worker) const;
   bool isAlive(const WorkerId& worker, MonotonicTime now) const {
     return now - lastContact(worker) < options.workerLivenessTimeout;
   }
-  // For the planner: how long each worker that has synced in this leadership is
-  // unheard.
+  // Returns, for the planner, the time since the last contact with each worker that has synced
+  // during this leadership.
   LastContactAges unheardDurations(MonotonicTime now) const;
-  // What is to be logged of leases and drains that have run out by now.
+  // Returns the events to log for leases and drains that have expired by now.
   std::vector<Event> expire(const ClusterState& state, MonotonicTime now, ClusterTime clusterNow);
 
  private:
@@ -55,20 +56,20 @@
   const ControllerOptions& options;
   MonotonicTime leaderSince;
   std::map<WorkerId, MonotonicTime> lastContacts;
-  // By the clocks of their agents: the time of the latest report, since reports
-  // may overtake each other.
+  // The timestamp of the latest report of each worker, by the clock of its agent. Reports can
+  // arrive out of order.
   std::map<WorkerId, MonotonicTime> latestReports;
-  // The same by host, for the instance that was reported last there.
+  // The same by host, with the instance that was last reported on that host.
   struct HostReport {
     WorkerId instance;
     MonotonicTime reportedAt;
   };
   std::map<std::string, HostReport> latestReportsByHost;
-  // Workers that do not answer their agents, with the time by which nothing
-  // runs there any more.
+  // Workers that do not respond to their agents, with the time at which their last task must have
+  // stopped.
   std::map<WorkerId, MonotonicTime> unresponsiveUntil;
-  // Workers whose leases or drains may have run out. The others need no look
-  // before the times below, or a change. docs/design.md 5.4.
+  // Workers whose leases or drains may have expired. The other workers need not be examined before
+  // the times below, or before a change. docs/design.md 5.4.
   std::set<WorkerId> expired;
   bool deadlinesStale = true;
   MonotonicTime nextLeaseExpiry;
--- a/source/controller/log_event.cpp
+++ b/source/controller/log_event.cpp
@@ -1,4 +1,4 @@
-// The names and fields of log events. docs/operations.md lists them.
+// Names and fields of log events. docs/operations.md lists them.
 #include "controller/log_event.hpp"
 #include "state/api_request.hpp"
 
--- a/source/controller/log_event.hpp
+++ b/source/controller/log_event.hpp
@@ -1,7 +1,6 @@
-// What a controller reports to logs, traces and fault injection: a struct an
-// event. The text and the field names of each are made in one place, `render`.
-// Emitted from within Controller::step and submitRequest, on the thread that
-// drives the controller.
+// The events that a controller reports to logs, traces and fault injection, with one struct for
+// each event. `render` defines the name and the fields of every event. Events are emitted from
+// within Controller::step and submitRequest, on the thread that drives the controller.
 #ifndef ANISELINE_CONTROLLER_LOG_EVENT_HPP
 #define ANISELINE_CONTROLLER_LOG_EVENT_HPP
 #include "raft/membership_change.hpp"
@@ -11,21 +10,21 @@
 
 namespace aniseline {
 
-// Why the leader proposes a change of the members.
+// The reason for which the leader proposes a membership change.
 enum class MembershipChangeCause : std::uint8_t {
-  lostState,       // the member no longer holds what it had acknowledged
-  removed,         // it is dead, or one voter more than wanted
-  promotedToVoter  // a learner that has caught up
+  lostState,       // the member no longer has the data that it had acknowledged
+  removed,         // the member is dead, or there is one voter too many
+  promotedToVoter  // a learner has caught up
 };
 const char* name(MembershipChangeCause cause);
 
 namespace log_events {
 
-// A snapshot that another controller sent was installed.
+// A snapshot sent by another controller was installed.
 struct SnapshotInstalled {
   LogIndex index;
 };
-// A committed entry can't be decoded; the controller stops.
+// A committed entry could not be decoded; the controller stops.
 struct UnreadableRecord {
   LogIndex index;
 };
@@ -34,25 +33,24 @@
   LogIndex lastIndex;
 };
 struct LeadershipEnded {
-  Term term;  // the newer one
+  Term term;  // the newer term that ended the leadership
 };
-// The leader has committed an entry of its own term and begins to handle
-// requests.
+// The leader has committed an entry of its own term and starts to handle requests.
 struct ServingStarted {
   Term term;
 };
 struct ConfigAccepted {
   ConfigVersion version;
   std::size_t tenants = 0;
-  std::size_t apiKeys = 0;  // of all tenants
+  std::size_t apiKeys = 0;  // total number of keys of all tenants
 };
-// Requests of clients that gave no key, or one that no tenant has, since the
-// last such event. Never tells a key.
+// Requests without an API key or with an unknown one since the last such event. The event never
+// contains a key.
 struct ApiKeysRejected {
-  ConfigVersion config;  // in force at the last of them
+  ConfigVersion config;  // the version in effect at the last of these requests
   std::uint64_t requests = 0;
 };
-// A second process tried to register under the id of a worker that is alive.
+// A second process tried to register under the identifier of a live worker.
 struct WorkerIdInUse {
   WorkerId worker;
 };
@@ -69,10 +67,10 @@
 struct MembershipChangeRefused {
   MembershipChangeCause cause;
   Member member;
-  std::optional<MembershipChangeRefusal> refusal;  // none: the proposal itself failed
+  std::optional<MembershipChangeRefusal> refusal;  // empty if the proposal itself failed
 };
-// A task that could have run for seconds and does not: what operators would
-// look at.
+// A task that could have been started for several seconds but has not been, reported for operators
+// to investigate.
 struct TaskDelayed {
   struct BlockedAttempt {
     AttemptState state;
@@ -80,37 +78,37 @@
   };
   JobId job;
   std::uint32_t step = 0;
-  std::uint32_t taskIndex = 0;  // within its step
+  std::uint32_t taskIndex = 0;  // index within the step
   std::uint32_t run = 0;
   TaskState state;
   std::optional<BlockedAttempt> attempt;
-  std::optional<JobId> reservedFor;  // the job that the reserved start belongs to
+  std::optional<JobId> reservedFor;  // the job that holds the reserved start
 };
-// How full the cluster is, once a second.
+// The load of the cluster, reported once a second.
 struct Occupancy {
   std::size_t waitingTasks = 0;
-  std::size_t withinTarget = 0;  // of the waiting: those that may still meet their latency target,
-  std::size_t late = 0;          // those that will miss it,
-  std::size_t pastUse = 0;       // and those whose result is of no use any more
+  std::size_t withinTarget = 0;  // waiting tasks that can still meet their latency target
+  std::size_t late = 0;          // waiting tasks that will miss their latency target
+  std::size_t pastUse = 0;       // waiting tasks whose result would come too late to be of use
   std::size_t attempts = 0;
   std::size_t openJobs = 0;
   std::size_t usableWorkers = 0;
   std::size_t excludedWorkers = 0;
   std::size_t redundantCopies = 0;
-  std::size_t heldByTenantCap = 0;  // of the waiting: those whose tenant runs all that it may
+  std::size_t heldByTenantCap = 0;  // waiting tasks whose tenant has reached its cap
   double cores = 0;
   double coresUsed = 0;
 };
-// A job that ended after its latency target, with the chain of runs that its end waited for, the
-// first one first.
+// A job that ended after its latency target, with the chain of runs that delayed its end, in
+// chronological order.
 struct JobLate {
   struct Run {
     std::uint32_t step = 0;
     WorkerId worker;
     AttemptOutcome outcome;
-    bool remote = false;  // away from the data that its step asks for
-    Duration waited;      // from when it was ready to the order to start it
-    Duration ran;         // from that order to the report of its end
+    bool remote = false;  // ran away from the data that its step prefers
+    Duration waited;      // from readiness to the order to start
+    Duration ran;         // from the order to start to the report of the end
     Duration requested;
   };
   JobId job;
@@ -131,7 +129,7 @@
                               log_events::TaskDelayed, log_events::Occupancy, log_events::JobLate>;
 using LogEventSignal = boost::signals2::signal<void(const LogEvent&)>;
 
-// An event as it stands in a log line or a trace.
+// An event in the form in which it appears in a log line or a trace.
 struct RenderedLogEvent {
   std::string name;
   picojson::object fields;
--- a/source/controller/membership_manager.cpp
+++ b/source/controller/membership_manager.cpp
@@ -1,19 +1,18 @@
-// Which change of the members is wanted. docs/design.md 3.5.
+// Selection of membership changes. docs/design.md 3.5.
 #include "controller/membership_manager.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// A learner is promoted only when it was heard from within this time.
+// A learner is promoted only if it was heard from within this time.
 constexpr Duration recentContact{1000};
-// A voter unheard for this long is put out where there is one too many, or
-// where a new identity answers at its address.
+// A voter that was not heard from for this long is removed if there is a surplus voter, or if a new
+// identity responds at its address.
 constexpr Duration suspectedDead{2000};
-// A new leader has heard from every member that lives by this time.
+// By this time a new leader has heard from every live member.
 constexpr Duration leaderSettled{4000};
-// A zone has too many voters when it has this many more than the zone of a
-// learner.
+// A zone has too many voters if it has at least this many more than the zone of a learner.
 constexpr std::ptrdiff_t zoneSurplus = 2;
 
 bool contains(const Membership& members, const ControllerId& id) {
@@ -27,7 +26,8 @@
   Member member;
 };
 
-// One look at the members: who is dead, who is to go, and who is to vote.
+// A snapshot of the membership that determines the dead members, the members to remove, and the
+// learner to promote.
 class MembershipReview {
  public:
   MembershipReview(const RaftNode& raft, const ControllerOptions& options,
@@ -44,8 +44,8 @@
     }
   }
 
-  // One learner is ready for the next voter that is lost, and one for each
-  // voter missing now.
+  // Returns the number of learners to keep: one in reserve for the next voter that fails, and one
+  // for each voter that is missing now.
   std::size_t learnersWanted() const {
     return 1 + options.voterCount - std::min(options.voterCount, voterCount - deadVoterCount);
   }
@@ -84,8 +84,8 @@
   std::size_t deadVoterCount = 0;
 };
 
-// A new identity that answers at a member's very address proves that the
-// member's disk is gone, so there is no need to wait for longer.
+// A new identity that responds at exactly the address of a member proves that the disk of that
+// member is gone, so no longer wait is needed.
 bool MembershipReview::isSupplanted(const Member& member) const {
   return std::any_of(members.begin(), members.end(), [&](const Member& other) {
     return other.id != member.id && other.address == member.address &&
@@ -113,7 +113,7 @@
   });
 }
 
-// Empty while every voter was heard from lately.
+// Returns an empty identity if every voter was heard from recently.
 ControllerId MembershipReview::longestUnheardVoter() const {
   ControllerId chosen;
   Duration longest = suspectedDead;
@@ -126,8 +126,8 @@
   return chosen;
 }
 
-// One that an operator named, or else the latest of the zone that has the most
-// voters.
+// Returns a voter that an operator has named for replacement, or otherwise the last voter of the
+// zone with the most voters.
 ControllerId MembershipReview::mostRedundantVoter() const {
   ControllerId chosen;
   std::ptrdiff_t most = 0;
@@ -144,9 +144,9 @@
   return chosen;
 }
 
-// One voter more than wanted may make a majority larger, so that stage is left
-// at once: the voter unheard for the longest goes, or, where the old one came
-// back meanwhile, the most redundant one.
+// An extra voter can make a majority larger, so this state is left as soon as possible. The voter
+// with the longest time since contact is removed or, if the old voter has come back in the
+// meantime, the most redundant one.
 ControllerId MembershipReview::surplusVoter() const {
   if (voterCount <= options.voterCount)
     return {};
@@ -176,8 +176,7 @@
   return wanted;
 }
 
-// The learner that has caught up and whose zone has the fewest voters that
-// live.
+// Returns the learner that has caught up and whose zone has the fewest live voters.
 const Member* MembershipReview::bestLearner() const {
   const Member* best = nullptr;
   std::ptrdiff_t fewest = 0;
@@ -193,9 +192,9 @@
   return best;
 }
 
-// While no voter is missing a learner takes the place only of one whose zone
-// has too many, and only while all voters are heard: one that is not heard
-// would be put out instead.
+// If no voter is missing, a learner only replaces a voter of a zone that has too many, and only
+// while all voters are heard from. Otherwise the voter that is not heard from would be removed
+// instead.
 bool MembershipReview::improvesSpread(const Member& learner) const {
   if (!leaderIsSettled())
     return false;
--- a/source/controller/membership_manager.hpp
+++ b/source/controller/membership_manager.hpp
@@ -1,8 +1,7 @@
-// Decides which controllers vote and which learn: replaces members that are
-// lost or that an operator named, and keeps the voters spread over the zones.
-// One change is proposed at a time. What a change has to fulfil is judged by
-// raft/membership_change.hpp; here is which one is wanted. Works only while its
-// controller serves as the leader. docs/design.md 3.5.
+// Decides which controllers are voters and which are learners: replaces members that have failed or
+// that an operator has named, and keeps the voters spread over the zones. Proposes one change at a
+// time. raft/membership_change.hpp checks whether a change is permitted; this class decides which
+// change to make. Active only while its controller is the serving leader. docs/design.md 3.5.
 #ifndef ANISELINE_CONTROLLER_MEMBERSHIP_MANAGER_HPP
 #define ANISELINE_CONTROLLER_MEMBERSHIP_MANAGER_HPP
 #include "controller/log_event.hpp"
@@ -16,14 +15,13 @@
   MembershipManager(RaftNode& raft, const ControllerOptions& options, const LogEventSignal& events)
       : raft(raft), options(options), events(events) {}
 
-  // At the beginning of a leadership.
+  // Resets the state at the start of a leadership.
   void restart(MonotonicTime now);
-  // Replacements ordered by operators that are done: the committed members are
-  // without the one named. Closed any earlier, an order would be lost with a
-  // change that is never committed.
+  // Returns the replacements ordered by operators that are complete, which means that the committed
+  // membership no longer contains the named controller. If orders were closed earlier, an order
+  // would be lost when its change is never committed.
   std::vector<ControllerId> completedReplacements(const ClusterState& state) const;
-  // Proposes a change of the members where one is due. The members in force
-  // must be committed.
+  // Proposes a membership change if one is due. The current membership must be committed.
   void review(const ClusterState& state, MonotonicTime now);
 
  private:
@@ -40,7 +38,7 @@
   const ControllerOptions& options;
   const LogEventSignal& events;
   MonotonicTime leaderSince;
-  std::optional<Refused> lastRefused;  // reported already
+  std::optional<Refused> lastRefused;  // the last refusal that was reported
 };
 
 }  // namespace aniseline
--- a/source/controller/open_job_monitor.cpp
+++ b/source/controller/open_job_monitor.cpp
@@ -1,4 +1,4 @@
-// Jobs that can't be run, or do not begin. docs/design.md 4.8.
+// Detection of jobs that can't run and of tasks that don't start. docs/design.md 4.8.
 #include "controller/open_job_monitor.hpp"
 #include "scheduling/feasibility.hpp"
 
@@ -7,12 +7,12 @@
 namespace {
 
 constexpr Duration checkInterval{500};
-// A task that waits shorter than this is not examined: most begin at once, and
-// the look at all workers is dear.
+// Tasks that have waited for less than this are not examined: most tasks start at once, and
+// examining all workers is expensive.
 constexpr Duration examinedAfter{300};
 constexpr Duration delayedAfter{3000};
-// More reports at a time would say no more, and each costs time when there is
-// least of it.
+// More reports per check would add no information, and each takes time when the controller is most
+// loaded.
 constexpr std::size_t maxReportsPerCheck = 3;
 constexpr std::size_t maxRememberedReports = 1000;
 
--- a/source/controller/open_job_monitor.hpp
+++ b/source/controller/open_job_monitor.hpp
@@ -1,6 +1,6 @@
-// Watches the open jobs: fails those that no worker could ever run, with the
-// cause, and reports those that have waited for long, so that operators look at
-// them. docs/design.md 4.8.
+// Monitors the open jobs: fails jobs that no worker could ever run, stating the cause, and reports
+// jobs that have been waiting for a long time, so that operators can investigate. docs/design.md
+// 4.8.
 #ifndef ANISELINE_CONTROLLER_OPEN_JOB_MONITOR_HPP
 #define ANISELINE_CONTROLLER_OPEN_JOB_MONITOR_HPP
 #include "controller/log_event.hpp"
@@ -12,8 +12,8 @@
  public:
   explicit OpenJobMonitor(const LogEventSignal& events) : events(events) {}
 
-  // Looks at the jobs twice a second, and at other times does nothing. Returns
-  // the jobs that can never be done.
+  // Checks the jobs twice a second; calls in between do nothing. Returns the jobs that can never
+  // complete.
   std::vector<JobFailed> check(const ClusterState& state, ClusterTime clusterNow,
                                MonotonicTime now);
 
@@ -22,7 +22,7 @@
 
   const LogEventSignal& events;
   MonotonicTime nextCheck;
-  std::set<JobId> reported;  // jobs whose delay was reported
+  std::set<JobId> reported;  // jobs whose delay has been reported
   std::size_t reportsThisCheck = 0;
 };
 
--- a/source/controller/options.cpp
+++ b/source/controller/options.cpp
@@ -1,17 +1,17 @@
-// How the memory of a controller process is shared out. docs/design.md 3.4.
+// Distribution of a controller process's memory. docs/design.md 3.4.
 #include "controller/options.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// Each limit is the process' memory divided by one of these. Together they take
-// well under half; the rest is for the cluster state, its copies and responses.
+// Each limit is the memory of the process divided by one of these. Together the limits take well
+// under half of it; the rest is for the cluster state, its copies and responses.
 constexpr std::uint64_t keptLogDivisor = 16;
 constexpr std::uint64_t snapshotDivisor = 32;
 constexpr std::uint64_t pendingDivisor = 16;
-constexpr std::uint64_t outboxDivisor = 64;           // to each peer
-constexpr std::uint64_t unacknowledgedDivisor = 256;  // by each peer
+constexpr std::uint64_t outboxDivisor = 64;           // for each peer
+constexpr std::uint64_t unacknowledgedDivisor = 256;  // for each peer
 
 }  // namespace
 
--- a/source/controller/passed_over_tracker.cpp
+++ b/source/controller/passed_over_tracker.cpp
@@ -1,4 +1,4 @@
-// Since when plans have passed over work that fits. docs/design.md 7.9.
+// Times since which work has been passed over. docs/design.md 7.9.
 #include "controller/passed_over_tracker.hpp"
 
 namespace aniseline {
--- a/source/controller/planning_driver.cpp
+++ b/source/controller/planning_driver.cpp
@@ -1,18 +1,17 @@
-// When and with which hints a plan is made. docs/design.md 7.
+// The timing of plans, and the hints given to the planner. docs/design.md 7.
 #include "controller/planning_driver.hpp"
 
 namespace aniseline {
 
 namespace {
-// Without a request: how often the planner is asked when a plan is due by time
-// alone, and how long after the last plan one is made once any such time is
-// known.
+// These apply when no plan was requested: how often the next time-driven plan is looked up, and the
+// interval after which a plan is made if any such time is known.
 constexpr Duration dueCheckInterval{50};
 constexpr Duration idlePlanInterval{500};
 constexpr Duration dueTolerance{1};
 constexpr Duration occupancyReportInterval{1000};
-// What a plan costs grows with what waits, and so does the pause after it:
-// planning never takes more than a share of the time.
+// The cost of a plan grows with the number of waiting units. The pause after it grows in the same
+// way, so that planning never takes more than a fixed share of the time.
 constexpr std::int64_t waitingUnitsPerPauseMs = 100;
 }  // namespace
 
--- a/source/controller/planning_driver.hpp
+++ b/source/controller/planning_driver.hpp
@@ -1,5 +1,5 @@
-// Decides when a plan is made, gives the planner its hints, and reports the
-// occupancy. Used by a serving leader only. docs/design.md 7.
+// Decides when the planner runs, passes hints to it, and reports the occupancy of the cluster. Used
+// by a serving leader only. docs/design.md 7.
 #ifndef ANISELINE_CONTROLLER_PLANNING_DRIVER_HPP
 #define ANISELINE_CONTROLLER_PLANNING_DRIVER_HPP
 #include "controller/lease_manager.hpp"
@@ -12,28 +12,29 @@
 
 class PlanningDriver {
  public:
-  // Work that fits is passed over for at most that time; docs/design.md 7.9.
+  // `maxPassedOverTime` limits how long plans may pass over work that would fit; docs/design.md
+  // 7.9.
   PlanningDriver(const LeaseManager& leases, const LogEventSignal& events,
                  Duration maxPassedOverTime, PolicySwitches policies)
       : leases(leases), events(events), maxPassedOverTime(maxPassedOverTime), policies(policies) {}
 
-  // At the beginning of a leadership: what was measured of workers and pools is
-  // out of date.
+  // Discards the measurements of workers and pools, which are outdated at the start of a
+  // leadership.
   void restart();
-  // Something has changed that a plan may react to.
+  // Requests a plan after a change that the planner may react to.
   void requestPlan() { requested = true; }
-  // The next plan does not wait for the planning period: an urgent job came.
+  // Lets the next plan start before the planning period has passed, because an urgent job arrived.
   void skipPeriod() { periodSkipped = true; }
-  // The plan was appended; its own record asks for no further one.
+  // Withdraws the request that the plan's own log record has caused.
   void planAppended() { requested = false; }
 
   void recordPace(const WorkerSynced& synced, const ClusterState& state, ClusterTime clusterNow,
                   MonotonicTime now) {
     paceEstimator.record(synced, state, clusterNow, now);
   }
-  // Makes a plan where one is due; nothing when it changes nothing.
+  // Runs the planner if a plan is due. Returns nothing if the plan would change nothing.
   std::optional<PlanMade> run(const ClusterState& state, ClusterTime clusterNow, MonotonicTime now);
-  // A plan as it would be made now, with the reasons for what waits.
+  // Returns the plan that would be made now, with the reasons why tasks are waiting.
   Plan explain(const ClusterState& state, ClusterTime clusterNow, MonotonicTime now);
 
  private:
@@ -55,7 +56,8 @@
   MonotonicTime lastPlanAt{-1'000'000};
   MonotonicTime nextDueCheck;
   MonotonicTime nextOccupancyReport;
-  std::size_t waitingAtLastPlan = 0;  // tasks and gangs that are placed as one
+  // in units of the planner: single tasks, and gangs, which are placed as a whole
+  std::size_t waitingAtLastPlan = 0;
 };
 
 }  // namespace aniseline
--- a/source/controller/read_views.cpp
+++ b/source/controller/read_views.cpp
@@ -1,4 +1,4 @@
-// What is shown to clients, operators and gateways. docs/api.md.
+// JSON rendering of the cluster state for clients, operators and gateways. docs/api.md.
 #include "controller/read_views.hpp"
 #include "state/occurrence.hpp"
 
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Longer lists are cut: they are for reading, and bodies stay bounded.
+// Longer lists are truncated: they are meant for people, and response bodies must stay bounded.
 constexpr std::size_t maxListedTasks = 200;
 constexpr std::size_t maxListedReasons = 200;
 
@@ -17,7 +17,8 @@
                      [](const Task& task) { return task.runNumber > 0; });
 }
 
-// Has a worker reported that a task has begun? An order that is on its way is no beginning.
+// Reports whether a worker has confirmed that the task has started. An order that is still in
+// transit does not count as a start.
 bool hasBegunOnWorker(const ClusterState& state, const Task& task) {
   if (task.state == TaskState::succeeded || task.failureCount > 0 || !task.checkpoint.empty())
     return true;
@@ -34,7 +35,7 @@
          });
 }
 
-// An occurrence that is not kept any more has ended long ago.
+// An occurrence that is no longer stored has ended some time ago.
 bool occurrenceHasBegun(const ClusterState& state, const Job& timetable) {
   for (std::uint32_t number = 0; number < timetable.firedOccurrences; ++number) {
     const auto occurrence = state.jobs().find(OccurrenceId::make(timetable.submission.id, number));
@@ -62,7 +63,7 @@
   return hasBegun(job) ? "running" : "waiting";
 }
 
-// The attempt that runs a task now, or null.
+// Returns the attempt that currently runs a task, or null.
 const Attempt* currentAttempt(const ClusterState& state, const Task& task) {
   auto attempt = state.attempts().find(task.currentAttempt);
   const bool isPlaced = task.state == TaskState::placed && attempt != state.attempts().end();
@@ -87,7 +88,7 @@
 struct WorkerUsage {
   std::uint64_t attempts = 0;
   std::uint64_t suspended = 0;
-  std::uint64_t cores = 0;  // thousandths
+  std::uint64_t cores = 0;  // in thousandths of a core
   std::uint64_t memory = 0;
 };
 WorkerUsage usageOf(const ClusterState& state, const WorkerId& worker) {
@@ -106,8 +107,8 @@
 struct TenantWork {
   std::uint64_t openJobs = 0;
   std::uint64_t attempts = 0;
-  std::uint64_t cores = 0;   // thousandths, of these attempts
-  std::uint64_t memory = 0;  // MB
+  std::uint64_t cores = 0;   // in thousandths of a core, for these attempts
+  std::uint64_t memory = 0;  // in MB
   std::uint64_t accelerators = 0;
   void add(const Attempt& attempt) {
     ++attempts;
@@ -117,7 +118,7 @@
   }
 };
 
-// Keys are counted and never shown.
+// Only the number of keys is shown, never a key.
 picojson::object renderTenant(const TenantName& name, const TenantOptions& options,
                               const TenantWork& work) {
   return {{"name", json(name.value)},
--- a/source/controller/read_views.hpp
+++ b/source/controller/read_views.hpp
@@ -1,6 +1,5 @@
-// The read service: what clients, operators and gateways are shown of the
-// cluster, as JSON bodies. Functions of the state only; nothing is changed.
-// docs/api.md.
+// The read API: JSON views of the cluster for clients, operators and gateways. All functions depend
+// only on their arguments and change nothing. docs/api.md.
 #ifndef ANISELINE_CONTROLLER_READ_VIEWS_HPP
 #define ANISELINE_CONTROLLER_READ_VIEWS_HPP
 #include "controller/gateway_registry.hpp"
@@ -9,31 +8,30 @@
 
 namespace aniseline {
 
-// What a gateway needs to reach the leader.
+// Returns the data that a gateway needs to reach the leader.
 LeaderRoute routeView(const RaftNode& raft, const ClusterState& committed,
                       const GatewayRegistry& gateways, MonotonicTime now);
 
-// A job's phase alone; 410 for a job that is not known. docs/api.md 1.
+// Returns only the phase of a job; status 410 for an unknown job. docs/api.md 1.
 ApiResponse jobPhaseResponse(const ClusterState& state, const JobId& id);
-// 404 for a job that is not known.
+// Returns a job; status 404 for an unknown job.
 ApiResponse jobResponse(const ClusterState& state, const JobId& id);
-// The accepted jobs of a queue of which no task has begun, in ApiResponse::pendingJobCount. A
-// timetable counts as one job, until an occurrence of it has begun.
+// Returns in ApiResponse::pendingJobCount the number of accepted jobs of a queue for which no task
+// has started. A timetable counts as one job until one of its occurrences has started.
 ApiResponse pendingJobCountResponse(const ClusterState& state, const QueueName& queue);
-// The text of the configuration as its operator wrote it; 404 while there is
-// none.
+// Returns the text of the configuration as the operator wrote it; status 404 if there is none.
 ApiResponse configTextResponse(const ClusterState& state);
 
 picojson::object renderConfig(const ClusterState& state);
 picojson::object renderJob(const ClusterState& state, const Job& job);
-// The jobs in the state that the request names, or all of them, up to its
-// limit.
+// Returns the jobs in the state that the request names, or all jobs, up to the limit of the
+// request.
 picojson::object renderJobList(const ClusterState& state, const ApiRequest& request);
-// Every job that is kept, and the cluster time.
+// Returns every stored job, and the cluster time.
 picojson::object renderExport(const ClusterState& state, ClusterTime clusterNow);
 picojson::object renderWorkers(const ClusterState& state, const LastContactAges& unheard,
                                ClusterTime clusterNow);
-// Each tenant with its cap and what it holds of it.
+// Returns each tenant with its cap and its current use of it.
 picojson::object renderTenants(const ClusterState& state);
 picojson::object renderCluster(const ClusterState& state, const RaftNode& raft,
                                const GatewayRegistry& gateways, MonotonicTime now,
--- a/source/controller/replicated_state_machine.cpp
+++ b/source/controller/replicated_state_machine.cpp
@@ -1,5 +1,4 @@
-// Folding the log into the committed and the speculative state.
-// docs/design.md 3.2, 3.4.
+// Application of log entries to the committed and the speculative state. docs/design.md 3.2, 3.4.
 #include "controller/replicated_state_machine.hpp"
 
 namespace aniseline {
--- a/source/controller/replicated_state_machine.hpp
+++ b/source/controller/replicated_state_machine.hpp
@@ -1,7 +1,6 @@
-// The cluster state as a fold of the replicated log, twice: the committed
-// state, which every controller has, and, on a leader, the speculative state,
-// which also holds what the leader has proposed and is not committed yet.
-// Handlers validate against the speculative state and change it only by
+// Applies the replicated log to two copies of the cluster state: the committed state, which every
+// controller has, and the speculative state, which exists only on a leader and also includes its
+// uncommitted proposals. Handlers validate against the speculative state and change it only by
 // appending an event. Owned and called by Controller. docs/design.md 3.2.
 #ifndef ANISELINE_CONTROLLER_REPLICATED_STATE_MACHINE_HPP
 #define ANISELINE_CONTROLLER_REPLICATED_STATE_MACHINE_HPP
@@ -13,33 +12,31 @@
 
 class ReplicatedStateMachine {
  public:
-  // Restores the snapshot that `raft` was started with.
+  // Restores the state from the snapshot that `raft` was started with.
   ReplicatedStateMachine(RaftNode& raft, const LogEventSignal& events);
 
-  // Brings the committed state up to the commit index, by a snapshot that was
-  // installed and by entries.
+  // Brings the committed state up to the commit index, by an installed snapshot and by entries.
   void applyCommittedEntries();
   const ClusterState& committed() const { return committedState; }
-  // The workers that the committed state has addressed since the last call:
-  // given an order, or registered.
+  // Returns the workers for which the committed state has received an order or a registration since
+  // the last call.
   std::set<WorkerId> takeAddressedWorkers() { return committedState.takeUpdatedWorkers(); }
-  // An entry or a snapshot that can't be decoded: going on without it would
-  // make a state other than the other controllers', so the process must end.
+  // Reports whether an entry or a snapshot could not be decoded. Continuing without it would make
+  // this state diverge from that of the other controllers, so the process must exit.
   bool hasUnreadableState() const { return unreadableState; }
 
-  // True from startLeading to stopLeading; only then there is a speculative
-  // state.
+  // True from startLeading until stopLeading. A speculative state exists only during this time.
   bool isLeading() const { return speculativeState.has_value(); }
   Term leadershipTerm() const { return term; }
-  // Folds the log to its end, committed or not.
+  // Builds the speculative state by applying the whole log, including uncommitted entries.
   void startLeading();
   void stopLeading();
   const ClusterState& speculative() const { return *speculativeState; }
-  // Proposes an event and applies it to the speculative state. The record's
-  // time is `at`, or that of the record before it if this is later. Returns the
-  // event, valid until the next call.
+  // Proposes an event and applies it to the speculative state. The record's time is `at`, or the
+  // time of the previous record if that is later. Returns the event, which stays valid until the
+  // next call.
   const Event& append(Event event, ClusterTime at, MonotonicTime now);
-  // What the proposals that are not committed yet retain.
+  // Returns the memory used by uncommitted proposals, in bytes.
   std::size_t proposalBytes() const { return totalProposalBytes; }
 
   SnapshotScheduler& snapshots() { return snapshotScheduler; }
@@ -48,13 +45,13 @@
   }
 
  private:
-  // What this leader proposed, kept so that it need not be decoded again once
-  // it is committed. The term tells whether the committed entry is this one.
+  // A proposal of this leader, kept so that it need not be decoded again once it is committed. The
+  // term shows whether the committed entry is this proposal.
   struct Proposal {
     LogIndex index;
     Term term;
     LogRecord record;
-    std::size_t bytes = 0;  // as packed
+    std::size_t bytes = 0;  // packed size
   };
   void restore(const Snapshot& snapshot);
   bool applyCommittedEntry(const LogEntry& entry);
@@ -64,10 +61,10 @@
   RaftNode& raft;
   const LogEventSignal& events;
   ClusterState committedState;
-  LogIndex appliedIndex;  // the committed state holds the log up to here
+  LogIndex appliedIndex;  // the committed state includes the log up to this index
   bool unreadableState = false;
   std::optional<ClusterState> speculativeState;
-  Term term;  // of the leadership that the speculative state belongs to
+  Term term;  // the leadership term to which the speculative state belongs
   std::deque<Proposal> proposals;
   std::size_t totalProposalBytes = 0;
   SnapshotScheduler snapshotScheduler;
--- a/source/controller/request_decision.hpp
+++ b/source/controller/request_decision.hpp
@@ -1,5 +1,4 @@
-// What a handler decides of a request: the response, and the event to be logged
-// for it, if any.
+// The result of handling a request: its response, and the event to log, if any.
 #ifndef ANISELINE_CONTROLLER_REQUEST_DECISION_HPP
 #define ANISELINE_CONTROLLER_REQUEST_DECISION_HPP
 #include "state/api_request.hpp"
@@ -7,8 +6,8 @@
 
 namespace aniseline {
 
-// The response is sent once the log is committed up to the event, or, without
-// an event, up to what the decision was based on.
+// The response is sent once the log is committed up to the event or, if there is no event, up to
+// the state on which the decision was based.
 struct RequestDecision {
   ApiResponse response;
   std::optional<Event> event;
--- a/source/controller/request_handlers.cpp
+++ b/source/controller/request_handlers.cpp
@@ -1,5 +1,5 @@
-// How requests are taken in, and the handlers of clients' and operators'
-// requests. docs/api.md, docs/design.md 8, 10.
+// Admission of requests, and the handlers of requests from clients and operators. docs/api.md,
+// docs/design.md 8, 10.
 #include "controller/config_service.hpp"
 #include "controller/controller.hpp"
 #include "controller/read_views.hpp"
@@ -22,7 +22,7 @@
   requests.add(number, std::move(request), at + options.responseTimeout);
 }
 
-// The config in force says which queues are urgent. docs/design.md 10.
+// The committed configuration determines which queues are urgent. docs/design.md 10.
 bool Controller::hasRequestCapacity(const ApiRequest& request) const {
   const auto* queue = committed().config().findQueue(request.job.queue);
   const bool isUrgent = queue && queue->priority > 0;
@@ -31,8 +31,8 @@
                        options.maxPendingRequests);
 }
 
-// Syncs are always let in: there are as many as workers, and without them
-// nothing ends.
+// Syncs are always admitted: their number is bounded by the number of workers, and without them no
+// task could complete.
 bool Controller::fitsMemoryLimit(const ApiRequest& request) const {
   const std::size_t retained = pendingBytes();
   return request.kind == RequestKind::syncWorker || retained == 0 ||
@@ -43,14 +43,15 @@
   for (auto sequence : requests.takeQueued()) {
     PendingRequest* pending = requests.find(sequence);
     if (!pending)
-      continue;  // it timed out before it could be handled
+      continue;  // the request timed out before it was handled
     handleRequest(*pending);
     requests.releaseConfigText(*pending);
   }
 }
 
-// Submissions by the product's own interface name their queue, but need a key as well where there
-// are tenants: their work counts against a cap. Its other requests are operators'. docs/api.md 1.
+// Submissions through the native API name their queue, but they also need a key if tenants are
+// configured, because their work counts against a tenant's cap. The other requests of this API come
+// from operators. docs/api.md 1.
 std::optional<ApiResponse> Controller::rejectionOnArrival(ApiRequest& request) {
   if (request.viaIngress())
     return resolveIngressRoute(request);
@@ -60,8 +61,8 @@
   return needsKey ? authenticate(request) : std::nullopt;
 }
 
-// The leader's config is the newest there is, so what comes by an ingress route
-// is never judged by an older one. docs/design.md 6.6.
+// The leader has the newest configuration, so a request from an ingress route is never validated
+// against an older one. docs/design.md 6.6.
 std::optional<ApiResponse> Controller::resolveIngressRoute(ApiRequest& request) {
   const ClusterConfig& config = speculative().config();
   if (!config.version.value)
@@ -87,9 +88,9 @@
   return ApiResponse::fromError(CoreError{CoreError::Kind::invalid, std::move(faults)});
 }
 
-// By the newest configuration in the leader's log, whichever process the request came through: no
-// process keeps a list of keys that could be older. The answer leaves when that configuration is
-// committed. docs/design.md 6.7.
+// Keys are checked against the newest configuration in the leader's log, regardless of the process
+// through which the request came. No other process keeps a list of keys, since that list could be
+// outdated. The response is sent once that configuration is committed. docs/design.md 6.7.
 std::optional<ApiResponse> Controller::authenticate(ApiRequest& request) {
   const TenantName* tenant = speculative().config().tenants.findByKey(request.apiKey);
   if (!tenant) {
@@ -100,7 +101,7 @@
   return std::nullopt;
 }
 
-// A job of no tenant came by a public route, or before there were tenants.
+// A job without a tenant was submitted through a public route, or before tenants were configured.
 std::optional<ApiResponse> Controller::checkOwner(const ApiRequest& request) const {
   const auto found = speculative().jobs().find(request.job.id);
   if (found == speculative().jobs().end())
@@ -171,7 +172,7 @@
     case RequestKind::exportState:
       return show(renderExport(state, clusterNow()));
     default:
-      return;  // changes something: handleRequest dispatches it
+      return;  // requests that change state are dispatched by handleRequest
   }
 }
 
@@ -211,9 +212,9 @@
   carryOut(pending, std::move(decision));
 }
 
-// An operator's order that a learner may take a member's place. Identities are
-// never used again, so an order that was accepted is known by the one that it
-// names, also once that one leads or is out.
+// Handles an operator's order that a learner may replace a member. Identities are never reused, so
+// a repeated order is recognised by the identity that it names, even after that controller has
+// become the leader or has left the cluster.
 void Controller::handleReplacement(PendingRequest& pending) {
   const ControllerId id{pending.request.targetId};
   const Membership& members = raft.membership();
--- a/source/controller/request_table.cpp
+++ b/source/controller/request_table.cpp
@@ -1,4 +1,4 @@
-// The table of pending requests. docs/design.md 8.1.
+// Bookkeeping of pending requests and of the indexes over them. docs/design.md 8.1.
 #include "controller/request_table.hpp"
 
 namespace aniseline {
--- a/source/controller/responses.cpp
+++ b/source/controller/responses.cpp
@@ -1,5 +1,4 @@
-// When a response may leave: committed, and confirmed by a majority.
-// docs/design.md 8.2.
+// Sends responses once they are committed and confirmed by a majority. docs/design.md 8.2.
 #include "controller/controller.hpp"
 
 namespace aniseline {
@@ -29,9 +28,8 @@
   respondWhenCommitted(pending, std::move(decision.response), appends);
 }
 
-// A response rests on the speculative state, so it leaves only when all that
-// this state holds is committed, and a round that began after the request came
-// is confirmed by a majority.
+// A response is based on the speculative state. It is therefore sent only when everything in that
+// state is committed, and a majority has confirmed a round that began after the request arrived.
 void Controller::respondWhenCommitted(PendingRequest& pending, ApiResponse response,
                                       bool appended) {
   pending.stage = RequestStage::awaitingCommit;
--- a/source/controller/snapshot_scheduler.cpp
+++ b/source/controller/snapshot_scheduler.cpp
@@ -1,4 +1,4 @@
-// When a snapshot is due. docs/design.md 3.4.
+// The thresholds at which a snapshot is requested. docs/design.md 3.4.
 #include "controller/snapshot_scheduler.hpp"
 
 namespace aniseline {
--- a/source/controller/snapshot_scheduler.hpp
+++ b/source/controller/snapshot_scheduler.hpp
@@ -1,6 +1,6 @@
-// Collects what the snapshot writer needs to build the next snapshot, and
-// decides when one is due. The writer itself works on another thread; the
-// daemon hands it the work and hands back the packed state. docs/design.md 3.4.
+// Collects the input that the snapshot writer needs for the next snapshot, and decides when a
+// snapshot is due. The writer itself runs on another thread; the daemon passes the work to it and
+// returns the packed state. docs/design.md 3.4.
 #ifndef ANISELINE_CONTROLLER_SNAPSHOT_SCHEDULER_HPP
 #define ANISELINE_CONTROLLER_SNAPSHOT_SCHEDULER_HPP
 #include "controller/options.hpp"
@@ -10,8 +10,7 @@
 
 class SnapshotScheduler {
  public:
-  // Begins anew from a snapshot that was restored; one being packed is not
-  // wanted any more.
+  // Starts again from a restored snapshot and discards the snapshot that is being packed.
   void restart(const std::string& state) {
     work = SnapshotWork{state, {}, std::nullopt};
     packing = false;
@@ -19,8 +18,8 @@
   void recordApplied(const std::string& payload) { work.records.push_back(payload); }
   void requestIfDue(const RaftNode& raft, LogIndex appliedIndex, const ControllerOptions& options);
   SnapshotWork takeWork() { return std::exchange(work, {}); }
-  // False: the snapshot that was packed is out of date, since another one was
-  // installed meanwhile.
+  // Ends the packing of a snapshot. Returns false if the packed snapshot is obsolete because
+  // another one was installed in the meantime.
   bool finish() { return std::exchange(packing, false); }
 
  private:
--- a/source/controller/snapshot_writer.cpp
+++ b/source/controller/snapshot_writer.cpp
@@ -1,11 +1,11 @@
-// Packing snapshots of the committed state. docs/design.md 3.4.
+// Snapshots of a private copy of the committed state. docs/design.md 3.4.
 #include "controller/snapshot_writer.hpp"
 
 namespace aniseline {
 
 std::optional<PackedSnapshot> SnapshotWriter::process(const SnapshotWork& work) {
   if (work.restartFrom) {
-    // One that can't be decoded has stopped the controller already.
+    // If the state can't be decoded, the controller has already stopped.
     auto state = unpack<ClusterState>(*work.restartFrom);
     clusterState = state ? std::move(state.value()) : ClusterState{};
   }
--- a/source/controller/sync_responder.cpp
+++ b/source/controller/sync_responder.cpp
@@ -1,12 +1,12 @@
-// What the response to a worker's sync holds. docs/design.md 5.2, 5.3, 8.2.
+// Contents of the response to a worker's sync. docs/design.md 5.2, 5.3, 8.2.
 #include "controller/sync_responder.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// Orders sent to an agent are not sent to another of its syncs within this
-// time: the response is still on its way.
+// Orders sent to an agent are not sent again in response to its other syncs within this time,
+// because the first response may still be in transit.
 constexpr Duration orderResendDelay{500};
 
 std::vector<Order> ordersAfter(OrderNumber known, const Worker& worker) {
@@ -17,7 +17,7 @@
   return orders;
 }
 
-// The reported results that the committed state no longer waits for.
+// Returns the reported results that the committed state no longer waits for.
 std::vector<AttemptNumber> confirmedResults(const SyncReport& report,
                                             const ClusterState& committed) {
   std::vector<AttemptNumber> confirmed;
@@ -29,7 +29,7 @@
   return confirmed;
 }
 
-// How many of an agent's reported results are final, counted from the first on.
+// Returns the number of an agent's reported results that are final, counted from the first one.
 std::uint32_t countFinalResults(const SyncReport& report, const ClusterState& committed) {
   std::uint32_t count = 0;
   for (const auto& result : report.runResults) {
--- a/source/controller/sync_responder.hpp
+++ b/source/controller/sync_responder.hpp
@@ -1,7 +1,6 @@
-// Answers the long polls of workers: the orders that a worker has not got yet,
-// which of its results are final, and its lease. Works on the committed state
-// only. Remembers which orders were sent to each agent lately, so that two of
-// its syncs which wait at the same time do not get the same ones.
+// Answers the long polls of workers with the orders that a worker has not received yet, the results
+// that are final, and its lease. Uses the committed state only. Remembers the orders recently sent
+// to each agent, so that two concurrent syncs of an agent don't receive the same orders.
 // docs/design.md 5.2, 5.3.
 #ifndef ANISELINE_CONTROLLER_SYNC_RESPONDER_HPP
 #define ANISELINE_CONTROLLER_SYNC_RESPONDER_HPP
@@ -14,8 +13,8 @@
 
 class SyncResponder {
  public:
-  // The response of a poll, or when to look at the poll again if nothing
-  // changes before.
+  // The response to a poll, or the time at which to check the poll again if nothing changes
+  // earlier.
   struct Outcome {
     std::optional<ApiResponse> response;
     MonotonicTime checkAt;
@@ -25,8 +24,8 @@
       : options(options), gateways(gateways) {}
 
   void clear() { sentOrders.clear(); }
-  // `poll` is confirmed by a majority, and `committed` holds all that it rests
-  // on.
+  // Requires that `poll` is confirmed by a majority and that `committed` includes all state on
+  // which the poll depends.
   Outcome respond(const PendingRequest& poll, const ClusterState& committed, Term term,
                   MonotonicTime now);
 
@@ -36,8 +35,9 @@
     MonotonicTime sentAt;
   };
   struct KnownOrders {
-    OrderNumber lastOrder;   // the worker has got the orders up to this one, or soon will
-    MonotonicTime resendAt;  // when one sent already is taken for lost
+    // the worker has received, or soon will receive, the orders up to this one
+    OrderNumber lastOrder;
+    MonotonicTime resendAt;  // when a response already sent is considered lost
   };
   KnownOrders knownOrders(const SyncReport& report, MonotonicTime deadline,
                           MonotonicTime now) const;
@@ -48,10 +48,10 @@
 
   const ControllerOptions& options;
   const GatewayRegistry& gateways;
-  std::map<WorkerId, SentOrders> sentOrders;  // to agents only
+  std::map<WorkerId, SentOrders> sentOrders;  // agents only
 };
 
-// The response to a process whose incarnation another one has replaced.
+// Returns the response to a process whose incarnation has been replaced by another one.
 ApiResponse replacedIncarnationResponse();
 
 }  // namespace aniseline
--- a/source/controller/timetable_scheduler.cpp
+++ b/source/controller/timetable_scheduler.cpp
@@ -1,4 +1,4 @@
-// Occurrences of timetables.
+// Computation of due timetable occurrences.
 #include "controller/timetable_scheduler.hpp"
 
 namespace aniseline {
--- a/source/controller/urgent_demand_estimator.cpp
+++ b/source/controller/urgent_demand_estimator.cpp
@@ -1,11 +1,11 @@
-// The fading peak of urgent demand. docs/design.md 7.8.
+// Exponential decay of the peak of urgent demand. docs/design.md 7.8.
 #include "controller/urgent_demand_estimator.hpp"
 #include <cmath>
 
 namespace aniseline {
 
 namespace {
-constexpr double peakHalfLifeMs = 5000.0;  // a burst is expected again for some seconds
+constexpr double peakHalfLifeMs = 5000.0;  // another burst is expected within a few seconds
 }  // namespace
 
 double UrgentDemandEstimator::Peak::fadedAt(MonotonicTime now) const {
--- a/source/controller/urgent_demand_estimator.hpp
+++ b/source/controller/urgent_demand_estimator.hpp
@@ -1,6 +1,6 @@
-// Remembers how many cores the most urgent queues of each pool have wanted at
-// the same time lately, as a hint to the planner: the peak, fading. The
-// leader's own knowledge, not logged. docs/design.md 7.8.
+// Tracks the decaying peak number of cores that the most urgent queues of each pool have recently
+// demanded at the same time, as a hint for the planner. The data is local to the leader and not
+// logged. docs/design.md 7.8.
 #ifndef ANISELINE_CONTROLLER_URGENT_DEMAND_ESTIMATOR_HPP
 #define ANISELINE_CONTROLLER_URGENT_DEMAND_ESTIMATOR_HPP
 #include "base/types.hpp"
@@ -9,7 +9,7 @@
 
 class UrgentDemandEstimator {
  public:
-  // Thousandths of a core by pool.
+  // Demand by pool, in thousandths of a core.
   using Demand = std::map<std::string, std::int64_t>;
 
   void clear() { peaks.clear(); }
--- a/source/controller/worker_handlers.cpp
+++ b/source/controller/worker_handlers.cpp
@@ -1,5 +1,4 @@
-// The handlers of workers' syncs and of operators' orders about workers.
-// docs/design.md 5.
+// Handlers of worker syncs and of operator commands for workers. docs/design.md 5.
 #include "controller/controller.hpp"
 
 namespace aniseline {
@@ -12,13 +11,13 @@
          (worker.state == WorkerState::removed && worker.incarnation == incarnation);
 }
 
-// The event that carries out an operator's order about a worker; none where it
-// changes nothing.
+// Returns the event that carries out an operator's command for a worker, or nothing if the command
+// would change nothing.
 std::optional<Event> eventOfOrder(const ApiRequest& order, const Worker& worker) {
   const WorkerState state = worker.state;
   switch (order.kind) {
     case RequestKind::workerShutdown:
-      // An unreachable worker may return: it is not used then either.
+      // An unreachable worker may reconnect; it must not be used in that case either.
       if (state == WorkerState::available || state == WorkerState::unreachable)
         return WorkerDrainStarted{worker.id, order.drainTimeout, false};
       return std::nullopt;
@@ -74,8 +73,8 @@
   startPoll(pending, registered);
 }
 
-// Two processes with one id would replace each other for ever, so while the
-// known one is alive the other is rejected.
+// Two processes with the same identifier would replace each other endlessly, so a second process is
+// rejected while the first one is alive.
 std::optional<ApiResponse> Controller::syncRejection(const SyncReport& report) {
   auto found = speculative().workers().find(report.id);
   if (found == speculative().workers().end())
@@ -94,7 +93,7 @@
       options.workerLivenessTimeout);
 }
 
-// True: the worker is new, or its incarnation or capacity is.
+// Returns true if the worker, its incarnation or its capacity is new.
 bool Controller::registerWorker(const SyncReport& report) {
   auto known = speculative().workers().find(report.id);
   if (known != speculative().workers().end() && known->second.incarnation == report.incarnation &&
@@ -124,8 +123,8 @@
   logEvent(log_events::WorkerDraining{report.id});
 }
 
-// Logs the orders that the worker has carried out, its results and its
-// checkpoints, as far as they are news.
+// Logs the orders that the worker has carried out, its results and its checkpoints, unless they are
+// already known.
 void Controller::recordProgress(const SyncReport& report) {
   const ClusterState& state = speculative();
   const Worker& worker = state.workers().at(report.id);
@@ -147,8 +146,8 @@
     append(std::move(synced));
 }
 
-// The sync waits for orders: no longer than it asked for, and not at all when
-// it brings news whose confirmation the worker waits for.
+// Holds the sync open until orders arrive, for at most the time that it requested. A sync with new
+// results is answered as soon as possible, because the worker waits for their confirmation.
 void Controller::startPoll(PendingRequest& pending, bool respondAtOnce) {
   const SyncReport& report = pending.request.report;
   const bool bringsNews = respondAtOnce || !report.results.empty() || !report.runResults.empty() ||
--- a/source/controller/worker_pace_estimator.cpp
+++ b/source/controller/worker_pace_estimator.cpp
@@ -1,19 +1,19 @@
-// The pace of each worker as a moving average of logarithms.
-// docs/design.md 5.6.
+// Moving average of the logarithms of run time ratios. docs/design.md 5.6.
 #include "controller/worker_pace_estimator.hpp"
 #include <cmath>
 
 namespace aniseline {
 
 namespace {
-constexpr std::uint32_t requiredSamples = 8;  // with fewer nothing is said of a worker
-constexpr double earlyWeight = 0.15;          // of a sample, while there are fewer than that
+constexpr std::uint32_t requiredSamples = 8;  // no estimate is given from fewer samples
+constexpr double earlyWeight = 0.15;          // weight of a sample until that number is reached
 constexpr double laterWeight = 0.06;
-constexpr double minRatio = 0.05;  // one outlier moves the average no further than these
+constexpr double minRatio = 0.05;  // these bounds limit the effect of a single outlier
 constexpr double maxRatio = 20.0;
-constexpr std::int64_t minRuntimeMs = 50;   // shorter work is dominated by the calls around it
-constexpr std::int64_t fadeDelayMs = 1000;  // without a sample the estimate fades after this,
-constexpr double fadeHalfLifeMs = 4000.0;   // by this half-life
+// shorter tasks are dominated by the cost of the surrounding calls
+constexpr std::int64_t minRuntimeMs = 50;
+constexpr std::int64_t fadeDelayMs = 1000;  // idle time after which the estimate starts to decay
+constexpr double fadeHalfLifeMs = 4000.0;   // half-life of that decay
 }  // namespace
 
 void WorkerPaceEstimator::record(const WorkerSynced& synced, const ClusterState& state,
--- a/source/controller/worker_pace_estimator.hpp
+++ b/source/controller/worker_pace_estimator.hpp
@@ -1,6 +1,6 @@
-// Estimates how long the work of each worker takes against what was requested,
-// as a hint to the planner. The leader's own knowledge: not logged, and begun
-// anew by each leader. docs/design.md 5.6.
+// Estimates the ratio of actual to requested run time for each worker, as a hint for the planner.
+// The data is local to the leader, not logged, and reset at the start of each leadership.
+// docs/design.md 5.6.
 #ifndef ANISELINE_CONTROLLER_WORKER_PACE_ESTIMATOR_HPP
 #define ANISELINE_CONTROLLER_WORKER_PACE_ESTIMATOR_HPP
 #include "scheduling/planner.hpp"
@@ -10,18 +10,17 @@
 class WorkerPaceEstimator {
  public:
   void clear() { estimates.clear(); }
-  // Takes in the attempts that a worker reports as finished.
+  // Adds the attempts that a worker reports as succeeded.
   void record(const WorkerSynced& synced, const ClusterState& state, ClusterTime clusterNow,
               MonotonicTime now);
-  // The ratio of actual to requested run time, for workers with enough samples.
-  // A worker that has ended nothing for a while is assumed to be sound again,
-  // the more the longer.
+  // Returns the ratio of actual to requested run time for workers with enough samples. The estimate
+  // of a worker that has finished no task for a while decays towards normal speed.
   RuntimeRatios paces(MonotonicTime now) const;
 
  private:
   struct Estimate {
-    double logRatio = 0;  // natural logarithm: estimates are wrong by factors,
-                          // in both directions
+    // natural logarithm, since estimates are off by factors in both directions
+    double logRatio = 0;
     std::uint32_t samples = 0;
     MonotonicTime lastSampleAt;
   };
