--- a/source/controller/backlog_estimator.cpp
+++ b/source/controller/backlog_estimator.cpp
@@ -13,8 +13,8 @@
 // asked to retry when its wait would have dropped to the second. Its end is later than its start by
 // its own run time and by newer work that is planned before it; after three times its target the
 // result would be of no use.
-constexpr double rejectAtTargets = 1.5;
-constexpr double comeBackAtTargets = 0.75;
+constexpr double rejectTargetMultiple = 1.5;
+constexpr double retryTargetMultiple = 0.75;
 constexpr std::int64_t minRetryDelayMs = 500;
 constexpr std::int64_t maxRetryDelayMs = 3000;
 
@@ -57,7 +57,7 @@
 
 // Work counts if its priority is higher, or if it has the same priority and belongs to a job that
 // is not larger.
-CoreMilliseconds BacklogEstimator::workBefore(const WorkByPriority& waiting,
+CoreMilliseconds BacklogEstimator::workAheadOf(const WorkByPriority& waiting,
                                               const QueueOptions& queue, CoreMilliseconds jobWork) {
   CoreMilliseconds work = 0;
   for (auto level = waiting.lower_bound(queue.priority); level != waiting.end(); ++level) {
@@ -72,14 +72,14 @@
 
 // Work held back by a tenant's cap delays only that tenant. Of every other tenant, the estimate
 // therefore counts no more work than its cap lets run within the horizon.
-double BacklogEstimator::delayOf(const JobSubmission& job, const QueueOptions& queue,
+double BacklogEstimator::estimateDelay(const JobSubmission& job, const QueueOptions& queue,
                                  const ClusterState& state, double horizon) const {
   CoreMilliseconds before = 0;
   double ownDelay = 0;
   for (auto entry = waitingWork.lower_bound({queue.pool, TenantName{}});
        entry != waitingWork.end() && entry->first.first == queue.pool; ++entry) {
     const TenantName& name = entry->first.second;
-    CoreMilliseconds work = workBefore(entry->second, queue, workOf(job));
+    CoreMilliseconds work = workAheadOf(entry->second, queue, workOf(job));
     const TenantOptions* tenant = state.config().tenants.find(name);
     if (tenant && tenant->cap.cores) {
       const auto cap = double(tenant->cap.cores);
@@ -101,10 +101,10 @@
   if (!coresByPool.count(queue.pool))
     return std::nullopt;
   const double target = queue.latencyTarget(job.criticalPath());
-  const double latest = rejectAtTargets * target;
-  const double delay = delayOf(job, queue, state, latest);
+  const double latest = rejectTargetMultiple * target;
+  const double delay = estimateDelay(job, queue, state, latest);
   if (delay > latest) {
-    const auto wait = std::int64_t(delay - comeBackAtTargets * target);
+    const auto wait = std::int64_t(delay - retryTargetMultiple * target);
     return Duration{std::clamp(wait, minRetryDelayMs, maxRetryDelayMs)};
   }
   add(queue, job.tenant, workOf(job));
--- a/source/controller/backlog_estimator.hpp
+++ b/source/controller/backlog_estimator.hpp
@@ -28,10 +28,10 @@
   void add(const QueueOptions& queue, const TenantName& tenant, CoreMilliseconds work);
   // Returns the part of a tenant's waiting work that is planned before the given job.
   using WorkByPriority = std::map<std::int64_t, WorkBySize>;
-  static CoreMilliseconds workBefore(const WorkByPriority& waiting, const QueueOptions& queue,
+  static CoreMilliseconds workAheadOf(const WorkByPriority& waiting, const QueueOptions& queue,
                                      CoreMilliseconds jobWork);
   // Returns the estimated delay of a job in milliseconds, computed up to the given horizon.
-  double delayOf(const JobSubmission& job, const QueueOptions& queue, const ClusterState& state,
+  double estimateDelay(const JobSubmission& job, const QueueOptions& queue, const ClusterState& state,
                  double horizon) const;
 
   MonotonicTime measuredAt{-1'000'000};
--- a/source/controller/config_service.cpp
+++ b/source/controller/config_service.cpp
@@ -12,9 +12,9 @@
 
 // An update that was accepted is acknowledged again, even after later updates, because the first
 // response may have been lost.
-std::optional<ApiResponse> responseToKnownOrder(const ConfigUpdate& order,
+std::optional<ApiResponse> responseToKnownUpdate(const ConfigUpdate& update,
                                                 const ConfigHistory& history) {
-  const auto before = history.find(order);
+  const auto before = history.find(update);
   switch (before.outcome) {
     case ConfigHistory::Outcome::applied:
       return acceptedResponse(before.version);
@@ -44,14 +44,14 @@
 
 // Returns the response to an update that must not be logged: it has been applied before, or its
 // versions do not allow it.
-std::optional<ApiResponse> answerWithoutChange(const ConfigUpdate& order,
+std::optional<ApiResponse> responseWithoutChange(const ConfigUpdate& update,
                                                const ClusterState& state) {
   const ConfigVersion current = state.config().version;
-  if (auto known = responseToKnownOrder(order, state.configHistory()))
+  if (auto known = responseToKnownUpdate(update, state.configHistory()))
     return known;
-  if (order.baseVersion != current)
+  if (update.baseVersion != current)
     return conflictResponse(current);
-  if (order.version.value && order.version <= current)
+  if (update.version.value && update.version <= current)
     return versionTooLowResponse(current);
   return std::nullopt;
 }
@@ -70,14 +70,14 @@
 
 }  // namespace
 
-RequestDecision decideConfigOrder(const ApiRequest& request, const ClusterState& state) {
+RequestDecision decideConfigUpdate(const ApiRequest& request, const ClusterState& state) {
   auto parsed = request.packedConfig.empty() ? ClusterConfig::parse(request.text)
                                              : unpack<ClusterConfig>(request.packedConfig);
   if (!parsed)
     return reject(parsed.error());
   ConfigCommitted event(std::move(parsed.value()));
-  const ConfigUpdate order{event.config.version, request.baseVersion, event.digest};
-  if (auto answer = answerWithoutChange(order, state))
+  const ConfigUpdate update{event.config.version, request.baseVersion, event.digest};
+  if (auto answer = responseWithoutChange(update, state))
     return {std::move(*answer), std::nullopt};
   return accept(std::move(event), state.config().version);
 }
@@ -90,8 +90,8 @@
   if (!patch)
     return reject(patch.error());
   const TextDigest digest = ConfigPatch::digestOf(request.text);
-  const ConfigUpdate order{patch.value().version(), request.baseVersion, digest};
-  if (auto answer = answerWithoutChange(order, state))
+  const ConfigUpdate update{patch.value().version(), request.baseVersion, digest};
+  if (auto answer = responseWithoutChange(update, state))
     return {std::move(*answer), std::nullopt};
   const auto patchedText = patch.value().applyTo(state.config().text);
   if (!patchedText)
--- a/source/controller/config_service.hpp
+++ b/source/controller/config_service.hpp
@@ -7,7 +7,7 @@
 
 namespace aniseline {
 
-RequestDecision decideConfigOrder(const ApiRequest& request, const ClusterState& state);
+RequestDecision decideConfigUpdate(const ApiRequest& request, const ClusterState& state);
 // `parse` reads the text of a complete configuration in the format that the operators of this
 // cluster use.
 RequestDecision decideConfigPatch(const ApiRequest& request, const ClusterState& state,
--- a/source/controller/controller.cpp
+++ b/source/controller/controller.cpp
@@ -95,7 +95,7 @@
   jobLatency.clear();
   timetables.invalidate();
   syncResponder.clear();
-  requests.checkAllPolls();
+  requests.markAllPolls();
   append(LeaderStarted{});
   logEvent(log_events::LeadershipStarted{raft.term(), raft.lastIndex()});
 }
@@ -197,7 +197,7 @@
 }
 
 void Controller::onSnapshotPacked(PackedSnapshot snapshot) {
-  if (stateMachine.snapshots().finish())
+  if (stateMachine.snapshots().finishPacking())
     raft.compact(snapshot.index, std::move(snapshot.state));
 }
 
--- a/source/controller/controller.hpp
+++ b/source/controller/controller.hpp
@@ -124,7 +124,7 @@
   void handleRequest(PendingRequest& pending);
   void handleReadRequest(PendingRequest& pending);
   // Validates a request before it is dispatched by kind. Returns the rejection, if any.
-  std::optional<ApiResponse> rejectionOnArrival(ApiRequest& request);
+  std::optional<ApiResponse> rejectionBeforeDispatch(ApiRequest& request);
   // Fills in the queue and job of a request that came through an ingress route. Returns the
   // rejection, if any.
   std::optional<ApiResponse> resolveIngressRoute(ApiRequest& request);
@@ -137,7 +137,7 @@
   void handleCancel(PendingRequest& pending);
   void handleConfig(PendingRequest& pending);
   void handleReplacement(PendingRequest& pending);
-  void handleWorkerOrder(PendingRequest& pending);
+  void handleWorkerCommand(PendingRequest& pending);
   void handleSync(PendingRequest& pending);
   std::optional<ApiResponse> syncRejection(const SyncReport& report);
   bool registerWorker(const SyncReport& report);
@@ -147,7 +147,7 @@
   void startPoll(PendingRequest& pending, bool respondAtOnce);
 
   // Responses. docs/design.md 8.2.
-  void carryOut(PendingRequest& pending, RequestDecision decision);
+  void applyDecision(PendingRequest& pending, RequestDecision decision);
   void respondWhenCommitted(PendingRequest& pending, ApiResponse response, bool appended = false);
   bool isConfirmed(const PendingRequest& pending, RoundNumber confirmedRound) const;
   void respondToPolls();
--- a/source/controller/job_admission.cpp
+++ b/source/controller/job_admission.cpp
@@ -54,7 +54,7 @@
 
 // A job that can never run is rejected if the request names its queue. If it came through an
 // ingress route, it is accepted and fails later with the same cause.
-std::optional<ApiResponse> neverRunnableResponse(const ApiRequest& request,
+std::optional<ApiResponse> infeasibleJobResponse(const ApiRequest& request,
                                                  const ClusterState& state) {
   if (request.viaIngress())
     return std::nullopt;
@@ -75,7 +75,7 @@
   const auto* queue = state.config().findQueue(job.queue);
   if (!queue || queue->closedToSubmissions)
     return {invalidResponse("/queue", "the config has no queue " + job.queue.value), std::nullopt};
-  if (auto rejection = neverRunnableResponse(request, state))
+  if (auto rejection = infeasibleJobResponse(request, state))
     return {std::move(*rejection), std::nullopt};
   if (isFull(state, job.queue, *queue))
     return {ApiResponse::error(429, "overloaded", "queue " + job.queue.value + " is full",
--- a/source/controller/job_latency_tracker.cpp
+++ b/source/controller/job_latency_tracker.cpp
@@ -53,12 +53,12 @@
         run.readyAt = std::max(run.readyAt, earlier.endedAt);
     }
     runs.push_back(std::move(run));
-    touched.push_back(ended.job);
+    updatedJobs.push_back(ended.job);
   }
 }
 
 void JobLatencyTracker::reportEnded(const ClusterState& after) {
-  for (const auto& id : touched) {
+  for (const auto& id : updatedJobs) {
     const auto job = after.jobs().find(id);
     const auto runs = runsByJob.find(id);
     if (runs == runsByJob.end())
@@ -72,7 +72,7 @@
       reportIfLate(job->second, *queue, runs->second);
     runsByJob.erase(runs);
   }
-  touched.clear();
+  updatedJobs.clear();
 }
 
 // Walks the chain backwards from the last run. Each run waited for the run that ended last before
--- a/source/controller/job_retention.cpp
+++ b/source/controller/job_retention.cpp
@@ -4,7 +4,7 @@
 namespace aniseline {
 
 namespace {
-constexpr Duration keptComplete{60'000};       // time from a job's end until it is compacted
+constexpr Duration fullDetailRetention{60'000};       // time from a job's end until it is compacted
 constexpr std::size_t maxJobsPerEvent = 2000;  // bounds the size of a log entry
 }  // namespace
 
@@ -28,14 +28,14 @@
       expired.workers.push_back(id);
 }
 
-void JobRetention::collectShortened(const ClusterState& state, ClusterTime clusterNow,
+void JobRetention::collectCompactable(const ClusterState& state, ClusterTime clusterNow,
                                     JobsExpired& expired) {
-  for (auto next = state.jobsByEndTime().lower_bound({shortenedThrough, JobId{}});
+  for (auto next = state.jobsByEndTime().lower_bound({compactedThrough, JobId{}});
        next != state.jobsByEndTime().end() && expired.compacted.size() < maxJobsPerEvent; ++next) {
     const auto& [endedAt, id] = *next;
-    if (clusterNow - endedAt <= keptComplete)
+    if (clusterNow - endedAt <= fullDetailRetention)
       break;
-    shortenedThrough = endedAt;
+    compactedThrough = endedAt;
     if (!state.jobs().at(id).compactedTaskCount)
       expired.compacted.push_back(id);
   }
@@ -45,7 +45,7 @@
                                                  ClusterTime clusterNow) {
   JobsExpired expired;
   collectExpired(state, clusterNow, expired);
-  collectShortened(state, clusterNow, expired);
+  collectCompactable(state, clusterNow, expired);
   if (expired.jobs.empty() && expired.compacted.empty() && expired.workers.empty())
     return std::nullopt;
   return expired;
--- a/source/controller/job_retention.hpp
+++ b/source/controller/job_retention.hpp
@@ -10,7 +10,7 @@
 class JobRetention {
  public:
   // Resets the progress of compaction at the start of a leadership.
-  void restart() { shortenedThrough = ClusterTime{}; }
+  void restart() { compactedThrough = ClusterTime{}; }
   // Returns the items to delete or compact now, limited in number. Returns nothing if there are
   // none.
   std::optional<JobsExpired> collect(const ClusterState& state, ClusterTime clusterNow);
@@ -18,9 +18,9 @@
  private:
   void collectExpired(const ClusterState& state, ClusterTime clusterNow,
                       JobsExpired& expired) const;
-  void collectShortened(const ClusterState& state, ClusterTime clusterNow, JobsExpired& expired);
+  void collectCompactable(const ClusterState& state, ClusterTime clusterNow, JobsExpired& expired);
 
-  ClusterTime shortenedThrough;  // jobs that ended before this time are already compacted
+  ClusterTime compactedThrough;  // jobs that ended before this time are already compacted
 };
 
 }  // namespace aniseline
--- a/source/controller/lease_manager.cpp
+++ b/source/controller/lease_manager.cpp
@@ -12,7 +12,7 @@
 // restarted together with its machine.
 constexpr Duration maxReportDelay{10'000};
 
-bool drainPending(const Worker& worker) {
+bool isDrainPending(const Worker& worker) {
   return (worker.state == WorkerState::draining || worker.state == WorkerState::drained) &&
          !worker.drainDeadlinePassed;
 }
@@ -33,33 +33,33 @@
 LeaseManager::ReportEffect LeaseManager::recordReport(const SyncReport& report, MonotonicTime now) {
   ReportEffect effect;
   MonotonicTime& latest = latestReports[report.id];
-  effect.overtaken = report.wantsPackedResponse && report.reportedAt < latest;
+  effect.outOfOrder = report.wantsPackedResponse && report.reportedAt < latest;
   latest = std::max(latest, report.reportedAt);
-  if (effect.overtaken)
+  if (effect.outOfOrder)
     return effect;
   if (report.wantsPackedResponse && !report.capacity.host.empty())
     latestReportsByHost[report.capacity.host] = {report.id, report.reportedAt};
   if (report.unresponsive) {
-    const MonotonicTime over = now + report.remainingLease + options.unresponsiveMargin;
-    auto [known, isNew] = unresponsiveUntil.try_emplace(report.id, over);
+    const MonotonicTime noTasksAfter = now + report.remainingLease + options.unresponsiveMargin;
+    auto [known, isNew] = unresponsiveUntil.try_emplace(report.id, noTasksAfter);
     if (!isNew)
-      known->second = std::min(known->second, over);
+      known->second = std::min(known->second, noTasksAfter);
     deadlinesStale = true;
   } else {
-    effect.responsiveAgain = unresponsiveUntil.erase(report.id) > 0;
+    effect.becameResponsive = unresponsiveUntil.erase(report.id) > 0;
     lastContacts[report.id] = now;
   }
   return effect;
 }
 
-bool LeaseManager::isOvertakenByAnotherInstance(const SyncReport& report) const {
+bool LeaseManager::isSupersededByOtherInstance(const SyncReport& report) const {
   if (!report.wantsPackedResponse || report.capacity.host.empty())
     return false;
   const auto known = latestReportsByHost.find(report.capacity.host);
   if (known == latestReportsByHost.end() || known->second.instance == report.id)
     return false;
-  const Duration behind = known->second.reportedAt - report.reportedAt;
-  return behind > Duration{0} && behind <= maxReportDelay;
+  const Duration lag = known->second.reportedAt - report.reportedAt;
+  return lag > Duration{0} && lag <= maxReportDelay;
 }
 
 MonotonicTime LeaseManager::lastContact(const WorkerId& worker) const {
@@ -67,7 +67,7 @@
   return contact == lastContacts.end() ? leaderSince : std::max(leaderSince, contact->second);
 }
 
-LastContactAges LeaseManager::unheardDurations(MonotonicTime now) const {
+LastContactAges LeaseManager::timesSinceLastContact(MonotonicTime now) const {
   LastContactAges durations;
   for (const auto& [worker, contact] : lastContacts)
     durations[worker] =
@@ -94,7 +94,7 @@
     if (worker.state == WorkerState::removed)
       continue;
     const MonotonicTime leaseEnd = leaseExpiry(id);
-    const bool drains = drainPending(worker);
+    const bool drains = isDrainPending(worker);
     if (now >= leaseEnd || (drains && clusterNow >= worker.drainDeadline)) {
       expired.insert(id);
       continue;
@@ -142,9 +142,9 @@
   if (worker.state == WorkerState::draining && state.attemptsOn(worker.id).empty())
     return WorkerRemoved{worker.id, "left"};
   WorkerUnreachable event = unreachableEvent(worker, state, now);
-  const bool isNews =
+  const bool isNewlyUnreachable =
       worker.state != WorkerState::unreachable && worker.state != WorkerState::drained;
-  if (event.abandoned.empty() && !isNews)
+  if (event.abandoned.empty() && !isNewlyUnreachable)
     return std::nullopt;
   return event;
 }
@@ -162,7 +162,7 @@
     if (isUnreachable(id, now))
       if (auto event = eventOfUnreachable(worker, state, now))
         events.push_back(std::move(*event));
-    if (drainPending(worker) && clusterNow >= worker.drainDeadline)
+    if (isDrainPending(worker) && clusterNow >= worker.drainDeadline)
       events.push_back(WorkerDrainDeadlinePassed{id});
   }
   return events;
--- a/source/controller/lease_manager.hpp
+++ b/source/controller/lease_manager.hpp
@@ -16,8 +16,8 @@
   // The effect of a report on what is known about its worker.
   struct ReportEffect {
     // a later report of the same agent arrived first, so this one is ignored
-    bool overtaken = false;
-    bool responsiveAgain = false;  // the worker responds to its agent again
+    bool outOfOrder = false;
+    bool becameResponsive = false;  // the worker responds to its agent again
   };
 
   explicit LeaseManager(const ControllerOptions& options) : options(options) {}
@@ -32,14 +32,14 @@
   // Reports whether the agent on the same host has already reported another instance with a later
   // timestamp. In that case this report was delayed in transit, and its instance has ended.
   // docs/design.md 5.8.
-  bool isOvertakenByAnotherInstance(const SyncReport& report) const;
+  bool isSupersededByOtherInstance(const SyncReport& report) const;
   MonotonicTime lastContact(const WorkerId& worker) const;
   bool isAlive(const WorkerId& worker, MonotonicTime now) const {
     return now - lastContact(worker) < options.workerLivenessTimeout;
   }
   // Returns, for the planner, the time since the last contact with each worker that has synced
   // during this leadership.
-  LastContactAges unheardDurations(MonotonicTime now) const;
+  LastContactAges timesSinceLastContact(MonotonicTime now) const;
   // Returns the events to log for leases and drains that have expired by now.
   std::vector<Event> expire(const ClusterState& state, MonotonicTime now, ClusterTime clusterNow);
 
--- a/source/controller/log_event.cpp
+++ b/source/controller/log_event.cpp
@@ -86,7 +86,7 @@
             {{"waiting", json(event.waitingTasks)},
              {"in_time", json(event.withinTarget)},
              {"late", json(event.late)},
-             {"past", json(event.pastUse)},
+             {"past", json(event.tooLateToBeUseful)},
              {"attempts", json(event.attempts)},
              {"open", json(event.openJobs)},
              {"workers", json(event.usableWorkers)},
--- a/source/controller/membership_manager.cpp
+++ b/source/controller/membership_manager.cpp
@@ -6,12 +6,12 @@
 namespace {
 
 // A learner is promoted only if it was heard from within this time.
-constexpr Duration recentContact{1000};
+constexpr Duration recentContactWindow{1000};
 // A voter that was not heard from for this long is removed if there is a surplus voter, or if a new
 // identity responds at its address.
-constexpr Duration suspectedDead{2000};
+constexpr Duration suspectTimeout{2000};
 // By this time a new leader has heard from every live member.
-constexpr Duration leaderSettled{4000};
+constexpr Duration leaderSettlingTime{4000};
 // A zone has too many voters if it has at least this many more than the zone of a learner.
 constexpr std::ptrdiff_t zoneSurplus = 2;
 
@@ -54,17 +54,17 @@
 
  private:
   bool isSelf(const Member& member) const { return member.id == raft.self().id; }
-  bool isNamed(const Member& member) const {
+  bool isNamedForReplacement(const Member& member) const {
     return state.controllersToReplace().count(member.id) > 0;
   }
   bool heardRecently(const Member& member) const {
-    return now - raft.lastHeardFrom(member.id) <= recentContact;
+    return now - raft.lastHeardFrom(member.id) <= recentContactWindow;
   }
-  Duration unheard(const Member& member) const {
+  Duration timeSinceContact(const Member& member) const {
     return now - std::max(leaderSince, raft.lastHeardFrom(member.id));
   }
-  bool leaderIsSettled() const { return now - leaderSince > leaderSettled; }
-  bool isSupplanted(const Member& member) const;
+  bool leaderIsSettled() const { return now - leaderSince > leaderSettlingTime; }
+  bool isReplacedAtAddress(const Member& member) const;
   bool isDead(const Member& member) const;
   std::ptrdiff_t votersIn(const ZoneName& zone) const;
   std::ptrdiff_t liveVotersIn(const ZoneName& zone) const;
@@ -86,20 +86,20 @@
 
 // A new identity that responds at exactly the address of a member proves that the disk of that
 // member is gone, so no longer wait is needed.
-bool MembershipReview::isSupplanted(const Member& member) const {
+bool MembershipReview::isReplacedAtAddress(const Member& member) const {
   return std::any_of(members.begin(), members.end(), [&](const Member& other) {
     return other.id != member.id && other.address == member.address &&
-           now - raft.lastHeardFrom(other.id) < recentContact;
+           now - raft.lastHeardFrom(other.id) < recentContactWindow;
   });
 }
 
 bool MembershipReview::isDead(const Member& member) const {
   if (isSelf(member))
     return false;
-  if (isNamed(member))
+  if (isNamedForReplacement(member))
     return true;
-  return unheard(member) > options.deadMemberTimeout ||
-         (isSupplanted(member) && unheard(member) > suspectedDead);
+  return timeSinceContact(member) > options.deadMemberTimeout ||
+         (isReplacedAtAddress(member) && timeSinceContact(member) > suspectTimeout);
 }
 
 std::ptrdiff_t MembershipReview::votersIn(const ZoneName& zone) const {
@@ -116,11 +116,11 @@
 // Returns an empty identity if every voter was heard from recently.
 ControllerId MembershipReview::longestUnheardVoter() const {
   ControllerId chosen;
-  Duration longest = suspectedDead;
+  Duration longest = suspectTimeout;
   for (const auto& member : members) {
-    if (!member.voter || isSelf(member) || unheard(member) <= longest)
+    if (!member.voter || isSelf(member) || timeSinceContact(member) <= longest)
       continue;
-    longest = unheard(member);
+    longest = timeSinceContact(member);
     chosen = member.id;
   }
   return chosen;
@@ -135,7 +135,7 @@
     if (!member.voter || isSelf(member))
       continue;
     const auto redundancy =
-        isNamed(member) ? std::ptrdiff_t(members.size()) + 1 : votersIn(member.zone);
+        isNamedForReplacement(member) ? std::ptrdiff_t(members.size()) + 1 : votersIn(member.zone);
     if (redundancy < most)
       continue;
     most = redundancy;
@@ -221,8 +221,8 @@
   Membership promoted = members;
   Member& voter = promoted[std::size_t(learner - members.data())];
   voter.voter = true;
-  const Member named = voter;
-  return WantedChange{std::move(promoted), MembershipChangeCause::promotedToVoter, named};
+  const Member promotedVoter = voter;
+  return WantedChange{std::move(promoted), MembershipChangeCause::promotedToVoter, promotedVoter};
 }
 
 }  // namespace
--- a/source/controller/open_job_monitor.cpp
+++ b/source/controller/open_job_monitor.cpp
@@ -9,8 +9,8 @@
 constexpr Duration checkInterval{500};
 // Tasks that have waited for less than this are not examined: most tasks start at once, and
 // examining all workers is expensive.
-constexpr Duration examinedAfter{300};
-constexpr Duration delayedAfter{3000};
+constexpr Duration examinationDelay{300};
+constexpr Duration delayThreshold{3000};
 // More reports per check would add no information, and each takes time when the controller is most
 // loaded.
 constexpr std::size_t maxReportsPerCheck = 3;
@@ -18,11 +18,11 @@
 
 bool hasWaitingTask(const Job& job, ClusterTime clusterNow) {
   return std::any_of(job.tasks.begin(), job.tasks.end(), [&](const Task& task) {
-    return task.state == TaskState::pending && clusterNow - task.readyAt > examinedAfter;
+    return task.state == TaskState::pending && clusterNow - task.readyAt > examinationDelay;
   });
 }
 
-std::optional<std::string> whyNeverRunnable(const Job& job, const ClusterState& state) {
+std::optional<std::string> findInfeasibility(const Job& job, const ClusterState& state) {
   for (const auto& step : job.submission.steps)
     if (auto reason = infeasibilityReason(state, job.submission, step))
       return reason;
@@ -31,13 +31,13 @@
 
 bool isDelayed(const Task& task, ClusterTime clusterNow) {
   return task.state == TaskState::pending &&
-         clusterNow - std::max(task.readyAt, task.notBefore) > delayedAfter;
+         clusterNow - std::max(task.readyAt, task.notBefore) > delayThreshold;
 }
 
 bool isDelayed(const Attempt& attempt, ClusterTime clusterNow) {
-  const bool notBegun =
+  const bool notStarted =
       attempt.state == AttemptState::ordered || attempt.state == AttemptState::stopping;
-  return notBegun && clusterNow - attempt.orderedAt > delayedAfter + attempt.runtime;
+  return notStarted && clusterNow - attempt.orderedAt > delayThreshold + attempt.runtime;
 }
 
 }  // namespace
@@ -56,7 +56,7 @@
     reportIfDelayed(job, state, clusterNow);
     if (!hasWaitingTask(job, clusterNow))
       continue;
-    if (auto reason = whyNeverRunnable(job, state))
+    if (auto reason = findInfeasibility(job, state))
       failed.push_back({id, std::move(*reason)});
   }
   if (reported.size() > maxRememberedReports)
--- a/source/controller/options.cpp
+++ b/source/controller/options.cpp
@@ -7,7 +7,7 @@
 
 // Each limit is the memory of the process divided by one of these. Together the limits take well
 // under half of it; the rest is for the cluster state, its copies and responses.
-constexpr std::uint64_t keptLogDivisor = 16;
+constexpr std::uint64_t retainedLogDivisor = 16;
 constexpr std::uint64_t snapshotDivisor = 32;
 constexpr std::uint64_t pendingDivisor = 16;
 constexpr std::uint64_t outboxDivisor = 64;           // for each peer
@@ -21,7 +21,7 @@
   auto limit = [&](auto& bytes, std::uint64_t divisor) {
     bytes = std::min<std::uint64_t>(bytes, processBytes / divisor);
   };
-  limit(raft.maxRetainedBytes, keptLogDivisor);
+  limit(raft.maxRetainedBytes, retainedLogDivisor);
   limit(maxBytesBetweenSnapshots, snapshotDivisor);
   limit(maxPendingBytes, pendingDivisor);
   limit(maxOutboxBytes, outboxDivisor);
--- a/source/controller/passed_over_tracker.cpp
+++ b/source/controller/passed_over_tracker.cpp
@@ -14,8 +14,8 @@
 
 std::map<PassedOverUnit, Duration> PassedOverTracker::durations(MonotonicTime now) const {
   std::map<PassedOverUnit, Duration> durations;
-  for (const auto& [unit, begunAt] : since)
-    durations.emplace(unit, now - begunAt);
+  for (const auto& [unit, passedOverSince] : since)
+    durations.emplace(unit, now - passedOverSince);
   return durations;
 }
 
--- a/source/controller/planning_driver.cpp
+++ b/source/controller/planning_driver.cpp
@@ -23,7 +23,7 @@
 
 PlannerHints PlanningDriver::hints(MonotonicTime now) const {
   PlannerHints hints;
-  hints.runtimeRatios = paceEstimator.paces(now);
+  hints.runtimeRatios = paceEstimator.estimatedRatios(now);
   hints.urgentDemand = demandEstimator.demand(now);
   hints.passedOverFor = passedOver.durations(now);
   hints.maxPassedOverTime = maxPassedOverTime;
@@ -58,7 +58,7 @@
   occupancy.waitingTasks = plan.pendingUnits;
   occupancy.withinTarget = plan.unitsByTargetStatus[0];
   occupancy.late = plan.unitsByTargetStatus[1];
-  occupancy.pastUse = plan.unitsByTargetStatus[2];
+  occupancy.tooLateToBeUseful = plan.unitsByTargetStatus[2];
   occupancy.attempts = state.attempts().size();
   occupancy.openJobs = state.openJobs().size();
   occupancy.usableWorkers = plan.schedulableWorkers;
@@ -77,7 +77,7 @@
   lastPlanAt = now;
   periodSkipped = false;
   requested = false;
-  Plan plan = planner.makePlan(state, clusterNow, leases.unheardDurations(now), false, hints(now));
+  Plan plan = planner.makePlan(state, clusterNow, leases.timesSinceLastContact(now), false, hints(now));
   demandEstimator.record(plan.urgentDemand, now);
   passedOver.record(plan.passedOver, now);
   waitingAtLastPlan = plan.pendingUnits;
@@ -88,7 +88,7 @@
 }
 
 Plan PlanningDriver::explain(const ClusterState& state, ClusterTime clusterNow, MonotonicTime now) {
-  return planner.makePlan(state, clusterNow, leases.unheardDurations(now), true, hints(now));
+  return planner.makePlan(state, clusterNow, leases.timesSinceLastContact(now), true, hints(now));
 }
 
 }  // namespace aniseline
--- a/source/controller/planning_driver.hpp
+++ b/source/controller/planning_driver.hpp
@@ -28,7 +28,7 @@
   // Withdraws the request that the plan's own log record has caused.
   void planAppended() { requested = false; }
 
-  void recordPace(const WorkerSynced& synced, const ClusterState& state, ClusterTime clusterNow,
+  void recordRuntimes(const WorkerSynced& synced, const ClusterState& state, ClusterTime clusterNow,
                   MonotonicTime now) {
     paceEstimator.record(synced, state, clusterNow, now);
   }
--- a/source/controller/read_views.cpp
+++ b/source/controller/read_views.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t maxListedTasks = 200;
 constexpr std::size_t maxListedReasons = 200;
 
-bool hasBegun(const Job& job) {
+bool hasStarted(const Job& job) {
   if (job.state == JobState::scheduled)
     return job.firedOccurrences > 0;
   return std::any_of(job.tasks.begin(), job.tasks.end(),
@@ -19,7 +19,7 @@
 
 // Reports whether a worker has confirmed that the task has started. An order that is still in
 // transit does not count as a start.
-bool hasBegunOnWorker(const ClusterState& state, const Task& task) {
+bool hasStartedOnWorker(const ClusterState& state, const Task& task) {
   if (task.state == TaskState::succeeded || task.failureCount > 0 || !task.checkpoint.empty())
     return true;
   const auto attempt = state.attempts().find(task.currentAttempt);
@@ -29,17 +29,17 @@
          attempt->second.state == AttemptState::suspended || task.countedStarts > 1;
 }
 
-bool hasBegunOnWorker(const ClusterState& state, const Job& job) {
+bool hasStartedOnWorker(const ClusterState& state, const Job& job) {
   return job.isTerminal() || std::any_of(job.tasks.begin(), job.tasks.end(), [&](const Task& task) {
-           return hasBegunOnWorker(state, task);
+           return hasStartedOnWorker(state, task);
          });
 }
 
 // An occurrence that is no longer stored has ended some time ago.
-bool occurrenceHasBegun(const ClusterState& state, const Job& timetable) {
+bool hasStartedOccurrence(const ClusterState& state, const Job& timetable) {
   for (std::uint32_t number = 0; number < timetable.firedOccurrences; ++number) {
     const auto occurrence = state.jobs().find(OccurrenceId::make(timetable.submission.id, number));
-    if (occurrence == state.jobs().end() || hasBegunOnWorker(state, occurrence->second))
+    if (occurrence == state.jobs().end() || hasStartedOnWorker(state, occurrence->second))
       return true;
   }
   return false;
@@ -49,8 +49,8 @@
   if (job.terminating || OccurrenceId::parse(job.submission.id))
     return false;
   if (job.state == JobState::scheduled)
-    return !occurrenceHasBegun(state, job);
-  return job.state == JobState::active && !hasBegunOnWorker(state, job);
+    return !hasStartedOccurrence(state, job);
+  return job.state == JobState::active && !hasStartedOnWorker(state, job);
 }
 
 const char* phaseOf(const Job& job) {
@@ -60,7 +60,7 @@
     return "cancelled";
   if (job.terminating)
     return "failed";
-  return hasBegun(job) ? "running" : "waiting";
+  return hasStarted(job) ? "running" : "waiting";
 }
 
 // Returns the attempt that currently runs a task, or null.
--- a/source/controller/replicated_state_machine.hpp
+++ b/source/controller/replicated_state_machine.hpp
@@ -20,7 +20,7 @@
   const ClusterState& committed() const { return committedState; }
   // Returns the workers for which the committed state has received an order or a registration since
   // the last call.
-  std::set<WorkerId> takeAddressedWorkers() { return committedState.takeUpdatedWorkers(); }
+  std::set<WorkerId> takeWorkersWithUpdates() { return committedState.takeUpdatedWorkers(); }
   // Reports whether an entry or a snapshot could not be decoded. Continuing without it would make
   // this state diverge from that of the other controllers, so the process must exit.
   bool hasUnreadableState() const { return unreadableState; }
--- a/source/controller/request_handlers.cpp
+++ b/source/controller/request_handlers.cpp
@@ -52,7 +52,7 @@
 // Submissions through the native API name their queue, but they also need a key if tenants are
 // configured, because their work counts against a tenant's cap. The other requests of this API come
 // from operators. docs/api.md 1.
-std::optional<ApiResponse> Controller::rejectionOnArrival(ApiRequest& request) {
+std::optional<ApiResponse> Controller::rejectionBeforeDispatch(ApiRequest& request) {
   if (request.viaIngress())
     return resolveIngressRoute(request);
   request.job.tenant = TenantName{};
@@ -113,7 +113,7 @@
 }
 
 void Controller::handleRequest(PendingRequest& pending) {
-  if (auto rejection = rejectionOnArrival(pending.request))
+  if (auto rejection = rejectionBeforeDispatch(pending.request))
     return respondWhenCommitted(pending, std::move(*rejection));
   switch (pending.request.kind) {
     case RequestKind::submitJob:
@@ -129,7 +129,7 @@
     case RequestKind::drainWorker:
     case RequestKind::undrainWorker:
     case RequestKind::removeWorker:
-      return handleWorkerOrder(pending);
+      return handleWorkerCommand(pending);
     case RequestKind::replaceController:
       return handleReplacement(pending);
     default:
@@ -143,7 +143,7 @@
   auto respond = [&](ApiResponse response) {
     respondWhenCommitted(pending, std::move(response));
   };
-  auto show = [&](const picojson::object& body) {
+  auto respondWithJson = [&](const picojson::object& body) {
     respond(ApiResponse::of(200, body));
   };
   switch (request.kind) {
@@ -156,21 +156,21 @@
     case RequestKind::readConfig:
       return respond(configTextResponse(state));
     case RequestKind::listJobs:
-      return show(renderJobList(state, request));
+      return respondWithJson(renderJobList(state, request));
     case RequestKind::showConfig:
-      return show(renderConfig(state));
+      return respondWithJson(renderConfig(state));
     case RequestKind::listWorkers:
-      return show(renderWorkers(state, leases.unheardDurations(now), clusterNow()));
+      return respondWithJson(renderWorkers(state, leases.timesSinceLastContact(now), clusterNow()));
     case RequestKind::listTenants:
-      return show(renderTenants(state));
+      return respondWithJson(renderTenants(state));
     case RequestKind::showCluster:
-      return show(renderCluster(state, raft, gateways, now, clusterNow()));
+      return respondWithJson(renderCluster(state, raft, gateways, now, clusterNow()));
     case RequestKind::showPlan:
-      return show(renderPlan(state, planning.explain(state, clusterNow(), now), clusterNow()));
+      return respondWithJson(renderPlan(state, planning.explain(state, clusterNow(), now), clusterNow()));
     case RequestKind::showCounters:
-      return show(renderCounters(state, raft, requests.size()));
+      return respondWithJson(renderCounters(state, raft, requests.size()));
     case RequestKind::exportState:
-      return show(renderExport(state, clusterNow()));
+      return respondWithJson(renderExport(state, clusterNow()));
     default:
       return;  // requests that change state are dispatched by handleRequest
   }
@@ -181,7 +181,7 @@
   const auto* queue = speculative().config().findQueue(pending.request.job.queue);
   if (decision.event && queue->priority > 0)
     planning.skipPeriod();
-  carryOut(pending, std::move(decision));
+  applyDecision(pending, std::move(decision));
 }
 
 void Controller::handleCancel(PendingRequest& pending) {
@@ -202,14 +202,14 @@
   const ApiRequest& request = pending.request;
   RequestDecision decision = request.kind == RequestKind::patchConfig
                                  ? decideConfigPatch(request, speculative(), options.parseConfig)
-                                 : decideConfigOrder(request, speculative());
+                                 : decideConfigUpdate(request, speculative());
   if (decision.event) {
     const auto& event = boost::get<ConfigCommitted>(*decision.event);
     const TenantDirectory& tenants = event.config.tenants;
     logEvent(
         log_events::ConfigAccepted{event.config.version, tenants.all().size(), tenants.keyCount()});
   }
-  carryOut(pending, std::move(decision));
+  applyDecision(pending, std::move(decision));
 }
 
 // Handles an operator's order that a learner may replace a member. Identities are never reused, so
@@ -232,7 +232,7 @@
     return respondWhenCommitted(
         pending,
         ApiResponse::error(409, "conflict", "it leads; stop it first so that leadership moves"));
-  carryOut(pending, {accepted, ControllerReplacementRequested{id, false}});
+  applyDecision(pending, {accepted, ControllerReplacementRequested{id, false}});
 }
 
 }  // namespace aniseline
--- a/source/controller/request_table.cpp
+++ b/source/controller/request_table.cpp
@@ -68,17 +68,17 @@
   }
 }
 
-void RequestTable::checkPollsOf(const WorkerId& worker) {
+void RequestTable::markPollsOf(const WorkerId& worker) {
   if (auto polls = pollsByWorker.find(worker); polls != pollsByWorker.end())
     pollsToCheck.insert(polls->second.begin(), polls->second.end());
 }
 
-void RequestTable::checkAllPolls() {
+void RequestTable::markAllPolls() {
   for (const auto& [worker, polls] : pollsByWorker)
     pollsToCheck.insert(polls.begin(), polls.end());
 }
 
-void RequestTable::checkDuePolls(MonotonicTime now) {
+void RequestTable::markDuePolls(MonotonicTime now) {
   while (!pollCheckTimes.empty() && pollCheckTimes.begin()->first <= now) {
     const RequestSequence sequence = pollCheckTimes.begin()->second;
     pollCheckTimes.erase(pollCheckTimes.begin());
--- a/source/controller/request_table.hpp
+++ b/source/controller/request_table.hpp
@@ -72,10 +72,10 @@
   // Ends the open polls of a worker, so that they are answered now. Called when a newer sync of the
   // same worker replaces them.
   void endPollsOf(const WorkerId& worker, MonotonicTime now);
-  void checkPollsOf(const WorkerId& worker);
-  void checkAllPolls();
+  void markPollsOf(const WorkerId& worker);
+  void markAllPolls();
   // Marks the polls whose check time has passed.
-  void checkDuePolls(MonotonicTime now);
+  void markDuePolls(MonotonicTime now);
   // Skips the poll until `checkAt`, its deadline, or a change for its worker.
   void deferPoll(const PendingRequest& pending, MonotonicTime checkAt);
   // Calls `visit` for each poll that is marked for checking. `visit` may defer or remove the poll
--- a/source/controller/responses.cpp
+++ b/source/controller/responses.cpp
@@ -21,7 +21,7 @@
   responses.push_back({number, std::move(response)});
 }
 
-void Controller::carryOut(PendingRequest& pending, RequestDecision decision) {
+void Controller::applyDecision(PendingRequest& pending, RequestDecision decision) {
   const bool appends = decision.event.has_value();
   if (appends)
     append(std::move(*decision.event));
@@ -45,9 +45,9 @@
 }
 
 void Controller::respondToPolls() {
-  for (const auto& worker : stateMachine.takeAddressedWorkers())
-    requests.checkPollsOf(worker);
-  requests.checkDuePolls(now);
+  for (const auto& worker : stateMachine.takeWorkersWithUpdates())
+    requests.markPollsOf(worker);
+  requests.markDuePolls(now);
   const RoundNumber confirmedRound = raft.confirmedRound();
   requests.visitPollsToCheck(
       [&](const PendingRequest& poll) { respondToPoll(poll, confirmedRound); });
--- a/source/controller/snapshot_scheduler.hpp
+++ b/source/controller/snapshot_scheduler.hpp
@@ -20,7 +20,7 @@
   SnapshotWork takeWork() { return std::exchange(work, {}); }
   // Ends the packing of a snapshot. Returns false if the packed snapshot is obsolete because
   // another one was installed in the meantime.
-  bool finish() { return std::exchange(packing, false); }
+  bool finishPacking() { return std::exchange(packing, false); }
 
  private:
   SnapshotWork work;
--- a/source/controller/urgent_demand_estimator.cpp
+++ b/source/controller/urgent_demand_estimator.cpp
@@ -8,14 +8,14 @@
 constexpr double peakHalfLifeMs = 5000.0;  // another burst is expected within a few seconds
 }  // namespace
 
-double UrgentDemandEstimator::Peak::fadedAt(MonotonicTime now) const {
+double UrgentDemandEstimator::Peak::decayedCores(MonotonicTime now) const {
   return cores * std::exp2(-double((now - measuredAt).milliseconds) / peakHalfLifeMs);
 }
 
 void UrgentDemandEstimator::record(const Demand& current, MonotonicTime now) {
   for (const auto& [pool, wanted] : current) {
     Peak& peak = peaks[pool];
-    peak.cores = std::max(peak.fadedAt(now), double(wanted));
+    peak.cores = std::max(peak.decayedCores(now), double(wanted));
     peak.measuredAt = now;
   }
 }
@@ -23,7 +23,7 @@
 UrgentDemandEstimator::Demand UrgentDemandEstimator::demand(MonotonicTime now) const {
   Demand demand;
   for (const auto& [pool, peak] : peaks)
-    demand[pool] = std::int64_t(peak.fadedAt(now));
+    demand[pool] = std::int64_t(peak.decayedCores(now));
   return demand;
 }
 
--- a/source/controller/urgent_demand_estimator.hpp
+++ b/source/controller/urgent_demand_estimator.hpp
@@ -20,7 +20,7 @@
   struct Peak {
     double cores = 0;
     MonotonicTime measuredAt;
-    double fadedAt(MonotonicTime now) const;
+    double decayedCores(MonotonicTime now) const;
   };
   std::map<std::string, Peak> peaks;
 };
--- a/source/controller/worker_handlers.cpp
+++ b/source/controller/worker_handlers.cpp
@@ -13,7 +13,7 @@
 
 // Returns the event that carries out an operator's command for a worker, or nothing if the command
 // would change nothing.
-std::optional<Event> eventOfOrder(const ApiRequest& order, const Worker& worker) {
+std::optional<Event> eventForWorkerCommand(const ApiRequest& order, const Worker& worker) {
   const WorkerState state = worker.state;
   switch (order.kind) {
     case RequestKind::workerShutdown:
@@ -38,14 +38,14 @@
 
 }  // namespace
 
-void Controller::handleWorkerOrder(PendingRequest& pending) {
+void Controller::handleWorkerCommand(PendingRequest& pending) {
   const WorkerId id{pending.request.targetId};
   auto found = speculative().workers().find(id);
   if (found == speculative().workers().end())
     return respondWhenCommitted(pending,
                                 ApiResponse::error(404, "missing", "no worker " + id.value));
   const Worker& worker = found->second;
-  auto event = eventOfOrder(pending.request, worker);
+  auto event = eventForWorkerCommand(pending.request, worker);
   const bool appends = event.has_value();
   if (appends)
     append(std::move(*event));
@@ -59,7 +59,7 @@
   const SyncReport& report = pending.request.report;
   if (auto rejection = syncRejection(report))
     return respondWhenCommitted(pending, std::move(*rejection));
-  if (leases.isOvertakenByAnotherInstance(report))
+  if (leases.isSupersededByOtherInstance(report))
     return respondWhenCommitted(
         pending, ApiResponse::notApplied("a later instance of this host has been reported"));
   const bool registered = registerWorker(report);
@@ -105,19 +105,19 @@
 
 void Controller::recordContact(const SyncReport& report) {
   const auto effect = leases.recordReport(report, now);
-  if (effect.responsiveAgain)
+  if (effect.becameResponsive)
     planning.requestPlan();
   const Worker& worker = speculative().workers().at(report.id);
-  if (worker.state == WorkerState::unreachable && !report.unresponsive && !effect.overtaken)
+  if (worker.state == WorkerState::unreachable && !report.unresponsive && !effect.outOfOrder)
     append(WorkerReconnected{report.id});
 }
 
 void Controller::recordDrainNotice(const SyncReport& report) {
   const Worker& worker = speculative().workers().at(report.id);
-  const bool isNews =
+  const bool isNewDrain =
       worker.state == WorkerState::available ||
       (worker.state == WorkerState::unreachable && worker.drainDeadline == ClusterTime{});
-  if (!report.draining || !isNews)
+  if (!report.draining || !isNewDrain)
     return;
   append(WorkerDrainStarted{report.id, report.drainTimeout, false});
   logEvent(log_events::WorkerDraining{report.id});
@@ -140,7 +140,7 @@
   for (const auto& checkpoint : report.checkpoints)
     if (auto number = state.findAttempt(report.id, checkpoint.runId); number.value)
       synced.checkpoints.emplace_back(number, checkpoint.checkpoint);
-  planning.recordPace(synced, state, clusterNow(), now);
+  planning.recordRuntimes(synced, state, clusterNow(), now);
   if (synced.lastAppliedOrder > worker.lastAppliedOrder || !synced.results.empty() ||
       !synced.checkpoints.empty())
     append(std::move(synced));
@@ -150,14 +150,14 @@
 // results is answered as soon as possible, because the worker waits for their confirmation.
 void Controller::startPoll(PendingRequest& pending, bool respondAtOnce) {
   const SyncReport& report = pending.request.report;
-  const bool bringsNews = respondAtOnce || !report.results.empty() || !report.runResults.empty() ||
+  const bool hasNewData = respondAtOnce || !report.results.empty() || !report.runResults.empty() ||
                           (report.draining && !report.wantsPackedResponse);
   requests.startPoll(pending);
   pending.appendedToLog = false;
   pending.requiredCommitIndex = raft.lastIndex();
   pending.requiredRound = raft.startRound(now);
   pending.pollUntil =
-      bringsNews ? now : now + std::min(report.longPollTimeout, options.maxPollDuration);
+      hasNewData ? now : now + std::min(report.longPollTimeout, options.maxPollDuration);
   pending.deadline = now + options.maxPollDuration + options.responseTimeout;
 }
 
--- a/source/controller/worker_pace_estimator.cpp
+++ b/source/controller/worker_pace_estimator.cpp
@@ -12,8 +12,8 @@
 constexpr double maxRatio = 20.0;
 // shorter tasks are dominated by the cost of the surrounding calls
 constexpr std::int64_t minRuntimeMs = 50;
-constexpr std::int64_t fadeDelayMs = 1000;  // idle time after which the estimate starts to decay
-constexpr double fadeHalfLifeMs = 4000.0;   // half-life of that decay
+constexpr std::int64_t decayDelayMs = 1000;  // idle time after which the estimate starts to decay
+constexpr double decayHalfLifeMs = 4000.0;   // half-life of that decay
 }  // namespace
 
 void WorkerPaceEstimator::record(const WorkerSynced& synced, const ClusterState& state,
@@ -36,16 +36,16 @@
   }
 }
 
-RuntimeRatios WorkerPaceEstimator::paces(MonotonicTime now) const {
-  RuntimeRatios paces;
+RuntimeRatios WorkerPaceEstimator::estimatedRatios(MonotonicTime now) const {
+  RuntimeRatios estimatedRatios;
   for (const auto& [worker, estimate] : estimates) {
     if (estimate.samples < requiredSamples)
       continue;
-    const auto idle = (now - estimate.lastSampleAt).milliseconds - fadeDelayMs;
+    const auto idle = (now - estimate.lastSampleAt).milliseconds - decayDelayMs;
     const double age = double(std::max<std::int64_t>(0, idle));
-    paces[worker] = std::exp(estimate.logRatio * std::exp2(-age / fadeHalfLifeMs));
+    estimatedRatios[worker] = std::exp(estimate.logRatio * std::exp2(-age / decayHalfLifeMs));
   }
-  return paces;
+  return estimatedRatios;
 }
 
 }  // namespace aniseline
--- a/source/controller/worker_pace_estimator.hpp
+++ b/source/controller/worker_pace_estimator.hpp
@@ -15,7 +15,7 @@
               MonotonicTime now);
   // Returns the ratio of actual to requested run time for workers with enough samples. The estimate
   // of a worker that has finished no task for a while decays towards normal speed.
-  RuntimeRatios paces(MonotonicTime now) const;
+  RuntimeRatios estimatedRatios(MonotonicTime now) const;
 
  private:
   struct Estimate {
--- a/tests/controller/lease_manager_tests.cpp
+++ b/tests/controller/lease_manager_tests.cpp
@@ -56,24 +56,24 @@
 TEST(LeaseManagerTests, anUnresponsiveWorkerIsUnreachableWhenItsOwnHoldIsOver) {
   leases.recordReport(reportAt(1), MonotonicTime{2000});
   leases.recordReport(reportAt(2, true), MonotonicTime{2100});
-  const MonotonicTime over = MonotonicTime{2600} + options.unresponsiveMargin;
-  CHECK(expireAt(over).empty());
-  LONGS_EQUAL(1, expireAt(over + Duration{1}).size());
-  LONGS_EQUAL(60'000, leases.unheardDurations(MonotonicTime{2200}).at(worker).milliseconds);
+  const MonotonicTime noTasksAfter = MonotonicTime{2600} + options.unresponsiveMargin;
+  CHECK(expireAt(noTasksAfter).empty());
+  LONGS_EQUAL(1, expireAt(noTasksAfter + Duration{1}).size());
+  LONGS_EQUAL(60'000, leases.timesSinceLastContact(MonotonicTime{2200}).at(worker).milliseconds);
 }
 
 TEST(LeaseManagerTests, anOvertakenReportChangesNothing) {
   leases.recordReport(reportAt(5), MonotonicTime{2000});
   const auto effect = leases.recordReport(reportAt(4, true), MonotonicTime{2100});
-  CHECK(effect.overtaken);
-  LONGS_EQUAL(100, leases.unheardDurations(MonotonicTime{2100}).at(worker).milliseconds);
+  CHECK(effect.outOfOrder);
+  LONGS_EQUAL(100, leases.timesSinceLastContact(MonotonicTime{2100}).at(worker).milliseconds);
 }
 
 TEST(LeaseManagerTests, aWorkerThatAnswersAgainIsResponsive) {
   leases.recordReport(reportAt(1, true), MonotonicTime{2000});
   const auto effect = leases.recordReport(reportAt(2), MonotonicTime{2100});
-  CHECK(effect.responsiveAgain);
-  CHECK(!leases.recordReport(reportAt(3), MonotonicTime{2200}).responsiveAgain);
+  CHECK(effect.becameResponsive);
+  CHECK(!leases.recordReport(reportAt(3), MonotonicTime{2200}).becameResponsive);
 }
 
 TEST(LeaseManagerTests, aDrainingWorkerWithoutTasksIsGoneOnceItIsUnheard) {
@@ -123,32 +123,32 @@
 // work away while it runs.
 TEST(HostReportTests, heldUpReportOfAnEarlierInstanceIsOvertaken) {
   record("second", 5000);
-  CHECK(leases.isOvertakenByAnotherInstance(reportOf("first", 4000)));
+  CHECK(leases.isSupersededByOtherInstance(reportOf("first", 4000)));
 }
 
 TEST(HostReportTests, laterInstanceIsNot) {
   record("first", 4000);
-  CHECK(!leases.isOvertakenByAnotherInstance(reportOf("second", 5000)));
+  CHECK(!leases.isSupersededByOtherInstance(reportOf("second", 5000)));
 }
 
 TEST(HostReportTests, reportsOfOneInstanceDoNotOvertakeEachOtherSo) {
   record("first", 5000);
-  CHECK(!leases.isOvertakenByAnotherInstance(reportOf("first", 4000)));
+  CHECK(!leases.isSupersededByOtherInstance(reportOf("first", 4000)));
 }
 
 TEST(HostReportTests, otherHostsAreJudgedByTheirOwnClocks) {
   record("second", 5000);
-  CHECK(!leases.isOvertakenByAnotherInstance(reportOf("first", 4000, "elsewhere")));
-  CHECK(!leases.isOvertakenByAnotherInstance(reportOf("first", 4000, "")));
+  CHECK(!leases.isSupersededByOtherInstance(reportOf("first", 4000, "elsewhere")));
+  CHECK(!leases.isSupersededByOtherInstance(reportOf("first", 4000, "")));
 }
 
 TEST(HostReportTests, clockThatBeganAnewOvertakesNothing) {
   record("second", 500'000);
-  CHECK(!leases.isOvertakenByAnotherInstance(reportOf("third", 100)));
+  CHECK(!leases.isSupersededByOtherInstance(reportOf("third", 100)));
 }
 
 TEST(HostReportTests, newLeadershipKnowsNoReports) {
   record("second", 5000);
   leases.restart(MonotonicTime{9000});
-  CHECK(!leases.isOvertakenByAnotherInstance(reportOf("first", 4000)));
+  CHECK(!leases.isSupersededByOtherInstance(reportOf("first", 4000)));
 }
--- a/tests/controller/log_event_tests.cpp
+++ b/tests/controller/log_event_tests.cpp
@@ -66,7 +66,7 @@
   occupancy.waitingTasks = 1;
   occupancy.withinTarget = 2;
   occupancy.late = 3;
-  occupancy.pastUse = 4;
+  occupancy.tooLateToBeUseful = 4;
   occupancy.attempts = 5;
   occupancy.openJobs = 6;
   occupancy.usableWorkers = 7;
--- a/tests/controller/request_table_tests.cpp
+++ b/tests/controller/request_table_tests.cpp
@@ -72,11 +72,11 @@
   const RequestSequence poll = addPoll("w");
   CHECK((visitedPolls(MonotonicTime{300}) == std::vector<RequestSequence>{poll}));
   CHECK(visitedPolls(MonotonicTime{300}).empty());
-  table.checkDuePolls(MonotonicTime{299});
+  table.markDuePolls(MonotonicTime{299});
   CHECK(visitedPolls(MonotonicTime{300}).empty());
-  table.checkDuePolls(MonotonicTime{300});
+  table.markDuePolls(MonotonicTime{300});
   CHECK((visitedPolls(MonotonicTime{2000}) == std::vector<RequestSequence>{poll}));
-  table.checkDuePolls(MonotonicTime{1000});  // its deadline
+  table.markDuePolls(MonotonicTime{1000});  // its deadline
   CHECK((visitedPolls(MonotonicTime{2000}) == std::vector<RequestSequence>{poll}));
 }
 
@@ -84,9 +84,9 @@
   const RequestSequence poll = addPoll("w");
   addPoll("other");
   visitedPolls(MonotonicTime{500});
-  table.checkPollsOf(WorkerId{"w"});
+  table.markPollsOf(WorkerId{"w"});
   CHECK((visitedPolls(MonotonicTime{500}) == std::vector<RequestSequence>{poll}));
-  table.checkAllPolls();
+  table.markAllPolls();
   LONGS_EQUAL(2, visitedPolls(MonotonicTime{500}).size());
 }
 
@@ -103,8 +103,8 @@
   const RequestSequence poll = addPoll("w");
   visitedPolls(MonotonicTime{300});
   table.remove(poll);
-  table.checkDuePolls(MonotonicTime{300});
-  table.checkPollsOf(WorkerId{"w"});
+  table.markDuePolls(MonotonicTime{300});
+  table.markPollsOf(WorkerId{"w"});
   CHECK(visitedPolls(MonotonicTime{300}).empty());
 }
 
@@ -115,6 +115,6 @@
   LONGS_EQUAL(0, table.size());
   LONGS_EQUAL(0, table.retainedBytes());
   CHECK(table.takeQueued().empty());
-  table.checkAllPolls();
+  table.markAllPolls();
   CHECK(visitedPolls(MonotonicTime{300}).empty());
 }
