--- a/source/controller/backlog_estimator.cpp
+++ b/source/controller/backlog_estimator.cpp
@@ -58,7 +58,8 @@
 // Work counts if its priority is higher, or if it has the same priority and belongs to a job that
 // is not larger.
 CoreMilliseconds BacklogEstimator::workAheadOf(const WorkByPriority& waiting,
-                                              const QueueOptions& queue, CoreMilliseconds jobWork) {
+                                               const QueueOptions& queue,
+                                               CoreMilliseconds jobWork) {
   CoreMilliseconds work = 0;
   for (auto level = waiting.lower_bound(queue.priority); level != waiting.end(); ++level) {
     const auto& [priority, bySize] = *level;
@@ -73,7 +74,7 @@
 // Work held back by a tenant's cap delays only that tenant. Of every other tenant, the estimate
 // therefore counts no more work than its cap lets run within the horizon.
 double BacklogEstimator::estimateDelay(const JobSubmission& job, const QueueOptions& queue,
-                                 const ClusterState& state, double horizon) const {
+                                       const ClusterState& state, double horizon) const {
   CoreMilliseconds before = 0;
   double ownDelay = 0;
   for (auto entry = waitingWork.lower_bound({queue.pool, TenantName{}});
--- a/source/controller/backlog_estimator.hpp
+++ b/source/controller/backlog_estimator.hpp
@@ -29,10 +29,10 @@
   // Returns the part of a tenant's waiting work that is planned before the given job.
   using WorkByPriority = std::map<std::int64_t, WorkBySize>;
   static CoreMilliseconds workAheadOf(const WorkByPriority& waiting, const QueueOptions& queue,
-                                     CoreMilliseconds jobWork);
+                                      CoreMilliseconds jobWork);
   // Returns the estimated delay of a job in milliseconds, computed up to the given horizon.
-  double estimateDelay(const JobSubmission& job, const QueueOptions& queue, const ClusterState& state,
-                 double horizon) const;
+  double estimateDelay(const JobSubmission& job, const QueueOptions& queue,
+                       const ClusterState& state, double horizon) const;
 
   MonotonicTime measuredAt{-1'000'000};
   std::map<std::string, std::int64_t> coresByPool;  // in thousandths of a core
--- a/source/controller/config_service.cpp
+++ b/source/controller/config_service.cpp
@@ -13,16 +13,15 @@
 // An update that was accepted is acknowledged again, even after later updates, because the first
 // response may have been lost.
 std::optional<ApiResponse> responseToKnownUpdate(const ConfigUpdate& update,
-                                                const ConfigHistory& history) {
+                                                 const ConfigHistory& history) {
   const auto before = history.find(update);
   switch (before.outcome) {
     case ConfigHistory::Outcome::applied:
       return acceptedResponse(before.version);
     case ConfigHistory::Outcome::tooOld:
       return ApiResponse::outcomeUnknown(
-          "this order is older than those that are kept: whether it was taken is "
-          "not known any "
-          "more");
+          "this update is older than the stored history of updates; whether it was applied is no "
+          "longer known");
     case ConfigHistory::Outcome::notApplied:
       return std::nullopt;
   }
@@ -39,13 +38,13 @@
 ApiResponse versionTooLowResponse(ConfigVersion current) {
   return ApiResponse::fromError(
       CoreError::at(CoreError::Kind::invalid, "/version",
-                    "must be above the current one, " + std::to_string(current.value)));
+                    "must be greater than the current version, " + std::to_string(current.value)));
 }
 
 // Returns the response to an update that must not be logged: it has been applied before, or its
 // versions do not allow it.
 std::optional<ApiResponse> responseWithoutChange(const ConfigUpdate& update,
-                                               const ClusterState& state) {
+                                                 const ClusterState& state) {
   const ConfigVersion current = state.config().version;
   if (auto known = responseToKnownUpdate(update, state.configHistory()))
     return known;
--- a/source/controller/job_admission.cpp
+++ b/source/controller/job_admission.cpp
@@ -84,8 +84,10 @@
   if (!policies.isOn(Policy::backlogAdmission))
     return {acceptedResponse(job.id), JobAccepted{job}};
   if (const auto delay = backlog.retryDelay(job, *queue, state, now))
-    return {ApiResponse::error(429, "overloaded", "what waits before it would keep it past all use",
-                               *delay),
+    return {ApiResponse::error(
+                429, "overloaded",
+                "the work queued ahead of this job would delay it until its result is of no use",
+                *delay),
             std::nullopt};
   return {acceptedResponse(job.id), JobAccepted{job}};
 }
--- a/source/controller/job_latency_tracker.hpp
+++ b/source/controller/job_latency_tracker.hpp
@@ -38,7 +38,7 @@
 
   const LogEventSignal& events;
   std::map<JobId, Runs> runsByJob;  // of open jobs
-  std::vector<JobId> updatedJobs;       // jobs with results in the event that is being applied
+  std::vector<JobId> updatedJobs;   // jobs with results in the event that is being applied
 };
 
 }  // namespace aniseline
--- a/source/controller/job_retention.cpp
+++ b/source/controller/job_retention.cpp
@@ -4,8 +4,8 @@
 namespace aniseline {
 
 namespace {
-constexpr Duration fullDetailRetention{60'000};       // time from a job's end until it is compacted
-constexpr std::size_t maxJobsPerEvent = 2000;  // bounds the size of a log entry
+constexpr Duration fullDetailRetention{60'000};  // time from a job's end until it is compacted
+constexpr std::size_t maxJobsPerEvent = 2000;    // bounds the size of a log entry
 }  // namespace
 
 // Finished jobs never cause new jobs to be rejected: when the limit is exceeded, the jobs that
@@ -29,7 +29,7 @@
 }
 
 void JobRetention::collectCompactable(const ClusterState& state, ClusterTime clusterNow,
-                                    JobsExpired& expired) {
+                                      JobsExpired& expired) {
   for (auto next = state.jobsByEndTime().lower_bound({compactedThrough, JobId{}});
        next != state.jobsByEndTime().end() && expired.compacted.size() < maxJobsPerEvent; ++next) {
     const auto& [endedAt, id] = *next;
--- a/source/controller/log_event.hpp
+++ b/source/controller/log_event.hpp
@@ -87,9 +87,9 @@
 // The load of the cluster, reported once a second.
 struct Occupancy {
   std::size_t waitingTasks = 0;
-  std::size_t withinTarget = 0;  // waiting tasks that can still meet their latency target
-  std::size_t late = 0;          // waiting tasks that will miss their latency target
-  std::size_t tooLateToBeUseful = 0;       // waiting tasks whose result would come too late to be of use
+  std::size_t withinTarget = 0;       // waiting tasks that can still meet their latency target
+  std::size_t late = 0;               // waiting tasks that will miss their latency target
+  std::size_t tooLateToBeUseful = 0;  // waiting tasks whose result would come too late to be of use
   std::size_t attempts = 0;
   std::size_t openJobs = 0;
   std::size_t usableWorkers = 0;
--- a/source/controller/planning_driver.cpp
+++ b/source/controller/planning_driver.cpp
@@ -77,7 +77,8 @@
   lastPlanAt = now;
   periodSkipped = false;
   requested = false;
-  Plan plan = planner.makePlan(state, clusterNow, leases.timesSinceLastContact(now), false, hints(now));
+  Plan plan =
+      planner.makePlan(state, clusterNow, leases.timesSinceLastContact(now), false, hints(now));
   demandEstimator.record(plan.urgentDemand, now);
   passedOver.record(plan.passedOver, now);
   waitingAtLastPlan = plan.pendingUnits;
--- a/source/controller/planning_driver.hpp
+++ b/source/controller/planning_driver.hpp
@@ -29,7 +29,7 @@
   void planAppended() { requested = false; }
 
   void recordRuntimes(const WorkerSynced& synced, const ClusterState& state, ClusterTime clusterNow,
-                  MonotonicTime now) {
+                      MonotonicTime now) {
     paceEstimator.record(synced, state, clusterNow, now);
   }
   // Runs the planner if a plan is due. Returns nothing if the plan would change nothing.
--- a/source/controller/read_views.cpp
+++ b/source/controller/read_views.cpp
@@ -204,7 +204,7 @@
 
 ApiResponse configTextResponse(const ClusterState& state) {
   if (!state.config().version.value)
-    return ApiResponse::error(404, "missing", "there is no config yet");
+    return ApiResponse::error(404, "missing", "no configuration has been applied yet");
   ApiResponse response;
   response.body = state.config().text;
   return response;
--- a/source/controller/request_handlers.cpp
+++ b/source/controller/request_handlers.cpp
@@ -14,11 +14,12 @@
   if (!isLeading() || !raft.isLeader())
     return sendResponse(number, notLeaderResponse());
   if (!hasRequestCapacity(request))
-    return sendResponse(number,
-                        ApiResponse::error(429, "overloaded", "too many requests are under way",
-                                           overloadRetryDelay));
+    return sendResponse(
+        number,
+        ApiResponse::error(429, "overloaded", "too many requests are pending", overloadRetryDelay));
   if (!fitsMemoryLimit(request))
-    return sendResponse(number, ApiResponse::notApplied("too much is under way; ask again"));
+    return sendResponse(
+        number, ApiResponse::notApplied("the pending requests use too much memory; try again"));
   requests.add(number, std::move(request), at + options.responseTimeout);
 }
 
@@ -66,10 +67,10 @@
 std::optional<ApiResponse> Controller::resolveIngressRoute(ApiRequest& request) {
   const ClusterConfig& config = speculative().config();
   if (!config.version.value)
-    return ApiResponse::notApplied("there is no config yet");
+    return ApiResponse::notApplied("no configuration has been applied yet");
   const auto* route = config.findIngressRoute(request.host, request.path);
   if (!route)
-    return ApiResponse::error(404, "no_queue", "no queue is entered there");
+    return ApiResponse::error(404, "no_queue", "no ingress route matches this host and path");
   request.targetId = request.path.substr(route->pathPrefix.size());
   request.job.queue = route->queue;
   request.job.id = JobId{request.targetId};
@@ -95,7 +96,7 @@
   const TenantName* tenant = speculative().config().tenants.findByKey(request.apiKey);
   if (!tenant) {
     ++rejectedKeys;
-    return ApiResponse::error(401, "unauthenticated", "no tenant has this key");
+    return ApiResponse::error(401, "unauthenticated", "the API key is missing or unknown");
   }
   request.job.tenant = *tenant;
   return std::nullopt;
@@ -166,7 +167,8 @@
     case RequestKind::showCluster:
       return respondWithJson(renderCluster(state, raft, gateways, now, clusterNow()));
     case RequestKind::showPlan:
-      return respondWithJson(renderPlan(state, planning.explain(state, clusterNow(), now), clusterNow()));
+      return respondWithJson(
+          renderPlan(state, planning.explain(state, clusterNow(), now), clusterNow()));
     case RequestKind::showCounters:
       return respondWithJson(renderCounters(state, raft, requests.size()));
     case RequestKind::exportState:
@@ -229,9 +231,10 @@
     return respondWhenCommitted(pending,
                                 ApiResponse::error(404, "missing", "no member " + id.value));
   if (id == raft.self().id)
-    return respondWhenCommitted(
-        pending,
-        ApiResponse::error(409, "conflict", "it leads; stop it first so that leadership moves"));
+    return respondWhenCommitted(pending,
+                                ApiResponse::error(409, "conflict",
+                                                   "this controller is the leader; stop it first "
+                                                   "so that leadership moves to another one"));
   applyDecision(pending, {accepted, ControllerReplacementRequested{id, false}});
 }
 
--- a/source/controller/responses.cpp
+++ b/source/controller/responses.cpp
@@ -9,7 +9,7 @@
 
 ApiResponse Controller::notLeaderResponse() const {
   ApiResponse response =
-      ApiResponse::error(503, "unknown", "this controller does not lead", notLeaderRetryDelay);
+      ApiResponse::error(503, "unknown", "this controller is not the leader", notLeaderRetryDelay);
   response.notLeader = true;
   for (const auto& member : raft.membership())
     if (member.id == raft.leaderId() && member.id != raft.self().id)
@@ -56,7 +56,7 @@
 void Controller::respondToPoll(const PendingRequest& poll, RoundNumber confirmedRound) {
   SyncResponder::Outcome outcome;
   if (now >= poll.deadline)
-    outcome.response = ApiResponse::outcomeUnknown("no majority of the controllers answers");
+    outcome.response = ApiResponse::outcomeUnknown("no majority of the controllers responds");
   else if (!isConfirmed(poll, confirmedRound))
     return;
   else
@@ -77,10 +77,11 @@
     if (isReady)
       sendResponse(pending.number, pending.response);
     else if (!isHandled)
-      sendResponse(pending.number, ApiResponse::notApplied("the leader can't serve yet"));
+      sendResponse(pending.number,
+                   ApiResponse::notApplied("the leader is not ready to serve requests yet"));
     else
       sendResponse(pending.number, ApiResponse::outcomeUnknown(
-                                       "no majority of the controllers answers; ask again"));
+                                       "no majority of the controllers responds; try again"));
     requests.remove(pending.sequenceNumber);
   });
 }
--- a/source/controller/sync_responder.cpp
+++ b/source/controller/sync_responder.cpp
@@ -43,8 +43,8 @@
 }  // namespace
 
 ApiResponse replacedIncarnationResponse() {
-  return ApiResponse::error(410, "gone",
-                            "this incarnation is replaced: stop all tasks and begin anew");
+  return ApiResponse::error(
+      410, "gone", "this incarnation has been replaced; stop all tasks and start a new one");
 }
 
 SyncResponder::KnownOrders SyncResponder::knownOrders(const SyncReport& report,
--- a/source/controller/worker_handlers.cpp
+++ b/source/controller/worker_handlers.cpp
@@ -61,7 +61,8 @@
     return respondWhenCommitted(pending, std::move(*rejection));
   if (leases.isSupersededByOtherInstance(report))
     return respondWhenCommitted(
-        pending, ApiResponse::notApplied("a later instance of this host has been reported"));
+        pending,
+        ApiResponse::notApplied("a later instance on this host has already been reported"));
   const bool registered = registerWorker(report);
   const bool replacesPolls =
       !report.wantsPackedResponse || report.longPollTimeout.milliseconds != 0;
@@ -87,10 +88,10 @@
   if (!idInUse)
     return std::nullopt;
   logEvent(log_events::WorkerIdInUse{report.id});
-  return ApiResponse::error(
-      409, "conflict",
-      "worker " + report.id.value + " is alive as another process; give each its own id",
-      options.workerLivenessTimeout);
+  return ApiResponse::error(409, "conflict",
+                            "worker id " + report.id.value +
+                                " is in use by another live process; give each process its own id",
+                            options.workerLivenessTimeout);
 }
 
 // Returns true if the worker, its incarnation or its capacity is new.
