--- a/tests/controller/admission_tests.cpp
+++ b/tests/controller/admission_tests.cpp
@@ -1,5 +1,5 @@
-// A flood past all use is turned away at once, with a time to come back; what is of use is taken.
-// docs/design.md 10.
+// Jobs that would start too late to be useful are rejected at once, with a retry delay; other jobs
+// are accepted. docs/design.md 10.
 #include "controller/controller.hpp"
 #include <CppUTest/TestHarness.h>
 
@@ -64,8 +64,8 @@
   }
 };
 
-// Four cores; a job of 40 tasks of 200 ms on two cores is four seconds of their time. Its latency
-// target is 0.8 s, and one and a half times that is 1.2 s.
+// There are four cores. A job of 40 tasks of 200 ms on two cores each takes all of them for four
+// seconds. Its latency target is 0.8 s, and one and a half times that is 1.2 s.
 TEST(AdmissionTests, whatWouldBeginPastItsUseIsTurnedAwayAtOnce) {
   LONGS_EQUAL(202, submit("proofs", 200, 40).status);
   run(300);
@@ -73,12 +73,12 @@
   LONGS_EQUAL(429, refused.status);
   STRCMP_EQUAL("overloaded", refused.errorKind.c_str());
   CHECK(refused.retryAfter >= Duration{500} && refused.retryAfter <= Duration{3000});
-  // A queue without an aim is bounded by its limits alone.
+  // A queue without a latency target is limited only by its maximum number of open jobs.
   LONGS_EQUAL(202, submit("plain", 200, 1).status);
 }
 
-// A smaller job goes before the large one, so it does not wait for it. Jobs of its own size do:
-// seven of 6 tasks are four seconds too.
+// A smaller job is planned before the large one, so it does not wait for it. Jobs of the same size
+// do delay each other: seven jobs of 6 tasks also take four seconds.
 TEST(AdmissionTests, whatIsLargerHoldsNoSmallerJobUp) {
   LONGS_EQUAL(202, submit("proofs", 200, 40).status);
   run(300);
@@ -92,8 +92,8 @@
   LONGS_EQUAL(202, submit("proofs", 200, 1).status);
 }
 
-// What comes after it in the order holds nothing up; what has a far aim can wait for what comes
-// before.
+// Work that is planned after a job does not delay it, and a job with a distant latency target can
+// wait for the work before it.
 TEST(AdmissionTests, lessUrgentWorkTurnsNoUrgentWorkAway) {
   LONGS_EQUAL(202, submit("plates", 60'000, 40).status);
   run(300);
@@ -102,7 +102,7 @@
   LONGS_EQUAL(202, submit("plates", 600'000, 1).status);
 }
 
-// No workers are known yet, or all are away: nothing is said of how long a wait would be.
+// If no worker is known, or all have been removed, the wait can't be estimated.
 TEST(AdmissionTests, withoutWorkersNothingIsTurnedAway) {
   ApiRequest gone;
   gone.kind = RequestKind::removeWorker;
@@ -114,7 +114,7 @@
   LONGS_EQUAL(202, submit("proofs", 200, 40).status);
 }
 
-// A report of unresponsiveness that a later word has overtaken gives up nothing.
+// A report that a worker is unresponsive has no effect if a later report has arrived first.
 // docs/design.md 5.8.
 TEST(AdmissionTests, anOvertakenWordOfUnresponsivenessIsNotHeeded) {
   ApiRequest word;
--- a/tests/controller/api_key_tests.cpp
+++ b/tests/controller/api_key_tests.cpp
@@ -1,5 +1,5 @@
-// Keys are judged by the newest configuration that a majority holds, whichever controller is asked
-// and whatever was lost between. docs/design.md 6.7.
+// API keys are checked against the newest committed configuration, regardless of which controller
+// receives the request and which controllers have failed in between. docs/design.md 6.7.
 #include "controller_cluster.hpp"
 #include <CppUTest/TestHarness.h>
 
@@ -96,7 +96,7 @@
   configure(1, withoutN1);
   LONGS_EQUAL(401, statusOf(clientRequest(RequestKind::showPhase, "/q/job1", "n1")));
   LONGS_EQUAL(200, statusOf(clientRequest(RequestKind::showPhase, "/q/job1", "n2")));
-  // Sent again with the key that is left: the same job.
+  // A repeated submission with the remaining key of the tenant refers to the same job.
   LONGS_EQUAL(202, statusOf(submission("job1", "n2")));
 }
 
@@ -114,7 +114,7 @@
   }
 }
 
-// It still holds the older configuration and believes that it leads.
+// The partitioned controller still has the older configuration and believes that it is the leader.
 TEST(ApiKeyTests, aLeaderThatIsCutOffAcceptsNothingByTheOlderConfiguration) {
   configure(0, bothTenants);
   const std::size_t old = cluster.leader();
@@ -134,7 +134,7 @@
   LONGS_EQUAL(401, statusOf(submission("again", "n1")));
 }
 
-// A refusal rests on a configuration that a majority may never hold.
+// A rejection must not be based on a configuration that may never be committed.
 TEST(ApiKeyTests, aKeyIsNotRefusedByAConfigurationThatIsNotCommitted) {
   configure(0, bothTenants);
   const std::size_t old = cluster.leader();
@@ -165,7 +165,7 @@
   LONGS_EQUAL(403, statusOf(clientRequest(RequestKind::showPhase, "/q/job1", "s1")));
 }
 
-// Many changes, so that snapshots carry the state.
+// The number of changes is large enough that the state is carried by snapshots.
 TEST(ApiKeyTests, keysAndTenantsOutliveSnapshots) {
   ControllerOptions options;
   options.maxRecordsBetweenSnapshots = 8;
@@ -197,7 +197,7 @@
   STRCMP_EQUAL("south", jobs.at(JobId{"job1"}).submission.tenant.value.c_str());
 }
 
-// A gateway passes on what a client sent; the leader alone says whose job it is.
+// A gateway forwards what the client sent; only the leader determines the tenant of a job.
 TEST(ApiKeyTests, aTenantIsNeverTakenFromTheRequest) {
   configure(0, bothTenants);
   ApiRequest request = submission("job1", "s1");
--- a/tests/controller/backlog_estimator_tests.cpp
+++ b/tests/controller/backlog_estimator_tests.cpp
@@ -1,4 +1,4 @@
-// What a tenant's cap holds back delays its own jobs and nobody else's. docs/design.md 10.
+// Work held back by a tenant's cap delays only the jobs of that tenant. docs/design.md 10.
 #include "controller/backlog_estimator.hpp"
 #include "state/cluster_state_fixture.hpp"
 
@@ -16,8 +16,8 @@
 
 }  // namespace
 
-// Sixteen cores; the flood is 240 core-seconds, 15 s of all of them. A job's target is 1.5 s, and
-// one and a half times that is 2.25 s.
+// There are sixteen cores. The flood of jobs is 240 core-seconds, or 15 s of all cores. The latency
+// target of a job is 1.5 s, and one and a half times that is 2.25 s.
 TEST_GROUP(BacklogEstimatorTests) {
   ClusterStateFixture fixture{configText};
   BacklogEstimator estimator;
@@ -65,7 +65,7 @@
   CHECK(isTurnedAway(""));
 }
 
-// Half of the cores for the time that a job could wait.
+// The cap of this tenant is half of the cores for as long as a job may wait.
 TEST(BacklogEstimatorTests, aCappedFloodCountsAsMuchAsItsCapLetsRun) {
   flood("other");
   CHECK(isTurnedAway("other"));
--- a/tests/controller/config_orders_tests.cpp
+++ b/tests/controller/config_orders_tests.cpp
@@ -1,6 +1,6 @@
-// Operators' orders are answered by what they are: one that was taken is acknowledged again or left
-// without a clear answer, never refused; of different ones under a number one is confirmed.
-// docs/design.md 6.1.
+// Configuration updates are recognised by their content. A repeated update that was applied is
+// acknowledged again or gets an unclear answer, but is never rejected; of several different updates
+// with the same version, exactly one is confirmed. docs/design.md 6.1.
 #include "controller_cluster.hpp"
 #include <CppUTest/TestHarness.h>
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-// As an adapter hands it over: its version stands in the text.
+// Returns an update as an adapter sends it, with its version in the text.
 ApiRequest order(std::uint64_t version, std::uint64_t base, const std::string& queue = "proofs") {
   ClusterConfig config = ClusterConfig::parse("{\"queues\":{\"" + queue + "\":{}}}").value();
   config.version = ConfigVersion{version};
@@ -19,7 +19,7 @@
   request.packedConfig = pack(config);
   return request;
 }
-// As it comes by the product's own interface, which numbers it.
+// Returns an update as the native API sends it, which leaves the version to the leader.
 ApiRequest unnumbered(std::uint64_t base, const std::string& queue = "proofs") {
   ApiRequest request;
   request.kind = RequestKind::applyConfig;
@@ -27,7 +27,7 @@
   request.text = "{\"queues\":{\"" + queue + "\":{}}}";
   return request;
 }
-// A queue is added or replaced; version 0: the leader numbers it.
+// Returns a patch that adds or replaces a queue. With version 0 the leader assigns the version.
 ApiRequest patch(std::uint64_t version, std::uint64_t base, const std::string& queue = "extra") {
   ApiRequest request;
   request.kind = RequestKind::patchConfig;
@@ -55,7 +55,8 @@
   LONGS_EQUAL(200, cluster.askLeader(order(7, 5)).status);
   LONGS_EQUAL(200, cluster.askLeader(order(5, 0)).status);
   LONGS_EQUAL(9, versionInForce(cluster));
-  // Another text under the number, on the same base or another, and another number on the base.
+  // A different text with the same version, on the same base or another one, and a different
+  // version on the same base.
   LONGS_EQUAL(409, cluster.askLeader(order(7, 5, "plates")).status);
   LONGS_EQUAL(400, cluster.askLeader(order(7, 9, "plates")).status);
   LONGS_EQUAL(409, cluster.askLeader(order(8, 5)).status);
@@ -96,7 +97,7 @@
   LONGS_EQUAL(200, cluster.askLeader(order(5, 0)).status);
   LONGS_EQUAL(200, cluster.askLeader(order(7, 5)).status);
   const std::size_t first = cluster.leader();
-  // Its answer is lost with the leader.
+  // The response is lost together with the leader.
   cluster.submit(first, order(9, 7));
   cluster.run(50);
   cluster.kill(first);
@@ -115,8 +116,8 @@
   }
 }
 
-// Eight at once, in one group commit: one is confirmed, and each is answered alike when it comes
-// again, the loser's too.
+// Eight updates are submitted at once and share one group commit. Exactly one is confirmed, and
+// each gets the same response when it is repeated, including the rejected ones.
 TEST(ConfigOrdersTests, ofEightInOneCommitOneIsConfirmed) {
   ControllerCluster cluster(3);
   LONGS_EQUAL(200, cluster.askLeader(order(5, 0)).status);
@@ -137,7 +138,8 @@
   LONGS_EQUAL(1, confirmed);
 }
 
-// Two operators may send the very same: it is one order, and both are told that it was taken.
+// Two operators may send identical updates. They count as one update, and both operators are told
+// that it was accepted.
 TEST(ConfigOrdersTests, identicalTextsAreOneOrder) {
   ControllerCluster cluster(3);
   LONGS_EQUAL(200, cluster.askLeader(order(5, 0)).status);
@@ -149,8 +151,9 @@
   LONGS_EQUAL(2, cluster.controller(cluster.leader()).committed().configHistory().updates().size());
 }
 
-// A leader that is cut off holds an order that can't be committed: neither that one nor another on
-// the same base gets a clear answer there. What the others take meanwhile is what counts.
+// A partitioned leader holds an update that can't be committed. It gives no definite response to
+// that update or to another one on the same base. The update accepted by the majority in the
+// meantime takes effect.
 TEST(ConfigOrdersTests, aLeaderThatIsCutOffGivesNoClearAnswer) {
   ControllerCluster cluster(3);
   LONGS_EQUAL(200, cluster.askLeader(order(5, 0)).status);
@@ -172,8 +175,9 @@
   CHECK(isRefusal(cluster.askLeader(order(7, 5, "lost")).status));
 }
 
-// Nor does it refuse what it holds to be stale, invalid or without a queue, though nothing of its
-// own is open: it may know less than the others.
+// A partitioned leader also must not reject updates that it considers stale or invalid, or
+// submissions to an unknown route, even if it has no uncommitted entries: the other controllers may
+// have newer state.
 TEST(ConfigOrdersTests, aLeaderThatIsCutOffRefusesNothing) {
   ControllerCluster cluster(3);
   LONGS_EQUAL(200, cluster.askLeader(order(5, 0)).status);
@@ -215,10 +219,11 @@
   LONGS_EQUAL(200, cluster.askLeader(unnumbered(0)).status);
   LONGS_EQUAL(200, cluster.askLeader(patch(5, 1)).status);
   LONGS_EQUAL(200, cluster.askLeader(patch(7, 5, "more")).status);
-  // The same again, also when another was taken since.
+  // A repeated patch is acknowledged, even if another one was accepted after it.
   LONGS_EQUAL(200, cluster.askLeader(patch(7, 5, "more")).status);
   LONGS_EQUAL(200, cluster.askLeader(patch(5, 1)).status);
-  // Others on that base or under that number, and a version that is not above.
+  // Different updates on the same base or with the same version, and a version that is not greater
+  // than the current one.
   LONGS_EQUAL(409, cluster.askLeader(patch(8, 5)).status);
   LONGS_EQUAL(409, cluster.askLeader(patch(7, 5)).status);
   LONGS_EQUAL(409, cluster.askLeader(unnumbered(5)).status);
@@ -249,7 +254,8 @@
   LONGS_EQUAL(0, versionInForce(cluster));
 }
 
-// Patches and whole configurations race on one base: one wins, and each is answered alike again.
+// Patches and complete configurations compete on the same base. Exactly one is confirmed, and each
+// gets the same response when it is repeated.
 TEST(ConfigOrdersTests, ofPatchesAndWholeConfigurationsOneIsConfirmed) {
   ControllerCluster cluster(3);
   LONGS_EQUAL(200, cluster.askLeader(unnumbered(0)).status);
@@ -273,8 +279,8 @@
   LONGS_EQUAL(1, confirmed);
 }
 
-// Its answer is lost with the leader, which may have taken it or not; and it is known after
-// snapshots.
+// The response is lost together with the leader, which may or may not have accepted the patch. The
+// patch is also recognised after snapshots.
 TEST(ConfigOrdersTests, aPatchIsKnownToTheNextLeaderAndAfterASnapshot) {
   ControllerOptions options;
   options.maxRecordsBetweenSnapshots = 5;
--- a/tests/controller/controller_cluster.hpp
+++ b/tests/controller/controller_cluster.hpp
@@ -1,5 +1,5 @@
-// Controllers that pass each other their messages in memory, with their disks: for tests of what is
-// answered over changes of leaders, restarts and cuts.
+// A cluster of controllers that exchange messages in memory and keep their disk records, for tests
+// of responses across leader changes, restarts and partitions.
 #ifndef ANISELINE_TESTS_CONTROLLER_CONTROLLER_CLUSTER_HPP
 #define ANISELINE_TESTS_CONTROLLER_CONTROLLER_CLUSTER_HPP
 #include "controller/controller.hpp"
@@ -8,7 +8,7 @@
 
 class ControllerCluster {
  public:
-  // So many voters, and learners after them.
+  // Creates a cluster with this number of voters, followed by this number of learners.
   explicit ControllerCluster(std::size_t voters, std::size_t learners = 0,
                              ControllerOptions given = {})
       : options(given) {
@@ -32,7 +32,8 @@
 
   std::size_t size() const { return nodes.size(); }
   Controller& controller(std::size_t place) { return *nodes[place].core; }
-  // The one that serves; of several the one with the latest term.
+  // Returns the index of the serving leader; if there are several, the one with the latest term.
+  // Returns size() if there is none.
   std::size_t leader() const {
     std::size_t found = nodes.size();
     for (std::size_t place = 0; place < nodes.size(); ++place) {
@@ -63,12 +64,12 @@
     controller(place).submitRequest(number, request, MonotonicTime{now});
     return number;
   }
-  // Nothing while there is no answer yet.
+  // Returns nothing while there is no response yet.
   std::optional<ApiResponse> response(RequestNumber number) const {
     const auto found = responses.find(number);
     return found == responses.end() ? std::nullopt : std::optional(found->second);
   }
-  // Asks the one that leads and waits for its answer.
+  // Submits a request to the leader and waits for its response.
   ApiResponse askLeader(const ApiRequest& request) {
     for (int tries = 0; leader() == nodes.size() && tries < 100; ++tries)
       run(100);
--- a/tests/controller/controller_tests.cpp
+++ b/tests/controller/controller_tests.cpp
@@ -1,3 +1,4 @@
+// Tests of a single controller: unreadable snapshots and the limit on pending requests.
 #include "controller/controller.hpp"
 
 #include <CppUTest/TestHarness.h>
@@ -5,8 +6,8 @@
 
 TEST_GROUP(ControllerTests){};
 
-// A view whose checksum is right but whose content this version can't read is not taken for an
-// empty state.
+// A snapshot with a correct checksum whose content this version can't decode must not be treated as
+// an empty state.
 TEST(ControllerTests, anUnreadableViewStopsIt) {
   WriteAheadRecord record;
   record.version = DiskVersion{1};
@@ -29,8 +30,9 @@
   CHECK(!sound.hasUnreadableState());
 }
 
-// While nothing can be committed, orders of hundreds of KB are under way up to a bound in bytes;
-// those beyond it are told that nothing was done, and can be asked again. docs/design.md 3.4.
+// While nothing can be committed, requests of hundreds of KB are accepted only up to a limit in
+// bytes. Those beyond the limit are answered as not applied, so they can be repeated.
+// docs/design.md 3.4.
 TEST(ControllerTests, whatIsUnderWayIsBoundedInBytes) {
   constexpr std::size_t configBytes = 318'000;
   WriteAheadRecord record;
@@ -58,7 +60,7 @@
     request.baseVersion = ConfigVersion{count - notTaken};
     request.packedConfig = pack(config);
     controller.submitRequest(RequestNumber{count + 1}, std::move(request), MonotonicTime{now});
-    controller.step(MonotonicTime{now}, WallTime{now});  // and no write ends
+    controller.step(MonotonicTime{now}, WallTime{now});  // no write completes
     for (const auto& [number, answer] : controller.takeResponses()) {
       LONGS_EQUAL(503, answer.status);
       ++notTaken;
--- a/tests/controller/gateway_registry_tests.cpp
+++ b/tests/controller/gateway_registry_tests.cpp
@@ -1,4 +1,4 @@
-// Gateways are listed while they were heard from lately.
+// Tests of the expiry of gateway contacts.
 #include "controller/gateway_registry.hpp"
 #include <CppUTest/TestHarness.h>
 
--- a/tests/controller/job_latency_tracker_tests.cpp
+++ b/tests/controller/job_latency_tracker_tests.cpp
@@ -1,4 +1,5 @@
-// Where the time of a late job went: the chain of runs that its end waited for. docs/design.md 4.8.
+// Tests that reports of late jobs contain the chain of runs that delayed the end of the job.
+// docs/design.md 4.8.
 #include "controller/job_latency_tracker.hpp"
 #include "state/cluster_state_fixture.hpp"
 
@@ -79,7 +80,7 @@
   CHECK(reports[0].chain[1].outcome == AttemptOutcome::succeeded);
 }
 
-// A copy of a redundant step that ends later is no further end of the job.
+// A redundant copy that ends later must not be reported as a second end of the job.
 TEST(JobLatencyTrackerTests, aLateJobIsToldOnce) {
   StepRequest redundant = shortStep();
   redundant.requirements.redundant = true;
@@ -87,7 +88,7 @@
   cluster.submit("late", {redundant});
   cluster.planAndRun();
   cluster.now += 9000;
-  cluster.planAndRun();  // a copy, as the first is overdue
+  cluster.planAndRun();  // starts a copy because the first run is overdue
   const AttemptNumber copy = cluster.task("late").redundantAttempt;
   CHECK(copy.value > 0);
   end("late", AttemptOutcome::succeeded, 1);
--- a/tests/controller/large_configs_tests.cpp
+++ b/tests/controller/large_configs_tests.cpp
@@ -1,5 +1,5 @@
-// Hundreds of large configurations, with members killed and started between: every one that comes
-// back catches up, and what each holds in memory stays bounded. docs/design.md 3.4.
+// Applies hundreds of large configurations while members are killed and restarted. Every restarted
+// member must catch up, and the memory held by each member must stay bounded. docs/design.md 3.4.
 #include "simulator/simulated_cluster.hpp"
 
 #include <CppUTest/TestHarness.h>
@@ -7,15 +7,15 @@
 
 namespace {
 constexpr std::size_t changes = 300;
-// A fortieth of the letter's 318 KB, with all bounds a fortieth too: parsing takes most of the
-// time.
+// The specified size of 318 KB and all limits are divided by forty, because parsing takes most of
+// the time.
 constexpr std::size_t queues = 150;
 constexpr std::size_t keptBytes = 400'000;
 constexpr std::size_t snapshotBytes = 200'000;
 constexpr std::size_t unacknowledgedBytes = 25'000;
 constexpr std::uint64_t seeds = 4;
-// Beside the kept tail and the entries until the next snapshot: one that passes each of the two,
-// and those that come while a snapshot is packed and written.
+// Allowance beyond the retained log and the entries until the next snapshot: one entry that exceeds
+// each of these two limits, and the entries that arrive while a snapshot is packed and written.
 constexpr std::size_t entriesBeside = 4;
 
 std::string largeConfig(std::size_t number) {
@@ -82,7 +82,7 @@
     std::size_t away = 0;
     for (std::size_t number = 1; number <= changes; ++number) {
       const std::size_t cycle = number / 40, within = number % 40;
-      // Away for a few changes, or for so many that only a snapshot helps.
+      // The member is away for a few changes, or for so many that only a snapshot lets it catch up.
       const std::size_t back = cycle % 2 ? 15 : 39;
       if (within == 10) {
         away = std::size_t(random.between(0, std::int64_t(voters) - 1));
--- a/tests/controller/leader_clock_tests.cpp
+++ b/tests/controller/leader_clock_tests.cpp
@@ -1,4 +1,4 @@
-// The leader's cluster time. docs/design.md 3.6.
+// Tests of the leader's cluster time. docs/design.md 3.6.
 #include "controller/leader_clock.hpp"
 #include <CppUTest/TestHarness.h>
 
--- a/tests/controller/lease_manager_tests.cpp
+++ b/tests/controller/lease_manager_tests.cpp
@@ -1,4 +1,4 @@
-// When a leader takes a worker for unreachable or gone. docs/design.md 5.4, 5.7, 5.8.
+// Tests of when a leader considers a worker unreachable or removed. docs/design.md 5.4, 5.7, 5.8.
 #include "controller/lease_manager.hpp"
 #include "state/sync_report.hpp"
 #include <CppUTest/TestHarness.h>
@@ -119,8 +119,9 @@
   }
 };
 
-// docs/incidents.md 15: registered, it would remove the instance that stands there and give its
-// work away while it runs.
+// Guards against the fault in docs/incidents.md 15: a delayed report of an earlier instance was
+// registered, which removed the running instance and reassigned its tasks while they were still
+// running.
 TEST(HostReportTests, heldUpReportOfAnEarlierInstanceIsOvertaken) {
   record("second", 5000);
   CHECK(leases.isSupersededByOtherInstance(reportOf("first", 4000)));
--- a/tests/controller/log_event_tests.cpp
+++ b/tests/controller/log_event_tests.cpp
@@ -1,4 +1,4 @@
-// The names and fields of log events: operators' tools read them, so they stay as they are.
+// The names and fields of log events are read by operators' tools, so they must not change.
 #include "controller/log_event.hpp"
 #include <CppUTest/TestHarness.h>
 
--- a/tests/controller/long_poll_tests.cpp
+++ b/tests/controller/long_poll_tests.cpp
@@ -1,5 +1,5 @@
-// A waiting sync is answered in the very step in which anything gives it an answer, and never
-// before. docs/design.md 5.2, 5.8, 8.2.
+// An open sync is answered in the first step in which there is an answer for it, and never earlier.
+// docs/design.md 5.2, 5.8, 8.2.
 #include "controller/controller.hpp"
 #include <CppUTest/TestHarness.h>
 
@@ -7,8 +7,8 @@
 
 namespace {
 
-// One controller of a cluster of one, random workers and jobs; each open sync is weighed anew after
-// each step, by a walk.
+// Model of a single controller with random workers and jobs. After each step, the model determines
+// for every open sync whether it is due, by examining all of them.
 struct LongPollModel {
   struct ModelWorker {
     WorkerId id;
@@ -119,7 +119,8 @@
                                   TaskRequest{500, 64, Duration{random.between(50, 3000)}, ""})}};
     core->submitRequest(RequestNumber{++lastRequest}, std::move(request), now);
   }
-  // Whether there is an order that neither this sync nor, lately, another one of its agent has got.
+  // Reports whether there is an order that this sync has not acknowledged and that, if `withSent`
+  // is set, was not recently sent in response to another sync of the same agent.
   bool hasOrders(const OpenSync& sync, bool withSent) const {
     const auto& report = sync.report;
     OrderNumber known = report.wantsPackedResponse
@@ -156,7 +157,7 @@
     if (sync.report.wantsPackedResponse && !response.value().orders.empty())
       sent[sync.report.id] = {response.value().orders.back().number, now};
     if (sync.report.incarnation != worker.incarnation || random.chance(0.1))
-      return;  // or the answer is lost
+      return;  // the response is sometimes lost
     for (std::uint32_t closed = 0; closed < response.value().finalResultCount; ++closed)
       std::erase_if(worker.named, [&](const auto& ending) {
         return ending.runId == sync.report.runResults[closed].runId;
--- a/tests/controller/lost_answers_tests.cpp
+++ b/tests/controller/lost_answers_tests.cpp
@@ -1,5 +1,5 @@
-// Orders other than configs, sent again after their answer was lost: known by what they are.
-// docs/design.md 8.2.
+// Requests other than configuration updates that are repeated after their response was lost are
+// recognised by their content. docs/design.md 8.2.
 #include "controller_cluster.hpp"
 #include <CppUTest/TestHarness.h>
 
@@ -17,7 +17,7 @@
   return "c" + std::to_string(place);
 }
 
-// A config with one entrance, to the queue named.
+// Returns a configuration with one ingress route, which leads to the given queue.
 ApiRequest entranceTo(const std::string& queue, std::uint64_t base) {
   ClusterConfig config = ClusterConfig::parse("{\"queues\":{\"" + queue + "\":{}}}").value();
   config.ingressRoutes = {{"host", "/in/", QueueName{queue}}};
@@ -55,7 +55,7 @@
                      [&](const Member& member) { return member.id.value == away; }));
   LONGS_EQUAL(202, cluster.askLeader(replacement(away)).status);
   LONGS_EQUAL(404, cluster.askLeader(replacement("nobody")).status);
-  // Also after a change of leader.
+  // The request is also recognised after a change of leader.
   cluster.kill(cluster.leader());
   LONGS_EQUAL(202, cluster.askLeader(replacement(away)).status);
 }
@@ -72,7 +72,8 @@
   LONGS_EQUAL(202, cluster.askLeader(replacement(nameOf(cluster.leader()))).status);
 }
 
-// By an entrance no queue is named: which one it leads to may change between a call and its resend.
+// A submission through an ingress route names no queue, and the queue of the route may change
+// before the submission is repeated.
 TEST(LostAnswersTests, aJobIsTheSameAfterItsEntranceLeadsElsewhere) {
   ControllerCluster cluster(1);
   LONGS_EQUAL(200, cluster.askLeader(entranceTo("proofs", 0)).status);
@@ -91,7 +92,7 @@
   cancel.kind = RequestKind::cancelJob;
   LONGS_EQUAL(200, cluster.askLeader(cancel).status);
   LONGS_EQUAL(200, cluster.askLeader(cancel).status);
-  cluster.run(70'000);  // past the time for which it is kept whole
+  cluster.run(70'000);  // beyond the time after which a finished job is compacted
   LONGS_EQUAL(202, cluster.askLeader(submission("one")).status);
   LONGS_EQUAL(200, cluster.askLeader(cancel).status);
   LONGS_EQUAL(409, cluster.askLeader(submission("other")).status);
--- a/tests/controller/passed_over_tracker_tests.cpp
+++ b/tests/controller/passed_over_tracker_tests.cpp
@@ -1,4 +1,4 @@
-// Since when plans have passed work over.
+// Tests of the time for which plans have passed over work.
 #include "controller/passed_over_tracker.hpp"
 #include <CppUTest/TestHarness.h>
 
--- a/tests/controller/pending_job_count_tests.cpp
+++ b/tests/controller/pending_job_count_tests.cpp
@@ -1,5 +1,5 @@
-// The count of a queue's pending jobs: those that were accepted and of which no task has begun.
-// docs/platform.md 6.
+// Tests of the number of pending jobs of a queue, which are the accepted jobs without a started
+// task. docs/platform.md 6.
 #include "controller/read_views.hpp"
 #include "state/cluster_state_fixture.hpp"
 
--- a/tests/controller/request_table_tests.cpp
+++ b/tests/controller/request_table_tests.cpp
@@ -1,4 +1,4 @@
-// The table of pending requests: order, memory accounting, and which polls are visited.
+// Tests of the table of pending requests: order, memory accounting, and the polls that are visited.
 #include "controller/request_table.hpp"
 #include <CppUTest/TestHarness.h>
 
@@ -76,7 +76,7 @@
   CHECK(visitedPolls(MonotonicTime{300}).empty());
   table.markDuePolls(MonotonicTime{300});
   CHECK((visitedPolls(MonotonicTime{2000}) == std::vector<RequestSequence>{poll}));
-  table.markDuePolls(MonotonicTime{1000});  // its deadline
+  table.markDuePolls(MonotonicTime{1000});  // the deadline of the poll
   CHECK((visitedPolls(MonotonicTime{2000}) == std::vector<RequestSequence>{poll}));
 }
 
--- a/tests/controller/snapshot_writer_tests.cpp
+++ b/tests/controller/snapshot_writer_tests.cpp
@@ -1,3 +1,4 @@
+// Tests of the snapshot writer.
 #include "controller/snapshot_writer.hpp"
 
 #include <CppUTest/TestHarness.h>
@@ -5,8 +6,8 @@
 
 TEST_GROUP(SnapshotWriterTests){};
 
-// The view is the fold of just what was handed over, and a restart leaves nothing of what was
-// before.
+// A snapshot contains exactly the records that were handed over, and a restart discards the
+// previous state.
 TEST(SnapshotWriterTests, packsWhatItWasGivenAndBeginsAnew) {
   auto allowed = [](const char* id) {
     JobSubmission job;
--- a/tests/controller/urgent_demand_estimator_tests.cpp
+++ b/tests/controller/urgent_demand_estimator_tests.cpp
@@ -1,4 +1,4 @@
-// The peak of urgent demand fades by half every five seconds.
+// The peak of urgent demand halves every five seconds.
 #include "controller/urgent_demand_estimator.hpp"
 #include <CppUTest/TestHarness.h>
 
