--- a/source/controller/backlog_estimator.cpp
+++ b/source/controller/backlog_estimator.cpp
@@ -75,7 +75,7 @@
 // therefore counts no more work than its cap lets run within the horizon.
 double BacklogEstimator::estimateDelay(const JobSubmission& job, const QueueOptions& queue,
                                        const ClusterState& state, double horizon) const {
-  CoreMilliseconds before = 0;
+  CoreMilliseconds workAhead = 0;
   double ownDelay = 0;
   for (auto entry = waitingWork.lower_bound({queue.pool, TenantName{}});
        entry != waitingWork.end() && entry->first.first == queue.pool; ++entry) {
@@ -88,9 +88,9 @@
         ownDelay = work / cap;
       work = std::min(work, cap * horizon);
     }
-    before += work;
+    workAhead += work;
   }
-  return std::max(ownDelay, before / double(coresByPool.at(queue.pool)));
+  return std::max(ownDelay, workAhead / double(coresByPool.at(queue.pool)));
 }
 
 std::optional<Duration> BacklogEstimator::retryDelay(const JobSubmission& job,
@@ -102,9 +102,9 @@
   if (!coresByPool.count(queue.pool))
     return std::nullopt;
   const double target = queue.latencyTarget(job.criticalPath());
-  const double latest = rejectTargetMultiple * target;
-  const double delay = estimateDelay(job, queue, state, latest);
-  if (delay > latest) {
+  const double maxDelay = rejectTargetMultiple * target;
+  const double delay = estimateDelay(job, queue, state, maxDelay);
+  if (delay > maxDelay) {
     const auto wait = std::int64_t(delay - retryTargetMultiple * target);
     return Duration{std::clamp(wait, minRetryDelayMs, maxRetryDelayMs)};
   }
--- a/source/controller/config_service.cpp
+++ b/source/controller/config_service.cpp
@@ -14,10 +14,10 @@
 // response may have been lost.
 std::optional<ApiResponse> responseToKnownUpdate(const ConfigUpdate& update,
                                                  const ConfigHistory& history) {
-  const auto before = history.find(update);
-  switch (before.outcome) {
+  const auto previous = history.find(update);
+  switch (previous.outcome) {
     case ConfigHistory::Outcome::applied:
-      return acceptedResponse(before.version);
+      return acceptedResponse(previous.version);
     case ConfigHistory::Outcome::tooOld:
       return ApiResponse::outcomeUnknown(
           "this update is older than the stored history of updates; whether it was applied is no "
--- a/source/controller/config_service.hpp
+++ b/source/controller/config_service.hpp
@@ -7,9 +7,10 @@
 
 namespace aniseline {
 
+// Decides on a complete configuration.
 RequestDecision decideConfigUpdate(const ApiRequest& request, const ClusterState& state);
-// `parse` reads the text of a complete configuration in the format that the operators of this
-// cluster use.
+// Decides on a patch. `parse` reads the text of a complete configuration in the format that the
+// operators of this cluster use.
 RequestDecision decideConfigPatch(const ApiRequest& request, const ClusterState& state,
                                   const ConfigParser& parse);
 
--- a/source/controller/job_retention.cpp
+++ b/source/controller/job_retention.cpp
@@ -13,13 +13,13 @@
 void JobRetention::collectExpired(const ClusterState& state, ClusterTime clusterNow,
                                   JobsExpired& expired) const {
   const auto& limits = state.config().planner;
-  std::size_t kept = state.jobs().size();
+  std::size_t retained = state.jobs().size();
   for (const auto& [endedAt, id] : state.jobsByEndTime()) {
     const bool isExpired =
-        clusterNow - endedAt > limits.finishedJobRetention || kept > limits.maxRetainedJobs;
+        clusterNow - endedAt > limits.finishedJobRetention || retained > limits.maxRetainedJobs;
     if (!isExpired || expired.jobs.size() >= maxJobsPerEvent)
       break;
-    --kept;
+    --retained;
     expired.jobs.push_back(id);
   }
   for (const auto& [id, worker] : state.workers())
--- a/source/controller/membership_manager.cpp
+++ b/source/controller/membership_manager.cpp
@@ -199,14 +199,14 @@
   if (!leaderIsSettled())
     return false;
   const auto inZone = liveVotersIn(learner.zone);
-  const bool allHeard = std::all_of(members.begin(), members.end(), [&](const Member& member) {
-    return !member.voter || heardRecently(member);
-  });
+  const bool allVotersHeard =
+      std::all_of(members.begin(), members.end(),
+                  [&](const Member& member) { return !member.voter || heardRecently(member); });
   const bool zoneHasTooMany =
       std::any_of(members.begin(), members.end(), [&](const Member& member) {
         return member.voter && votersIn(member.zone) >= inZone + zoneSurplus;
       });
-  return zoneHasTooMany && allHeard;
+  return zoneHasTooMany && allVotersHeard;
 }
 
 std::optional<WantedChange> MembershipReview::promotion() const {
@@ -215,8 +215,8 @@
   const Member* learner = bestLearner();
   if (!learner)
     return std::nullopt;
-  const bool complete = voterCount == options.voterCount && deadVoterCount == 0;
-  if (complete && !improvesSpread(*learner))
+  const bool hasAllVoters = voterCount == options.voterCount && deadVoterCount == 0;
+  if (hasAllVoters && !improvesSpread(*learner))
     return std::nullopt;
   Membership promoted = members;
   Member& voter = promoted[std::size_t(learner - members.data())];
--- a/source/controller/planning_driver.cpp
+++ b/source/controller/planning_driver.cpp
@@ -44,7 +44,7 @@
 }
 
 bool PlanningDriver::isPeriodOver(const ClusterState& state, MonotonicTime now) const {
-  const Duration pause{std::int64_t(waitingAtLastPlan) / waitingUnitsPerPauseMs};
+  const Duration pause{std::int64_t(pendingUnitsAtLastPlan) / waitingUnitsPerPauseMs};
   const Duration period = periodSkipped ? pause : std::max(state.config().planner.period, pause);
   return now - lastPlanAt >= period;
 }
@@ -81,7 +81,7 @@
       planner.makePlan(state, clusterNow, leases.timesSinceLastContact(now), false, hints(now));
   demandEstimator.record(plan.urgentDemand, now);
   passedOver.record(plan.passedOver, now);
-  waitingAtLastPlan = plan.pendingUnits;
+  pendingUnitsAtLastPlan = plan.pendingUnits;
   reportOccupancy(plan, state, now);
   if (plan.changesNothing(state.reservation()))
     return std::nullopt;
--- a/source/controller/planning_driver.hpp
+++ b/source/controller/planning_driver.hpp
@@ -57,7 +57,7 @@
   MonotonicTime nextDueCheck;
   MonotonicTime nextOccupancyReport;
   // in units of the planner: single tasks, and gangs, which are placed as a whole
-  std::size_t waitingAtLastPlan = 0;
+  std::size_t pendingUnitsAtLastPlan = 0;
 };
 
 }  // namespace aniseline
--- a/source/controller/request_handlers.cpp
+++ b/source/controller/request_handlers.cpp
@@ -83,10 +83,10 @@
     request.kind = RequestKind::countPendingJobs;
   if (request.kind != RequestKind::submitJob)
     return checkOwner(request);
-  auto faults = request.job.validate();
-  if (faults.empty())
+  auto errors = request.job.validate();
+  if (errors.empty())
     return std::nullopt;
-  return ApiResponse::fromError(CoreError{CoreError::Kind::invalid, std::move(faults)});
+  return ApiResponse::fromError(CoreError{CoreError::Kind::invalid, std::move(errors)});
 }
 
 // Keys are checked against the newest configuration in the leader's log, regardless of the process
--- a/source/controller/worker_handlers.cpp
+++ b/source/controller/worker_handlers.cpp
@@ -13,17 +13,17 @@
 
 // Returns the event that carries out an operator's command for a worker, or nothing if the command
 // would change nothing.
-std::optional<Event> eventForWorkerCommand(const ApiRequest& order, const Worker& worker) {
+std::optional<Event> eventForWorkerCommand(const ApiRequest& command, const Worker& worker) {
   const WorkerState state = worker.state;
-  switch (order.kind) {
+  switch (command.kind) {
     case RequestKind::workerShutdown:
       // An unreachable worker may reconnect; it must not be used in that case either.
       if (state == WorkerState::available || state == WorkerState::unreachable)
-        return WorkerDrainStarted{worker.id, order.drainTimeout, false};
+        return WorkerDrainStarted{worker.id, command.drainTimeout, false};
       return std::nullopt;
     case RequestKind::drainWorker:
       if (state != WorkerState::drained && state != WorkerState::removed)
-        return WorkerDrainStarted{worker.id, order.drainTimeout, true};
+        return WorkerDrainStarted{worker.id, command.drainTimeout, true};
       return std::nullopt;
     case RequestKind::undrainWorker:
       if (state == WorkerState::drained || state == WorkerState::draining)
--- a/tests/controller/api_key_tests.cpp
+++ b/tests/controller/api_key_tests.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::int64_t electionMs = 3000;
 
-ApiRequest orderOf(std::uint64_t base, const std::string& tenants) {
+ApiRequest configUpdate(std::uint64_t base, const std::string& tenants) {
   ApiRequest request;
   request.kind = RequestKind::applyConfig;
   request.baseVersion = ConfigVersion{base};
@@ -47,14 +47,14 @@
   ControllerCluster cluster{3};
 
   void configure(std::uint64_t base, const char* tenants) {
-    LONGS_EQUAL(200, cluster.askLeader(orderOf(base, tenants)).status);
+    LONGS_EQUAL(200, cluster.askLeader(configUpdate(base, tenants)).status);
   }
   int statusOf(const ApiRequest& request) {
     return cluster.askLeader(request).status;
   }
 };
 
-TEST(ApiKeyTests, aRequestWithoutAKnownKeyIsRefusedAndChangesNothing) {
+TEST(ApiKeyTests, requestWithUnknownKeyIsRejectedWithoutEffect) {
   configure(0, bothTenants);
   LONGS_EQUAL(202, statusOf(submission("job1", "n1")));
   for (const char* key : {"", "n3", "N1"}) {
@@ -68,19 +68,19 @@
   CHECK(state.jobs().begin()->second.state == JobState::active);
 }
 
-TEST(ApiKeyTests, aPublicRouteAsksForNone) {
+TEST(ApiKeyTests, publicRouteRequiresNoKey) {
   configure(0, bothTenants);
   LONGS_EQUAL(202, statusOf(clientRequest(RequestKind::submitJob, "/p/job1", "")));
   LONGS_EQUAL(200, statusOf(clientRequest(RequestKind::showPhase, "/p/job1", "")));
 }
 
-TEST(ApiKeyTests, anUnknownRouteIsNotFoundWhateverTheKey) {
+TEST(ApiKeyTests, unknownRouteIsNotFoundWithAnyKey) {
   configure(0, bothTenants);
   LONGS_EQUAL(404, statusOf(clientRequest(RequestKind::showPhase, "/none/job1", "")));
   LONGS_EQUAL(404, statusOf(clientRequest(RequestKind::showPhase, "/none/job1", "n1")));
 }
 
-TEST(ApiKeyTests, aJobIsShownToItsTenantOnlyByAnyOfItsKeys) {
+TEST(ApiKeyTests, jobIsAccessibleOnlyWithKeysOfItsTenant) {
   configure(0, bothTenants);
   LONGS_EQUAL(202, statusOf(submission("job1", "n1")));
   LONGS_EQUAL(200, statusOf(clientRequest(RequestKind::showPhase, "/q/job1", "n2")));
@@ -90,7 +90,7 @@
   LONGS_EQUAL(200, statusOf(clientRequest(RequestKind::cancelJob, "/q/job1", "n2")));
 }
 
-TEST(ApiKeyTests, aJobThatWasAcceptedOutlivesItsKey) {
+TEST(ApiKeyTests, acceptedJobRemainsAfterItsKeyIsRevoked) {
   configure(0, bothTenants);
   LONGS_EQUAL(202, statusOf(submission("job1", "n1")));
   configure(1, withoutN1);
@@ -100,7 +100,7 @@
   LONGS_EQUAL(202, statusOf(submission("job1", "n2")));
 }
 
-TEST(ApiKeyTests, aRevokedKeyIsRefusedByEveryLaterLeader) {
+TEST(ApiKeyTests, revokedKeyIsRejectedByEveryLaterLeader) {
   configure(0, bothTenants);
   configure(1, withoutN1);
   for (int change = 0; change < 3; ++change) {
@@ -115,50 +115,50 @@
 }
 
 // The partitioned controller still has the older configuration and believes that it is the leader.
-TEST(ApiKeyTests, aLeaderThatIsCutOffAcceptsNothingByTheOlderConfiguration) {
+TEST(ApiKeyTests, partitionedLeaderAcceptsNothingByOlderConfiguration) {
   configure(0, bothTenants);
-  const std::size_t old = cluster.leader();
-  cluster.setPartitioned(old, true);
-  const RequestNumber early = cluster.submit(old, submission("early", "n1"));
+  const std::size_t oldLeader = cluster.leader();
+  cluster.setPartitioned(oldLeader, true);
+  const RequestNumber early = cluster.submit(oldLeader, submission("early", "n1"));
   cluster.run(electionMs);
   configure(1, withoutN1);
-  const RequestNumber late = cluster.submit(old, submission("late", "n1"));
+  const RequestNumber late = cluster.submit(oldLeader, submission("late", "n1"));
   cluster.run(electionMs);
   for (const auto number : {early, late}) {
-    const auto answer = cluster.response(number);
-    CHECK(!answer || answer->status != 202);
+    const auto apiResponse = cluster.response(number);
+    CHECK(!apiResponse || apiResponse->status != 202);
   }
-  cluster.setPartitioned(old, false);
+  cluster.setPartitioned(oldLeader, false);
   cluster.run(electionMs);
   LONGS_EQUAL(0, cluster.controller(cluster.leader()).committed().jobs().count(JobId{"late"}));
   LONGS_EQUAL(401, statusOf(submission("again", "n1")));
 }
 
 // A rejection must not be based on a configuration that may never be committed.
-TEST(ApiKeyTests, aKeyIsNotRefusedByAConfigurationThatIsNotCommitted) {
+TEST(ApiKeyTests, uncommittedConfigurationDoesNotRejectKey) {
   configure(0, bothTenants);
-  const std::size_t old = cluster.leader();
-  cluster.setPartitioned(old, true);
-  const RequestNumber order = cluster.submit(old, orderOf(1, withoutN1));
-  const RequestNumber use = cluster.submit(old, submission("job", "n1"));
+  const std::size_t oldLeader = cluster.leader();
+  cluster.setPartitioned(oldLeader, true);
+  const RequestNumber updateNumber = cluster.submit(oldLeader, configUpdate(1, withoutN1));
+  const RequestNumber submissionNumber = cluster.submit(oldLeader, submission("job", "n1"));
   cluster.run(electionMs);
-  const auto answer = cluster.response(use);
-  CHECK(!answer || answer->status != 401);
-  const auto orderAnswer = cluster.response(order);
-  CHECK(!orderAnswer || orderAnswer->status != 200);
-  cluster.setPartitioned(old, false);
+  const auto apiResponse = cluster.response(submissionNumber);
+  CHECK(!apiResponse || apiResponse->status != 401);
+  const auto updateResponse = cluster.response(updateNumber);
+  CHECK(!updateResponse || updateResponse->status != 200);
+  cluster.setPartitioned(oldLeader, false);
   cluster.run(electionMs);
   LONGS_EQUAL(202, statusOf(submission("job", "n1")));
 }
 
-TEST(ApiKeyTests, keysAndTenantsOutliveTheKillOfAllControllers) {
+TEST(ApiKeyTests, keysAndTenantsSurviveRestartOfAllControllers) {
   configure(0, bothTenants);
   LONGS_EQUAL(202, statusOf(submission("job1", "n1")));
   configure(1, withoutN1);
-  for (std::size_t place = 0; place < cluster.size(); ++place)
-    cluster.kill(place);
-  for (std::size_t place = 0; place < cluster.size(); ++place)
-    cluster.start(place);
+  for (std::size_t index = 0; index < cluster.size(); ++index)
+    cluster.kill(index);
+  for (std::size_t index = 0; index < cluster.size(); ++index)
+    cluster.start(index);
   cluster.run(electionMs);
   LONGS_EQUAL(401, statusOf(submission("job2", "n1")));
   LONGS_EQUAL(200, statusOf(clientRequest(RequestKind::showPhase, "/q/job1", "n2")));
@@ -166,25 +166,29 @@
 }
 
 // The number of changes is large enough that the state is carried by snapshots.
-TEST(ApiKeyTests, keysAndTenantsOutliveSnapshots) {
+TEST(ApiKeyTests, keysAndTenantsSurviveSnapshots) {
   ControllerOptions options;
   options.maxRecordsBetweenSnapshots = 8;
-  ControllerCluster small(3, 0, options);
-  LONGS_EQUAL(200, small.askLeader(orderOf(0, bothTenants)).status);
-  LONGS_EQUAL(202, small.askLeader(submission("job1", "n1")).status);
+  ControllerCluster snapshottingCluster(3, 0, options);
+  LONGS_EQUAL(200, snapshottingCluster.askLeader(configUpdate(0, bothTenants)).status);
+  LONGS_EQUAL(202, snapshottingCluster.askLeader(submission("job1", "n1")).status);
   for (std::uint64_t base = 1; base < 30; ++base)
-    LONGS_EQUAL(200, small.askLeader(orderOf(base, base % 2 ? withoutN1 : bothTenants)).status);
-  LONGS_EQUAL(200, small.askLeader(orderOf(30, withoutN1)).status);
-  for (std::size_t place = 0; place < small.size(); ++place) {
-    small.kill(place);
-    small.start(place);
+    LONGS_EQUAL(
+        200, snapshottingCluster.askLeader(configUpdate(base, base % 2 ? withoutN1 : bothTenants))
+                 .status);
+  LONGS_EQUAL(200, snapshottingCluster.askLeader(configUpdate(30, withoutN1)).status);
+  for (std::size_t index = 0; index < snapshottingCluster.size(); ++index) {
+    snapshottingCluster.kill(index);
+    snapshottingCluster.start(index);
   }
-  small.run(electionMs);
-  LONGS_EQUAL(401, small.askLeader(submission("job2", "n1")).status);
-  LONGS_EQUAL(200, small.askLeader(clientRequest(RequestKind::showPhase, "/q/job1", "n2")).status);
+  snapshottingCluster.run(electionMs);
+  LONGS_EQUAL(401, snapshottingCluster.askLeader(submission("job2", "n1")).status);
+  LONGS_EQUAL(
+      200,
+      snapshottingCluster.askLeader(clientRequest(RequestKind::showPhase, "/q/job1", "n2")).status);
 }
 
-TEST(ApiKeyTests, aSubmissionByTheProductsOwnInterfaceNeedsAKeyToo) {
+TEST(ApiKeyTests, nativeApiSubmissionRequiresKey) {
   configure(0, bothTenants);
   ApiRequest request = submission("job1", "");
   request.host = request.path = "";
@@ -198,7 +202,7 @@
 }
 
 // A gateway forwards what the client sent; only the leader determines the tenant of a job.
-TEST(ApiKeyTests, aTenantIsNeverTakenFromTheRequest) {
+TEST(ApiKeyTests, tenantIsNeverTakenFromRequest) {
   configure(0, bothTenants);
   ApiRequest request = submission("job1", "s1");
   request.job.tenant = TenantName{"north"};
@@ -207,7 +211,7 @@
   STRCMP_EQUAL("south", jobs.at(JobId{"job1"}).submission.tenant.value.c_str());
 }
 
-TEST(ApiKeyTests, refusalsAreReportedOnceASecondWithoutTheKey) {
+TEST(ApiKeyTests, rejectionsAreLoggedOncePerSecondWithoutKey) {
   configure(0, bothTenants);
   std::vector<RenderedLogEvent> reports;
   cluster.controller(cluster.leader()).logEvent.connect([&](const LogEvent& event) {
--- a/tests/controller/backlog_estimator_tests.cpp
+++ b/tests/controller/backlog_estimator_tests.cpp
@@ -38,7 +38,7 @@
     for (std::size_t index = 0; index < floodJobs; ++index)
       fixture.apply(JobAccepted{jobOf(tenant + std::to_string(index), tenant)});
   }
-  bool isTurnedAway(const std::string& tenant) {
+  bool isRejected(const std::string& tenant) {
     const JobSubmission job = jobOf("new", tenant);
     const ClusterState& state = fixture.clusterState;
     return estimator.retryDelay(job, *state.config().findQueue(job.queue), state, MonotonicTime{0})
@@ -46,28 +46,28 @@
   }
 };
 
-TEST(BacklogEstimatorTests, aFloodThatACapHoldsBackTurnsItsOwnJobsAway) {
+TEST(BacklogEstimatorTests, cappedFloodDelaysJobsOfSameTenant) {
   flood("capped");
-  CHECK(isTurnedAway("capped"));
+  CHECK(isRejected("capped"));
 }
 
-TEST(BacklogEstimatorTests, aFloodThatACapHoldsBackTurnsNobodyElseAway) {
+TEST(BacklogEstimatorTests, cappedFloodDoesNotDelayOtherTenants) {
   flood("capped");
-  CHECK_FALSE(isTurnedAway("other"));
-  CHECK_FALSE(isTurnedAway("free"));
-  CHECK_FALSE(isTurnedAway(""));
+  CHECK_FALSE(isRejected("other"));
+  CHECK_FALSE(isRejected("free"));
+  CHECK_FALSE(isRejected(""));
 }
 
-TEST(BacklogEstimatorTests, aFloodThatNoCapHoldsBackTurnsAllAway) {
+TEST(BacklogEstimatorTests, uncappedFloodDelaysAllTenants) {
   flood("free");
-  CHECK(isTurnedAway("free"));
-  CHECK(isTurnedAway("other"));
-  CHECK(isTurnedAway(""));
+  CHECK(isRejected("free"));
+  CHECK(isRejected("other"));
+  CHECK(isRejected(""));
 }
 
 // The cap of this tenant is half of the cores for as long as a job may wait.
-TEST(BacklogEstimatorTests, aCappedFloodCountsAsMuchAsItsCapLetsRun) {
+TEST(BacklogEstimatorTests, cappedFloodCountsUpToItsCap) {
   flood("other");
-  CHECK(isTurnedAway("other"));
-  CHECK_FALSE(isTurnedAway("free"));
+  CHECK(isRejected("other"));
+  CHECK_FALSE(isRejected("free"));
 }
--- a/tests/controller/controller_cluster.hpp
+++ b/tests/controller/controller_cluster.hpp
@@ -10,48 +10,50 @@
  public:
   // Creates a cluster with this number of voters, followed by this number of learners.
   explicit ControllerCluster(std::size_t voters, std::size_t learners = 0,
-                             ControllerOptions given = {})
-      : options(given) {
+                             ControllerOptions initialOptions = {})
+      : options(initialOptions) {
     options.voterCount = voters;
     Membership members;
-    for (std::size_t place = 0; place < voters + learners; ++place)
-      members.push_back(memberAt(place, place < voters));
-    WriteAheadRecord founding;
-    founding.version = DiskVersion{1};
-    founding.holdsSnapshot = true;
-    founding.term = Term{1};
-    founding.snapshot = Snapshot{LogIndex{1}, Term{1}, members, pack(ClusterState{})};
-    founding.firstIndex = LogIndex{2};
+    for (std::size_t index = 0; index < voters + learners; ++index)
+      members.push_back(memberAt(index, index < voters));
+    WriteAheadRecord initialRecord;
+    initialRecord.version = DiskVersion{1};
+    initialRecord.holdsSnapshot = true;
+    initialRecord.term = Term{1};
+    initialRecord.snapshot = Snapshot{LogIndex{1}, Term{1}, members, pack(ClusterState{})};
+    initialRecord.firstIndex = LogIndex{2};
     nodes.resize(members.size());
-    for (std::size_t place = 0; place < nodes.size(); ++place) {
-      nodes[place].disk = {founding};
-      start(place);
+    for (std::size_t index = 0; index < nodes.size(); ++index) {
+      nodes[index].disk = {initialRecord};
+      start(index);
     }
     run(3000);
   }
 
   std::size_t size() const { return nodes.size(); }
-  Controller& controller(std::size_t place) { return *nodes[place].core; }
+  Controller& controller(std::size_t index) { return *nodes[index].core; }
   // Returns the index of the serving leader; if there are several, the one with the latest term.
   // Returns size() if there is none.
   std::size_t leader() const {
     std::size_t found = nodes.size();
-    for (std::size_t place = 0; place < nodes.size(); ++place) {
-      const auto& core = nodes[place].core;
+    for (std::size_t index = 0; index < nodes.size(); ++index) {
+      const auto& core = nodes[index].core;
       if (core && core->raftNode().canServe() &&
           (found == nodes.size() || core->raftNode().term() > nodes[found].core->raftNode().term()))
-        found = place;
+        found = index;
     }
     return found;
   }
-  void start(std::size_t place) {
-    Node& node = nodes[place];
+  void start(std::size_t index) {
+    Node& node = nodes[index];
     node.writer = SnapshotWriter{};
-    node.core = std::make_unique<Controller>(memberAt(place, false), options, place + 1, node.disk,
+    node.core = std::make_unique<Controller>(memberAt(index, false), options, index + 1, node.disk,
                                              MonotonicTime{now});
   }
-  void kill(std::size_t place) { nodes[place].core.reset(); }
-  void setPartitioned(std::size_t place, bool isCut) { nodes[place].partitioned = isCut; }
+  void kill(std::size_t index) { nodes[index].core.reset(); }
+  void setPartitioned(std::size_t index, bool isPartitioned) {
+    nodes[index].partitioned = isPartitioned;
+  }
 
   void run(std::int64_t span) {
     for (const std::int64_t end = now + span; now < end; now += 10)
@@ -59,9 +61,9 @@
         if (node.core)
           step(node);
   }
-  RequestNumber submit(std::size_t place, const ApiRequest& request) {
+  RequestNumber submit(std::size_t index, const ApiRequest& request) {
     const RequestNumber number{++lastRequest};
-    controller(place).submitRequest(number, request, MonotonicTime{now});
+    controller(index).submitRequest(number, request, MonotonicTime{now});
     return number;
   }
   // Returns nothing while there is no response yet.
@@ -71,10 +73,10 @@
   }
   // Submits a request to the leader and waits for its response.
   ApiResponse askLeader(const ApiRequest& request) {
-    for (int tries = 0; leader() == nodes.size() && tries < 100; ++tries)
+    for (int attempts = 0; leader() == nodes.size() && attempts < 100; ++attempts)
       run(100);
     const RequestNumber number = submit(leader(), request);
-    for (int tries = 0; !responses.count(number) && tries < 500; ++tries)
+    for (int attempts = 0; !responses.count(number) && attempts < 500; ++attempts)
       run(10);
     return responses.at(number);
   }
@@ -86,8 +88,8 @@
     SnapshotWriter writer;
     bool partitioned = false;
   };
-  static Member memberAt(std::size_t place, bool voter) {
-    const std::string name = "c" + std::to_string(place);
+  static Member memberAt(std::size_t index, bool voter) {
+    const std::string name = "c" + std::to_string(index);
     return Member{ControllerId{name}, Address{name + ":1"}, ZoneName{name}, voter};
   }
   void step(Node& node) {
@@ -101,12 +103,12 @@
       core.onRecordSynced(version, MonotonicTime{now});
     }
     if (auto work = core.takeSnapshotWork(); !work.empty())
-      if (auto view = node.writer.process(work))
-        core.onSnapshotPacked(std::move(*view));
+      if (auto packedSnapshot = node.writer.process(work))
+        core.onSnapshotPacked(std::move(*packedSnapshot));
     for (const auto& message : core.takeMessages())
       deliver(node, message);
-    for (auto& [number, given] : core.takeResponses())
-      responses[number] = std::move(given);
+    for (auto& [number, apiResponse] : core.takeResponses())
+      responses[number] = std::move(apiResponse);
   }
   void deliver(const Node& from, const PeerMessage& message) {
     for (auto& to : nodes)
--- a/tests/controller/controller_tests.cpp
+++ b/tests/controller/controller_tests.cpp
@@ -8,7 +8,7 @@
 
 // A snapshot with a correct checksum whose content this version can't decode must not be treated as
 // an empty state.
-TEST(ControllerTests, anUnreadableViewStopsIt) {
+TEST(ControllerTests, unreadableSnapshotStopsController) {
   WriteAheadRecord record;
   record.version = DiskVersion{1};
   record.holdsSnapshot = true;
@@ -25,15 +25,15 @@
     controller.step(MonotonicTime{now}, WallTime{now});
   CHECK(!controller.raftNode().isLeader());
   record.snapshot.state = pack(ClusterState{});
-  Controller sound(Member{ControllerId{"r"}, Address{"a:1"}, ZoneName{"x"}, false}, {}, 1, {record},
-                   MonotonicTime{0});
-  CHECK(!sound.hasUnreadableState());
+  Controller readable(Member{ControllerId{"r"}, Address{"a:1"}, ZoneName{"x"}, false}, {}, 1,
+                      {record}, MonotonicTime{0});
+  CHECK(!readable.hasUnreadableState());
 }
 
 // While nothing can be committed, requests of hundreds of KB are accepted only up to a limit in
 // bytes. Those beyond the limit are answered as not applied, so they can be repeated.
 // docs/design.md 3.4.
-TEST(ControllerTests, whatIsUnderWayIsBoundedInBytes) {
+TEST(ControllerTests, pendingRequestsAreLimitedInBytes) {
   constexpr std::size_t configBytes = 318'000;
   WriteAheadRecord record;
   record.version = DiskVersion{1};
@@ -50,29 +50,29 @@
       controller.onRecordSynced(write->version, MonotonicTime{now});
   }
   CHECK(controller.raftNode().canServe());
-  std::size_t notTaken = 0;
-  constexpr std::size_t orders = 600;
-  for (std::size_t count = 0; count < orders; ++count, ++now) {
+  std::size_t rejectedCount = 0;
+  constexpr std::size_t updateCount = 600;
+  for (std::size_t count = 0; count < updateCount; ++count, ++now) {
     ClusterConfig config;
     config.text = std::string(configBytes, 'c') + std::to_string(count);
     ApiRequest request;
     request.kind = RequestKind::applyConfig;
-    request.baseVersion = ConfigVersion{count - notTaken};
+    request.baseVersion = ConfigVersion{count - rejectedCount};
     request.packedConfig = pack(config);
     controller.submitRequest(RequestNumber{count + 1}, std::move(request), MonotonicTime{now});
     controller.step(MonotonicTime{now}, WallTime{now});  // no write completes
-    for (const auto& [number, answer] : controller.takeResponses()) {
-      LONGS_EQUAL(503, answer.status);
-      ++notTaken;
+    for (const auto& [number, response] : controller.takeResponses()) {
+      LONGS_EQUAL(503, response.status);
+      ++rejectedCount;
     }
   }
-  CHECK_COMPARE((orders - notTaken) * configBytes, <=, std::size_t(17'000'000));
-  CHECK_COMPARE(notTaken, <, orders - 20);
+  CHECK_COMPARE((updateCount - rejectedCount) * configBytes, <=, std::size_t(17'000'000));
+  CHECK_COMPARE(rejectedCount, <, updateCount - 20);
   for (; now < 20'000; now += 10) {
     controller.step(MonotonicTime{now}, WallTime{now});
     while (auto write = controller.takeWrite())
       controller.onRecordSynced(write->version, MonotonicTime{now});
   }
-  LONGS_EQUAL(orders - notTaken, controller.committed().config().version.value);
+  LONGS_EQUAL(updateCount - rejectedCount, controller.committed().config().version.value);
   LONGS_EQUAL(0, controller.pendingBytes());
 }
--- a/tests/controller/job_latency_tracker_tests.cpp
+++ b/tests/controller/job_latency_tracker_tests.cpp
@@ -11,7 +11,7 @@
     R"({"planner":{"trials":false},"pools":{"press":{}},
       "queues":{"q":{"pool":"press","tries":3,"extend":1,"target_ms":500},"free":{"pool":"press","tries":3}}})";
 
-StepRequest after(StepRequest step, const std::string& earlier) {
+StepRequest dependingOn(StepRequest step, const std::string& earlier) {
   step.dependencies = {earlier};
   return step;
 }
@@ -31,7 +31,7 @@
     });
     cluster.registerWorker("a");
   }
-  void end(const std::string& job, AttemptOutcome outcome, std::int64_t afterMs) {
+  void endRun(const std::string& job, AttemptOutcome outcome, std::int64_t afterMs) {
     cluster.now += afterMs;
     const Event event = WorkerSynced{WorkerId{"a"}, {}, {{cluster.attempt(job), outcome}}};
     tracker.recordResults(cluster.clusterState, event, ClusterTime{cluster.now});
@@ -43,11 +43,11 @@
   }
 };
 
-TEST(JobLatencyTrackerTests, waitAndRunOfALateJobAreTold) {
+TEST(JobLatencyTrackerTests, lateJobReportContainsWaitAndRunTime) {
   cluster.submit("late", {shortStep()});
   cluster.now += 700;
   cluster.planAndRun();
-  end("late", AttemptOutcome::succeeded, 1100);
+  endRun("late", AttemptOutcome::succeeded, 1100);
   LONGS_EQUAL(1, reports.size());
   STRCMP_EQUAL("late", reports[0].job.value.c_str());
   LONGS_EQUAL(1500, reports[0].target.milliseconds);
@@ -58,21 +58,21 @@
   LONGS_EQUAL(1000, reports[0].chain[0].requested.milliseconds);
 }
 
-TEST(JobLatencyTrackerTests, nothingIsToldOfAJobInTimeOrWithoutTarget) {
+TEST(JobLatencyTrackerTests, noReportForTimelyJobOrWithoutTarget) {
   cluster.submit("timely", {shortStep()});
   cluster.submit("free", {shortStep()}, "free");
   cluster.planAndRun();
-  end("timely", AttemptOutcome::succeeded, 1400);
-  end("free", AttemptOutcome::succeeded, 9000);
+  endRun("timely", AttemptOutcome::succeeded, 1400);
+  endRun("free", AttemptOutcome::succeeded, 9000);
   LONGS_EQUAL(0, reports.size());
 }
 
 TEST(JobLatencyTrackerTests, aFailedRunIsPartOfTheChain) {
   cluster.submit("late", {shortStep()});
   cluster.planAndRun();
-  end("late", AttemptOutcome::failed, 900);
+  endRun("late", AttemptOutcome::failed, 900);
   cluster.planAndRun();
-  end("late", AttemptOutcome::succeeded, 1000);
+  endRun("late", AttemptOutcome::succeeded, 1000);
   LONGS_EQUAL(1, reports.size());
   LONGS_EQUAL(2, reports[0].chain.size());
   CHECK(reports[0].chain[0].outcome == AttemptOutcome::failed);
@@ -81,7 +81,7 @@
 }
 
 // A redundant copy that ends later must not be reported as a second end of the job.
-TEST(JobLatencyTrackerTests, aLateJobIsToldOnce) {
+TEST(JobLatencyTrackerTests, lateJobIsReportedOnce) {
   StepRequest redundant = shortStep();
   redundant.requirements.redundant = true;
   cluster.registerWorker("b");
@@ -91,7 +91,7 @@
   cluster.planAndRun();  // starts a copy because the first run is overdue
   const AttemptNumber copy = cluster.task("late").redundantAttempt;
   CHECK(copy.value > 0);
-  end("late", AttemptOutcome::succeeded, 1);
+  endRun("late", AttemptOutcome::succeeded, 1);
   LONGS_EQUAL(1, reports.size());
   const Event event = WorkerSynced{WorkerId{"b"}, {}, {{copy, AttemptOutcome::stopped}}};
   tracker.recordResults(cluster.clusterState, event, ClusterTime{cluster.now});
@@ -100,10 +100,10 @@
   LONGS_EQUAL(1, reports.size());
 }
 
-TEST(JobLatencyTrackerTests, theChainLeadsThroughTheStepsThatWereWaitedFor) {
-  cluster.submit("late", {shortStep(), after(shortStep(), "0")});
+TEST(JobLatencyTrackerTests, chainContainsRunsOfDependencies) {
+  cluster.submit("late", {shortStep(), dependingOn(shortStep(), "0")});
   cluster.planAndRun();
-  end("late", AttemptOutcome::succeeded, 1500);
+  endRun("late", AttemptOutcome::succeeded, 1500);
   cluster.planAndRun();
   const AttemptNumber second = cluster.attempt("late", 1);
   cluster.now += 1500;
--- a/tests/controller/leader_clock_tests.cpp
+++ b/tests/controller/leader_clock_tests.cpp
@@ -8,13 +8,13 @@
   LeaderClock clock;
 };
 
-TEST(LeaderClockTests, goesOnFromTheLastRecordByTheMonotonicClock) {
+TEST(LeaderClockTests, continuesFromLastRecordByMonotonicClock) {
   clock.restart(ClusterTime{500'000}, MonotonicTime{1000});
   LONGS_EQUAL(500'000, clock.at(MonotonicTime{1000}).milliseconds);
   LONGS_EQUAL(500'250, clock.at(MonotonicTime{1250}).milliseconds);
 }
 
-TEST(LeaderClockTests, movesAheadToTheAgreedTimeAndNeverBack) {
+TEST(LeaderClockTests, advancesToAgreedTimeAndNeverBack) {
   clock.restart(ClusterTime{500'000}, MonotonicTime{1000});
   clock.advanceTo(WallTime{400'000}, MonotonicTime{1000});
   LONGS_EQUAL(500'000, clock.at(MonotonicTime{1000}).milliseconds);
--- a/tests/controller/lease_manager_tests.cpp
+++ b/tests/controller/lease_manager_tests.cpp
@@ -34,7 +34,7 @@
   }
 };
 
-TEST(LeaseManagerTests, aWorkerIsUnreachableOnceLeaseAndMarginAreOver) {
+TEST(LeaseManagerTests, workerIsUnreachableAfterLeaseAndMargin) {
   leases.recordReport(reportAt(1), MonotonicTime{2000});
   const MonotonicTime lastMoment = MonotonicTime{2000} + expiry;
   CHECK(expireAt(lastMoment).empty());
@@ -43,17 +43,17 @@
   CHECK(boost::get<WorkerUnreachable>(&events.front()) != nullptr);
 }
 
-TEST(LeaseManagerTests, aWorkerNotHeardInThisLeadershipCountsFromItsBeginning) {
+TEST(LeaseManagerTests, leaseOfUnheardWorkerCountsFromStartOfLeadership) {
   CHECK(expireAt(MonotonicTime{1000} + expiry).empty());
   LONGS_EQUAL(1, expireAt(MonotonicTime{1001} + expiry).size());
 }
 
-TEST(LeaseManagerTests, aWorkerKnownAsUnreachableIsNotReportedAgain) {
+TEST(LeaseManagerTests, unreachableWorkerIsReportedOnce) {
   apply(WorkerUnreachable{worker, {}});
   CHECK(expireAt(MonotonicTime{60'000}).empty());
 }
 
-TEST(LeaseManagerTests, anUnresponsiveWorkerIsUnreachableWhenItsOwnHoldIsOver) {
+TEST(LeaseManagerTests, unresponsiveWorkerIsUnreachableAfterItsRemainingLease) {
   leases.recordReport(reportAt(1), MonotonicTime{2000});
   leases.recordReport(reportAt(2, true), MonotonicTime{2100});
   const MonotonicTime noTasksAfter = MonotonicTime{2600} + options.unresponsiveMargin;
@@ -62,28 +62,28 @@
   LONGS_EQUAL(60'000, leases.timesSinceLastContact(MonotonicTime{2200}).at(worker).milliseconds);
 }
 
-TEST(LeaseManagerTests, anOvertakenReportChangesNothing) {
+TEST(LeaseManagerTests, outOfOrderReportIsIgnored) {
   leases.recordReport(reportAt(5), MonotonicTime{2000});
   const auto effect = leases.recordReport(reportAt(4, true), MonotonicTime{2100});
   CHECK(effect.outOfOrder);
   LONGS_EQUAL(100, leases.timesSinceLastContact(MonotonicTime{2100}).at(worker).milliseconds);
 }
 
-TEST(LeaseManagerTests, aWorkerThatAnswersAgainIsResponsive) {
+TEST(LeaseManagerTests, workerBecomesResponsiveAgain) {
   leases.recordReport(reportAt(1, true), MonotonicTime{2000});
   const auto effect = leases.recordReport(reportAt(2), MonotonicTime{2100});
   CHECK(effect.becameResponsive);
   CHECK(!leases.recordReport(reportAt(3), MonotonicTime{2200}).becameResponsive);
 }
 
-TEST(LeaseManagerTests, aDrainingWorkerWithoutTasksIsGoneOnceItIsUnheard) {
+TEST(LeaseManagerTests, idleDrainingWorkerIsRemovedAfterItsLease) {
   apply(WorkerDrainStarted{worker, Duration{100'000}, false});
   const auto events = expireAt(MonotonicTime{1001} + expiry);
   LONGS_EQUAL(1, events.size());
   CHECK(boost::get<WorkerRemoved>(&events.front()) != nullptr);
 }
 
-TEST(LeaseManagerTests, aDrainDeadlineThatPassedIsReportedOnce) {
+TEST(LeaseManagerTests, passedDrainDeadlineIsReportedOnce) {
   apply(WorkerDrainStarted{worker, Duration{100}, false});
   CHECK(expireAt(MonotonicTime{1100}, ClusterTime{100}).empty());
   const auto events = expireAt(MonotonicTime{1101}, ClusterTime{101});
@@ -122,33 +122,33 @@
 // Guards against the fault in docs/incidents.md 15: a delayed report of an earlier instance was
 // registered, which removed the running instance and reassigned its tasks while they were still
 // running.
-TEST(HostReportTests, heldUpReportOfAnEarlierInstanceIsOvertaken) {
+TEST(HostReportTests, delayedReportOfEarlierInstanceIsSuperseded) {
   record("second", 5000);
   CHECK(leases.isSupersededByOtherInstance(reportOf("first", 4000)));
 }
 
-TEST(HostReportTests, laterInstanceIsNot) {
+TEST(HostReportTests, laterInstanceIsNotSuperseded) {
   record("first", 4000);
   CHECK(!leases.isSupersededByOtherInstance(reportOf("second", 5000)));
 }
 
-TEST(HostReportTests, reportsOfOneInstanceDoNotOvertakeEachOtherSo) {
+TEST(HostReportTests, reportsOfSameInstanceDoNotSupersedeEachOther) {
   record("first", 5000);
   CHECK(!leases.isSupersededByOtherInstance(reportOf("first", 4000)));
 }
 
-TEST(HostReportTests, otherHostsAreJudgedByTheirOwnClocks) {
+TEST(HostReportTests, timestampsOfDifferentHostsAreNotCompared) {
   record("second", 5000);
   CHECK(!leases.isSupersededByOtherInstance(reportOf("first", 4000, "elsewhere")));
   CHECK(!leases.isSupersededByOtherInstance(reportOf("first", 4000, "")));
 }
 
-TEST(HostReportTests, clockThatBeganAnewOvertakesNothing) {
+TEST(HostReportTests, reportAfterClockResetIsNotSuperseded) {
   record("second", 500'000);
   CHECK(!leases.isSupersededByOtherInstance(reportOf("third", 100)));
 }
 
-TEST(HostReportTests, newLeadershipKnowsNoReports) {
+TEST(HostReportTests, newLeadershipForgetsReports) {
   record("second", 5000);
   leases.restart(MonotonicTime{9000});
   CHECK(!leases.isSupersededByOtherInstance(reportOf("first", 4000)));
--- a/tests/controller/log_event_tests.cpp
+++ b/tests/controller/log_event_tests.cpp
@@ -50,7 +50,7 @@
              log_events::MembershipChangeRefused{MembershipChangeCause::removed, member, refusal});
 }
 
-TEST(LogEventTests, aDelayedTask) {
+TEST(LogEventTests, delayedTask) {
   log_events::TaskDelayed delayed{JobId{"j"}, 1, 2, 3, TaskState::pending, {}, {}};
   expectLine(R"(work waits long {"job":"j","run":3,"state":"waiting","step":1,"within":2})",
              delayed);
--- a/tests/controller/long_poll_tests.cpp
+++ b/tests/controller/long_poll_tests.cpp
@@ -16,22 +16,23 @@
     bool packed = false, seen = false;
     OrderNumber received, applied;
     std::vector<Order> running;
-    std::vector<TaskRunResult> named;
-    std::vector<AttemptResult> endings;
+    std::vector<TaskRunResult> endedRuns;
+    std::vector<AttemptResult> endedAttempts;
   };
   struct OpenSync {
     SyncReport report;
     std::size_t worker = 0;
-    MonotonicTime at, until;
+    MonotonicTime at, pollUntil;
   };
   Random random;
   std::unique_ptr<Controller> core;
   std::vector<ModelWorker> workers;
-  std::map<RequestNumber, OpenSync> open;
-  std::map<WorkerId, std::pair<OrderNumber, MonotonicTime>> sent;
+  std::map<RequestNumber, OpenSync> openSyncs;
+  std::map<WorkerId, std::pair<OrderNumber, MonotonicTime>> sentOrders;
   MonotonicTime now{0};
   std::uint64_t lastRequest = 0, jobs = 0, incarnations = 1;
-  std::uint64_t withOrders = 0, inTime = 0, gone = 0, replaced = 0, heldBack = 0;
+  std::uint64_t withOrders = 0, withoutOrders = 0, replacedIncarnations = 0, replacedPolls = 0,
+                withheldOrders = 0;
 
   explicit LongPollModel(std::uint64_t seed) : random(seed) {
     const Member self{ControllerId{"r"}, Address{"r:1"}, ZoneName{"x"}, true};
@@ -72,35 +73,35 @@
     report.wantsPackedResponse = worker.packed;
     report.lastReceivedOrder = worker.packed ? worker.received : OrderNumber{};
     report.longPollTimeout = Duration{random.chance(0.6) ? random.between(50, 1500) : 0};
-    report.runResults = worker.named;
-    report.results = worker.endings;
+    report.runResults = worker.endedRuns;
+    report.results = worker.endedAttempts;
     report.unresponsive = worker.packed && random.chance(0.03);
     return request;
   }
   void sync(std::size_t workerIndex) {
     ModelWorker& worker = workers[workerIndex];
-    if (std::count_if(open.begin(), open.end(),
+    if (std::count_if(openSyncs.begin(), openSyncs.end(),
                       [&](const auto& other) { return other.second.worker == workerIndex; }) >= 3)
       return;
     ApiRequest request = syncOf(workerIndex);
     const SyncReport& report = request.report;
-    const bool prompt = !worker.seen || !report.results.empty() || !report.runResults.empty();
+    const bool answerAtOnce = !worker.seen || !report.results.empty() || !report.runResults.empty();
     worker.seen = true;
-    const MonotonicTime taken = now + Duration{5};  // the next step
+    const MonotonicTime handledAt = now + Duration{5};  // the next step
     if (!report.wantsPackedResponse || report.longPollTimeout.milliseconds)
-      for (auto& [number, other] : open)
+      for (auto& [number, other] : openSyncs)
         if (other.worker == workerIndex) {
-          replaced += other.until > taken;
-          other.until = std::min(other.until, taken);
+          replacedPolls += other.pollUntil > handledAt;
+          other.pollUntil = std::min(other.pollUntil, handledAt);
         }
     const RequestNumber number{++lastRequest};
-    open.emplace(
-        number,
-        OpenSync{report, workerIndex, taken,
-                 prompt ? taken : taken + std::min(report.longPollTimeout, Duration{1000})});
+    openSyncs.emplace(number, OpenSync{report, workerIndex, handledAt,
+                                       answerAtOnce ? handledAt
+                                                    : handledAt + std::min(report.longPollTimeout,
+                                                                           Duration{1000})});
     core->submitRequest(number, std::move(request), now);
   }
-  void ask(RequestKind kind, const std::string& id) {
+  void sendRequest(RequestKind kind, const std::string& id) {
     ApiRequest request;
     request.kind = kind;
     request.targetId = id;
@@ -119,16 +120,16 @@
                                   TaskRequest{500, 64, Duration{random.between(50, 3000)}, ""})}};
     core->submitRequest(RequestNumber{++lastRequest}, std::move(request), now);
   }
-  // Reports whether there is an order that this sync has not acknowledged and that, if `withSent`
-  // is set, was not recently sent in response to another sync of the same agent.
-  bool hasOrders(const OpenSync& sync, bool withSent) const {
+  // Reports whether there is an order that this sync has not acknowledged and that, if
+  // `countSentAsKnown` is set, was not recently sent in response to another sync of the same agent.
+  bool hasOrders(const OpenSync& sync, bool countSentAsKnown) const {
     const auto& report = sync.report;
     OrderNumber known = report.wantsPackedResponse
                             ? std::max(report.lastAppliedOrder, report.lastReceivedOrder)
                             : report.lastAppliedOrder;
-    auto other = sent.find(report.id);
-    if (withSent && report.wantsPackedResponse && report.lastReceivedOrder.value &&
-        other != sent.end() && now - other->second.second < Duration{500})
+    auto other = sentOrders.find(report.id);
+    if (countSentAsKnown && report.wantsPackedResponse && report.lastReceivedOrder.value &&
+        other != sentOrders.end() && now - other->second.second < Duration{500})
       known = std::max(known, other->second.first);
     const auto& orders = core->committed().workers().at(report.id).unappliedOrders;
     return std::any_of(orders.begin(), orders.end(),
@@ -140,31 +141,31 @@
     auto found = core->committed().workers().find(sync.report.id);
     if (found == core->committed().workers().end())
       return false;
-    return found->second.incarnation != sync.report.incarnation || now >= sync.until ||
+    return found->second.incarnation != sync.report.incarnation || now >= sync.pollUntil ||
            hasOrders(sync, true);
   }
-  void onResponse(const OpenSync& sync, const ApiResponse& answer) {
+  void onResponse(const OpenSync& sync, const ApiResponse& apiResponse) {
     ModelWorker& worker = workers[sync.worker];
-    if (answer.status == 410) {
-      ++gone;
+    if (apiResponse.status == 410) {
+      ++replacedIncarnations;
       return;
     }
-    LONGS_EQUAL(200, answer.status);
-    auto response = sync.report.wantsPackedResponse ? unpack<SyncResponse>(answer.body)
-                                                    : SyncResponse::parse(answer.body);
+    LONGS_EQUAL(200, apiResponse.status);
+    auto response = sync.report.wantsPackedResponse ? unpack<SyncResponse>(apiResponse.body)
+                                                    : SyncResponse::parse(apiResponse.body);
     CHECK(response.has_value());
-    ++(response.value().orders.empty() ? inTime : withOrders);
+    ++(response.value().orders.empty() ? withoutOrders : withOrders);
     if (sync.report.wantsPackedResponse && !response.value().orders.empty())
-      sent[sync.report.id] = {response.value().orders.back().number, now};
+      sentOrders[sync.report.id] = {response.value().orders.back().number, now};
     if (sync.report.incarnation != worker.incarnation || random.chance(0.1))
       return;  // the response is sometimes lost
     for (std::uint32_t closed = 0; closed < response.value().finalResultCount; ++closed)
-      std::erase_if(worker.named, [&](const auto& ending) {
-        return ending.runId == sync.report.runResults[closed].runId;
+      std::erase_if(worker.endedRuns, [&](const auto& result) {
+        return result.runId == sync.report.runResults[closed].runId;
       });
-    std::erase_if(worker.endings, [&](const auto& ending) {
+    std::erase_if(worker.endedAttempts, [&](const auto& result) {
       return std::count(response.value().confirmedAttempts.begin(),
-                        response.value().confirmedAttempts.end(), ending.attempt);
+                        response.value().confirmedAttempts.end(), result.attempt);
     });
     for (const auto& order : response.value().orders) {
       if (order.number <= worker.received)
@@ -184,42 +185,42 @@
     if (found == worker.running.end())
       return;
     if (worker.packed)
-      worker.named.push_back({TaskRunId::of(*found), kind});
+      worker.endedRuns.push_back({TaskRunId::of(*found), kind});
     else
-      worker.endings.push_back({attempt, kind});
+      worker.endedAttempts.push_back({attempt, kind});
     worker.running.erase(found);
   }
   void step() {
     now = now + Duration{5};
     core->step(now, WallTime{now.milliseconds});
-    for (auto& [number, answer] : core->takeResponses()) {
-      auto found = open.find(number);
-      if (found == open.end())
+    for (auto& [number, apiResponse] : core->takeResponses()) {
+      auto found = openSyncs.find(number);
+      if (found == openSyncs.end())
         continue;
       CHECK_TEXT(isDue(found->second), "answered too early");
       const OpenSync sync = found->second;
-      open.erase(found);
-      onResponse(sync, answer);
+      openSyncs.erase(found);
+      onResponse(sync, apiResponse);
     }
-    const bool settled = core->raftNode().commitIndex() == core->raftNode().lastIndex();
-    for (const auto& [number, sync] : open) {
-      if (!settled || now - sync.at < Duration{20})
+    const bool allCommitted = core->raftNode().commitIndex() == core->raftNode().lastIndex();
+    for (const auto& [number, sync] : openSyncs) {
+      if (!allCommitted || now - sync.at < Duration{20})
         continue;
-      CHECK_TEXT(!isDue(sync), "not answered, though it could be");
-      heldBack += hasOrders(sync, false);
+      CHECK_TEXT(!isDue(sync), "not answered although it is due");
+      withheldOrders += hasOrders(sync, false);
     }
-    auto write = core->takeWrite();
+    auto diskRecord = core->takeWrite();
     core->takeMessages();
     core->takeSnapshotWork();
-    if (write && !random.chance(0.1))
-      core->onRecordSynced(write->version, now);
-    else if (write)
-      late = write->version;
-    else if (late)
-      core->onRecordSynced(*std::exchange(late, std::nullopt), now);
+    if (diskRecord && !random.chance(0.1))
+      core->onRecordSynced(diskRecord->version, now);
+    else if (diskRecord)
+      delayedWrite = diskRecord->version;
+    else if (delayedWrite)
+      core->onRecordSynced(*std::exchange(delayedWrite, std::nullopt), now);
   }
-  std::optional<DiskVersion> late;
-  void turn() {
+  std::optional<DiskVersion> delayedWrite;
+  void round() {
     for (std::size_t workerIndex = 0; workerIndex < workers.size(); ++workerIndex) {
       ModelWorker& worker = workers[workerIndex];
       if (!worker.running.empty() && random.chance(0.03))
@@ -231,19 +232,19 @@
     if (random.chance(0.05))
       submit();
     if (random.chance(0.005))
-      ask(RequestKind::cancelJob,
-          "job" + std::to_string(random.between(1, std::int64_t(jobs) + 1)));
+      sendRequest(RequestKind::cancelJob,
+                  "job" + std::to_string(random.between(1, std::int64_t(jobs) + 1)));
     if (random.chance(0.008)) {
       ModelWorker& worker =
           workers[std::size_t(random.between(0, std::int64_t(workers.size()) - 1))];
-      ask(RequestKind::removeWorker, worker.id.value);
+      sendRequest(RequestKind::removeWorker, worker.id.value);
       step();
       worker.incarnation = Incarnation{++incarnations};
       worker.received = worker.applied = OrderNumber{};
       worker.seen = false;
       worker.running.clear();
-      worker.named.clear();
-      worker.endings.clear();
+      worker.endedRuns.clear();
+      worker.endedAttempts.clear();
     }
     step();
   }
@@ -251,20 +252,22 @@
 
 }  // namespace
 
-TEST_GROUP(ControllerPolls){};
+TEST_GROUP(LongPollTests){};
 
-TEST(ControllerPolls, areAnsweredWhenThereIsAnAnswer) {
-  std::uint64_t withOrders = 0, inTime = 0, gone = 0, replaced = 0, heldBack = 0;
+TEST(LongPollTests, pollsAreAnsweredExactlyWhenDue) {
+  std::uint64_t withOrders = 0, withoutOrders = 0, replacedIncarnations = 0, replacedPolls = 0,
+                withheldOrders = 0;
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     LongPollModel model(seed);
-    for (int turn = 0; turn < 3000; ++turn)
-      model.turn();
-    withOrders += model.withOrders, inTime += model.inTime, gone += model.gone,
-        replaced += model.replaced, heldBack += model.heldBack;
+    for (int round = 0; round < 3000; ++round)
+      model.round();
+    withOrders += model.withOrders, withoutOrders += model.withoutOrders,
+        replacedIncarnations += model.replacedIncarnations, replacedPolls += model.replacedPolls,
+        withheldOrders += model.withheldOrders;
   }
   CHECK(withOrders > 200);
-  CHECK(inTime > 200);
-  CHECK(gone > 5);
-  CHECK(replaced > 100);
-  CHECK(heldBack > 20);
+  CHECK(withoutOrders > 200);
+  CHECK(replacedIncarnations > 5);
+  CHECK(replacedPolls > 100);
+  CHECK(withheldOrders > 20);
 }
--- a/tests/controller/lost_answers_tests.cpp
+++ b/tests/controller/lost_answers_tests.cpp
@@ -13,12 +13,12 @@
   request.targetId = id;
   return request;
 }
-std::string nameOf(std::size_t place) {
-  return "c" + std::to_string(place);
+std::string nameOf(std::size_t index) {
+  return "c" + std::to_string(index);
 }
 
 // Returns a configuration with one ingress route, which leads to the given queue.
-ApiRequest entranceTo(const std::string& queue, std::uint64_t base) {
+ApiRequest ingressRouteTo(const std::string& queue, std::uint64_t base) {
   ClusterConfig config = ClusterConfig::parse("{\"queues\":{\"" + queue + "\":{}}}").value();
   config.ingressRoutes = {{"host", "/in/", QueueName{queue}}};
   config.version = ConfigVersion{base + 1};
@@ -41,32 +41,32 @@
 
 }  // namespace
 
-TEST_GROUP(LostAnswersTests){};
+TEST_GROUP(RepeatedRequestTests){};
 
-TEST(LostAnswersTests, aReplacementIsAcknowledgedAgainOnceItIsDone) {
+TEST(RepeatedRequestTests, completedReplacementIsAcknowledgedAgain) {
   ControllerCluster cluster(3, 1);
   const std::size_t leader = cluster.leader();
-  const std::string away = nameOf((leader + 1) % 3);
-  LONGS_EQUAL(202, cluster.askLeader(replacement(away)).status);
-  LONGS_EQUAL(202, cluster.askLeader(replacement(away)).status);
+  const std::string replaced = nameOf((leader + 1) % 3);
+  LONGS_EQUAL(202, cluster.askLeader(replacement(replaced)).status);
+  LONGS_EQUAL(202, cluster.askLeader(replacement(replaced)).status);
   cluster.run(20'000);
   const auto& members = cluster.controller(cluster.leader()).raftNode().membership();
   CHECK(std::none_of(members.begin(), members.end(),
-                     [&](const Member& member) { return member.id.value == away; }));
-  LONGS_EQUAL(202, cluster.askLeader(replacement(away)).status);
+                     [&](const Member& member) { return member.id.value == replaced; }));
+  LONGS_EQUAL(202, cluster.askLeader(replacement(replaced)).status);
   LONGS_EQUAL(404, cluster.askLeader(replacement("nobody")).status);
   // The request is also recognised after a change of leader.
   cluster.kill(cluster.leader());
-  LONGS_EQUAL(202, cluster.askLeader(replacement(away)).status);
+  LONGS_EQUAL(202, cluster.askLeader(replacement(replaced)).status);
 }
 
-TEST(LostAnswersTests, aReplacementIsAcknowledgedAgainByTheOneItNames) {
+TEST(RepeatedRequestTests, replacementIsAcknowledgedAgainByNamedController) {
   ControllerCluster cluster(3);
   const std::size_t leader = cluster.leader();
   LONGS_EQUAL(409, cluster.askLeader(replacement(nameOf(leader))).status);
-  for (std::size_t place = 0; place < 3; ++place)
-    if (place != leader)
-      LONGS_EQUAL(202, cluster.askLeader(replacement(nameOf(place))).status);
+  for (std::size_t index = 0; index < 3; ++index)
+    if (index != leader)
+      LONGS_EQUAL(202, cluster.askLeader(replacement(nameOf(index))).status);
   cluster.kill(leader);
   cluster.run(3000);
   LONGS_EQUAL(202, cluster.askLeader(replacement(nameOf(cluster.leader()))).status);
@@ -74,19 +74,19 @@
 
 // A submission through an ingress route names no queue, and the queue of the route may change
 // before the submission is repeated.
-TEST(LostAnswersTests, aJobIsTheSameAfterItsEntranceLeadsElsewhere) {
+TEST(RepeatedRequestTests, jobIsRecognisedAfterItsRouteChangesQueue) {
   ControllerCluster cluster(1);
-  LONGS_EQUAL(200, cluster.askLeader(entranceTo("proofs", 0)).status);
+  LONGS_EQUAL(200, cluster.askLeader(ingressRouteTo("proofs", 0)).status);
   LONGS_EQUAL(202, cluster.askLeader(submission("one")).status);
-  LONGS_EQUAL(200, cluster.askLeader(entranceTo("plates", 1)).status);
+  LONGS_EQUAL(200, cluster.askLeader(ingressRouteTo("plates", 1)).status);
   LONGS_EQUAL(202, cluster.askLeader(submission("one")).status);
   LONGS_EQUAL(409, cluster.askLeader(submission("other")).status);
   LONGS_EQUAL(1, cluster.controller(0).committed().jobs().size());
 }
 
-TEST(LostAnswersTests, aCancelledJobIsAcknowledgedAgainAndStaysCancelled) {
+TEST(RepeatedRequestTests, cancelledJobIsAcknowledgedAgainAndStaysCancelled) {
   ControllerCluster cluster(1);
-  LONGS_EQUAL(200, cluster.askLeader(entranceTo("proofs", 0)).status);
+  LONGS_EQUAL(200, cluster.askLeader(ingressRouteTo("proofs", 0)).status);
   LONGS_EQUAL(202, cluster.askLeader(submission("one")).status);
   ApiRequest cancel = submission("");
   cancel.kind = RequestKind::cancelJob;
--- a/tests/controller/passed_over_tracker_tests.cpp
+++ b/tests/controller/passed_over_tracker_tests.cpp
@@ -10,13 +10,13 @@
   const PassedOverUnit task{JobId{"job"}, 3};
 };
 
-TEST(PassedOverTrackerTests, timeCountsFromTheFirstOfAnUnbrokenRowOfPlans) {
+TEST(PassedOverTrackerTests, timeCountsFromFirstOfConsecutivePlans) {
   tracker.record({job}, MonotonicTime{1000});
   tracker.record({job}, MonotonicTime{1500});
   LONGS_EQUAL(900, tracker.durations(MonotonicTime{1900}).at(job).milliseconds);
 }
 
-TEST(PassedOverTrackerTests, planThatDoesNotNameItBeginsItsTimeAnew) {
+TEST(PassedOverTrackerTests, unlistedUnitStartsAgainFromZero) {
   tracker.record({job}, MonotonicTime{1000});
   tracker.record({}, MonotonicTime{1500});
   CHECK(tracker.durations(MonotonicTime{1600}).empty());
@@ -24,14 +24,14 @@
   LONGS_EQUAL(100, tracker.durations(MonotonicTime{2100}).at(job).milliseconds);
 }
 
-TEST(PassedOverTrackerTests, longRunningTasksAreKeptApartFromTheirJob) {
+TEST(PassedOverTrackerTests, longRunningTaskIsTrackedSeparatelyFromItsJob) {
   tracker.record({job}, MonotonicTime{1000});
   tracker.record({job, task}, MonotonicTime{1400});
   LONGS_EQUAL(600, tracker.durations(MonotonicTime{1600}).at(job).milliseconds);
   LONGS_EQUAL(200, tracker.durations(MonotonicTime{1600}).at(task).milliseconds);
 }
 
-TEST(PassedOverTrackerTests, newLeadershipBeginsAnew) {
+TEST(PassedOverTrackerTests, clearForgetsAllUnits) {
   tracker.record({job}, MonotonicTime{1000});
   tracker.clear();
   CHECK(tracker.durations(MonotonicTime{5000}).empty());
--- a/tests/controller/pending_job_count_tests.cpp
+++ b/tests/controller/pending_job_count_tests.cpp
@@ -22,7 +22,7 @@
   }
 };
 
-TEST(PendingJobCountTests, jobCountsFromItsAcceptanceUntilATaskBegins) {
+TEST(PendingJobCountTests, jobIsPendingUntilTaskStarts) {
   LONGS_EQUAL(0, pending());
   fixture.submit("job", {ClusterStateFixture::step(2)});
   LONGS_EQUAL(1, pending());
@@ -30,27 +30,27 @@
   LONGS_EQUAL(0, pending());
 }
 
-TEST(PendingJobCountTests, orderThatIsOnItsWayIsNoBeginning) {
+TEST(PendingJobCountTests, orderInTransitIsNoStart) {
   fixture.submit("job", {ClusterStateFixture::step(1)});
   fixture.plan();
   LONGS_EQUAL(1, pending());
 }
 
-TEST(PendingJobCountTests, startThatTheWorkerRejectedIsNoBeginning) {
+TEST(PendingJobCountTests, rejectedOrderIsNoStart) {
   fixture.submit("job", {ClusterStateFixture::step(1)});
   fixture.plan();
   fixture.endAttempt("job", AttemptOutcome::rejected);
   LONGS_EQUAL(1, pending());
 }
 
-TEST(PendingJobCountTests, jobThatRanAndWaitsAgainHasBegun) {
+TEST(PendingJobCountTests, jobWaitingForRetryIsNotPending) {
   fixture.submit("job", {ClusterStateFixture::step(1)});
   fixture.planAndRun();
   fixture.endAttempt("job", AttemptOutcome::failed);
   LONGS_EQUAL(0, pending());
 }
 
-TEST(PendingJobCountTests, queuesAreCountedApart) {
+TEST(PendingJobCountTests, queuesAreCountedSeparately) {
   fixture.submit("job", {ClusterStateFixture::step(1)});
   fixture.submit("other", {ClusterStateFixture::step(1)}, "other");
   LONGS_EQUAL(1, pending("q"));
@@ -64,7 +64,7 @@
   LONGS_EQUAL(0, pending());
 }
 
-TEST(PendingJobCountTests, timetableIsOneJobUntilAnOccurrenceBegins) {
+TEST(PendingJobCountTests, timetableCountsAsOneJobUntilOccurrenceStarts) {
   submitTimetable(fixture.now + 500);
   LONGS_EQUAL(1, pending());
   fixture.now += 600;
--- a/tests/controller/request_table_tests.cpp
+++ b/tests/controller/request_table_tests.cpp
@@ -33,7 +33,7 @@
   }
 };
 
-TEST(RequestTableTests, queuedRequestsAreHandedOutOnceInTheirOrder) {
+TEST(RequestTableTests, queuedRequestsAreReturnedOnceInOrder) {
   const RequestSequence first = addRequest(7);
   const RequestSequence second = addRequest(3);
   CHECK((table.takeQueued() == std::vector<RequestSequence>{first, second}));
@@ -68,7 +68,7 @@
   LONGS_EQUAL(0, table.retainedBytes());
 }
 
-TEST(RequestTableTests, aDeferredPollIsVisitedAgainWhenItsTimeHasCome) {
+TEST(RequestTableTests, deferredPollIsVisitedAtItsCheckTime) {
   const RequestSequence poll = addPoll("w");
   CHECK((visitedPolls(MonotonicTime{300}) == std::vector<RequestSequence>{poll}));
   CHECK(visitedPolls(MonotonicTime{300}).empty());
@@ -80,7 +80,7 @@
   CHECK((visitedPolls(MonotonicTime{2000}) == std::vector<RequestSequence>{poll}));
 }
 
-TEST(RequestTableTests, newsForAWorkerMarksItsPollsOnly) {
+TEST(RequestTableTests, changeForWorkerMarksOnlyItsPolls) {
   const RequestSequence poll = addPoll("w");
   addPoll("other");
   visitedPolls(MonotonicTime{500});
@@ -99,7 +99,7 @@
   CHECK((visitedPolls(MonotonicTime{900}) == std::vector<RequestSequence>{poll}));
 }
 
-TEST(RequestTableTests, aRemovedPollIsNotVisitedWhenItsTimeComes) {
+TEST(RequestTableTests, removedPollIsNotVisited) {
   const RequestSequence poll = addPoll("w");
   visitedPolls(MonotonicTime{300});
   table.remove(poll);
--- a/tests/controller/urgent_demand_estimator_tests.cpp
+++ b/tests/controller/urgent_demand_estimator_tests.cpp
@@ -8,7 +8,7 @@
   UrgentDemandEstimator estimator;
 };
 
-TEST(UrgentDemandEstimatorTests, aPeakFadesUnlessItIsReachedAgain) {
+TEST(UrgentDemandEstimatorTests, peakDecaysUnlessExceeded) {
   estimator.record({{"pool", 8000}}, MonotonicTime{1000});
   LONGS_EQUAL(8000, estimator.demand(MonotonicTime{1000}).at("pool"));
   LONGS_EQUAL(4000, estimator.demand(MonotonicTime{6000}).at("pool"));
