--- a/source/controller/backlog_estimator.hpp
+++ b/source/controller/backlog_estimator.hpp
@@ -36,7 +36,7 @@
 
   MonotonicTime measuredAt{-1'000'000};
   std::map<std::string, std::int64_t> coresByPool;  // in thousandths of a core
-  // work without a tenant is under the empty name
+  // Work without a tenant is under the empty name.
   std::map<PoolAndTenant, WorkByPriority> waitingWork;
 };
 
--- a/source/controller/lease_manager.hpp
+++ b/source/controller/lease_manager.hpp
@@ -15,7 +15,7 @@
  public:
   // The effect of a report on what is known about its worker.
   struct ReportEffect {
-    // a later report of the same agent arrived first, so this one is ignored
+    // A later report of the same agent arrived first, so this one is ignored.
     bool outOfOrder = false;
     bool becameResponsive = false;  // the worker responds to its agent again
   };
--- a/source/controller/planning_driver.hpp
+++ b/source/controller/planning_driver.hpp
@@ -56,7 +56,7 @@
   MonotonicTime lastPlanAt{-1'000'000};
   MonotonicTime nextDueCheck;
   MonotonicTime nextOccupancyReport;
-  // in units of the planner: single tasks, and gangs, which are placed as a whole
+  // In units of the planner: single tasks, and gangs, which are placed as a whole.
   std::size_t pendingUnitsAtLastPlan = 0;
 };
 
--- a/source/controller/request_table.hpp
+++ b/source/controller/request_table.hpp
@@ -13,7 +13,7 @@
 
 enum class RequestStage : std::uint8_t {
   queued,  // not handled yet
-  // the response is known, but the log entries that it depends on are not committed yet
+  // The response is known, but the log entries that it depends on are not committed yet.
   awaitingCommit,
   longPolling  // a worker's sync that waits for new orders
 };
@@ -30,7 +30,7 @@
   // confirmed this round, which began after the request arrived. docs/design.md 8.2.
   LogIndex requiredCommitIndex;
   RoundNumber requiredRound;
-  // an event was proposed for the request, and its outcome may be unknown
+  // An event was proposed for the request, and its outcome may be unknown.
   bool appendedToLog = false;
   ApiResponse response;
 };
--- a/source/controller/sync_responder.hpp
+++ b/source/controller/sync_responder.hpp
@@ -35,7 +35,7 @@
     MonotonicTime sentAt;
   };
   struct KnownOrders {
-    // the worker has received, or soon will receive, the orders up to this one
+    // The worker has received, or soon will receive, the orders up to this one.
     OrderNumber lastOrder;
     MonotonicTime resendAt;  // when a response already sent is considered lost
   };
--- a/source/controller/worker_pace_estimator.cpp
+++ b/source/controller/worker_pace_estimator.cpp
@@ -10,7 +10,7 @@
 constexpr double laterWeight = 0.06;
 constexpr double minRatio = 0.05;  // these bounds limit the effect of a single outlier
 constexpr double maxRatio = 20.0;
-// shorter tasks are dominated by the cost of the surrounding calls
+// Shorter tasks are dominated by the cost of the surrounding calls.
 constexpr std::int64_t minRuntimeMs = 50;
 constexpr std::int64_t decayDelayMs = 1000;  // idle time after which the estimate starts to decay
 constexpr double decayHalfLifeMs = 4000.0;   // half-life of that decay
--- a/source/controller/worker_pace_estimator.hpp
+++ b/source/controller/worker_pace_estimator.hpp
@@ -19,7 +19,7 @@
 
  private:
   struct Estimate {
-    // natural logarithm, since estimates are off by factors in both directions
+    // Natural logarithm, since estimates are off by factors in both directions.
     double logRatio = 0;
     std::uint32_t samples = 0;
     MonotonicTime lastSampleAt;
