--- a/source/controller/config_service.cpp
+++ b/source/controller/config_service.cpp
@@ -1,5 +1,4 @@
-// Operators' configurations: accepted, rejected, or acknowledged again.
-// docs/design.md 6.1.
+// Version checks, parsing and acceptance of configuration updates. docs/design.md 6.1.
 #include "controller/config_service.hpp"
 #include "state/config_patch.hpp"
 
@@ -11,19 +10,18 @@
   return ApiResponse::of(200, {{"version", json(version.value)}});
 }
 
-// An order that was accepted is acknowledged again, whatever came after it: its
+// An update that was accepted is acknowledged again, even after later updates, because the first
 // response may have been lost.
-std::optional<ApiResponse> responseToKnownOrder(const ConfigUpdate& order,
-                                                const ConfigHistory& history) {
-  const auto before = history.find(order);
-  switch (before.outcome) {
+std::optional<ApiResponse> responseToKnownUpdate(const ConfigUpdate& update,
+                                                 const ConfigHistory& history) {
+  const auto previous = history.find(update);
+  switch (previous.outcome) {
     case ConfigHistory::Outcome::applied:
-      return acceptedResponse(before.version);
+      return acceptedResponse(previous.version);
     case ConfigHistory::Outcome::tooOld:
       return ApiResponse::outcomeUnknown(
-          "this order is older than those that are kept: whether it was taken is "
-          "not known any "
-          "more");
+          "this update is older than the stored history of updates; whether it was applied is no "
+          "longer known");
     case ConfigHistory::Outcome::notApplied:
       return std::nullopt;
   }
@@ -40,19 +38,19 @@
 ApiResponse versionTooLowResponse(ConfigVersion current) {
   return ApiResponse::fromError(
       CoreError::at(CoreError::Kind::invalid, "/version",
-                    "must be above the current one, " + std::to_string(current.value)));
+                    "must be greater than the current version, " + std::to_string(current.value)));
 }
 
-// The answer to an order that is not to be logged: it was before, or it can't
-// be by its versions.
-std::optional<ApiResponse> answerWithoutChange(const ConfigUpdate& order,
-                                               const ClusterState& state) {
+// Returns the response to an update that must not be logged: it has been applied before, or its
+// versions do not allow it.
+std::optional<ApiResponse> responseWithoutChange(const ConfigUpdate& update,
+                                                 const ClusterState& state) {
   const ConfigVersion current = state.config().version;
-  if (auto known = responseToKnownOrder(order, state.configHistory()))
+  if (auto known = responseToKnownUpdate(update, state.configHistory()))
     return known;
-  if (order.baseVersion != current)
+  if (update.baseVersion != current)
     return conflictResponse(current);
-  if (order.version.value && order.version <= current)
+  if (update.version.value && update.version <= current)
     return versionTooLowResponse(current);
   return std::nullopt;
 }
@@ -71,28 +69,28 @@
 
 }  // namespace
 
-RequestDecision decideConfigOrder(const ApiRequest& request, const ClusterState& state) {
+RequestDecision decideConfigUpdate(const ApiRequest& request, const ClusterState& state) {
   auto parsed = request.packedConfig.empty() ? ClusterConfig::parse(request.text)
                                              : unpack<ClusterConfig>(request.packedConfig);
   if (!parsed)
     return reject(parsed.error());
   ConfigCommitted event(std::move(parsed.value()));
-  const ConfigUpdate order{event.config.version, request.baseVersion, event.digest};
-  if (auto answer = answerWithoutChange(order, state))
+  const ConfigUpdate update{event.config.version, request.baseVersion, event.digest};
+  if (auto answer = responseWithoutChange(update, state))
     return {std::move(*answer), std::nullopt};
   return accept(std::move(event), state.config().version);
 }
 
-// The patch is applied to the configuration that the leader's log ends with, at
-// which the event is appended, so nothing can come between them.
+// The patch is applied to the configuration at the end of the leader's log. The resulting event is
+// appended at that same position, so no other update can come in between.
 RequestDecision decideConfigPatch(const ApiRequest& request, const ClusterState& state,
                                   const ConfigParser& parse) {
   const auto patch = ConfigPatch::parse(request.text);
   if (!patch)
     return reject(patch.error());
   const TextDigest digest = ConfigPatch::digestOf(request.text);
-  const ConfigUpdate order{patch.value().version(), request.baseVersion, digest};
-  if (auto answer = answerWithoutChange(order, state))
+  const ConfigUpdate update{patch.value().version(), request.baseVersion, digest};
+  if (auto answer = responseWithoutChange(update, state))
     return {std::move(*answer), std::nullopt};
   const auto patchedText = patch.value().applyTo(state.config().text);
   if (!patchedText)
--- a/source/controller/job_retention.cpp
+++ b/source/controller/job_retention.cpp
@@ -1,25 +1,25 @@
-// How long finished jobs are kept. docs/design.md 4.5.
+// Limits on the number and age of finished jobs. docs/design.md 4.5.
 #include "controller/job_retention.hpp"
 
 namespace aniseline {
 
 namespace {
-constexpr Duration keptComplete{60'000};       // after its end; then a job is reduced
-constexpr std::size_t maxJobsPerEvent = 2000;  // so that one log entry stays small
+constexpr Duration fullDetailRetention{60'000};  // time from a job's end until it is compacted
+constexpr std::size_t maxJobsPerEvent = 2000;    // bounds the size of a log entry
 }  // namespace
 
-// Finished work never causes new work to be rejected: past the limit the
-// earliest goes.
+// Finished jobs never cause new jobs to be rejected: when the limit is exceeded, the jobs that
+// ended first are removed.
 void JobRetention::collectExpired(const ClusterState& state, ClusterTime clusterNow,
                                   JobsExpired& expired) const {
   const auto& limits = state.config().planner;
-  std::size_t kept = state.jobs().size();
+  std::size_t retained = state.jobs().size();
   for (const auto& [endedAt, id] : state.jobsByEndTime()) {
     const bool isExpired =
-        clusterNow - endedAt > limits.finishedJobRetention || kept > limits.maxRetainedJobs;
+        clusterNow - endedAt > limits.finishedJobRetention || retained > limits.maxRetainedJobs;
     if (!isExpired || expired.jobs.size() >= maxJobsPerEvent)
       break;
-    --kept;
+    --retained;
     expired.jobs.push_back(id);
   }
   for (const auto& [id, worker] : state.workers())
@@ -28,14 +28,14 @@
       expired.workers.push_back(id);
 }
 
-void JobRetention::collectShortened(const ClusterState& state, ClusterTime clusterNow,
-                                    JobsExpired& expired) {
-  for (auto next = state.jobsByEndTime().lower_bound({shortenedThrough, JobId{}});
+void JobRetention::collectCompactable(const ClusterState& state, ClusterTime clusterNow,
+                                      JobsExpired& expired) {
+  for (auto next = state.jobsByEndTime().lower_bound({compactedThrough, JobId{}});
        next != state.jobsByEndTime().end() && expired.compacted.size() < maxJobsPerEvent; ++next) {
     const auto& [endedAt, id] = *next;
-    if (clusterNow - endedAt <= keptComplete)
+    if (clusterNow - endedAt <= fullDetailRetention)
       break;
-    shortenedThrough = endedAt;
+    compactedThrough = endedAt;
     if (!state.jobs().at(id).compactedTaskCount)
       expired.compacted.push_back(id);
   }
@@ -45,7 +45,7 @@
                                                  ClusterTime clusterNow) {
   JobsExpired expired;
   collectExpired(state, clusterNow, expired);
-  collectShortened(state, clusterNow, expired);
+  collectCompactable(state, clusterNow, expired);
   if (expired.jobs.empty() && expired.compacted.empty() && expired.workers.empty())
     return std::nullopt;
   return expired;
--- a/source/controller/lease_manager.cpp
+++ b/source/controller/lease_manager.cpp
@@ -1,19 +1,18 @@
-// Contacts with workers, and the expiry of leases and drains.
-// docs/design.md 5.4 to 5.8.
+// Worker contacts, and the expiry of leases and drains. docs/design.md 5.4 to 5.8.
 #include "controller/lease_manager.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// What the planner is told of an unresponsive worker, however lately its agent
-// was heard: long enough for it to get no work.
+// The contact age reported to the planner for an unresponsive worker, even if its agent was heard
+// from recently. It is long enough that the worker receives no tasks.
 constexpr Duration unresponsiveUnheardDuration{60'000};
-// No report is held up for longer: an agent's clock that is further behind was
-// started anew with its machine.
+// The longest time by which a report can be delayed. An agent whose clock is further behind was
+// restarted together with its machine.
 constexpr Duration maxReportDelay{10'000};
 
-bool drainPending(const Worker& worker) {
+bool isDrainPending(const Worker& worker) {
   return (worker.state == WorkerState::draining || worker.state == WorkerState::drained) &&
          !worker.drainDeadlinePassed;
 }
@@ -29,39 +28,38 @@
   deadlinesStale = true;
 }
 
-// A worker that is unresponsive is not in touch, whoever speaks for it: no
-// lease is granted, and its tasks are given up when the last lease is over.
-// docs/design.md 5.8.
+// An unresponsive worker is treated as out of contact even if its agent reports: it gets no new
+// lease, and its tasks are abandoned when its last lease ends. docs/design.md 5.8.
 LeaseManager::ReportEffect LeaseManager::recordReport(const SyncReport& report, MonotonicTime now) {
   ReportEffect effect;
   MonotonicTime& latest = latestReports[report.id];
-  effect.overtaken = report.wantsPackedResponse && report.reportedAt < latest;
+  effect.outOfOrder = report.wantsPackedResponse && report.reportedAt < latest;
   latest = std::max(latest, report.reportedAt);
-  if (effect.overtaken)
+  if (effect.outOfOrder)
     return effect;
   if (report.wantsPackedResponse && !report.capacity.host.empty())
     latestReportsByHost[report.capacity.host] = {report.id, report.reportedAt};
   if (report.unresponsive) {
-    const MonotonicTime over = now + report.remainingLease + options.unresponsiveMargin;
-    auto [known, isNew] = unresponsiveUntil.try_emplace(report.id, over);
+    const MonotonicTime noTasksAfter = now + report.remainingLease + options.unresponsiveMargin;
+    auto [known, isNew] = unresponsiveUntil.try_emplace(report.id, noTasksAfter);
     if (!isNew)
-      known->second = std::min(known->second, over);
+      known->second = std::min(known->second, noTasksAfter);
     deadlinesStale = true;
   } else {
-    effect.responsiveAgain = unresponsiveUntil.erase(report.id) > 0;
+    effect.becameResponsive = unresponsiveUntil.erase(report.id) > 0;
     lastContacts[report.id] = now;
   }
   return effect;
 }
 
-bool LeaseManager::isOvertakenByAnotherInstance(const SyncReport& report) const {
+bool LeaseManager::isSupersededByOtherInstance(const SyncReport& report) const {
   if (!report.wantsPackedResponse || report.capacity.host.empty())
     return false;
   const auto known = latestReportsByHost.find(report.capacity.host);
   if (known == latestReportsByHost.end() || known->second.instance == report.id)
     return false;
-  const Duration behind = known->second.reportedAt - report.reportedAt;
-  return behind > Duration{0} && behind <= maxReportDelay;
+  const Duration lag = known->second.reportedAt - report.reportedAt;
+  return lag > Duration{0} && lag <= maxReportDelay;
 }
 
 MonotonicTime LeaseManager::lastContact(const WorkerId& worker) const {
@@ -69,7 +67,7 @@
   return contact == lastContacts.end() ? leaderSince : std::max(leaderSince, contact->second);
 }
 
-LastContactAges LeaseManager::unheardDurations(MonotonicTime now) const {
+LastContactAges LeaseManager::timesSinceLastContact(MonotonicTime now) const {
   LastContactAges durations;
   for (const auto& [worker, contact] : lastContacts)
     durations[worker] =
@@ -96,7 +94,7 @@
     if (worker.state == WorkerState::removed)
       continue;
     const MonotonicTime leaseEnd = leaseExpiry(id);
-    const bool drains = drainPending(worker);
+    const bool drains = isDrainPending(worker);
     if (now >= leaseEnd || (drains && clusterNow >= worker.drainDeadline)) {
       expired.insert(id);
       continue;
@@ -111,8 +109,8 @@
   return now >= leaseExpiry(worker);
 }
 
-// Whether an attempt on a worker that is unreachable is given up by now: its
-// queue may ask for more patience. docs/design.md 5.5.
+// Reports whether an attempt on an unreachable worker is to be abandoned by now. The attempt's
+// queue can be configured to wait longer. docs/design.md 5.5.
 bool LeaseManager::isLost(const Attempt& attempt, const ClusterState& state,
                           MonotonicTime now) const {
   if (attempt.abandoned)
@@ -144,9 +142,9 @@
   if (worker.state == WorkerState::draining && state.attemptsOn(worker.id).empty())
     return WorkerRemoved{worker.id, "left"};
   WorkerUnreachable event = unreachableEvent(worker, state, now);
-  const bool isNews =
+  const bool isNewlyUnreachable =
       worker.state != WorkerState::unreachable && worker.state != WorkerState::drained;
-  if (event.abandoned.empty() && !isNews)
+  if (event.abandoned.empty() && !isNewlyUnreachable)
     return std::nullopt;
   return event;
 }
@@ -164,7 +162,7 @@
     if (isUnreachable(id, now))
       if (auto event = eventOfUnreachable(worker, state, now))
         events.push_back(std::move(*event));
-    if (drainPending(worker) && clusterNow >= worker.drainDeadline)
+    if (isDrainPending(worker) && clusterNow >= worker.drainDeadline)
       events.push_back(WorkerDrainDeadlinePassed{id});
   }
   return events;
--- a/source/controller/membership_manager.cpp
+++ b/source/controller/membership_manager.cpp
@@ -1,19 +1,18 @@
-// Which change of the members is wanted. docs/design.md 3.5.
+// Selection of membership changes. docs/design.md 3.5.
 #include "controller/membership_manager.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// A learner is promoted only when it was heard from within this time.
-constexpr Duration recentContact{1000};
-// A voter unheard for this long is put out where there is one too many, or
-// where a new identity answers at its address.
-constexpr Duration suspectedDead{2000};
-// A new leader has heard from every member that lives by this time.
-constexpr Duration leaderSettled{4000};
-// A zone has too many voters when it has this many more than the zone of a
-// learner.
+// A learner is promoted only if it was heard from within this time.
+constexpr Duration recentContactWindow{1000};
+// A voter that was not heard from for this long is removed if there is a surplus voter, or if a new
+// identity responds at its address.
+constexpr Duration suspectTimeout{2000};
+// By this time a new leader has heard from every live member.
+constexpr Duration leaderSettlingTime{4000};
+// A zone has too many voters if it has at least this many more than the zone of a learner.
 constexpr std::ptrdiff_t zoneSurplus = 2;
 
 bool contains(const Membership& members, const ControllerId& id) {
@@ -27,7 +26,8 @@
   Member member;
 };
 
-// One look at the members: who is dead, who is to go, and who is to vote.
+// A snapshot of the membership that determines the dead members, the members to remove, and the
+// learner to promote.
 class MembershipReview {
  public:
   MembershipReview(const RaftNode& raft, const ControllerOptions& options,
@@ -44,8 +44,8 @@
     }
   }
 
-  // One learner is ready for the next voter that is lost, and one for each
-  // voter missing now.
+  // Returns the number of learners to keep: one in reserve for the next voter that fails, and one
+  // for each voter that is missing now.
   std::size_t learnersWanted() const {
     return 1 + options.voterCount - std::min(options.voterCount, voterCount - deadVoterCount);
   }
@@ -54,17 +54,17 @@
 
  private:
   bool isSelf(const Member& member) const { return member.id == raft.self().id; }
-  bool isNamed(const Member& member) const {
+  bool isNamedForReplacement(const Member& member) const {
     return state.controllersToReplace().count(member.id) > 0;
   }
   bool heardRecently(const Member& member) const {
-    return now - raft.lastHeardFrom(member.id) <= recentContact;
+    return now - raft.lastHeardFrom(member.id) <= recentContactWindow;
   }
-  Duration unheard(const Member& member) const {
+  Duration timeSinceContact(const Member& member) const {
     return now - std::max(leaderSince, raft.lastHeardFrom(member.id));
   }
-  bool leaderIsSettled() const { return now - leaderSince > leaderSettled; }
-  bool isSupplanted(const Member& member) const;
+  bool leaderIsSettled() const { return now - leaderSince > leaderSettlingTime; }
+  bool isReplacedAtAddress(const Member& member) const;
   bool isDead(const Member& member) const;
   std::ptrdiff_t votersIn(const ZoneName& zone) const;
   std::ptrdiff_t liveVotersIn(const ZoneName& zone) const;
@@ -84,22 +84,22 @@
   std::size_t deadVoterCount = 0;
 };
 
-// A new identity that answers at a member's very address proves that the
-// member's disk is gone, so there is no need to wait for longer.
-bool MembershipReview::isSupplanted(const Member& member) const {
+// A new identity that responds at exactly the address of a member proves that the disk of that
+// member is gone, so no longer wait is needed.
+bool MembershipReview::isReplacedAtAddress(const Member& member) const {
   return std::any_of(members.begin(), members.end(), [&](const Member& other) {
     return other.id != member.id && other.address == member.address &&
-           now - raft.lastHeardFrom(other.id) < recentContact;
+           now - raft.lastHeardFrom(other.id) < recentContactWindow;
   });
 }
 
 bool MembershipReview::isDead(const Member& member) const {
   if (isSelf(member))
     return false;
-  if (isNamed(member))
+  if (isNamedForReplacement(member))
     return true;
-  return unheard(member) > options.deadMemberTimeout ||
-         (isSupplanted(member) && unheard(member) > suspectedDead);
+  return timeSinceContact(member) > options.deadMemberTimeout ||
+         (isReplacedAtAddress(member) && timeSinceContact(member) > suspectTimeout);
 }
 
 std::ptrdiff_t MembershipReview::votersIn(const ZoneName& zone) const {
@@ -113,21 +113,21 @@
   });
 }
 
-// Empty while every voter was heard from lately.
+// Returns an empty identity if every voter was heard from recently.
 ControllerId MembershipReview::longestUnheardVoter() const {
   ControllerId chosen;
-  Duration longest = suspectedDead;
+  Duration longest = suspectTimeout;
   for (const auto& member : members) {
-    if (!member.voter || isSelf(member) || unheard(member) <= longest)
+    if (!member.voter || isSelf(member) || timeSinceContact(member) <= longest)
       continue;
-    longest = unheard(member);
+    longest = timeSinceContact(member);
     chosen = member.id;
   }
   return chosen;
 }
 
-// One that an operator named, or else the latest of the zone that has the most
-// voters.
+// Returns a voter that an operator has named for replacement, or otherwise the last voter of the
+// zone with the most voters.
 ControllerId MembershipReview::mostRedundantVoter() const {
   ControllerId chosen;
   std::ptrdiff_t most = 0;
@@ -135,7 +135,7 @@
     if (!member.voter || isSelf(member))
       continue;
     const auto redundancy =
-        isNamed(member) ? std::ptrdiff_t(members.size()) + 1 : votersIn(member.zone);
+        isNamedForReplacement(member) ? std::ptrdiff_t(members.size()) + 1 : votersIn(member.zone);
     if (redundancy < most)
       continue;
     most = redundancy;
@@ -144,9 +144,9 @@
   return chosen;
 }
 
-// One voter more than wanted may make a majority larger, so that stage is left
-// at once: the voter unheard for the longest goes, or, where the old one came
-// back meanwhile, the most redundant one.
+// An extra voter can make a majority larger, so this state is left as soon as possible. The voter
+// with the longest time since contact is removed or, if the old voter has come back in the
+// meantime, the most redundant one.
 ControllerId MembershipReview::surplusVoter() const {
   if (voterCount <= options.voterCount)
     return {};
@@ -176,8 +176,7 @@
   return wanted;
 }
 
-// The learner that has caught up and whose zone has the fewest voters that
-// live.
+// Returns the learner that has caught up and whose zone has the fewest live voters.
 const Member* MembershipReview::bestLearner() const {
   const Member* best = nullptr;
   std::ptrdiff_t fewest = 0;
@@ -193,21 +192,21 @@
   return best;
 }
 
-// While no voter is missing a learner takes the place only of one whose zone
-// has too many, and only while all voters are heard: one that is not heard
-// would be put out instead.
+// If no voter is missing, a learner only replaces a voter of a zone that has too many, and only
+// while all voters are heard from. Otherwise the voter that is not heard from would be removed
+// instead.
 bool MembershipReview::improvesSpread(const Member& learner) const {
   if (!leaderIsSettled())
     return false;
   const auto inZone = liveVotersIn(learner.zone);
-  const bool allHeard = std::all_of(members.begin(), members.end(), [&](const Member& member) {
-    return !member.voter || heardRecently(member);
-  });
+  const bool allVotersHeard =
+      std::all_of(members.begin(), members.end(),
+                  [&](const Member& member) { return !member.voter || heardRecently(member); });
   const bool zoneHasTooMany =
       std::any_of(members.begin(), members.end(), [&](const Member& member) {
         return member.voter && votersIn(member.zone) >= inZone + zoneSurplus;
       });
-  return zoneHasTooMany && allHeard;
+  return zoneHasTooMany && allVotersHeard;
 }
 
 std::optional<WantedChange> MembershipReview::promotion() const {
@@ -216,14 +215,14 @@
   const Member* learner = bestLearner();
   if (!learner)
     return std::nullopt;
-  const bool complete = voterCount == options.voterCount && deadVoterCount == 0;
-  if (complete && !improvesSpread(*learner))
+  const bool hasAllVoters = voterCount == options.voterCount && deadVoterCount == 0;
+  if (hasAllVoters && !improvesSpread(*learner))
     return std::nullopt;
   Membership promoted = members;
   Member& voter = promoted[std::size_t(learner - members.data())];
   voter.voter = true;
-  const Member named = voter;
-  return WantedChange{std::move(promoted), MembershipChangeCause::promotedToVoter, named};
+  const Member promotedVoter = voter;
+  return WantedChange{std::move(promoted), MembershipChangeCause::promotedToVoter, promotedVoter};
 }
 
 }  // namespace
--- a/source/controller/planning_driver.cpp
+++ b/source/controller/planning_driver.cpp
@@ -1,18 +1,17 @@
-// When and with which hints a plan is made. docs/design.md 7.
+// The timing of plans, and the hints given to the planner. docs/design.md 7.
 #include "controller/planning_driver.hpp"
 
 namespace aniseline {
 
 namespace {
-// Without a request: how often the planner is asked when a plan is due by time
-// alone, and how long after the last plan one is made once any such time is
-// known.
+// These apply when no plan was requested: how often the next time-driven plan is looked up, and the
+// interval after which a plan is made if any such time is known.
 constexpr Duration dueCheckInterval{50};
 constexpr Duration idlePlanInterval{500};
 constexpr Duration dueTolerance{1};
 constexpr Duration occupancyReportInterval{1000};
-// What a plan costs grows with what waits, and so does the pause after it:
-// planning never takes more than a share of the time.
+// The cost of a plan grows with the number of waiting units. The pause after it grows in the same
+// way, so that planning never takes more than a fixed share of the time.
 constexpr std::int64_t waitingUnitsPerPauseMs = 100;
 }  // namespace
 
@@ -24,7 +23,7 @@
 
 PlannerHints PlanningDriver::hints(MonotonicTime now) const {
   PlannerHints hints;
-  hints.runtimeRatios = paceEstimator.paces(now);
+  hints.runtimeRatios = paceEstimator.estimatedRatios(now);
   hints.urgentDemand = demandEstimator.demand(now);
   hints.passedOverFor = passedOver.durations(now);
   hints.maxPassedOverTime = maxPassedOverTime;
@@ -45,7 +44,7 @@
 }
 
 bool PlanningDriver::isPeriodOver(const ClusterState& state, MonotonicTime now) const {
-  const Duration pause{std::int64_t(waitingAtLastPlan) / waitingUnitsPerPauseMs};
+  const Duration pause{std::int64_t(pendingUnitsAtLastPlan) / waitingUnitsPerPauseMs};
   const Duration period = periodSkipped ? pause : std::max(state.config().planner.period, pause);
   return now - lastPlanAt >= period;
 }
@@ -59,7 +58,7 @@
   occupancy.waitingTasks = plan.pendingUnits;
   occupancy.withinTarget = plan.unitsByTargetStatus[0];
   occupancy.late = plan.unitsByTargetStatus[1];
-  occupancy.pastUse = plan.unitsByTargetStatus[2];
+  occupancy.tooLateToBeUseful = plan.unitsByTargetStatus[2];
   occupancy.attempts = state.attempts().size();
   occupancy.openJobs = state.openJobs().size();
   occupancy.usableWorkers = plan.schedulableWorkers;
@@ -78,10 +77,11 @@
   lastPlanAt = now;
   periodSkipped = false;
   requested = false;
-  Plan plan = planner.makePlan(state, clusterNow, leases.unheardDurations(now), false, hints(now));
+  Plan plan =
+      planner.makePlan(state, clusterNow, leases.timesSinceLastContact(now), false, hints(now));
   demandEstimator.record(plan.urgentDemand, now);
   passedOver.record(plan.passedOver, now);
-  waitingAtLastPlan = plan.pendingUnits;
+  pendingUnitsAtLastPlan = plan.pendingUnits;
   reportOccupancy(plan, state, now);
   if (plan.changesNothing(state.reservation()))
     return std::nullopt;
@@ -89,7 +89,7 @@
 }
 
 Plan PlanningDriver::explain(const ClusterState& state, ClusterTime clusterNow, MonotonicTime now) {
-  return planner.makePlan(state, clusterNow, leases.unheardDurations(now), true, hints(now));
+  return planner.makePlan(state, clusterNow, leases.timesSinceLastContact(now), true, hints(now));
 }
 
 }  // namespace aniseline
--- a/source/controller/request_handlers.cpp
+++ b/source/controller/request_handlers.cpp
@@ -1,5 +1,5 @@
-// How requests are taken in, and the handlers of clients' and operators'
-// requests. docs/api.md, docs/design.md 8, 10.
+// Admission of requests, and the handlers of requests from clients and operators. docs/api.md,
+// docs/design.md 8, 10.
 #include "controller/config_service.hpp"
 #include "controller/controller.hpp"
 #include "controller/read_views.hpp"
@@ -14,15 +14,16 @@
   if (!isLeading() || !raft.isLeader())
     return sendResponse(number, notLeaderResponse());
   if (!hasRequestCapacity(request))
-    return sendResponse(number,
-                        ApiResponse::error(429, "overloaded", "too many requests are under way",
-                                           overloadRetryDelay));
+    return sendResponse(
+        number,
+        ApiResponse::error(429, "overloaded", "too many requests are pending", overloadRetryDelay));
   if (!fitsMemoryLimit(request))
-    return sendResponse(number, ApiResponse::notApplied("too much is under way; ask again"));
+    return sendResponse(
+        number, ApiResponse::notApplied("the pending requests use too much memory; try again"));
   requests.add(number, std::move(request), at + options.responseTimeout);
 }
 
-// The config in force says which queues are urgent. docs/design.md 10.
+// The committed configuration determines which queues are urgent. docs/design.md 10.
 bool Controller::hasRequestCapacity(const ApiRequest& request) const {
   const auto* queue = committed().config().findQueue(request.job.queue);
   const bool isUrgent = queue && queue->priority > 0;
@@ -31,8 +32,8 @@
                        options.maxPendingRequests);
 }
 
-// Syncs are always let in: there are as many as workers, and without them
-// nothing ends.
+// Syncs are always admitted: their number is bounded by the number of workers, and without them no
+// task could complete.
 bool Controller::fitsMemoryLimit(const ApiRequest& request) const {
   const std::size_t retained = pendingBytes();
   return request.kind == RequestKind::syncWorker || retained == 0 ||
@@ -43,15 +44,16 @@
   for (auto sequence : requests.takeQueued()) {
     PendingRequest* pending = requests.find(sequence);
     if (!pending)
-      continue;  // it timed out before it could be handled
+      continue;  // the request timed out before it was handled
     handleRequest(*pending);
     requests.releaseConfigText(*pending);
   }
 }
 
-// Submissions by the product's own interface name their queue, but need a key as well where there
-// are tenants: their work counts against a cap. Its other requests are operators'. docs/api.md 1.
-std::optional<ApiResponse> Controller::rejectionOnArrival(ApiRequest& request) {
+// Submissions through the native API name their queue, but they also need a key if tenants are
+// configured, because their work counts against a tenant's cap. The other requests of this API come
+// from operators. docs/api.md 1.
+std::optional<ApiResponse> Controller::rejectionBeforeDispatch(ApiRequest& request) {
   if (request.viaIngress())
     return resolveIngressRoute(request);
   request.job.tenant = TenantName{};
@@ -60,15 +62,15 @@
   return needsKey ? authenticate(request) : std::nullopt;
 }
 
-// The leader's config is the newest there is, so what comes by an ingress route
-// is never judged by an older one. docs/design.md 6.6.
+// The leader has the newest configuration, so a request from an ingress route is never validated
+// against an older one. docs/design.md 6.6.
 std::optional<ApiResponse> Controller::resolveIngressRoute(ApiRequest& request) {
   const ClusterConfig& config = speculative().config();
   if (!config.version.value)
-    return ApiResponse::notApplied("there is no config yet");
+    return ApiResponse::notApplied("no configuration has been applied yet");
   const auto* route = config.findIngressRoute(request.host, request.path);
   if (!route)
-    return ApiResponse::error(404, "no_queue", "no queue is entered there");
+    return ApiResponse::error(404, "no_queue", "no ingress route matches this host and path");
   request.targetId = request.path.substr(route->pathPrefix.size());
   request.job.queue = route->queue;
   request.job.id = JobId{request.targetId};
@@ -81,26 +83,26 @@
     request.kind = RequestKind::countPendingJobs;
   if (request.kind != RequestKind::submitJob)
     return checkOwner(request);
-  auto faults = request.job.validate();
-  if (faults.empty())
+  auto errors = request.job.validate();
+  if (errors.empty())
     return std::nullopt;
-  return ApiResponse::fromError(CoreError{CoreError::Kind::invalid, std::move(faults)});
+  return ApiResponse::fromError(CoreError{CoreError::Kind::invalid, std::move(errors)});
 }
 
-// By the newest configuration in the leader's log, whichever process the request came through: no
-// process keeps a list of keys that could be older. The answer leaves when that configuration is
-// committed. docs/design.md 6.7.
+// Keys are checked against the newest configuration in the leader's log, regardless of the process
+// through which the request came. No other process keeps a list of keys, since that list could be
+// outdated. The response is sent once that configuration is committed. docs/design.md 6.7.
 std::optional<ApiResponse> Controller::authenticate(ApiRequest& request) {
   const TenantName* tenant = speculative().config().tenants.findByKey(request.apiKey);
   if (!tenant) {
     ++rejectedKeys;
-    return ApiResponse::error(401, "unauthenticated", "no tenant has this key");
+    return ApiResponse::error(401, "unauthenticated", "the API key is missing or unknown");
   }
   request.job.tenant = *tenant;
   return std::nullopt;
 }
 
-// A job of no tenant came by a public route, or before there were tenants.
+// A job without a tenant was submitted through a public route, or before tenants were configured.
 std::optional<ApiResponse> Controller::checkOwner(const ApiRequest& request) const {
   const auto found = speculative().jobs().find(request.job.id);
   if (found == speculative().jobs().end())
@@ -112,7 +114,7 @@
 }
 
 void Controller::handleRequest(PendingRequest& pending) {
-  if (auto rejection = rejectionOnArrival(pending.request))
+  if (auto rejection = rejectionBeforeDispatch(pending.request))
     return respondWhenCommitted(pending, std::move(*rejection));
   switch (pending.request.kind) {
     case RequestKind::submitJob:
@@ -128,7 +130,7 @@
     case RequestKind::drainWorker:
     case RequestKind::undrainWorker:
     case RequestKind::removeWorker:
-      return handleWorkerOrder(pending);
+      return handleWorkerCommand(pending);
     case RequestKind::replaceController:
       return handleReplacement(pending);
     default:
@@ -142,7 +144,7 @@
   auto respond = [&](ApiResponse response) {
     respondWhenCommitted(pending, std::move(response));
   };
-  auto show = [&](const picojson::object& body) {
+  auto respondWithJson = [&](const picojson::object& body) {
     respond(ApiResponse::of(200, body));
   };
   switch (request.kind) {
@@ -155,23 +157,24 @@
     case RequestKind::readConfig:
       return respond(configTextResponse(state));
     case RequestKind::listJobs:
-      return show(renderJobList(state, request));
+      return respondWithJson(renderJobList(state, request));
     case RequestKind::showConfig:
-      return show(renderConfig(state));
+      return respondWithJson(renderConfig(state));
     case RequestKind::listWorkers:
-      return show(renderWorkers(state, leases.unheardDurations(now), clusterNow()));
+      return respondWithJson(renderWorkers(state, leases.timesSinceLastContact(now), clusterNow()));
     case RequestKind::listTenants:
-      return show(renderTenants(state));
+      return respondWithJson(renderTenants(state));
     case RequestKind::showCluster:
-      return show(renderCluster(state, raft, gateways, now, clusterNow()));
+      return respondWithJson(renderCluster(state, raft, gateways, now, clusterNow()));
     case RequestKind::showPlan:
-      return show(renderPlan(state, planning.explain(state, clusterNow(), now), clusterNow()));
+      return respondWithJson(
+          renderPlan(state, planning.explain(state, clusterNow(), now), clusterNow()));
     case RequestKind::showCounters:
-      return show(renderCounters(state, raft, requests.size()));
+      return respondWithJson(renderCounters(state, raft, requests.size()));
     case RequestKind::exportState:
-      return show(renderExport(state, clusterNow()));
+      return respondWithJson(renderExport(state, clusterNow()));
     default:
-      return;  // changes something: handleRequest dispatches it
+      return;  // requests that change state are dispatched by handleRequest
   }
 }
 
@@ -180,7 +183,7 @@
   const auto* queue = speculative().config().findQueue(pending.request.job.queue);
   if (decision.event && queue->priority > 0)
     planning.skipPeriod();
-  carryOut(pending, std::move(decision));
+  applyDecision(pending, std::move(decision));
 }
 
 void Controller::handleCancel(PendingRequest& pending) {
@@ -201,19 +204,19 @@
   const ApiRequest& request = pending.request;
   RequestDecision decision = request.kind == RequestKind::patchConfig
                                  ? decideConfigPatch(request, speculative(), options.parseConfig)
-                                 : decideConfigOrder(request, speculative());
+                                 : decideConfigUpdate(request, speculative());
   if (decision.event) {
     const auto& event = boost::get<ConfigCommitted>(*decision.event);
     const TenantDirectory& tenants = event.config.tenants;
     logEvent(
         log_events::ConfigAccepted{event.config.version, tenants.all().size(), tenants.keyCount()});
   }
-  carryOut(pending, std::move(decision));
+  applyDecision(pending, std::move(decision));
 }
 
-// An operator's order that a learner may take a member's place. Identities are
-// never used again, so an order that was accepted is known by the one that it
-// names, also once that one leads or is out.
+// Handles an operator's order that a learner may replace a member. Identities are never reused, so
+// a repeated order is recognised by the identity that it names, even after that controller has
+// become the leader or has left the cluster.
 void Controller::handleReplacement(PendingRequest& pending) {
   const ControllerId id{pending.request.targetId};
   const Membership& members = raft.membership();
@@ -228,10 +231,11 @@
     return respondWhenCommitted(pending,
                                 ApiResponse::error(404, "missing", "no member " + id.value));
   if (id == raft.self().id)
-    return respondWhenCommitted(
-        pending,
-        ApiResponse::error(409, "conflict", "it leads; stop it first so that leadership moves"));
-  carryOut(pending, {accepted, ControllerReplacementRequested{id, false}});
+    return respondWhenCommitted(pending,
+                                ApiResponse::error(409, "conflict",
+                                                   "this controller is the leader; stop it first "
+                                                   "so that leadership moves to another one"));
+  applyDecision(pending, {accepted, ControllerReplacementRequested{id, false}});
 }
 
 }  // namespace aniseline
--- a/source/controller/responses.cpp
+++ b/source/controller/responses.cpp
@@ -1,5 +1,4 @@
-// When a response may leave: committed, and confirmed by a majority.
-// docs/design.md 8.2.
+// Sends responses once they are committed and confirmed by a majority. docs/design.md 8.2.
 #include "controller/controller.hpp"
 
 namespace aniseline {
@@ -10,7 +9,7 @@
 
 ApiResponse Controller::notLeaderResponse() const {
   ApiResponse response =
-      ApiResponse::error(503, "unknown", "this controller does not lead", notLeaderRetryDelay);
+      ApiResponse::error(503, "unknown", "this controller is not the leader", notLeaderRetryDelay);
   response.notLeader = true;
   for (const auto& member : raft.membership())
     if (member.id == raft.leaderId() && member.id != raft.self().id)
@@ -22,16 +21,15 @@
   responses.push_back({number, std::move(response)});
 }
 
-void Controller::carryOut(PendingRequest& pending, RequestDecision decision) {
+void Controller::applyDecision(PendingRequest& pending, RequestDecision decision) {
   const bool appends = decision.event.has_value();
   if (appends)
     append(std::move(*decision.event));
   respondWhenCommitted(pending, std::move(decision.response), appends);
 }
 
-// A response rests on the speculative state, so it leaves only when all that
-// this state holds is committed, and a round that began after the request came
-// is confirmed by a majority.
+// A response is based on the speculative state. It is therefore sent only when everything in that
+// state is committed, and a majority has confirmed a round that began after the request arrived.
 void Controller::respondWhenCommitted(PendingRequest& pending, ApiResponse response,
                                       bool appended) {
   pending.stage = RequestStage::awaitingCommit;
@@ -47,9 +45,9 @@
 }
 
 void Controller::respondToPolls() {
-  for (const auto& worker : stateMachine.takeAddressedWorkers())
-    requests.checkPollsOf(worker);
-  requests.checkDuePolls(now);
+  for (const auto& worker : stateMachine.takeWorkersWithUpdates())
+    requests.markPollsOf(worker);
+  requests.markDuePolls(now);
   const RoundNumber confirmedRound = raft.confirmedRound();
   requests.visitPollsToCheck(
       [&](const PendingRequest& poll) { respondToPoll(poll, confirmedRound); });
@@ -58,7 +56,7 @@
 void Controller::respondToPoll(const PendingRequest& poll, RoundNumber confirmedRound) {
   SyncResponder::Outcome outcome;
   if (now >= poll.deadline)
-    outcome.response = ApiResponse::outcomeUnknown("no majority of the controllers answers");
+    outcome.response = ApiResponse::outcomeUnknown("no majority of the controllers responds");
   else if (!isConfirmed(poll, confirmedRound))
     return;
   else
@@ -79,10 +77,11 @@
     if (isReady)
       sendResponse(pending.number, pending.response);
     else if (!isHandled)
-      sendResponse(pending.number, ApiResponse::notApplied("the leader can't serve yet"));
+      sendResponse(pending.number,
+                   ApiResponse::notApplied("the leader is not ready to serve requests yet"));
     else
       sendResponse(pending.number, ApiResponse::outcomeUnknown(
-                                       "no majority of the controllers answers; ask again"));
+                                       "no majority of the controllers responds; try again"));
     requests.remove(pending.sequenceNumber);
   });
 }
--- a/source/controller/worker_handlers.cpp
+++ b/source/controller/worker_handlers.cpp
@@ -1,5 +1,4 @@
-// The handlers of workers' syncs and of operators' orders about workers.
-// docs/design.md 5.
+// Handlers of worker syncs and of operator commands for workers. docs/design.md 5.
 #include "controller/controller.hpp"
 
 namespace aniseline {
@@ -12,19 +11,19 @@
          (worker.state == WorkerState::removed && worker.incarnation == incarnation);
 }
 
-// The event that carries out an operator's order about a worker; none where it
-// changes nothing.
-std::optional<Event> eventOfOrder(const ApiRequest& order, const Worker& worker) {
+// Returns the event that carries out an operator's command for a worker, or nothing if the command
+// would change nothing.
+std::optional<Event> eventForWorkerCommand(const ApiRequest& command, const Worker& worker) {
   const WorkerState state = worker.state;
-  switch (order.kind) {
+  switch (command.kind) {
     case RequestKind::workerShutdown:
-      // An unreachable worker may return: it is not used then either.
+      // An unreachable worker may reconnect; it must not be used in that case either.
       if (state == WorkerState::available || state == WorkerState::unreachable)
-        return WorkerDrainStarted{worker.id, order.drainTimeout, false};
+        return WorkerDrainStarted{worker.id, command.drainTimeout, false};
       return std::nullopt;
     case RequestKind::drainWorker:
       if (state != WorkerState::drained && state != WorkerState::removed)
-        return WorkerDrainStarted{worker.id, order.drainTimeout, true};
+        return WorkerDrainStarted{worker.id, command.drainTimeout, true};
       return std::nullopt;
     case RequestKind::undrainWorker:
       if (state == WorkerState::drained || state == WorkerState::draining)
@@ -39,14 +38,14 @@
 
 }  // namespace
 
-void Controller::handleWorkerOrder(PendingRequest& pending) {
+void Controller::handleWorkerCommand(PendingRequest& pending) {
   const WorkerId id{pending.request.targetId};
   auto found = speculative().workers().find(id);
   if (found == speculative().workers().end())
     return respondWhenCommitted(pending,
                                 ApiResponse::error(404, "missing", "no worker " + id.value));
   const Worker& worker = found->second;
-  auto event = eventOfOrder(pending.request, worker);
+  auto event = eventForWorkerCommand(pending.request, worker);
   const bool appends = event.has_value();
   if (appends)
     append(std::move(*event));
@@ -60,9 +59,10 @@
   const SyncReport& report = pending.request.report;
   if (auto rejection = syncRejection(report))
     return respondWhenCommitted(pending, std::move(*rejection));
-  if (leases.isOvertakenByAnotherInstance(report))
+  if (leases.isSupersededByOtherInstance(report))
     return respondWhenCommitted(
-        pending, ApiResponse::notApplied("a later instance of this host has been reported"));
+        pending,
+        ApiResponse::notApplied("a later instance on this host has already been reported"));
   const bool registered = registerWorker(report);
   const bool replacesPolls =
       !report.wantsPackedResponse || report.longPollTimeout.milliseconds != 0;
@@ -74,8 +74,8 @@
   startPoll(pending, registered);
 }
 
-// Two processes with one id would replace each other for ever, so while the
-// known one is alive the other is rejected.
+// Two processes with the same identifier would replace each other endlessly, so a second process is
+// rejected while the first one is alive.
 std::optional<ApiResponse> Controller::syncRejection(const SyncReport& report) {
   auto found = speculative().workers().find(report.id);
   if (found == speculative().workers().end())
@@ -88,13 +88,13 @@
   if (!idInUse)
     return std::nullopt;
   logEvent(log_events::WorkerIdInUse{report.id});
-  return ApiResponse::error(
-      409, "conflict",
-      "worker " + report.id.value + " is alive as another process; give each its own id",
-      options.workerLivenessTimeout);
+  return ApiResponse::error(409, "conflict",
+                            "worker id " + report.id.value +
+                                " is in use by another live process; give each process its own id",
+                            options.workerLivenessTimeout);
 }
 
-// True: the worker is new, or its incarnation or capacity is.
+// Returns true if the worker, its incarnation or its capacity is new.
 bool Controller::registerWorker(const SyncReport& report) {
   auto known = speculative().workers().find(report.id);
   if (known != speculative().workers().end() && known->second.incarnation == report.incarnation &&
@@ -106,26 +106,26 @@
 
 void Controller::recordContact(const SyncReport& report) {
   const auto effect = leases.recordReport(report, now);
-  if (effect.responsiveAgain)
+  if (effect.becameResponsive)
     planning.requestPlan();
   const Worker& worker = speculative().workers().at(report.id);
-  if (worker.state == WorkerState::unreachable && !report.unresponsive && !effect.overtaken)
+  if (worker.state == WorkerState::unreachable && !report.unresponsive && !effect.outOfOrder)
     append(WorkerReconnected{report.id});
 }
 
 void Controller::recordDrainNotice(const SyncReport& report) {
   const Worker& worker = speculative().workers().at(report.id);
-  const bool isNews =
+  const bool isNewDrain =
       worker.state == WorkerState::available ||
       (worker.state == WorkerState::unreachable && worker.drainDeadline == ClusterTime{});
-  if (!report.draining || !isNews)
+  if (!report.draining || !isNewDrain)
     return;
   append(WorkerDrainStarted{report.id, report.drainTimeout, false});
   logEvent(log_events::WorkerDraining{report.id});
 }
 
-// Logs the orders that the worker has carried out, its results and its
-// checkpoints, as far as they are news.
+// Logs the orders that the worker has carried out, its results and its checkpoints, unless they are
+// already known.
 void Controller::recordProgress(const SyncReport& report) {
   const ClusterState& state = speculative();
   const Worker& worker = state.workers().at(report.id);
@@ -141,24 +141,24 @@
   for (const auto& checkpoint : report.checkpoints)
     if (auto number = state.findAttempt(report.id, checkpoint.runId); number.value)
       synced.checkpoints.emplace_back(number, checkpoint.checkpoint);
-  planning.recordPace(synced, state, clusterNow(), now);
+  planning.recordRuntimes(synced, state, clusterNow(), now);
   if (synced.lastAppliedOrder > worker.lastAppliedOrder || !synced.results.empty() ||
       !synced.checkpoints.empty())
     append(std::move(synced));
 }
 
-// The sync waits for orders: no longer than it asked for, and not at all when
-// it brings news whose confirmation the worker waits for.
+// Holds the sync open until orders arrive, for at most the time that it requested. A sync with new
+// results is answered as soon as possible, because the worker waits for their confirmation.
 void Controller::startPoll(PendingRequest& pending, bool respondAtOnce) {
   const SyncReport& report = pending.request.report;
-  const bool bringsNews = respondAtOnce || !report.results.empty() || !report.runResults.empty() ||
+  const bool hasNewData = respondAtOnce || !report.results.empty() || !report.runResults.empty() ||
                           (report.draining && !report.wantsPackedResponse);
   requests.startPoll(pending);
   pending.appendedToLog = false;
   pending.requiredCommitIndex = raft.lastIndex();
   pending.requiredRound = raft.startRound(now);
   pending.pollUntil =
-      bringsNews ? now : now + std::min(report.longPollTimeout, options.maxPollDuration);
+      hasNewData ? now : now + std::min(report.longPollTimeout, options.maxPollDuration);
   pending.deadline = now + options.maxPollDuration + options.responseTimeout;
 }
 
--- a/tests/controller/backlog_estimator_tests.cpp
+++ b/tests/controller/backlog_estimator_tests.cpp
@@ -1,4 +1,4 @@
-// What a tenant's cap holds back delays its own jobs and nobody else's. docs/design.md 10.
+// Work held back by a tenant's cap delays only the jobs of that tenant. docs/design.md 10.
 #include "controller/backlog_estimator.hpp"
 #include "state/cluster_state_fixture.hpp"
 
@@ -16,8 +16,8 @@
 
 }  // namespace
 
-// Sixteen cores; the flood is 240 core-seconds, 15 s of all of them. A job's target is 1.5 s, and
-// one and a half times that is 2.25 s.
+// There are sixteen cores. The flood of jobs is 240 core-seconds, or 15 s of all cores. The latency
+// target of a job is 1.5 s, and one and a half times that is 2.25 s.
 TEST_GROUP(BacklogEstimatorTests) {
   ClusterStateFixture fixture{configText};
   BacklogEstimator estimator;
@@ -38,7 +38,7 @@
     for (std::size_t index = 0; index < floodJobs; ++index)
       fixture.apply(JobAccepted{jobOf(tenant + std::to_string(index), tenant)});
   }
-  bool isTurnedAway(const std::string& tenant) {
+  bool isRejected(const std::string& tenant) {
     const JobSubmission job = jobOf("new", tenant);
     const ClusterState& state = fixture.clusterState;
     return estimator.retryDelay(job, *state.config().findQueue(job.queue), state, MonotonicTime{0})
@@ -46,28 +46,28 @@
   }
 };
 
-TEST(BacklogEstimatorTests, aFloodThatACapHoldsBackTurnsItsOwnJobsAway) {
+TEST(BacklogEstimatorTests, cappedFloodDelaysJobsOfSameTenant) {
   flood("capped");
-  CHECK(isTurnedAway("capped"));
+  CHECK(isRejected("capped"));
 }
 
-TEST(BacklogEstimatorTests, aFloodThatACapHoldsBackTurnsNobodyElseAway) {
+TEST(BacklogEstimatorTests, cappedFloodDoesNotDelayOtherTenants) {
   flood("capped");
-  CHECK_FALSE(isTurnedAway("other"));
-  CHECK_FALSE(isTurnedAway("free"));
-  CHECK_FALSE(isTurnedAway(""));
+  CHECK_FALSE(isRejected("other"));
+  CHECK_FALSE(isRejected("free"));
+  CHECK_FALSE(isRejected(""));
 }
 
-TEST(BacklogEstimatorTests, aFloodThatNoCapHoldsBackTurnsAllAway) {
+TEST(BacklogEstimatorTests, uncappedFloodDelaysAllTenants) {
   flood("free");
-  CHECK(isTurnedAway("free"));
-  CHECK(isTurnedAway("other"));
-  CHECK(isTurnedAway(""));
+  CHECK(isRejected("free"));
+  CHECK(isRejected("other"));
+  CHECK(isRejected(""));
 }
 
-// Half of the cores for the time that a job could wait.
-TEST(BacklogEstimatorTests, aCappedFloodCountsAsMuchAsItsCapLetsRun) {
+// The cap of this tenant is half of the cores for as long as a job may wait.
+TEST(BacklogEstimatorTests, cappedFloodCountsUpToItsCap) {
   flood("other");
-  CHECK(isTurnedAway("other"));
-  CHECK_FALSE(isTurnedAway("free"));
+  CHECK(isRejected("other"));
+  CHECK_FALSE(isRejected("free"));
 }
--- a/tests/controller/log_event_tests.cpp
+++ b/tests/controller/log_event_tests.cpp
@@ -1,4 +1,4 @@
-// The names and fields of log events: operators' tools read them, so they stay as they are.
+// The names and fields of log events are read by operators' tools, so they must not change.
 #include "controller/log_event.hpp"
 #include <CppUTest/TestHarness.h>
 
@@ -50,7 +50,7 @@
              log_events::MembershipChangeRefused{MembershipChangeCause::removed, member, refusal});
 }
 
-TEST(LogEventTests, aDelayedTask) {
+TEST(LogEventTests, delayedTask) {
   log_events::TaskDelayed delayed{JobId{"j"}, 1, 2, 3, TaskState::pending, {}, {}};
   expectLine(R"(work waits long {"job":"j","run":3,"state":"waiting","step":1,"within":2})",
              delayed);
@@ -66,7 +66,7 @@
   occupancy.waitingTasks = 1;
   occupancy.withinTarget = 2;
   occupancy.late = 3;
-  occupancy.pastUse = 4;
+  occupancy.tooLateToBeUseful = 4;
   occupancy.attempts = 5;
   occupancy.openJobs = 6;
   occupancy.usableWorkers = 7;
--- a/tests/controller/request_table_tests.cpp
+++ b/tests/controller/request_table_tests.cpp
@@ -1,4 +1,4 @@
-// The table of pending requests: order, memory accounting, and which polls are visited.
+// Tests of the table of pending requests: order, memory accounting, and the polls that are visited.
 #include "controller/request_table.hpp"
 #include <CppUTest/TestHarness.h>
 
@@ -33,7 +33,7 @@
   }
 };
 
-TEST(RequestTableTests, queuedRequestsAreHandedOutOnceInTheirOrder) {
+TEST(RequestTableTests, queuedRequestsAreReturnedOnceInOrder) {
   const RequestSequence first = addRequest(7);
   const RequestSequence second = addRequest(3);
   CHECK((table.takeQueued() == std::vector<RequestSequence>{first, second}));
@@ -68,25 +68,25 @@
   LONGS_EQUAL(0, table.retainedBytes());
 }
 
-TEST(RequestTableTests, aDeferredPollIsVisitedAgainWhenItsTimeHasCome) {
+TEST(RequestTableTests, deferredPollIsVisitedAtItsCheckTime) {
   const RequestSequence poll = addPoll("w");
   CHECK((visitedPolls(MonotonicTime{300}) == std::vector<RequestSequence>{poll}));
   CHECK(visitedPolls(MonotonicTime{300}).empty());
-  table.checkDuePolls(MonotonicTime{299});
+  table.markDuePolls(MonotonicTime{299});
   CHECK(visitedPolls(MonotonicTime{300}).empty());
-  table.checkDuePolls(MonotonicTime{300});
+  table.markDuePolls(MonotonicTime{300});
   CHECK((visitedPolls(MonotonicTime{2000}) == std::vector<RequestSequence>{poll}));
-  table.checkDuePolls(MonotonicTime{1000});  // its deadline
+  table.markDuePolls(MonotonicTime{1000});  // the deadline of the poll
   CHECK((visitedPolls(MonotonicTime{2000}) == std::vector<RequestSequence>{poll}));
 }
 
-TEST(RequestTableTests, newsForAWorkerMarksItsPollsOnly) {
+TEST(RequestTableTests, changeForWorkerMarksOnlyItsPolls) {
   const RequestSequence poll = addPoll("w");
   addPoll("other");
   visitedPolls(MonotonicTime{500});
-  table.checkPollsOf(WorkerId{"w"});
+  table.markPollsOf(WorkerId{"w"});
   CHECK((visitedPolls(MonotonicTime{500}) == std::vector<RequestSequence>{poll}));
-  table.checkAllPolls();
+  table.markAllPolls();
   LONGS_EQUAL(2, visitedPolls(MonotonicTime{500}).size());
 }
 
@@ -99,12 +99,12 @@
   CHECK((visitedPolls(MonotonicTime{900}) == std::vector<RequestSequence>{poll}));
 }
 
-TEST(RequestTableTests, aRemovedPollIsNotVisitedWhenItsTimeComes) {
+TEST(RequestTableTests, removedPollIsNotVisited) {
   const RequestSequence poll = addPoll("w");
   visitedPolls(MonotonicTime{300});
   table.remove(poll);
-  table.checkDuePolls(MonotonicTime{300});
-  table.checkPollsOf(WorkerId{"w"});
+  table.markDuePolls(MonotonicTime{300});
+  table.markPollsOf(WorkerId{"w"});
   CHECK(visitedPolls(MonotonicTime{300}).empty());
 }
 
@@ -115,6 +115,6 @@
   LONGS_EQUAL(0, table.size());
   LONGS_EQUAL(0, table.retainedBytes());
   CHECK(table.takeQueued().empty());
-  table.checkAllPolls();
+  table.markAllPolls();
   CHECK(visitedPolls(MonotonicTime{300}).empty());
 }
