--- a/source/checker/model/fingerprint.cpp
+++ b/source/checker/model/fingerprint.cpp
@@ -19,11 +19,12 @@
   archive << node.log.base.index << node.log.base.term << node.log.base.membership
           << node.log.entries;
   archive << node.committedIndex << node.votesGranted << node.preVoteElection;
-  archive << age(node.leaderHeardAt, now, node.options.electionTimeoutMin);
+  archive << age(node.lastLeaderContactAt, now, node.options.electionTimeoutMin);
   archive << node.joinAddress << std::uint64_t(node.maxLearners);
   archive << node.removed << node.snapshotInstalled << node.lastKnownAddresses;
-  archive << node.lastAppendRound << node.lastAppender << node.lastAppendTerm << node.verifiedIndex;
-  archive << node.replicatedWithoutSelf;
+  archive << node.lastAppendRound << node.lastAppendLeader << node.lastAppendTerm
+          << node.verifiedIndex;
+  archive << node.replicatedIndexWithoutSelf;
   addIncoming(archive, node);
   addDisk(archive, node.writes);
   if (node.isLeader())
@@ -35,12 +36,12 @@
                                         MonotonicTime now) {
   const Duration contactCap{node.options.electionTimeoutMax.milliseconds + 1};
   const Duration pauseCap{
-      RaftLimits::pauseHeartbeats * node.options.heartbeatInterval.milliseconds + 1};
+      RaftLimits::pauseThresholdHeartbeats * node.options.heartbeatInterval.milliseconds + 1};
   archive << node.caughtUpIndex << node.nextCaughtUpIndex;
   archive << age(node.caughtUpIndexUpdatedAt, now, RaftLimits::caughtUpInterval);
   archive << node.firstIndexOfTerm << node.rounds.current() << node.transferringLeadership;
   archive << age(node.nextHeartbeatAt, now, Duration{0});
-  archive << age(node.rounds.lastStart(), now, node.options.heartbeatInterval);
+  archive << age(node.rounds.lastStartTime(), now, node.options.heartbeatInterval);
   archive << age(node.lastTickAt, now, pauseCap);
   archive << age(node.pauseGraceUntil, now, Duration{0});
   if (node.transferringLeadership)
@@ -100,10 +101,10 @@
           << writes.ownVotePending;
   if (writes.dirty)
     archive << writes.dirtyFromIndex;
-  archive << writes.underWay.has_value();
-  if (writes.underWay)
-    archive << writes.underWay->lastIndex << writes.underWay->includesOwnVote;
-  for (const auto& held : writes.heldMessages)
+  archive << writes.inFlight.has_value();
+  if (writes.inFlight)
+    archive << writes.inFlight->lastIndex << writes.inFlight->includesOwnVote;
+  for (const auto& held : writes.messagesAwaitingSync)
     archive << std::int64_t(held.neededVersion.value - writes.nextVersion.value) << held.message;
 }
 
--- a/source/controller/controller.cpp
+++ b/source/controller/controller.cpp
@@ -123,7 +123,7 @@
 }
 
 void Controller::advanceClock() {
-  if (const auto agreed = raft.agreedWallTime(now))
+  if (const auto agreed = raft.medianWallTime(now))
     clock.advanceTo(*agreed, now);
 }
 
@@ -153,7 +153,7 @@
 void Controller::fireTimetables() {
   if (!timetables.isDue(clusterNow()))
     return;
-  const bool calendarTimeKnown = raft.agreedWallTime(now).has_value();
+  const bool calendarTimeKnown = raft.medianWallTime(now).has_value();
   for (auto& job : timetables.dueJobs(speculative(), clusterNow(), calendarTimeKnown))
     append(OccurrenceFired{std::move(job)});
 }
--- a/source/controller/membership_manager.cpp
+++ b/source/controller/membership_manager.cpp
@@ -58,10 +58,10 @@
     return state.controllersToReplace().count(member.id) > 0;
   }
   bool heardRecently(const Member& member) const {
-    return now - raft.lastHeardFrom(member.id) <= recentContact;
+    return now - raft.lastContactWith(member.id) <= recentContact;
   }
   Duration unheard(const Member& member) const {
-    return now - std::max(leaderSince, raft.lastHeardFrom(member.id));
+    return now - std::max(leaderSince, raft.lastContactWith(member.id));
   }
   bool leaderIsSettled() const { return now - leaderSince > leaderSettled; }
   bool isSupplanted(const Member& member) const;
@@ -89,7 +89,7 @@
 bool MembershipReview::isSupplanted(const Member& member) const {
   return std::any_of(members.begin(), members.end(), [&](const Member& other) {
     return other.id != member.id && other.address == member.address &&
-           now - raft.lastHeardFrom(other.id) < recentContact;
+           now - raft.lastContactWith(other.id) < recentContact;
   });
 }
 
--- a/source/controller/read_views.cpp
+++ b/source/controller/read_views.cpp
@@ -136,7 +136,7 @@
 picojson::object renderMember(const Member& member, const RaftNode& raft, MonotonicTime now) {
   const bool isSelf = member.id == raft.self().id;
   const LogIndex match = isSelf ? raft.lastIndex() : raft.matchIndexOf(member.id);
-  const auto unheard = isSelf ? 0 : (now - raft.lastHeardFrom(member.id)).milliseconds;
+  const auto unheard = isSelf ? 0 : (now - raft.lastContactWith(member.id)).milliseconds;
   return {{"id", json(member.id.value)},     {"address", json(member.address.value)},
           {"zone", json(member.zone.value)}, {"voter", json(member.voter)},
           {"leads", json(isSelf)},           {"match", json(match.value)},
--- a/source/gateway/leader_call.cpp
+++ b/source/gateway/leader_call.cpp
@@ -11,13 +11,13 @@
 constexpr Duration maxLeaderSearchTime{2000};
 constexpr std::size_t maxHintsFollowed = 3;
 // Between candidates: short for the first few, in case one of them leads.
-constexpr std::size_t quickCandidates = 4;
-constexpr Duration quickBackoff{20};
-constexpr Duration laterBackoff{60};
+constexpr std::size_t shortBackoffAttempts = 4;
+constexpr Duration shortBackoff{20};
+constexpr Duration longBackoff{60};
 
 // A submission, cancel, config or order about a worker that may have been taken is never sent twice
 // by a gateway.
-bool readsOnly(RequestKind kind) {
+bool isReadOnly(RequestKind kind) {
   switch (kind) {
     case RequestKind::syncWorker:
     case RequestKind::showJob:
@@ -48,11 +48,11 @@
 
 }  // namespace
 
-LeaderCall::LeaderCall(const ApiRequest& request, Route route, const std::vector<Address>& seeds,
-                       MonotonicTime now)
-    : route(std::move(route)),
+LeaderCall::LeaderCall(const ApiRequest& request, RouteSource routeSource,
+                       const std::vector<Address>& seeds, MonotonicTime now)
+    : routeSource(std::move(routeSource)),
       seeds(seeds),
-      idempotent(readsOnly(request.kind)),
+      idempotent(isReadOnly(request.kind)),
       deadline(now + timeoutOf(request)),
       leaderSearchDeadline(now + std::min(request.clientTimeout, maxLeaderSearchTime)) {}
 
@@ -65,7 +65,7 @@
 Address LeaderCall::chooseTarget() {
   if (!leaderHint.value.empty())
     return std::exchange(leaderHint, Address{});
-  const LeaderRoute current = route();
+  const LeaderRoute current = routeSource();
   if (!current.leader.value.empty() && current.leader != skippedTarget)
     return current.leader;
   const std::vector<Address>& candidates =
@@ -91,7 +91,7 @@
     return send(now);
   leaderHint = Address{};
   ++candidateIndex;
-  const Duration backoff = candidateIndex < quickCandidates ? quickBackoff : laterBackoff;
+  const Duration backoff = candidateIndex < shortBackoffAttempts ? shortBackoff : longBackoff;
   return Step{Step::Kind::backOff, {}, backoff, {}};
 }
 
--- a/source/gateway/leader_call.hpp
+++ b/source/gateway/leader_call.hpp
@@ -27,9 +27,9 @@
     ApiResponse response;
   };
   // The newest known route to the leader.
-  using Route = std::function<LeaderRoute()>;
+  using RouteSource = std::function<LeaderRoute()>;
   // The seeds are asked while the route names no controller; they have to outlive the call.
-  LeaderCall(const ApiRequest& request, Route route, const std::vector<Address>& seeds,
+  LeaderCall(const ApiRequest& request, RouteSource routeSource, const std::vector<Address>& seeds,
              MonotonicTime now);
 
   Step begin(MonotonicTime now) { return send(now); }
@@ -43,7 +43,7 @@
   Step tryNext(MonotonicTime now);
   static Step completeWith(ApiResponse response);
 
-  Route route;
+  RouteSource routeSource;
   const std::vector<Address>& seeds;
   bool idempotent;  // it changes nothing, so it may be sent again after a loss
   MonotonicTime deadline;
--- a/source/gateway/leader_directory.cpp
+++ b/source/gateway/leader_directory.cpp
@@ -36,14 +36,14 @@
 }
 
 bool LeaderDirectory::publish(const LeaderRoute& route) {
-  const LeaderRoute* before = current.load(std::memory_order_acquire);
-  auto next = std::make_unique<LeaderRoute>(*before);
+  const LeaderRoute* previous = current.load(std::memory_order_acquire);
+  auto next = std::make_unique<LeaderRoute>(*previous);
   if (!next->mergeNewer(route))
     return false;
   current.store(next.release(), std::memory_order_release);
   synchronize_rcu();
   ANISELINE_GRACE_ACQUIRE();
-  const std::unique_ptr<const LeaderRoute> retired(before);  // nobody reads it any more
+  const std::unique_ptr<const LeaderRoute> retired(previous);  // nobody reads it any more
   return true;
 }
 
--- a/source/gateway/leader_directory.hpp
+++ b/source/gateway/leader_directory.hpp
@@ -16,10 +16,10 @@
 
   // Hands the route to `use` and returns what that returns. The calling thread holds an
   // RcuReaderRegistration; `use` must not wait for anything, nor keep a reference.
-  template <class Use>
-  auto read(Use&& use) const {
+  template <class Reader>
+  auto read(Reader&& reader) const {
     const ReadLock lock;
-    return use(*current.load(std::memory_order_acquire));
+    return reader(*current.load(std::memory_order_acquire));
   }
   // Merges the route into the current one unless it is older; whether it did. Waits until no thread
   // reads the one before.
--- a/source/gateway/peer_directory.cpp
+++ b/source/gateway/peer_directory.cpp
@@ -3,36 +3,37 @@
 namespace aniseline {
 
 namespace {
-constexpr Duration preferredRetryAfter{10'000};
+constexpr Duration preferredRetryDelay{10'000};
 }
 
-PeerDirectory::PeerDirectory(std::vector<Address> given, std::uint64_t spread)
-    : seeds(std::move(given)), seedIndex(std::size_t(spread % seeds.size())) {}
+PeerDirectory::PeerDirectory(std::vector<Address> seedAddresses, std::uint64_t startOffset)
+    : seeds(std::move(seedAddresses)), seedIndex(std::size_t(startOffset % seeds.size())) {}
 
-void PeerDirectory::update(const std::vector<Address>& inForce) {
-  if (inForce.empty() || inForce == learned)
+void PeerDirectory::update(const std::vector<Address>& peers) {
+  if (peers.empty() || peers == discovered)
     return;
   // One that is being asked goes on being asked where it is still in force.
-  const Address asked = learnedIndex < learned.size() ? learned[learnedIndex] : Address{};
-  learned = inForce;
-  const auto found = std::find(learned.begin(), learned.end(), asked);
-  learnedIndex = found == learned.end() ? 0 : std::size_t(found - learned.begin());
+  const Address currentPeer =
+      discoveredIndex < discovered.size() ? discovered[discoveredIndex] : Address{};
+  discovered = peers;
+  const auto found = std::find(discovered.begin(), discovered.end(), currentPeer);
+  discoveredIndex = found == discovered.end() ? 0 : std::size_t(found - discovered.begin());
 }
 
 const Address& PeerDirectory::current(MonotonicTime now) {
-  if (learnedIndex > 0 && !learned.empty() && now - failedAt > preferredRetryAfter)
-    learnedIndex = 0;
-  return learnedIndex < learned.size() ? learned[learnedIndex] : seeds[seedIndex];
+  if (discoveredIndex > 0 && !discovered.empty() && now - failedAt > preferredRetryDelay)
+    discoveredIndex = 0;
+  return discoveredIndex < discovered.size() ? discovered[discoveredIndex] : seeds[seedIndex];
 }
 
 void PeerDirectory::markFailed(MonotonicTime now) {
   failedAt = now;
-  if (learnedIndex < learned.size()) {
-    ++learnedIndex;
+  if (discoveredIndex < discovered.size()) {
+    ++discoveredIndex;
     return;
   }
   seedIndex = (seedIndex + 1) % seeds.size();
-  learnedIndex = 0;
+  discoveredIndex = 0;
 }
 
 }  // namespace aniseline
--- a/source/gateway/peer_directory.hpp
+++ b/source/gateway/peer_directory.hpp
@@ -12,21 +12,21 @@
  public:
   // At least one seed. `spread` chooses the seed to start with, so that many clients do not begin
   // with the same one.
-  PeerDirectory(std::vector<Address> seeds, std::uint64_t spread);
+  PeerDirectory(std::vector<Address> seeds, std::uint64_t startOffset);
   // Learns those in force, the preferred first; nothing changes where there are none. Seeds stay a
   // last resort: they may all be gone by then, or all that is left.
-  void update(const std::vector<Address>& inForce);
+  void update(const std::vector<Address>& peers);
   // Whom to ask now. A preferred one that had failed is tried again after a while.
   const Address& current(MonotonicTime now);
   // The current one was silent or not able.
   void markFailed(MonotonicTime now);
   std::size_t seedCount() const { return seeds.size(); }
-  bool hasLearned() const { return !learned.empty(); }
+  bool hasDiscoveredPeers() const { return !discovered.empty(); }
 
  private:
   std::vector<Address> seeds;
-  std::vector<Address> learned;
-  std::size_t learnedIndex = 0;  // of the current one; past the end: it is a seed
+  std::vector<Address> discovered;
+  std::size_t discoveredIndex = 0;  // of the current one; past the end: it is a seed
   std::size_t seedIndex;
   MonotonicTime failedAt;
 };
--- a/source/net/gateway_client.cpp
+++ b/source/net/gateway_client.cpp
@@ -58,14 +58,14 @@
   refreshedAt = monotonicNow();
   // Of the addresses given some may be dead, some controllers, which serve no callers but know who
   // does.
-  const std::size_t attempts = gateways.hasLearned() ? 1 : gateways.seedCount();
+  const std::size_t attempts = gateways.hasDiscoveredPeers() ? 1 : gateways.seedCount();
   for (std::size_t attempt = 0; attempt < attempts; ++attempt) {
     const auto answer =
         client.send(gateways.current(refreshedAt), {"GET", "/v1/contacts?zone=" + zone->value, ""},
                     refreshTimeout);
     if (answer)
       gateways.update(gatewaysIn(answer.value()));
-    if (gateways.hasLearned())
+    if (gateways.hasDiscoveredPeers())
       return;
     gateways.markFailed(refreshedAt);
   }
--- a/source/net/worker_client.cpp
+++ b/source/net/worker_client.cpp
@@ -128,7 +128,7 @@
   if (status == http_status::conflict)
     rejected(answer.value().body);
   else {
-    if (!gatewayDirectory.hasLearned())
+    if (!gatewayDirectory.hasDiscoveredPeers())
       refreshGateways(client, gateway, report.capacity.zone);
     gatewayDirectory.markFailed(monotonicNow());
   }
--- a/source/raft/chunk_transfer.cpp
+++ b/source/raft/chunk_transfer.cpp
@@ -11,7 +11,7 @@
   auto chunks =
       progress.takeChunks(bytes, peer.sendWindow().bytes(), options.chunkBytes, rounds.current());
   if (!progress.allSent(bytes))
-    peer.sendWindow().noteExhausted();
+    peer.sendWindow().markExhausted();
   if (chunks.empty() && mode == SendMode::heartbeat)
     chunks.push_back({progress.acknowledged(), {}});
   return chunks;
--- a/source/raft/election.cpp
+++ b/source/raft/election.cpp
@@ -23,7 +23,7 @@
 // Or a learner, where this node does not vote.
 void RaftNode::becomeFollower(MonotonicTime now) {
   if (isLeader())
-    replicatedWithoutSelf = std::min(replicatedIndexWithout(selfMember.id), committedIndex);
+    replicatedIndexWithoutSelf = std::min(replicatedIndexWithout(selfMember.id), committedIndex);
   currentRole = isVoter() ? Role::follower : Role::learner;
   votesGranted.clear();
   preVoteElection = false;
@@ -43,7 +43,7 @@
   preVoteElection = false;
   knownLeader = selfMember.id;
   transferringLeadership = false;
-  rounds.restart();
+  rounds.reset();
   peers.clear();
   const LogIndex next = lastIndex().next();
   for (const auto& member : currentMembership) {
@@ -110,10 +110,10 @@
   for (const auto& member : currentMembership) {
     if (!member.voter || member.id == selfMember.id)
       continue;
-    const bool heardLately = now - peers.at(member.id).lastHeard() < options.electionTimeoutMin;
+    const bool heardRecently = now - peers.at(member.id).lastContact() < options.electionTimeoutMin;
     const bool furtherAhead =
         !successor || peers.at(member.id).matchIndex() > peers.at(successor->id).matchIndex();
-    if (heardLately && furtherAhead)
+    if (heardRecently && furtherAhead)
       successor = &member;
   }
   if (!successor)
@@ -128,8 +128,8 @@
   if (!findMember(message.from) && canServe() && membershipCommitted())
     return notifyRemoved(message.from);
   // A node that hears its leader does not help to replace it. docs/design.md 3.2.
-  const bool hearsLeader = isLeader() || now - leaderHeardAt < options.electionTimeoutMin;
-  if (hearsLeader && !body.leaderTransfer)
+  const bool hasLiveLeader = isLeader() || now - lastLeaderContactAt < options.electionTimeoutMin;
+  if (hasLiveLeader && !body.leaderTransfer)
     return send(message.from, RequestVoteReply{currentTerm, body.preVote, false});
   if (body.preVote)
     answerPreVote(message.from, body);
--- a/source/raft/follower_replication.cpp
+++ b/source/raft/follower_replication.cpp
@@ -23,14 +23,14 @@
 void RaftNode::recordLeaderContact(const ControllerId& leader, Term term, RoundNumber round,
                                    MonotonicTime now) {
   knownLeader = leader;
-  leaderHeardAt = now;
+  lastLeaderContactAt = now;
   resetElectionTimer(now);
-  const bool isNew = lastAppender != leader || lastAppendTerm != term;
+  const bool isNew = lastAppendLeader != leader || lastAppendTerm != term;
   // Of the log only the committed part is known to be in a new leader's log. docs/design.md 3.3.
   if (isNew)
     verifiedIndex = committedIndex;
   lastAppendRound = isNew ? round : std::max(lastAppendRound, round);
-  lastAppender = leader;
+  lastAppendLeader = leader;
   lastAppendTerm = term;
 }
 
@@ -50,7 +50,7 @@
   committedIndex = std::max(committedIndex, std::min(body.leaderCommit, lastSent));
   if (incomingSnapshot && incomingSnapshot->identity.lastIncludedIndex <= committedIndex)
     incomingSnapshot.reset();
-  replicatedWithoutSelf = body.replicatedWithoutReceiver;
+  replicatedIndexWithoutSelf = body.replicatedIndexWithoutReceiver;
   verifiedIndex = std::max(verifiedIndex, lastSent);
   const LogIndex match = std::min(lastSent, writes.syncedIndex());
   sendAppendReply(message.from, true, match, body.round);
--- a/source/raft/heartbeat_rounds.cpp
+++ b/source/raft/heartbeat_rounds.cpp
@@ -2,7 +2,7 @@
 
 namespace aniseline {
 
-RoundNumber HeartbeatRounds::begin(MonotonicTime now) {
+RoundNumber HeartbeatRounds::startNext(MonotonicTime now) {
   latest = latest.next();
   latestStart = now;
   starts.push_back({latest, now});
@@ -11,7 +11,7 @@
   return latest;
 }
 
-std::optional<MonotonicTime> HeartbeatRounds::startOf(RoundNumber round) const {
+std::optional<MonotonicTime> HeartbeatRounds::startTimeOf(RoundNumber round) const {
   for (const auto& start : starts) {
     if (start.round == round)
       return start.at;
@@ -19,7 +19,7 @@
   return std::nullopt;
 }
 
-void HeartbeatRounds::restart() {
+void HeartbeatRounds::reset() {
   latest = RoundNumber{};
   starts.clear();
 }
--- a/source/raft/heartbeat_rounds.hpp
+++ b/source/raft/heartbeat_rounds.hpp
@@ -11,12 +11,12 @@
   // The latest round that was begun; 0 before the first.
   RoundNumber current() const { return latest; }
   // When the latest round began.
-  MonotonicTime lastStart() const { return latestStart; }
-  RoundNumber begin(MonotonicTime now);
+  MonotonicTime lastStartTime() const { return latestStart; }
+  RoundNumber startNext(MonotonicTime now);
   // When a round began, unless that is too long ago to be remembered.
-  std::optional<MonotonicTime> startOf(RoundNumber round) const;
+  std::optional<MonotonicTime> startTimeOf(RoundNumber round) const;
   // Begins the numbering anew, for a new leadership.
-  void restart();
+  void reset();
 
  private:
   friend struct RaftNodeFingerprint;
--- a/source/raft/leader_replication.cpp
+++ b/source/raft/leader_replication.cpp
@@ -17,7 +17,7 @@
 }
 
 void RaftNode::broadcast(MonotonicTime now) {
-  rounds.begin(now);
+  rounds.startNext(now);
   for (const auto& member : currentMembership) {
     if (member.id != selfMember.id)
       replicate(member.id, peers.at(member.id), SendMode::heartbeat);
@@ -40,7 +40,7 @@
 bool RaftNode::isNextEntryTooLarge(PeerProgress& peer) const {
   if (peer.isSendingEntryInChunks())
     return true;
-  return peer.nothingUnacknowledged() && peer.nextIndex() <= lastIndex() &&
+  return peer.allAcknowledged() && peer.nextIndex() <= lastIndex() &&
          bytesOf(entry(peer.nextIndex())) > peer.sendWindow().bytes();
 }
 
@@ -51,7 +51,7 @@
   body.previousLogTerm = log.termAt(body.previousLogIndex);
   body.leaderCommit = committedIndex;
   body.round = rounds.current();
-  body.replicatedWithoutReceiver = std::min(replicatedIndexWithout(to), committedIndex);
+  body.replicatedIndexWithoutReceiver = std::min(replicatedIndexWithout(to), committedIndex);
   const std::size_t bytes = fillBatch(peer, body.entries);
   if (body.entries.empty() && mode == SendMode::dataOnly)
     return;
@@ -64,15 +64,15 @@
 std::size_t RaftNode::fillBatch(PeerProgress& peer, std::vector<LogEntry>& entries) const {
   std::size_t bytes = 0;
   for (LogIndex index = peer.nextIndex(); index <= lastIndex(); index = index.next()) {
-    const std::size_t grown = bytes + bytesOf(entry(index));
-    if (!peer.fitsWindow(grown)) {
-      peer.sendWindow().noteExhausted();
+    const std::size_t batchBytes = bytes + bytesOf(entry(index));
+    if (!peer.fitsWindow(batchBytes)) {
+      peer.sendWindow().markExhausted();
       break;
     }
-    if (!entries.empty() && grown > options.maxBatchBytes)
+    if (!entries.empty() && batchBytes > options.maxBatchBytes)
       break;
     entries.push_back(entry(index));
-    bytes = grown;
+    bytes = batchBytes;
   }
   return bytes;
 }
@@ -91,7 +91,7 @@
   PeerProgress& peer = found->second;
   peer.recordReply(wallTime, now);
   if (peer.acknowledgeRound(answered)) {
-    if (const auto sentAt = rounds.startOf(answered))
+    if (const auto sentAt = rounds.startTimeOf(answered))
       peer.recordRoundTrip(*sentAt, now, options);
   }
   return &peer;
--- a/source/raft/membership.cpp
+++ b/source/raft/membership.cpp
@@ -15,8 +15,8 @@
 void RaftNode::requestJoin(MonotonicTime now) {
   std::vector<Address> targets;
   if (!isBlank()) {
-    const bool isCutOff = now - leaderHeardAt > RaftLimits::learnerSilence;
-    if (currentRole != Role::learner || !isCutOff)
+    const bool leaderTimedOut = now - lastLeaderContactAt > RaftLimits::learnerLeaderTimeout;
+    if (currentRole != Role::learner || !leaderTimedOut)
       return;
     for (const auto& member : currentMembership) {
       if (member.id != selfMember.id)
@@ -39,8 +39,8 @@
   change.canServe = canServe();
   change.currentCommitted = membershipCommitted();
   change.isCaughtUp = [&](const ControllerId& id) {
-    const bool heardLately = now - lastHeardFrom(id) <= options.electionTimeoutMax;
-    return isCaughtUp(id) && !hasLostState(id) && heardLately;
+    const bool heardRecently = now - lastContactWith(id) <= options.electionTimeoutMax;
+    return isCaughtUp(id) && !hasLostState(id) && heardRecently;
   };
   change.hasLostState = [&](const ControllerId& id) {
     return hasLostState(id);
@@ -69,9 +69,9 @@
     return;
   currentTerm = currentTerm.next();
   votedFor = selfMember.id;
-  Member founder = selfMember;
-  founder.voter = true;
-  log.append(LogEntry{currentTerm, true, pack(Membership{founder})});
+  Member firstMember = selfMember;
+  firstMember.voter = true;
+  log.append(LogEntry{currentTerm, true, pack(Membership{firstMember})});
   writes.persistFrom(lastIndex());
   reloadMembership();
   currentRole = Role::follower;
@@ -84,9 +84,9 @@
 
 // A member that sends from a new address has moved with its disk. The log gets the new address, so
 // that every controller finds it. docs/design.md 3.5.
-void RaftNode::proposeMovedAddresses(MonotonicTime now) {
-  Membership moved = currentMembership;
-  for (auto& member : moved) {
+void RaftNode::proposeAddressChanges(MonotonicTime now) {
+  Membership updated = currentMembership;
+  for (auto& member : updated) {
     if (member.id == selfMember.id) {
       member.address = selfMember.address;
       continue;
@@ -95,8 +95,8 @@
     if (known != lastKnownAddresses.end() && !known->second.value.empty())
       member.address = known->second;
   }
-  if (moved != currentMembership)
-    proposeMembership(moved, now);
+  if (updated != currentMembership)
+    proposeMembership(updated, now);
 }
 
 // Only while the membership is committed: a change that is not may never be, and then the removed
--- a/source/raft/messages.hpp
+++ b/source/raft/messages.hpp
@@ -43,11 +43,11 @@
   RoundNumber round;  // the reply repeats it, which confirms contact since that round began
   // Up to here a majority of the voters holds the log that was heard from lately and does not
   // count the receiver: so far the receiver's copy would not be missed. docs/design.md 3.5.
-  LogIndex replicatedWithoutReceiver{};
+  LogIndex replicatedIndexWithoutReceiver{};
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& term& previousLogIndex& previousLogTerm& entries& leaderCommit& round&
-        replicatedWithoutReceiver;
+        replicatedIndexWithoutReceiver;
   }
 };
 
--- a/source/raft/node.cpp
+++ b/source/raft/node.cpp
@@ -17,7 +17,7 @@
     if (record.holdsSnapshot)
       latestSnapshot = record.snapshot;
     log.restore(record);
-    writes.noteRestored(record);
+    writes.recordRestored(record);
   }
   committedIndex = log.baseIndex();
   writes.finishRestore(lastIndex());
@@ -48,22 +48,22 @@
   return member ? member->address : Address{};
 }
 
-PeerMessage RaftNode::addressed(const ControllerId& to, PeerBody body) const {
+PeerMessage RaftNode::makeMessage(const ControllerId& to, PeerBody body) const {
   return PeerMessage{selfMember.id, to, addressOf(to), std::move(body), selfMember.address};
 }
 
 void RaftNode::send(const ControllerId& to, PeerBody body) {
-  outgoingMessages.push_back(addressed(to, std::move(body)));
+  outgoingMessages.push_back(makeMessage(to, std::move(body)));
 }
 
 // For what rests on durable state: it leaves only when that state is synced. docs/design.md 3.3.
 void RaftNode::sendAfterSync(const ControllerId& to, PeerBody body) {
-  writes.sendAfterSync(addressed(to, std::move(body)));
+  writes.sendAfterSync(makeMessage(to, std::move(body)));
 }
 
 void RaftNode::tick(MonotonicTime now, WallTime wall) {
   currentTime = now;
-  notePause(now);
+  detectPause(now);
   wallTimeAtTick = wall;
   discardIdleTransfers();
   if (isLeader())
@@ -74,8 +74,9 @@
 
 // After a pause of this process the others' answers may lie unread, so that its own lateness says
 // nothing of them. docs/design.md 3.2.
-void RaftNode::notePause(MonotonicTime now) {
-  const Duration pause{RaftLimits::pauseHeartbeats * options.heartbeatInterval.milliseconds};
+void RaftNode::detectPause(MonotonicTime now) {
+  const Duration pause{RaftLimits::pauseThresholdHeartbeats *
+                       options.heartbeatInterval.milliseconds};
   if (now - lastTickAt > pause)
     pauseGraceUntil = now + options.electionTimeoutMin;
   lastTickAt = now;
@@ -89,7 +90,7 @@
   const Duration silence = now - lastQuorumContact();
   if (silence <= options.electionTimeoutMax)
     return false;
-  const Duration longest{RaftLimits::pausedElectionTimeouts *
+  const Duration longest{RaftLimits::maxElectionTimeoutsWhilePaused *
                          options.electionTimeoutMax.milliseconds};
   return now >= pauseGraceUntil || silence > longest;
 }
@@ -106,9 +107,9 @@
   // Only a few rounds are unconfirmed at a time: where the others are slow, what is wanted
   // meanwhile shares the next round. docs/design.md 3.2.
   const std::uint64_t unconfirmed = rounds.current().value - confirmedRound().value;
-  const bool mayBegin = unconfirmed < options.maxUnconfirmedRounds ||
-                        now - rounds.lastStart() >= options.heartbeatInterval;
-  if (now >= nextHeartbeatAt && mayBegin)
+  const bool canStartRound = unconfirmed < options.maxUnconfirmedRounds ||
+                             now - rounds.lastStartTime() >= options.heartbeatInterval;
+  if (now >= nextHeartbeatAt && canStartRound)
     broadcast(now);
 }
 
@@ -130,7 +131,7 @@
   lastKnownAddresses[message.from] = message.fromAddress;
   boost::apply_visitor([&](const auto& body) { handle(message, body, now); }, message.body);
   if (canServe() && membershipCommitted())
-    proposeMovedAddresses(now);
+    proposeAddressChanges(now);
 }
 
 }  // namespace aniseline
--- a/source/raft/node.hpp
+++ b/source/raft/node.hpp
@@ -133,7 +133,7 @@
   // When a majority of the voters last followed this leader for certain.
   MonotonicTime lastQuorumContact() const;
   // When a member last answered; now where nothing is known of it.
-  MonotonicTime lastHeardFrom(const ControllerId& id) const;
+  MonotonicTime lastContactWith(const ControllerId& id) const;
   // Up to here a member's log is the leader's and durable; 0 where nothing is known of it.
   LogIndex matchIndexOf(const ControllerId& id) const;
   // The member's disk does not hold what it once acknowledged to this leader. docs/design.md 3.5.
@@ -142,7 +142,7 @@
   bool isCaughtUp(const ControllerId& id) const;
   // The lower median of the voters' calendar clocks, where a majority of them is known; one clock
   // alone can't move it ahead. docs/design.md 3.6.
-  std::optional<WallTime> agreedWallTime(MonotonicTime now) const;
+  std::optional<WallTime> medianWallTime(MonotonicTime now) const;
 
  private:
   friend struct RaftNodeFingerprint;  // of the model checker, checker/model/fingerprint.hpp
@@ -153,7 +153,7 @@
   enum class SendMode : std::uint8_t { dataOnly, heartbeat };
 
   // node.cpp
-  void notePause(MonotonicTime now);
+  void detectPause(MonotonicTime now);
   void tickAsLeader(MonotonicTime now);
   void tickAsFollower(MonotonicTime now);
   bool hasLostQuorum(MonotonicTime now) const;
@@ -161,7 +161,7 @@
   const Member* findMember(const ControllerId& id) const;
   WallTime wallTimeAt(MonotonicTime now) const;
   Address addressOf(const ControllerId& id) const;
-  PeerMessage addressed(const ControllerId& to, PeerBody body) const;
+  PeerMessage makeMessage(const ControllerId& to, PeerBody body) const;
   void send(const ControllerId& to, PeerBody body);
   void sendAfterSync(const ControllerId& to, PeerBody body);
 
@@ -183,8 +183,8 @@
 
   // quorum.cpp
   std::size_t majoritySize() const;
-  template <class Value, class OfPeer>
-  Value quorumValue(Value ofSelf, OfPeer ofPeer) const;
+  template <class Value, class PeerValue>
+  Value quorumValue(Value selfValue, PeerValue peerValue) const;
   LogIndex syncedLogIndex() const;
   LogIndex replicatedIndexWithout(const ControllerId& id) const;
   void advanceCommitIndex();
@@ -232,7 +232,7 @@
   void requestJoin(MonotonicTime now);
   void notifyRemoved(const ControllerId& id);
   EntryPosition membershipPosition() const;
-  void proposeMovedAddresses(MonotonicTime now);
+  void proposeAddressChanges(MonotonicTime now);
   void handle(const PeerMessage& message, const JoinRequest& body, MonotonicTime now);
   void handle(const PeerMessage& message, const RemovedFromCluster& body, MonotonicTime now);
 
@@ -286,15 +286,15 @@
   std::set<ControllerId> votesGranted;
   bool preVoteElection = false;
   MonotonicTime electionDeadline;
-  MonotonicTime leaderHeardAt{-1'000'000};  // before any election timeout at the start
+  MonotonicTime lastLeaderContactAt{-1'000'000};  // before any election timeout at the start
 
   // --- As a follower
-  ControllerId lastAppender;  // the leader that last contacted this node
-  Term lastAppendTerm;        // the term in which it did
+  ControllerId lastAppendLeader;  // the leader that last contacted this node
+  Term lastAppendTerm;            // the term in which it did
   RoundNumber lastAppendRound;
   LogIndex verifiedIndex;  // up to here the log is known to be that leader's
   // Up to here a majority of the voters holds the log, this node not counted.
-  LogIndex replicatedWithoutSelf;
+  LogIndex replicatedIndexWithoutSelf;
   std::optional<IncomingSnapshot> incomingSnapshot;
   std::optional<IncomingEntry> incomingEntry;
 
--- a/source/raft/options.hpp
+++ b/source/raft/options.hpp
@@ -46,15 +46,15 @@
   static constexpr Duration commitNotificationDelay{10};
   // A learner that has heard no leader for so long may have been removed while it was away, and
   // asks to join again.
-  static constexpr Duration learnerSilence{2000};
+  static constexpr Duration learnerLeaderTimeout{2000};
   // Between two requests to join.
   static constexpr Duration joinRetryInterval{500};
   // A node whose own ticks are further apart than so many heartbeats was paused itself, and reads
   // its unread messages before it judges the others' silence.
-  static constexpr std::int64_t pauseHeartbeats = 2;
+  static constexpr std::int64_t pauseThresholdHeartbeats = 2;
   // However often a leader is paused, it steps down after so many maximal election timeouts without
   // contact to a majority.
-  static constexpr std::int64_t pausedElectionTimeouts = 5;
+  static constexpr std::int64_t maxElectionTimeoutsWhilePaused = 5;
   // Rounds whose beginning is remembered, so that a late reply still says when contact was.
   static constexpr std::size_t rememberedRounds = 256;
   // Senders whose latest address is remembered, members or not; more than a cluster ever has.
--- a/source/raft/peer_progress.hpp
+++ b/source/raft/peer_progress.hpp
@@ -26,7 +26,7 @@
   // The newly acknowledged round was sent at this time.
   void recordRoundTrip(MonotonicTime sentAt, MonotonicTime now, const RaftOptions& options);
   RoundNumber ackedRound() const { return acknowledgedRound; }
-  MonotonicTime lastHeard() const { return lastReplyAt; }
+  MonotonicTime lastContact() const { return lastReplyAt; }
   // The follower still followed this leader at that time: the last acknowledged round was sent
   // then.
   MonotonicTime ackedRoundSentAt() const { return acknowledgedRoundSentAt; }
@@ -41,7 +41,7 @@
   LogIndex matchIndex() const { return matchedIndex; }
   // Bytes that may be sent now without exceeding the window.
   bool fitsWindow(std::size_t bytes) const { return unacknowledgedBytes + bytes <= window.bytes(); }
-  bool nothingUnacknowledged() const { return unacknowledgedBatches.empty(); }
+  bool allAcknowledged() const { return unacknowledgedBatches.empty(); }
   SendWindow& sendWindow() { return window; }
   // Entries were sent, from nextIndex on.
   void recordSent(std::size_t entryCount, std::size_t bytes);
--- a/source/raft/persistence.cpp
+++ b/source/raft/persistence.cpp
@@ -21,9 +21,9 @@
   }
   if (isLeader()) {
     advanceCommitIndex();
-  } else if (!lastAppender.value.empty() && lastAppender == knownLeader) {
+  } else if (!lastAppendLeader.value.empty() && lastAppendLeader == knownLeader) {
     const LogIndex match = std::min(writes.syncedIndex(), verifiedIndex);
-    sendAppendReply(lastAppender, true, match, lastAppendRound);
+    sendAppendReply(lastAppendLeader, true, match, lastAppendRound);
   }
 }
 
--- a/source/raft/quorum.cpp
+++ b/source/raft/quorum.cpp
@@ -9,17 +9,17 @@
 }
 
 // The highest value that a majority of the voters has reached.
-template <class Value, class OfPeer>
-Value RaftNode::quorumValue(Value ofSelf, OfPeer ofPeer) const {
+template <class Value, class PeerValue>
+Value RaftNode::quorumValue(Value selfValue, PeerValue peerValue) const {
   std::vector<Value> reached;
   for (const auto& member : currentMembership) {
     if (!member.voter)
       continue;
     const auto peer = peers.find(member.id);
     if (member.id == selfMember.id)
-      reached.push_back(ofSelf);
+      reached.push_back(selfValue);
     else
-      reached.push_back(peer == peers.end() ? Value{} : ofPeer(peer->second));
+      reached.push_back(peer == peers.end() ? Value{} : peerValue(peer->second));
   }
   if (reached.size() < majoritySize())
     return Value{};
@@ -35,9 +35,9 @@
   return quorumValue(currentTime, [](const PeerProgress& peer) { return peer.ackedRoundSentAt(); });
 }
 
-MonotonicTime RaftNode::lastHeardFrom(const ControllerId& id) const {
+MonotonicTime RaftNode::lastContactWith(const ControllerId& id) const {
   const auto peer = peers.find(id);
-  return peer == peers.end() ? currentTime : peer->second.lastHeard();
+  return peer == peers.end() ? currentTime : peer->second.lastContact();
 }
 
 LogIndex RaftNode::matchIndexOf(const ControllerId& id) const {
@@ -71,12 +71,12 @@
 // not heard from may have lost its disk, so its copy is not counted either.
 LogIndex RaftNode::replicatedIndexWithout(const ControllerId& id) const {
   const auto excluded = peers.find(id);
-  const LogIndex ofSelf = id == selfMember.id ? LogIndex{} : syncedLogIndex();
-  return quorumValue(ofSelf, [&](const PeerProgress& peer) {
+  const LogIndex selfValue = id == selfMember.id ? LogIndex{} : syncedLogIndex();
+  return quorumValue(selfValue, [&](const PeerProgress& peer) {
     const bool isExcluded = excluded != peers.end() && &excluded->second == &peer;
-    const bool heardLately = currentTime - peer.lastHeard() <= options.electionTimeoutMax;
-    const bool counts = heardLately && !isExcluded && !peer.hasLostState();
-    return counts ? peer.matchIndex() : LogIndex{};
+    const bool heardRecently = currentTime - peer.lastContact() <= options.electionTimeoutMax;
+    const bool isCounted = heardRecently && !isExcluded && !peer.hasLostState();
+    return isCounted ? peer.matchIndex() : LogIndex{};
   });
 }
 
@@ -84,7 +84,7 @@
   if (!isVoter() || currentMembership.size() == 1)
     return true;
   const LogIndex replicated =
-      isLeader() ? replicatedIndexWithout(selfMember.id) : replicatedWithoutSelf;
+      isLeader() ? replicatedIndexWithout(selfMember.id) : replicatedIndexWithoutSelf;
   return replicated >= committedIndex;
 }
 
@@ -101,7 +101,7 @@
     becomeFollower(currentTime);
 }
 
-std::optional<WallTime> RaftNode::agreedWallTime(MonotonicTime now) const {
+std::optional<WallTime> RaftNode::medianWallTime(MonotonicTime now) const {
   std::vector<std::int64_t> clocks;
   for (const auto& member : currentMembership) {
     if (!member.voter)
--- a/source/raft/raft_log.cpp
+++ b/source/raft/raft_log.cpp
@@ -30,16 +30,16 @@
 }
 
 void RaftLog::discardThrough(LogIndex index) {
-  Base moved{index, termAt(index), membershipAt(index).membership};
+  Base newBase{index, termAt(index), membershipAt(index).membership};
   entries.erase(entries.begin(), entries.begin() + std::ptrdiff_t(index.value - base.index.value));
-  base = std::move(moved);
+  base = std::move(newBase);
 }
 
 void RaftLog::resetTo(const Snapshot& snapshot) {
   const EntryPosition lastIncluded{snapshot.lastIncludedTerm, snapshot.lastIncludedIndex};
   if (contains(lastIncluded)) {
-    const auto included = snapshot.lastIncludedIndex.value - base.index.value;
-    entries.erase(entries.begin(), entries.begin() + std::ptrdiff_t(included));
+    const auto includedCount = snapshot.lastIncludedIndex.value - base.index.value;
+    entries.erase(entries.begin(), entries.begin() + std::ptrdiff_t(includedCount));
   } else {
     entries.clear();
   }
@@ -59,12 +59,12 @@
   entries.insert(entries.end(), record.entries.begin(), record.entries.end());
 }
 
-LogIndex RaftLog::tailWithin(std::size_t most) const {
+LogIndex RaftLog::baseIndexForTailOf(std::size_t maxBytes) const {
   std::size_t bytes = 0;
   LogIndex index = lastIndex();
   while (index > base.index) {
     bytes += bytesOf(entry(index));
-    if (bytes > most)
+    if (bytes > maxBytes)
       break;
     index = indexBefore(index);
   }
--- a/source/raft/raft_log.hpp
+++ b/source/raft/raft_log.hpp
@@ -48,7 +48,7 @@
   void restore(const WriteAheadRecord& record);
 
   // The lowest index whose following entries take no more than so many bytes.
-  LogIndex tailWithin(std::size_t bytes) const;
+  LogIndex baseIndexForTailOf(std::size_t maxBytes) const;
 
  private:
   friend struct RaftNodeFingerprint;  // of the model checker, checker/model/fingerprint.hpp
--- a/source/raft/send_window.hpp
+++ b/source/raft/send_window.hpp
@@ -15,7 +15,7 @@
   // Bytes that may be unacknowledged at once.
   std::size_t bytes() const { return capacity; }
   // Notes that more would have been sent if the window were larger.
-  void noteExhausted() { exhausted = true; }
+  void markExhausted() { exhausted = true; }
   // A round of heartbeats was confirmed after this time; adapts the window.
   void onRoundTrip(Duration roundTrip, const RaftOptions& options);
 
--- a/source/raft/snapshot_transfer.cpp
+++ b/source/raft/snapshot_transfer.cpp
@@ -27,11 +27,13 @@
   if (isLeader()) {
     for (const auto& [id, peer] : peers) {
       const auto& transfer = peer.snapshotTransfer();
-      const LogIndex held = transfer ? transfer->identity.lastIncludedIndex : peer.matchIndex();
-      needed = std::min(needed, held);
+      const LogIndex availableIndex =
+          transfer ? transfer->identity.lastIncludedIndex : peer.matchIndex();
+      needed = std::min(needed, availableIndex);
     }
   }
-  return std::min(snapshotIndex, std::max(needed, log.tailWithin(options.maxRetainedBytes)));
+  return std::min(snapshotIndex,
+                  std::max(needed, log.baseIndexForTailOf(options.maxRetainedBytes)));
 }
 
 void RaftNode::compact(LogIndex index, std::string state) {
@@ -54,8 +56,8 @@
       const auto& transfer = entry.second.snapshotTransfer();
       return transfer && transfer->identity == current && transfer->chunks.acknowledged() > 0;
     });
-    const bool stillUseful = partlyReceived && current.lastIncludedIndex >= log.baseIndex();
-    if (stillUseful || current.lastIncludedIndex == latestSnapshot.lastIncludedIndex)
+    const bool canContinue = partlyReceived && current.lastIncludedIndex >= log.baseIndex();
+    if (canContinue || current.lastIncludedIndex == latestSnapshot.lastIncludedIndex)
       return;
   }
   std::string bytes = pack(latestSnapshot);
--- a/source/raft/write_ahead_queue.cpp
+++ b/source/raft/write_ahead_queue.cpp
@@ -2,7 +2,7 @@
 
 namespace aniseline {
 
-void WriteAheadQueue::noteRestored(const WriteAheadRecord& record) {
+void WriteAheadQueue::recordRestored(const WriteAheadRecord& record) {
   recordCount = record.holdsSnapshot ? 0 : recordCount + 1;
   nextVersion = record.version.next();
 }
@@ -15,13 +15,13 @@
 
 void WriteAheadQueue::persistOwnVote(LogIndex index) {
   ownVotePending = true;
-  if (underWay)
-    underWay->includesOwnVote = false;
+  if (inFlight)
+    inFlight->includesOwnVote = false;
   persistFrom(index);
 }
 
 std::optional<WriteAheadRecord> WriteAheadQueue::take(const PersistentState& state) {
-  if (underWay || (!dirty && !snapshotPending))
+  if (inFlight || (!dirty && !snapshotPending))
     return std::nullopt;
   WriteAheadRecord record;
   record.version = nextVersion;
@@ -41,7 +41,7 @@
   }
   recordCount = snapshotPending ? 0 : recordCount + 1;
   recordBytes = snapshotPending ? 0 : recordBytes + bytes;
-  underWay = WriteUnderWay{nextVersion, last, ownVotePending};
+  inFlight = InFlightWrite{nextVersion, last, ownVotePending};
   nextVersion = nextVersion.next();
   dirty = snapshotPending = ownVotePending = false;
   return record;
@@ -49,26 +49,26 @@
 
 std::optional<WriteAheadQueue::SyncResult> WriteAheadQueue::onSynced(DiskVersion version,
                                                                      LogIndex lastIndex) {
-  if (!underWay || underWay->version != version)
+  if (!inFlight || inFlight->version != version)
     return std::nullopt;
-  synced = std::max(synced, underWay->lastIndex);
+  synced = std::max(synced, inFlight->lastIndex);
   durable = std::max(std::min(durable, lastIndex), synced);
   SyncResult result;
-  result.ownVoteSynced = underWay->includesOwnVote;
-  underWay.reset();
-  std::vector<HeldMessage> stillHeld;
-  for (auto& held : heldMessages) {
+  result.ownVoteSynced = inFlight->includesOwnVote;
+  inFlight.reset();
+  std::vector<MessageAwaitingSync> stillWaiting;
+  for (auto& held : messagesAwaitingSync) {
     if (held.neededVersion <= version)
       result.released.push_back(std::move(held.message));
     else
-      stillHeld.push_back(std::move(held));
+      stillWaiting.push_back(std::move(held));
   }
-  heldMessages = std::move(stillHeld);
+  messagesAwaitingSync = std::move(stillWaiting);
   return result;
 }
 
 void WriteAheadQueue::sendAfterSync(PeerMessage message) {
-  heldMessages.push_back({nextVersion, std::move(message)});
+  messagesAwaitingSync.push_back({nextVersion, std::move(message)});
 }
 
 void WriteAheadQueue::truncateFrom(LogIndex index) {
@@ -79,8 +79,8 @@
 
 void WriteAheadQueue::limitSynced(LogIndex index) {
   synced = std::min(synced, index);
-  if (underWay)
-    underWay->lastIndex = std::min(underWay->lastIndex, index);
+  if (inFlight)
+    inFlight->lastIndex = std::min(inFlight->lastIndex, index);
 }
 
 }  // namespace aniseline
--- a/source/raft/write_ahead_queue.hpp
+++ b/source/raft/write_ahead_queue.hpp
@@ -22,7 +22,7 @@
   // --- While the node is restored
 
   // A record was read from the disk.
-  void noteRestored(const WriteAheadRecord& record);
+  void recordRestored(const WriteAheadRecord& record);
   // All records were read; the log ends at this index.
   void finishRestore(LogIndex lastIndex) { synced = durable = lastIndex; }
 
@@ -37,7 +37,7 @@
   // write under way holds the vote of an earlier term.
   void persistOwnVote(LogIndex index);
   // Nothing waits to be written and no write is under way.
-  bool isIdle() const { return !dirty && !underWay; }
+  bool isIdle() const { return !dirty && !inFlight; }
   // The next record to write, if any is due and none is under way.
   std::optional<WriteAheadRecord> take(const PersistentState& state);
 
@@ -69,17 +69,17 @@
 
  private:
   friend struct RaftNodeFingerprint;
-  struct WriteUnderWay {
+  struct InFlightWrite {
     DiskVersion version;
     LogIndex lastIndex;  // of the log that it holds, as far as that is still the node's
     bool includesOwnVote = false;
   };
-  struct HeldMessage {
+  struct MessageAwaitingSync {
     DiskVersion neededVersion;
     PeerMessage message;
   };
   DiskVersion nextVersion{1};
-  std::optional<WriteUnderWay> underWay;
+  std::optional<InFlightWrite> inFlight;
   bool dirty = false;
   LogIndex dirtyFromIndex;  // valid while dirty
   bool snapshotPending = false;
@@ -88,7 +88,7 @@
   LogIndex durable;
   std::uint64_t recordCount = 0;
   std::uint64_t recordBytes = 0;
-  std::vector<HeldMessage> heldMessages;
+  std::vector<MessageAwaitingSync> messagesAwaitingSync;
 };
 
 }  // namespace aniseline
--- a/source/simulator/simulated_workers.cpp
+++ b/source/simulator/simulated_workers.cpp
@@ -82,7 +82,7 @@
                  node.session->onReplaced(Incarnation{random.next() | 1});
                  applyWorkerEffects(node);
                } else {
-                 if (!node.gatewayDirectory->hasLearned())
+                 if (!node.gatewayDirectory->hasDiscoveredPeers())
                    learnContacts(node,
                                  gatewayAt(node.gatewayDirectory->current(MonotonicTime{now})));
                  node.gatewayDirectory->markFailed(MonotonicTime{now});
--- a/tests/raft/peer_progress_tests.cpp
+++ b/tests/raft/peer_progress_tests.cpp
@@ -24,7 +24,7 @@
   CHECK(peer.fitsWindow(peer.sendWindow().bytes() - 200));
   CHECK(!peer.fitsWindow(peer.sendWindow().bytes() - 199));
   peer.onMatch(LogIndex{15}, RoundNumber{1});
-  CHECK(peer.nothingUnacknowledged());
+  CHECK(peer.allAcknowledged());
   LONGS_EQUAL(15, peer.matchIndex().value);
 }
 
@@ -32,7 +32,7 @@
   peer.recordSent(5, 500);
   CHECK(peer.onMismatch(LogIndex{4}, RoundNumber{3}, RoundNumber{4}, LogIndex{}));
   LONGS_EQUAL(5, peer.nextIndex().value);
-  CHECK(peer.nothingUnacknowledged());
+  CHECK(peer.allAcknowledged());
   // A reply to what was sent before says nothing new.
   CHECK(!peer.onMismatch(LogIndex{2}, RoundNumber{4}, RoundNumber{5}, LogIndex{}));
   LONGS_EQUAL(5, peer.nextIndex().value);
@@ -99,11 +99,11 @@
 TEST(SendWindowTests, itGrowsOnlyWhereItWasExhausted) {
   window.onRoundTrip(quick, options);
   LONGS_EQUAL(initial, window.bytes());
-  window.noteExhausted();
+  window.markExhausted();
   window.onRoundTrip(quick, options);
   LONGS_EQUAL(2 * initial, window.bytes());
   for (int count = 0; count < 10; ++count) {
-    window.noteExhausted();
+    window.markExhausted();
     window.onRoundTrip(quick, options);
   }
   LONGS_EQUAL(options.maxUnacknowledgedBytes, window.bytes());
@@ -111,7 +111,7 @@
 
 TEST(SendWindowTests, itShrinksToOneChunkWhereRoundTripsAreDelayed) {
   window.onRoundTrip(quick, options);
-  window.noteExhausted();
+  window.markExhausted();
   window.onRoundTrip(slow, options);
   LONGS_EQUAL(initial / 2, window.bytes());
   for (int count = 0; count < 10; ++count)
--- a/tests/raft/raft_log_tests.cpp
+++ b/tests/raft/raft_log_tests.cpp
@@ -127,8 +127,8 @@
   for (int count = 0; count < 4; ++count)
     log.append(entryOf(1, std::string(1000, 'x')));
   const std::size_t each = bytesOf(log.entry(LogIndex{1}));
-  LONGS_EQUAL(0, log.tailWithin(4 * each).value);
-  LONGS_EQUAL(1, log.tailWithin(4 * each - 1).value);
-  LONGS_EQUAL(3, log.tailWithin(each).value);
-  LONGS_EQUAL(4, log.tailWithin(each - 1).value);
+  LONGS_EQUAL(0, log.baseIndexForTailOf(4 * each).value);
+  LONGS_EQUAL(1, log.baseIndexForTailOf(4 * each - 1).value);
+  LONGS_EQUAL(3, log.baseIndexForTailOf(each).value);
+  LONGS_EQUAL(4, log.baseIndexForTailOf(each - 1).value);
 }
