--- a/source/gateway/leader_call.cpp
+++ b/source/gateway/leader_call.cpp
@@ -1,22 +1,24 @@
+// Target selection, retries and deadlines of a gateway's call to the leader.
 #include "gateway/leader_call.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// Beyond a sync's long poll: for the answer to come.
+// Time allowed for the response in addition to the long-poll timeout of a sync.
 constexpr Duration syncTransitTime{1500};
-// However long the client would wait: an election is over well within these.
+// Upper limits, regardless of the client's timeout. An election takes much less time than either.
 constexpr Duration maxRequestTime{2500};
 constexpr Duration maxLeaderSearchTime{2000};
 constexpr std::size_t maxHintsFollowed = 3;
-// Between candidates: short for the first few, in case one of them leads.
+// Backoff between candidates. It is short for the first attempts, in case one of them is the
+// leader.
 constexpr std::size_t shortBackoffAttempts = 4;
 constexpr Duration shortBackoff{20};
 constexpr Duration longBackoff{60};
 
-// A submission, cancel, config or order about a worker that may have been taken is never sent twice
-// by a gateway.
+// Only read-only requests may be sent again. A gateway never sends a submission, cancellation,
+// config change or worker order twice if the first attempt may have been applied.
 bool isReadOnly(RequestKind kind) {
   switch (kind) {
     case RequestKind::syncWorker:
@@ -60,8 +62,8 @@
   return Step{Step::Kind::complete, {}, {}, std::move(response)};
 }
 
-// The hint, else the leader by the route, else the controllers in turn; whoever did not serve when
-// last asked is skipped.
+// Prefers the hinted leader, then the leader named by the route, then each controller in turn.
+// Skips the target that has just failed to serve the request.
 Address LeaderCall::chooseTarget() {
   if (!leaderHint.value.empty())
     return std::exchange(leaderHint, Address{});
--- a/source/gateway/leader_call.hpp
+++ b/source/gateway/leader_call.hpp
@@ -1,34 +1,34 @@
-// The course of one request through a gateway to the leader: whom to ask next, how long to wait,
-// and when to give up. docs/design.md 8.3, 9.2.
+// State machine for forwarding one request from a gateway to the leader: which controller to
+// contact next, how long to wait, and when to give up. docs/design.md 8.3, 9.2.
 //
-// It does no I/O itself: whoever drives it carries out each step and reports what came of it.
+// It performs no I/O. The caller executes each step and reports its result.
 #ifndef ANISELINE_GATEWAY_LEADER_CALL_HPP
 #define ANISELINE_GATEWAY_LEADER_CALL_HPP
 #include "state/api_request.hpp"
 
 namespace aniseline {
 
-// Belongs to one request and to the thread that forwards it.
+// Used for one request, on the thread that forwards it.
 class LeaderCall {
  public:
   enum class Failure : std::uint8_t {
-    unreachable,     // nothing was sent
-    connectionLost,  // it was sent, or a part of it; no answer will come
+    unreachable,     // the request was not sent
+    connectionLost,  // the request was sent at least in part, and no response will arrive
     timedOut
   };
   struct Step {
     enum class Kind : std::uint8_t {
       send,     // send the request to `target`
-      backOff,  // wait for `timeout`
-      complete  // `response` is the request's answer
+      backOff,  // wait for the duration `timeout`
+      complete  // `response` is the final response
     } kind = Kind::send;
     Address target;
     Duration timeout;
     ApiResponse response;
   };
-  // The newest known route to the leader.
+  // Returns the latest known route to the leader.
   using RouteSource = std::function<LeaderRoute()>;
-  // The seeds are asked while the route names no controller; they have to outlive the call.
+  // The seeds are contacted while the route lists no controllers. They must outlive this object.
   LeaderCall(const ApiRequest& request, RouteSource routeSource, const std::vector<Address>& seeds,
              MonotonicTime now);
 
@@ -45,12 +45,12 @@
 
   RouteSource routeSource;
   const std::vector<Address>& seeds;
-  bool idempotent;  // it changes nothing, so it may be sent again after a loss
+  bool idempotent;  // the request changes no state, so it may be sent again after a failure
   MonotonicTime deadline;
   MonotonicTime leaderSearchDeadline;
-  Address leaderHint;  // whom the last one asked named as the leader
+  Address leaderHint;  // leader named in the last response
   Address lastTarget;
-  Address skippedTarget;  // did not serve when last asked
+  Address skippedTarget;  // did not serve the request at the last attempt
   std::size_t candidateIndex = 0;
   std::size_t hintsFollowed = 0;
 };
--- a/source/gateway/leader_directory.cpp
+++ b/source/gateway/leader_directory.cpp
@@ -1,8 +1,9 @@
+// Read-copy-update of the route to the leader with liburcu.
 #include "gateway/leader_directory.hpp"
 #include <urcu.h>
 
 #if defined(__SANITIZE_THREAD__)
-// liburcu's grace periods are not visible to the thread sanitizer; this says what they order.
+// ThreadSanitizer does not see the synchronization by liburcu's grace periods, so it is annotated.
 extern "C" void __tsan_acquire(void* address);
 extern "C" void __tsan_release(void* address);
 static char gracePeriod;
@@ -43,7 +44,7 @@
   current.store(next.release(), std::memory_order_release);
   synchronize_rcu();
   ANISELINE_GRACE_ACQUIRE();
-  const std::unique_ptr<const LeaderRoute> retired(previous);  // nobody reads it any more
+  const std::unique_ptr<const LeaderRoute> retired(previous);  // no thread reads it any more
   return true;
 }
 
--- a/source/gateway/leader_directory.hpp
+++ b/source/gateway/leader_directory.hpp
@@ -1,12 +1,12 @@
-// The route to the leader, which a gateway's threads read without waiting: read-copy-update by
-// liburcu. docs/design.md 9.2.
+// The route to the leader. A gateway's threads read it without blocking, through read-copy-update
+// with liburcu. docs/design.md 9.2.
 #ifndef ANISELINE_GATEWAY_LEADER_DIRECTORY_HPP
 #define ANISELINE_GATEWAY_LEADER_DIRECTORY_HPP
 #include "state/api_request.hpp"
 
 namespace aniseline {
 
-// Owns the current route. Read by any number of threads, published by one at a time.
+// Owns the current route. Any number of threads may read it, and one thread at a time may publish.
 class LeaderDirectory {
  public:
   LeaderDirectory();
@@ -14,15 +14,15 @@
   LeaderDirectory(const LeaderDirectory&) = delete;
   LeaderDirectory& operator=(const LeaderDirectory&) = delete;
 
-  // Hands the route to `use` and returns what that returns. The calling thread holds an
-  // RcuReaderRegistration; `use` must not wait for anything, nor keep a reference.
+  // Calls `reader` with the current route and returns its result. The calling thread must hold an
+  // RcuReaderRegistration. `reader` must not block or keep a reference to the route.
   template <class Reader>
   auto read(Reader&& reader) const {
     const ReadLock lock;
     return reader(*current.load(std::memory_order_acquire));
   }
-  // Merges the route into the current one unless it is older; whether it did. Waits until no thread
-  // reads the one before.
+  // Merges a route into the current one unless it is older, and returns whether it was merged.
+  // Waits until no thread reads the previous route.
   bool publish(const LeaderRoute& route);
 
  private:
@@ -35,7 +35,7 @@
   std::atomic<const LeaderRoute*> current;
 };
 
-// Each reading thread holds one for as long as it reads.
+// Every reading thread must keep one of these alive as long as it reads.
 struct RcuReaderRegistration {
   RcuReaderRegistration();
   ~RcuReaderRegistration();
--- a/source/gateway/peer_directory.cpp
+++ b/source/gateway/peer_directory.cpp
@@ -1,3 +1,4 @@
+// Rotation over discovered gateways and seeds.
 #include "gateway/peer_directory.hpp"
 
 namespace aniseline {
@@ -12,7 +13,7 @@
 void PeerDirectory::update(const std::vector<Address>& peers) {
   if (peers.empty() || peers == discovered)
     return;
-  // One that is being asked goes on being asked where it is still in force.
+  // Keeps the current gateway if it is still listed.
   const Address currentPeer =
       discoveredIndex < discovered.size() ? discovered[discoveredIndex] : Address{};
   discovered = peers;
--- a/source/gateway/peer_directory.hpp
+++ b/source/gateway/peer_directory.hpp
@@ -1,7 +1,7 @@
-// Which gateway a client asks next: the seeds given for first contact, and the gateways in force
-// that were learned since. docs/design.md 9.5.
+// Selects the gateway that a client contacts next: from the configured seeds, or from the active
+// gateways discovered since. docs/design.md 9.5.
 //
-// It does no I/O itself. For one client and its thread.
+// It performs no I/O. It belongs to one client and its thread.
 #ifndef ANISELINE_GATEWAY_PEER_DIRECTORY_HPP
 #define ANISELINE_GATEWAY_PEER_DIRECTORY_HPP
 #include "base/types.hpp"
@@ -10,15 +10,15 @@
 
 class PeerDirectory {
  public:
-  // At least one seed. `spread` chooses the seed to start with, so that many clients do not begin
-  // with the same one.
+  // Requires at least one seed. `startOffset` selects the first seed to contact, so that many
+  // clients do not all start with the same one.
   PeerDirectory(std::vector<Address> seeds, std::uint64_t startOffset);
-  // Learns those in force, the preferred first; nothing changes where there are none. Seeds stay a
-  // last resort: they may all be gone by then, or all that is left.
+  // Replaces the discovered gateways, which are ordered by preference. Ignores an empty list. Seeds
+  // remain the last resort: by then they may all be gone, or they may be the only ones left.
   void update(const std::vector<Address>& peers);
-  // Whom to ask now. A preferred one that had failed is tried again after a while.
+  // Returns the gateway to contact now. The preferred gateway is retried some time after it failed.
   const Address& current(MonotonicTime now);
-  // The current one was silent or not able.
+  // Records that the current gateway did not respond or could not serve the request.
   void markFailed(MonotonicTime now);
   std::size_t seedCount() const { return seeds.size(); }
   bool hasDiscoveredPeers() const { return !discovered.empty(); }
@@ -26,7 +26,7 @@
  private:
   std::vector<Address> seeds;
   std::vector<Address> discovered;
-  std::size_t discoveredIndex = 0;  // of the current one; past the end: it is a seed
+  std::size_t discoveredIndex = 0;  // past the end if a seed is current
   std::size_t seedIndex;
   MonotonicTime failedAt;
 };
--- a/source/raft/chunk_progress.cpp
+++ b/source/raft/chunk_progress.cpp
@@ -1,3 +1,4 @@
+// Window and retransmission logic of a transfer in chunks.
 #include "raft/chunk_progress.hpp"
 
 namespace aniseline {
--- a/source/raft/chunk_transfer.cpp
+++ b/source/raft/chunk_transfer.cpp
@@ -1,11 +1,11 @@
-// Entries that are larger than a follower's send window go in chunks: paced by the window, with
-// heartbeats between them, and resumed where the follower says. docs/design.md 3.4.
+// Transfer of entries that exceed a follower's send window: in chunks limited by the window, with
+// heartbeats in between, resumed at the offset that the follower reports. docs/design.md 3.4.
 #include "raft/node.hpp"
 
 namespace aniseline {
 
-// The chunks of a transfer that the window allows now. Where there is none, a heartbeat is a chunk
-// without data, which asks how far the follower is.
+// Returns the chunks of a transfer that the window allows now. If there are none and a heartbeat is
+// due, returns a chunk without data, which asks the follower for its offset.
 std::vector<Chunk> RaftNode::nextChunks(PeerProgress& peer, ChunkProgress& progress,
                                         const std::string& bytes, SendMode mode) const {
   auto chunks =
@@ -42,12 +42,12 @@
   AppendEntries append{body.term, body.previousLogIndex, body.previousLogTerm,
                        {},        body.leaderCommit,     body.round};
   if (!log.contains({body.previousLogTerm, body.previousLogIndex}))
-    return handle(message, append, now);  // answers where the logs agree
+    return handle(message, append, now);  // replies with the index up to which the logs match
   if (log.contains({body.entryTerm, index})) {
     incomingEntry.reset();
     append.previousLogIndex = index;
     append.previousLogTerm = body.entryTerm;
-    return handle(message, append, now);  // acknowledges the entry that is here already
+    return handle(message, append, now);  // acknowledges the entry, which the log already contains
   }
   if (!incomingEntry || incomingEntry->index != index || incomingEntry->term != body.entryTerm)
     incomingEntry = IncomingEntry{index, body.entryTerm, {}};
--- a/source/raft/cluster_bootstrap.hpp
+++ b/source/raft/cluster_bootstrap.hpp
@@ -1,5 +1,6 @@
-// Decides whether a blank controller may found the cluster by itself. The controller daemon makes
-// one for each round of asking the seeds, on its own thread. docs/design.md 3.7.
+// Decides whether a blank controller may bootstrap the cluster. The controller daemon creates one
+// instance for each round of queries to the seeds and uses it on its own thread.
+// docs/design.md 3.7.
 #ifndef ANISELINE_RAFT_CLUSTER_BOOTSTRAP_HPP
 #define ANISELINE_RAFT_CLUSTER_BOOTSTRAP_HPP
 #include "base/types.hpp"
@@ -9,24 +10,25 @@
 class ClusterBootstrap {
  public:
   // \param self     this controller's address
-  // \param hasDisk  this controller has a data folder; one without never founds
-  // \param seeds    the addresses that were configured; this controller may be among them
+  // \param hasDisk  whether this controller has a data folder; one without never bootstraps
+  // \param seeds    the configured seed addresses, which may include this controller
   ClusterBootstrap(Address self, bool hasDisk, std::vector<Address> seeds)
       : self(std::move(self)), hasDisk(hasDisk), seeds(std::move(seeds)) {
     if (isSeed(this->self))
       addBlankSeed(this->self, true, Address{});
   }
 
-  // A seed has answered that it is blank. Answers from others are ignored.
-  // \param nominee  where the seed has no disk: the controller that it would have found the cluster
+  // Records that a seed has reported to be blank. Reports of other controllers are ignored.
+  // \param nominee  if the seed has no disk, the controller that it nominates to bootstrap
   void addBlankSeed(const Address& seed, bool seedHasDisk, const Address& nominee) {
     if (isSeed(seed))
       blankSeeds[seed] = {seedHasDisk, nominee};
   }
 
-  // Every seed has to have answered and be blank, so that a cluster that exists is never founded
-  // again. The lowest seed with a disk founds. Where none has a disk, the lowest seed nominates one
-  // controller, once and for all.
+  // Reports whether this controller may bootstrap. Every seed must have answered and be blank, so
+  // that an existing cluster is never bootstrapped again. The seed with the lowest address among
+  // those with a disk bootstraps. If no seed has a disk, the lowest seed nominates one controller
+  // and never changes its nomination.
   bool mayBootstrap() const {
     const std::set<Address> distinctSeeds(seeds.begin(), seeds.end());
     if (!hasDisk || blankSeeds.empty() || blankSeeds.size() != distinctSeeds.size())
@@ -49,7 +51,7 @@
   Address self;
   bool hasDisk;
   std::vector<Address> seeds;
-  std::map<Address, BlankSeed> blankSeeds;  // by address, the lowest first
+  std::map<Address, BlankSeed> blankSeeds;  // ordered by address, the lowest first
 };
 
 }  // namespace aniseline
--- a/source/raft/election.cpp
+++ b/source/raft/election.cpp
@@ -8,7 +8,7 @@
                                                    options.electionTimeoutMax.milliseconds)};
 }
 
-// Enters a later term, in which this node has neither voted nor heard a leader yet.
+// Enters a later term, in which this node has not voted yet and knows no leader.
 void RaftNode::observeTerm(Term term, MonotonicTime now) {
   if (term <= currentTerm)
     return;
@@ -20,7 +20,7 @@
     becomeFollower(now);
 }
 
-// Or a learner, where this node does not vote.
+// Becomes a follower, or a learner if this node is not a voter.
 void RaftNode::becomeFollower(MonotonicTime now) {
   if (isLeader())
     replicatedIndexWithoutSelf = std::min(replicatedIndexWithout(selfMember.id), committedIndex);
@@ -31,7 +31,7 @@
   resetElectionTimer(now);
 }
 
-// A learner that the log has made a voter becomes a follower.
+// Turns a learner into a follower after the log has made it a voter.
 void RaftNode::promoteIfVoter() {
   if (currentRole == Role::learner && isVoter())
     currentRole = Role::follower;
@@ -50,7 +50,7 @@
     if (member.id != selfMember.id)
       peers.emplace(member.id, PeerProgress{next, now, options});
   }
-  firstIndexOfTerm = next;  // the owner proposes its opening entry at once
+  firstIndexOfTerm = next;  // the owner immediately proposes the first entry of the term
   caughtUpIndex = nextCaughtUpIndex = next;
   caughtUpIndexUpdatedAt = now;
   nextHeartbeatAt = now;
@@ -93,8 +93,9 @@
   const auto granted = std::count_if(
       currentMembership.begin(), currentMembership.end(),
       [&](const Member& member) { return member.voter && votesGranted.count(member.id); });
-  // Its own vote counts once its term is synced: a leader that restarted without it could lead the
-  // same term again, with other entries. docs/design.md 3.3.
+  // The candidate's own vote counts only once its term is synced. A leader that restarts without
+  // having stored its term could otherwise lead the same term again, with different entries.
+  // docs/design.md 3.3.
   if (std::size_t(granted) < majoritySize() || !votesGranted.count(selfMember.id))
     return;
   if (preVoteElection)
@@ -127,7 +128,7 @@
 void RaftNode::handle(const PeerMessage& message, const RequestVote& body, MonotonicTime now) {
   if (!findMember(message.from) && canServe() && membershipCommitted())
     return notifyRemoved(message.from);
-  // A node that hears its leader does not help to replace it. docs/design.md 3.2.
+  // A node in contact with a live leader does not help to replace it. docs/design.md 3.2.
   const bool hasLiveLeader = isLeader() || now - lastLeaderContactAt < options.electionTimeoutMin;
   if (hasLiveLeader && !body.leaderTransfer)
     return send(message.from, RequestVoteReply{currentTerm, body.preVote, false});
@@ -137,9 +138,9 @@
     answerVote(message.from, body, now);
 }
 
-// A candidate needs a log that is at least as recent as this one. A learner votes too when it is
-// asked by its identity: the candidate's log may hold the change that made it a voter, which its
-// own does not hold yet, and that change may need its vote to be committed. docs/design.md 3.5.
+// A candidate's log must be at least as up-to-date as this node's. A learner grants votes too: the
+// candidate's log may hold the change that made this node a voter while its own log does not yet,
+// and committing that change may require its vote. docs/design.md 3.5.
 bool RaftNode::isEligible(const RequestVote& request) const {
   const EntryPosition candidateLast{request.lastLogTerm, request.lastLogIndex};
   const EntryPosition ownLast{log.termAt(lastIndex()), lastIndex()};
@@ -148,7 +149,7 @@
 
 void RaftNode::answerPreVote(const ControllerId& candidate, const RequestVote& request) {
   const bool granted = isEligible(request);
-  // A refusal tells this node's term, so that a candidate that is behind catches up.
+  // A refusal carries this node's term, so that a candidate with an older term can catch up.
   send(candidate, RequestVoteReply{granted ? request.term : currentTerm, true, granted});
 }
 
@@ -164,7 +165,7 @@
   }
   sendAfterSync(candidate, RequestVoteReply{currentTerm, false, granted});
   if (writes.isIdle())
-    writes.persistFrom(lastIndex().next());  // so that there is a sync for the reply to wait for
+    writes.persistFrom(lastIndex().next());  // ensures that a sync releases the reply
 }
 
 void RaftNode::handle(const PeerMessage& message, const RequestVoteReply& body, MonotonicTime now) {
--- a/source/raft/follower_replication.cpp
+++ b/source/raft/follower_replication.cpp
@@ -1,10 +1,11 @@
-// A follower's side of log replication: which leader it follows, what of its log is known to be
-// that leader's, and what it may claim to hold. docs/design.md 3.2, 3.3, 3.4.
+// The follower's side of log replication: accepting a leader, storing its entries, and tracking how
+// much of the log is verified and may be acknowledged. docs/design.md 3.2, 3.3, 3.4.
 #include "raft/node.hpp"
 
 namespace aniseline {
 
-// Follows the sender of any leader's message. False where its term is over.
+// Accepts the sender of a leader's message as the current leader. Returns false if its term is
+// outdated.
 bool RaftNode::acceptLeader(const ControllerId& leader, Term term, RoundNumber round,
                             MonotonicTime now) {
   if (term < currentTerm) {
@@ -13,7 +14,7 @@
   }
   observeTerm(term, now);
   if (isLeader())
-    return false;  // impossible, since a term has one leader
+    return false;  // cannot happen, since a term has at most one leader
   if (currentRole == Role::candidate)
     becomeFollower(now);
   recordLeaderContact(leader, term, round, now);
@@ -26,7 +27,7 @@
   lastLeaderContactAt = now;
   resetElectionTimer(now);
   const bool isNew = lastAppendLeader != leader || lastAppendTerm != term;
-  // Of the log only the committed part is known to be in a new leader's log. docs/design.md 3.3.
+  // A new leader's log is only known to contain the committed part of this log. docs/design.md 3.3.
   if (isNew)
     verifiedIndex = committedIndex;
   lastAppendRound = isNew ? round : std::max(lastAppendRound, round);
@@ -37,13 +38,13 @@
 void RaftNode::handle(const PeerMessage& message, const AppendEntries& body, MonotonicTime now) {
   if (!acceptLeader(message.from, body.term, body.round, now))
     return;
-  // What lies before the base is committed, so it is in the leader's log too.
+  // Entries up to the log base are committed, so the leader's log contains them too.
   if (body.previousLogIndex < log.baseIndex()) {
     const LogIndex match = std::min(writes.syncedIndex(), committedIndex);
     return sendAppendReply(message.from, true, match, body.round);
   }
-  // Up to verifiedIndex the logs agree, so that one reply sets the leader back far enough.
-  // docs/design.md 3.4.
+  // The logs match up to verifiedIndex. Replying with it lets the leader go back far enough in one
+  // step. docs/design.md 3.4.
   if (!log.contains({body.previousLogTerm, body.previousLogIndex}))
     return sendAppendReply(message.from, false, verifiedIndex, body.round);
   const LogIndex lastSent = storeEntries(body);
@@ -56,8 +57,9 @@
   sendAppendReply(message.from, true, match, body.round);
 }
 
-// Makes the log agree with the sent entries, and returns the index of the last of them. Entries
-// that are here already stay, with all that follows them: the message may be an old one.
+// Makes the log match the received entries and returns the index of the last one. Entries that the
+// log already contains are kept together with all entries after them, because the message may be an
+// old one.
 LogIndex RaftNode::storeEntries(const AppendEntries& body) {
   LogIndex index = body.previousLogIndex;
   bool membershipChanged = false;
--- a/source/raft/heartbeat_rounds.cpp
+++ b/source/raft/heartbeat_rounds.cpp
@@ -1,3 +1,4 @@
+// Numbers heartbeat rounds and remembers when recent ones started.
 #include "raft/heartbeat_rounds.hpp"
 
 namespace aniseline {
--- a/source/raft/heartbeat_rounds.hpp
+++ b/source/raft/heartbeat_rounds.hpp
@@ -1,5 +1,5 @@
-// The numbered rounds of heartbeats of one leadership. Each reply repeats the number of the round
-// that it answers, so that a leader knows when it was in contact. docs/design.md 3.2.
+// The numbered heartbeat rounds of one leader's term. Each reply echoes the number of the round
+// that it answers, so that the leader knows when it was last in contact. docs/design.md 3.2.
 #ifndef ANISELINE_RAFT_HEARTBEAT_ROUNDS_HPP
 #define ANISELINE_RAFT_HEARTBEAT_ROUNDS_HPP
 #include "raft/options.hpp"
@@ -8,14 +8,14 @@
 
 class HeartbeatRounds {
  public:
-  // The latest round that was begun; 0 before the first.
+  // Returns the latest round that was started, or 0 before the first.
   RoundNumber current() const { return latest; }
-  // When the latest round began.
+  // Returns the start time of the latest round.
   MonotonicTime lastStartTime() const { return latestStart; }
   RoundNumber startNext(MonotonicTime now);
-  // When a round began, unless that is too long ago to be remembered.
+  // Returns the start time of a round, or nullopt if it is too old to be remembered.
   std::optional<MonotonicTime> startTimeOf(RoundNumber round) const;
-  // Begins the numbering anew, for a new leadership.
+  // Restarts the numbering for a new term as leader.
   void reset();
 
  private:
@@ -26,7 +26,7 @@
   };
   RoundNumber latest;
   MonotonicTime latestStart;
-  std::deque<Start> starts;  // of the latest rounds, in their order
+  std::deque<Start> starts;  // the latest rounds, in order
 };
 
 }  // namespace aniseline
--- a/source/raft/leader_replication.cpp
+++ b/source/raft/leader_replication.cpp
@@ -1,5 +1,5 @@
-// The leader's side of log replication: rounds of AppendEntries, paced by each follower's send
-// window, and their replies. docs/design.md 3.2, 3.4.
+// The leader's side of log replication: heartbeat rounds, AppendEntries limited by each follower's
+// send window, and handling of the replies. docs/design.md 3.2, 3.4.
 #include "raft/node.hpp"
 
 namespace aniseline {
@@ -26,7 +26,8 @@
   advanceCommitIndex();
 }
 
-// Sends what the follower needs next, in the form that suits it.
+// Sends the data that the follower needs next, as snapshot chunks, entry chunks or a batch of
+// entries.
 void RaftNode::replicate(const ControllerId& to, PeerProgress& peer, SendMode mode) {
   if (peer.nextIndex() <= log.baseIndex())
     sendSnapshotChunks(to, peer, mode);
@@ -36,7 +37,8 @@
     sendEntries(to, peer, mode);
 }
 
-// An entry that was begun in chunks is also ended so, whatever the window is by then.
+// An entry whose transfer was started in chunks is also finished in chunks, even if the window has
+// grown in the meantime.
 bool RaftNode::isNextEntryTooLarge(PeerProgress& peer) const {
   if (peer.isSendingEntryInChunks())
     return true;
@@ -60,7 +62,8 @@
   send(to, std::move(body));
 }
 
-// Copies the next entries that fit the follower's window and one message. Returns their bytes.
+// Copies the next entries that fit both the follower's send window and one message. Returns their
+// size in bytes.
 std::size_t RaftNode::fillBatch(PeerProgress& peer, std::vector<LogEntry>& entries) const {
   std::size_t bytes = 0;
   for (LogIndex index = peer.nextIndex(); index <= lastIndex(); index = index.next()) {
@@ -77,8 +80,8 @@
   return bytes;
 }
 
-// Notes what any reply of a follower tells: a later term, or contact in the answered round. Returns
-// the follower's progress, or null where the reply is to another leadership.
+// Processes the parts that all replies have in common: the term, and the acknowledged round.
+// Returns the follower's progress, or null if the reply does not belong to the current leadership.
 PeerProgress* RaftNode::acceptReply(const ControllerId& from, Term term, RoundNumber answered,
                                     WallTime wallTime, MonotonicTime now) {
   if (term > currentTerm) {
--- a/source/raft/log_entry.hpp
+++ b/source/raft/log_entry.hpp
@@ -1,4 +1,4 @@
-// What a controller's log consists of: entries, and the snapshot that replaces a prefix of them.
+// The parts of a controller's log: entries, and the snapshot that replaces a prefix of them.
 // docs/design.md 3.2, 3.4.
 #ifndef ANISELINE_RAFT_LOG_ENTRY_HPP
 #define ANISELINE_RAFT_LOG_ENTRY_HPP
@@ -6,11 +6,11 @@
 
 namespace aniseline {
 
-// One entry of the replicated log. Indices begin at 1 and are not stored in the entry.
+// One entry of the replicated log. Indexes start at 1 and are not stored in the entry.
 struct LogEntry {
   Term term;
-  // The payload is a packed Membership, which is in force as soon as the entry is in the log.
-  // Otherwise it is opaque to the consensus module.
+  // If set, the payload is a serialized Membership, which takes effect as soon as the entry is
+  // appended. Otherwise the payload is opaque to the consensus module.
   bool isMembership = false;
   std::string payload;
   template <class Archive>
@@ -19,21 +19,23 @@
   }
 };
 
-// What an entry takes in memory and on a link, in bytes: its payload and roughly its header.
+// Returns the approximate size of an entry in memory and on the network, in bytes: its payload and
+// an estimate of its header.
 inline std::size_t bytesOf(const LogEntry& entry) {
   return entry.payload.size() + sizeof(LogEntry);
 }
 
-// The index before this one; `index` must not be 0.
+// Returns the index before this one; `index` must not be 0.
 inline LogIndex indexBefore(LogIndex index) {
   return LogIndex{index.value - 1};
 }
 
-// The replicated state with everything up to `lastIncludedIndex` applied. docs/design.md 3.4.
+// The replicated state after all entries up to `lastIncludedIndex` have been applied.
+// docs/design.md 3.4.
 struct Snapshot {
   LogIndex lastIncludedIndex;
   Term lastIncludedTerm;
-  Membership membership;  // in force at lastIncludedIndex
+  Membership membership;  // membership in force at lastIncludedIndex
   std::string state;      // opaque to the consensus module
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
--- a/source/raft/member.hpp
+++ b/source/raft/member.hpp
@@ -5,11 +5,11 @@
 
 namespace aniseline {
 
-// One controller of the group. A voter counts for majorities; the others are learners, which
-// receive the log and may be promoted.
+// One controller of the group. Voters count toward majorities. All other members are learners,
+// which receive the log and may be promoted to voters.
 struct Member {
   ControllerId id;
-  Address address;  // where the other processes of the cluster reach it
+  Address address;  // address at which the other processes of the cluster reach it
   ZoneName zone;
   bool voter = false;
   bool operator==(const Member&) const = default;
@@ -19,10 +19,10 @@
   }
 };
 
-// All members in force at one point of the log, each id at most once.
+// All members in force at one point of the log. Each id occurs at most once.
 using Membership = std::vector<Member>;
 
-// The member with this id, or null. The pointer is valid while `membership` is unchanged.
+// Returns the member with this id, or null. The pointer is valid until `membership` changes.
 inline const Member* findMember(const Membership& membership, const ControllerId& id) {
   for (const auto& member : membership) {
     if (member.id == id)
@@ -36,7 +36,7 @@
                                    [](const Member& member) { return member.voter; }));
 }
 
-// How many of so many voters are a majority.
+// Returns the number of votes that form a majority of this many voters.
 inline std::size_t majorityOf(std::size_t voters) {
   return voters / 2 + 1;
 }
--- a/source/raft/membership.cpp
+++ b/source/raft/membership.cpp
@@ -1,17 +1,19 @@
-// Membership: joining, changes of members, removal. docs/design.md 3.5.
+// Membership: join requests, membership changes, and notification of removed members.
+// docs/design.md 3.5.
 #include "raft/membership_change.hpp"
 
 namespace aniseline {
 
-// Takes the membership in force from the log, after the log has changed.
+// Reloads the membership in force after the log has changed.
 void RaftNode::reloadMembership() {
   auto effective = log.membershipAt(lastIndex());
   currentMembership = std::move(effective.membership);
   membershipIndex = effective.index;
 }
 
-// A blank node asks where it was directed to. A learner that hears no leader may have been removed
-// while it was away, and asks every member that it knows. docs/design.md 3.5.
+// A blank node sends its join request to the configured address. A learner without contact with a
+// leader may have been removed while it was unreachable, so it asks every member that it knows.
+// docs/design.md 3.5.
 void RaftNode::requestJoin(MonotonicTime now) {
   std::vector<Address> targets;
   if (!isBlank()) {
@@ -82,8 +84,8 @@
   joinAddress = address;
 }
 
-// A member that sends from a new address has moved with its disk. The log gets the new address, so
-// that every controller finds it. docs/design.md 3.5.
+// A member that sends from a new address has moved together with its disk. The new address is
+// proposed for the log, so that every controller can reach the member. docs/design.md 3.5.
 void RaftNode::proposeAddressChanges(MonotonicTime now) {
   Membership updated = currentMembership;
   for (auto& member : updated) {
@@ -99,24 +101,24 @@
     proposeMembership(updated, now);
 }
 
-// Only while the membership is committed: a change that is not may never be, and then the removed
-// member is still needed. docs/design.md 3.5.
+// Must be called only while the membership in force is committed: an uncommitted change may never
+// be committed, and the removed member would then still be needed. docs/design.md 3.5.
 void RaftNode::notifyRemoved(const ControllerId& id) {
   const EntryPosition position = membershipPosition();
   send(id, RemovedFromCluster{position.term, position.index, currentMembership});
 }
 
-// Of the entry that the membership rests on: the change itself or, once that is compacted, the last
-// entry of the snapshot.
+// Returns the position of the entry that defines the membership in force, or that of the last entry
+// in the snapshot if the former was compacted.
 EntryPosition RaftNode::membershipPosition() const {
   const LogIndex index = std::max(membershipIndex, log.baseIndex());
   return {log.termAt(index), index};
 }
 
-// One leader's message is enough, since a committed entry was agreed on by a majority of the
-// members that it names, and stays true in every term. What has to be ruled out is an old message
-// that comes late: an identity that was admitted again holds the entry that admitted it, which is a
-// later one.
+// One leader's message is sufficient: a majority of the members has agreed on a committed entry,
+// and it remains valid in every later term. Only delayed messages must be ruled out. A controller
+// that was admitted again holds the later entry that admitted it, so the position of the entry in a
+// delayed message is not later than its own.
 void RaftNode::handle(const PeerMessage& message, const RemovedFromCluster& body, MonotonicTime) {
   const bool isLater = EntryPosition{body.entryTerm, body.entryIndex} > membershipPosition();
   const Member* sender = aniseline::findMember(body.membership, message.from);
@@ -129,7 +131,7 @@
   if (!canServe() || findMember(body.member.id) || !membershipCommitted())
     return;
   Membership proposed = currentMembership;
-  // A learner with the same address was replaced by this identity.
+  // A learner at the same address has been replaced by this identity.
   std::erase_if(proposed, [&](const Member& member) {
     return !member.voter && member.address == body.member.address;
   });
--- a/source/raft/membership_change.cpp
+++ b/source/raft/membership_change.cpp
@@ -1,3 +1,4 @@
+// Checks proposed membership changes against the quorum rules. docs/design.md 3.5.
 #include "raft/membership_change.hpp"
 
 namespace aniseline {
@@ -31,9 +32,9 @@
   return false;
 }
 
-// A change of voters: the members that stay have to be a majority of the present voters by
-// themselves, so that the copy of a removed one is not missed, and the proposed voters have to have
-// a majority without waiting for anyone to catch up.
+// Checks a change of the voters. The remaining voters must form a majority of the current voters by
+// themselves, so that the copy of a removed voter is not needed. The proposed voters must have a
+// majority without waiting for any member to catch up.
 std::optional<MembershipChangeRefusal> checkVoterChange(const MembershipChange& change,
                                                         const VoterIds& current,
                                                         const VoterIds& proposed) {
@@ -44,7 +45,8 @@
   const auto caughtUp = [&](const VoterIds& voters) {
     return std::size_t(std::count_if(voters.begin(), voters.end(), change.isCaughtUp));
   };
-  // A voter that lost its state counts neither as a copy nor in the size of the majority.
+  // A voter that lost its state is neither counted as a replica nor included in the size of the
+  // majority.
   const auto lost = std::count_if(current.begin(), current.end(), change.hasLostState);
   const VoterIds staying = difference(current, difference(current, proposed));
   if (caughtUp(staying) < majorityOf(current.size() - std::size_t(lost)))
@@ -83,7 +85,7 @@
       difference(current, proposed).size() + difference(proposed, current).size();
   if (changed > 1)
     return MembershipChangeRefusal::multipleVotersChanged;
-  // Learners and addresses belong to no majority.
+  // Learners and addresses do not affect any majority.
   if (changed == 0)
     return std::nullopt;
   return checkVoterChange(change, current, proposed);
--- a/source/raft/messages.cpp
+++ b/source/raft/messages.cpp
@@ -1,3 +1,4 @@
+// Computes the payload size of a peer message for flow control.
 #include "raft/messages.hpp"
 
 namespace aniseline {
--- a/source/raft/messages.hpp
+++ b/source/raft/messages.hpp
@@ -1,21 +1,22 @@
-// The messages between controllers. They are named after the RPCs of the Raft paper ("In Search of
-// an Understandable Consensus Algorithm", Ongaro and Ousterhout); InstallSnapshot and
-// AppendEntryChunk are sent in chunks. The order of their fields is the wire format.
-// docs/design.md 3.
+// Messages exchanged between controllers. Their names follow the RPCs of the Raft paper ("In Search
+// of an Understandable Consensus Algorithm", Ongaro and Ousterhout). Snapshots and oversized
+// entries are sent in chunks (InstallSnapshot, AppendEntryChunk). The field order of each message
+// is its wire format. docs/design.md 3.
 #ifndef ANISELINE_RAFT_MESSAGES_HPP
 #define ANISELINE_RAFT_MESSAGES_HPP
 #include "raft/log_entry.hpp"
 
 namespace aniseline {
 
-// A candidate asks for a vote. A pre-vote asks only whether the vote would be granted, and changes
-// nobody's term.
+// Sent by a candidate to request a vote. A pre-vote only asks whether the vote would be granted and
+// changes no node's term.
 struct RequestVote {
-  Term term;  // of the election; of a pre-vote: of the election that would follow
+  Term term;  // the election's term; in a pre-vote, the term that the election would have
   bool preVote = false;
-  // The leader itself started this election, so that even those who hear it grant their votes.
+  // The current leader triggered this election (leadership transfer), so voters grant their vote
+  // even if they have heard from that leader recently.
   bool leaderTransfer = false;
-  LogIndex lastLogIndex;  // of the candidate's log
+  LogIndex lastLogIndex;  // last entry of the candidate's log
   Term lastLogTerm;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -24,7 +25,7 @@
 };
 
 struct RequestVoteReply {
-  Term term;  // of a granted pre-vote: the term asked about; else the voter's own
+  Term term;  // the requested term if this grants a pre-vote, otherwise the voter's current term
   bool preVote = false;
   bool voteGranted = false;
   template <class Archive>
@@ -33,16 +34,17 @@
   }
 };
 
-// A leader replicates entries; without any it is a heartbeat.
+// Sent by a leader to replicate entries. Without entries it is a heartbeat.
 struct AppendEntries {
   Term term;
-  LogIndex previousLogIndex;  // of the entry just before `entries`
+  LogIndex previousLogIndex;  // index of the entry immediately preceding `entries`
   Term previousLogTerm;
   std::vector<LogEntry> entries;
   LogIndex leaderCommit;
-  RoundNumber round;  // the reply repeats it, which confirms contact since that round began
-  // Up to here a majority of the voters holds the log that was heard from lately and does not
-  // count the receiver: so far the receiver's copy would not be missed. docs/design.md 3.5.
+  RoundNumber round;  // echoed in the reply, which proves contact since the start of that round
+  // Highest index up to which a majority of the voters holds the log, counting only voters that
+  // were recently in contact and not counting the receiver. Up to this index the receiver's copy is
+  // not needed for durability. docs/design.md 3.5.
   LogIndex replicatedIndexWithoutReceiver{};
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -53,12 +55,12 @@
 
 struct AppendEntriesReply {
   Term term;
-  bool success = false;  // the follower's log contains the entry before the sent ones
-  // On success: up to here the follower's log is the leader's and is synced. Else: up to here the
-  // logs are known to agree, and the leader goes on from there.
+  bool success = false;  // the follower's log contains the entry at previousLogIndex
+  // On success, the follower's log matches the leader's up to this index and is synced. On failure,
+  // the logs are known to match up to this index, and the leader resumes from there.
   LogIndex matchIndex;
-  LogIndex lastLogIndex;  // the last index that is durable on the follower's disk
-  RoundNumber round;      // of the request
+  LogIndex lastLogIndex;  // last index that is durable on the follower's disk
+  RoundNumber round;      // round of the request
   WallTime wallTime;      // the follower's calendar clock
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -66,12 +68,13 @@
   }
 };
 
-// Which snapshot a chunk belongs to. A transfer may be continued by whoever sends the same one.
+// Identifies the snapshot that a chunk belongs to. Any leader that has the same snapshot may
+// continue a transfer that another one started.
 struct SnapshotIdentity {
   LogIndex lastIncludedIndex;
   Term lastIncludedTerm;
-  std::uint64_t totalBytes = 0;  // of the packed Snapshot
-  std::uint32_t checksum = 0;    // of the packed Snapshot
+  std::uint64_t totalBytes = 0;  // size of the serialized Snapshot
+  std::uint32_t checksum = 0;    // checksum of the serialized Snapshot
   bool operator==(const SnapshotIdentity&) const = default;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -79,12 +82,12 @@
   }
 };
 
-// One chunk of a packed Snapshot. A chunk without data is a heartbeat, and asks for the offset at
-// which the follower goes on.
+// One chunk of a serialized Snapshot. A chunk without data acts as a heartbeat and asks the
+// follower for the offset from which to continue.
 struct InstallSnapshot {
   Term term;
   SnapshotIdentity snapshot;
-  std::uint64_t offset = 0;  // of `data`, in bytes
+  std::uint64_t offset = 0;  // position of `data` in the snapshot, in bytes
   std::string data;
   RoundNumber round;
   template <class Archive>
@@ -93,11 +96,11 @@
   }
 };
 
-// The answer while the transfer is incomplete; a complete one is answered by AppendEntriesReply.
+// Reply while the transfer is incomplete. A completed transfer is answered with AppendEntriesReply.
 struct InstallSnapshotReply {
   Term term;
   SnapshotIdentity snapshot;
-  std::uint64_t nextOffset = 0;  // the first byte that the follower does not have yet
+  std::uint64_t nextOffset = 0;  // offset of the first byte that the follower is missing
   RoundNumber round;
   WallTime wallTime;
   template <class Archive>
@@ -106,17 +109,17 @@
   }
 };
 
-// One chunk of an entry that is larger than the follower's send window. A chunk without data is a
-// heartbeat, and asks for the offset at which the follower goes on.
+// One chunk of an entry that exceeds the follower's send window. A chunk without data acts as a
+// heartbeat and asks the follower for the offset from which to continue.
 struct AppendEntryChunk {
   Term term;
-  LogIndex previousLogIndex;  // the entry stands after this one
+  LogIndex previousLogIndex;  // index of the entry preceding the one in transfer
   Term previousLogTerm;
   LogIndex leaderCommit;
   Term entryTerm;
   bool isMembership = false;
-  std::uint64_t totalBytes = 0;  // of the entry's payload
-  std::uint64_t offset = 0;      // of `data`, in bytes
+  std::uint64_t totalBytes = 0;  // size of the entry's payload
+  std::uint64_t offset = 0;      // position of `data` in the payload, in bytes
   std::string data;
   RoundNumber round;
   template <class Archive>
@@ -126,12 +129,12 @@
   }
 };
 
-// The answer while the entry is incomplete; a complete one is answered by AppendEntriesReply.
+// Reply while the entry is incomplete. A completed entry is answered with AppendEntriesReply.
 struct AppendEntryChunkReply {
   Term term;
-  LogIndex index;  // of the entry
+  LogIndex index;  // index of the entry in transfer
   Term entryTerm;
-  std::uint64_t nextOffset = 0;  // the first byte that the follower does not have yet
+  std::uint64_t nextOffset = 0;  // offset of the first byte that the follower is missing
   RoundNumber round;
   WallTime wallTime;
   template <class Archive>
@@ -140,7 +143,7 @@
   }
 };
 
-// A leader that hands over asks its successor to start an election at once.
+// Sent by a leader that transfers its leadership. The receiver starts an election immediately.
 struct TimeoutNow {
   Term term;
   template <class Archive>
@@ -149,7 +152,7 @@
   }
 };
 
-// A new identity asks to become a learner.
+// Sent by a controller with a new identity that wants to become a learner.
 struct JoinRequest {
   Member member;
   template <class Archive>
@@ -158,29 +161,29 @@
   }
 };
 
-// A leader tells an identity that it is not a member any more. The message names the committed
-// change that shows it, so that the receiver can check it against its own log.
+// Sent by a leader to a controller that is no longer a member. The message identifies the committed
+// membership entry that proves the removal, so that the receiver can check it against its own log.
 // docs/design.md 3.5.
 struct RemovedFromCluster {
-  Term entryTerm;           // of the committed membership entry
-  LogIndex entryIndex{};    // of the same entry
-  Membership membership{};  // in force since that entry
+  Term entryTerm;           // term of the committed membership entry
+  LogIndex entryIndex{};    // index of that entry
+  Membership membership{};  // membership in force since that entry
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& entryTerm& entryIndex& membership;
   }
 };
 
-// The position of an alternative is part of the wire format.
+// The index of each alternative is part of the wire format.
 using PeerBody = boost::variant<RequestVote, RequestVoteReply, AppendEntries, AppendEntriesReply,
                                 InstallSnapshot, InstallSnapshotReply, AppendEntryChunk,
                                 AppendEntryChunkReply, TimeoutNow, JoinRequest, RemovedFromCluster>;
 
-// A message with its envelope.
+// A message together with its sender and recipient.
 struct PeerMessage {
   ControllerId from;
-  // The identity that the message is meant for: another one at the same address ignores it. Empty
-  // only for a JoinRequest, which is sent to an address.
+  // Identity of the intended recipient. Another controller that now runs at the same address
+  // ignores the message. Empty only in a JoinRequest, which is sent to an address.
   ControllerId to;
   Address toAddress;
   PeerBody body;
@@ -191,7 +194,8 @@
   }
 };
 
-// What a message takes in memory and on a link, in bytes, without its header.
+// Returns the approximate size of a message in memory and on the network, in bytes, without its
+// header.
 std::size_t payloadBytes(const PeerMessage& message);
 
 }  // namespace aniseline
--- a/source/raft/node.cpp
+++ b/source/raft/node.cpp
@@ -1,4 +1,4 @@
-// The construction of a node, its clock, and the dispatch of messages. docs/design.md 3.
+// Construction, clock handling and message dispatch of a Raft node. docs/design.md 3.
 #include "raft/node.hpp"
 
 namespace aniseline {
@@ -39,8 +39,8 @@
   return wallTimeAtTick + (now - lastTickAt);
 }
 
-// Prefers the address that a member last sent from: it may have come back at another one, which the
-// log does not hold yet.
+// Prefers the address of the member's last message: the member may have restarted at a new address
+// that is not in the log yet.
 Address RaftNode::addressOf(const ControllerId& id) const {
   if (auto known = lastKnownAddresses.find(id); known != lastKnownAddresses.end())
     return known->second;
@@ -56,7 +56,8 @@
   outgoingMessages.push_back(makeMessage(to, std::move(body)));
 }
 
-// For what rests on durable state: it leaves only when that state is synced. docs/design.md 3.3.
+// Queues a message whose content depends on durable state. It is sent once that state is synced.
+// docs/design.md 3.3.
 void RaftNode::sendAfterSync(const ControllerId& to, PeerBody body) {
   writes.sendAfterSync(makeMessage(to, std::move(body)));
 }
@@ -72,8 +73,8 @@
     tickAsFollower(now);
 }
 
-// After a pause of this process the others' answers may lie unread, so that its own lateness says
-// nothing of them. docs/design.md 3.2.
+// Detects that this process was paused. Replies may have arrived unread during a pause, so a long
+// gap between ticks says nothing about the other members. docs/design.md 3.2.
 void RaftNode::detectPause(MonotonicTime now) {
   const Duration pause{RaftLimits::pauseThresholdHeartbeats *
                        options.heartbeatInterval.milliseconds};
@@ -82,8 +83,8 @@
   lastTickAt = now;
 }
 
-// A leader without contact to a majority for the maximal election timeout may have been replaced.
-// docs/design.md 3.2.
+// A leader that has had no contact with a majority for the maximum election timeout may have been
+// replaced. docs/design.md 3.2.
 bool RaftNode::hasLostQuorum(MonotonicTime now) const {
   if (currentMembership.size() <= 1)
     return false;
@@ -104,8 +105,8 @@
   updateCaughtUpIndex(now);
   if (transferringLeadership && now > transferDeadline)
     transferringLeadership = false;
-  // Only a few rounds are unconfirmed at a time: where the others are slow, what is wanted
-  // meanwhile shares the next round. docs/design.md 3.2.
+  // Limits the number of unconfirmed rounds. If followers are slow to reply, requests that arrive
+  // in the meantime share the next round. docs/design.md 3.2.
   const std::uint64_t unconfirmed = rounds.current().value - confirmedRound().value;
   const bool canStartRound = unconfirmed < options.maxUnconfirmedRounds ||
                              now - rounds.lastStartTime() >= options.heartbeatInterval;
--- a/source/raft/node.hpp
+++ b/source/raft/node.hpp
@@ -1,11 +1,10 @@
-// One controller's part in the Raft consensus on the replicated log: elections, replication,
-// snapshots, membership and durability. It does no input or output of its own: its owner, the
-// Controller, passes in the time, received messages and completed disk writes, and takes the
-// messages and records that result. All calls come from the owner's one thread.
-// docs/design.md 3.
+// One controller's Raft consensus module: elections, log replication, snapshots, membership and
+// durability. It performs no I/O. Its owner, the Controller, passes in the time, received messages
+// and completed disk writes, and collects the resulting messages and write-ahead records. All calls
+// are made on the owner's thread. docs/design.md 3.
 //
-// The implementation is split by concern: node.cpp (construction, clock, dispatch), election.cpp,
-// leader_replication.cpp, follower_replication.cpp, quorum.cpp, chunk_transfer.cpp,
+// The implementation is split by concern: node.cpp (construction, clock, message dispatch),
+// election.cpp, leader_replication.cpp, follower_replication.cpp, quorum.cpp, chunk_transfer.cpp,
 // snapshot_transfer.cpp, membership.cpp and persistence.cpp.
 #ifndef ANISELINE_RAFT_NODE_HPP
 #define ANISELINE_RAFT_NODE_HPP
@@ -20,69 +19,73 @@
 
 enum class MembershipChangeRefusal : std::uint8_t;  // raft/membership_change.hpp
 
-// A learner receives the log but does not vote; a blank node is a learner too.
+// A learner receives the log but does not vote. A blank node is a learner too.
 enum class Role : std::uint8_t { learner, follower, candidate, leader };
 const char* name(Role role);
 
 class RaftNode {
  public:
-  // Begins as a follower or learner with the state that the disk held.
-  // \param self      this controller; whether it votes is decided by the log, not by `self.voter`
-  // \param seed      of the random election timeouts
-  // \param restored  all records of the disk, in the order of their versions; empty for a new
-  //                  identity
+  // Starts as a follower or learner with the state restored from disk.
+  // \param self      this controller; the log, not `self.voter`, decides whether it votes
+  // \param seed      seed of the random election timeouts
+  // \param restored  all records on disk, ordered by version; empty for a new identity
   RaftNode(Member self, RaftOptions options, std::uint64_t seed,
            const std::vector<WriteAheadRecord>& restored, MonotonicTime now);
 
   // --- Input
 
-  // To be called every few milliseconds, much more often than a heartbeat is due: begins elections
-  // and rounds of heartbeats, and steps down where no majority is in contact.
+  // Starts elections and heartbeat rounds when they are due, and steps down if this leader has lost
+  // contact with a majority. Must be called every few milliseconds, much more often than the
+  // heartbeat interval.
   // \param wall  the machine's calendar clock
   void tick(MonotonicTime now, WallTime wall);
-  // A message arrived. It is ignored where it is meant for another identity.
+  // Processes a received message. Ignores it if it is addressed to another identity.
   void receive(const PeerMessage& message, MonotonicTime now);
-  // The record of this version, from takeWrite, is durable.
+  // Reports that the record of this version, obtained from takeWrite, is durable.
   void onWriteSynced(DiskVersion version, MonotonicTime now);
 
   // --- Commands
 
-  // Appends an entry, as the leader; it is committed once commitIndex reaches it, unless another
-  // leader replaces it. A new leader has to propose an entry at once, since it serves only when one
-  // of its own term is committed.
+  // Appends an entry; only valid on a leader. The entry is committed once commitIndex reaches it,
+  // unless another leader replaces it. A new leader must propose an entry immediately, since it
+  // serves requests only after an entry of its own term is committed.
   // \return the entry's index
   LogIndex propose(std::string payload, MonotonicTime now);
-  // Proposes a new membership, which is in force at once and counts once it is committed.
-  // \return false where membershipChangeRefusal gives a reason against it
+  // Proposes a new membership. It takes effect as soon as it is appended, and is final once
+  // committed.
+  // \return false if membershipChangeRefusal returns a reason
   bool proposeMembership(const Membership& proposed, MonotonicTime now);
-  // Why that change would not be proposed now; nothing where it would be. docs/design.md 3.5.
+  // Returns the reason why this change cannot be proposed now, or nullopt if it can.
+  // docs/design.md 3.5.
   std::optional<MembershipChangeRefusal> membershipChangeRefusal(const Membership& proposed,
                                                                  MonotonicTime now) const;
-  // Founds a cluster of which this node is the one voter. Does nothing unless the node is blank.
+  // Bootstraps a cluster with this node as the only voter. Does nothing unless the node is blank.
   void bootstrap(MonotonicTime now);
-  // Asks the voter that is furthest ahead to take over, if any is heard. Until it has, or the
-  // maximal election timeout has passed, this leader does not serve.
+  // Starts transferring leadership to the voter with the most up-to-date log among those recently
+  // in contact, if there is one. This leader does not serve until the transfer succeeds or the
+  // maximum election timeout has elapsed.
   void transferLeadership(MonotonicTime now);
-  // Replaces the log up to `index` by a snapshot, but for the entries that followers may still
-  // need. Does nothing unless `index` is committed and after the latest snapshot.
+  // Replaces the log up to `index` with a snapshot, but retains entries that followers may still
+  // need. Does nothing unless `index` is committed and is later than the latest snapshot.
   // \param state  the owner's state with all entries up to `index` applied
   void compact(LogIndex index, std::string state);
-  // Where to ask for admission to a cluster: the address of a leader, or of any member.
+  // Sets the address to send join requests to: that of a leader or of any other member.
   void setJoinAddress(const Address& address);
-  // How many learners may be members at a time. Each costs a copy of the log. docs/design.md 3.5.
+  // Sets the maximum number of learners. Each learner costs one copy of the log.
+  // docs/design.md 3.5.
   void setMaxLearners(std::size_t count) { maxLearners = count; }
-  // Asks for a round of heartbeats as soon as possible. When confirmedRound reaches the returned
-  // number this node was still the leader after the call, and may answer a read (ReadIndex in the
-  // Raft thesis).
+  // Requests a heartbeat round as soon as possible. Once confirmedRound reaches the returned
+  // number, this node is known to have been leader after the call and may answer a read (ReadIndex
+  // in the Raft thesis).
   RoundNumber startRound(MonotonicTime now);
 
-  // --- Effects, to be taken after each input or command
+  // --- Effects, to be collected after each input or command
 
   std::vector<PeerMessage> takeMessages() { return std::exchange(outgoingMessages, {}); }
-  // The next record to write and sync, if one is due and none is being written.
+  // Returns the next record to write and sync, if one is due and no write is in flight.
   std::optional<WriteAheadRecord> takeWrite();
-  // Whether a snapshot was installed since the last call: the owner then replaces its state by
-  // snapshot().
+  // Reports whether a snapshot was installed since the last call. The owner must then replace its
+  // state with the one in snapshot().
   bool takeSnapshotInstalled() { return std::exchange(snapshotInstalled, false); }
 
   // --- This node
@@ -90,65 +93,73 @@
   const Member& self() const { return selfMember; }
   Role role() const { return currentRole; }
   bool isLeader() const { return currentRole == Role::leader; }
-  // A leader that has committed an entry of its own term and therefore knows everything that was
-  // ever committed, and is not handing over.
+  // Reports whether this node is a leader that has committed an entry of its own term, and
+  // therefore knows of every committed entry, and is not transferring its leadership.
   bool canServe() const {
     return isLeader() && committedIndex >= firstIndexOfTerm && !transferringLeadership;
   }
   Term term() const { return currentTerm; }
-  // The leader that this node follows, itself included; empty where none is known.
+  // Returns the leader that this node follows, which may be itself, or an empty id if none is
+  // known.
   const ControllerId& leaderId() const { return knownLeader; }
-  // Without any state: it belongs to no cluster yet.
+  // Reports whether this node has no state, which means it belongs to no cluster yet.
   bool isBlank() const { return currentMembership.empty() && lastIndex() == LogIndex{}; }
-  // A committed change has removed this identity; its owner goes on as a new one.
+  // Reports whether a committed change has removed this identity. The owner then continues under a
+  // new one.
   bool removedFromCluster() const { return removed; }
-  // Whether this node may stop without its copy being missed: a majority of the voters, heard from
-  // lately and without it, holds everything that it knows to be committed. docs/design.md 3.5.
+  // Reports whether this node may stop without its copy being needed: a majority of the voters,
+  // counting only those recently in contact and not this node, holds every entry that this node
+  // knows to be committed. docs/design.md 3.5.
   bool isSafeToStop() const;
 
   // --- The log
 
   LogIndex commitIndex() const { return committedIndex; }
   LogIndex lastIndex() const { return log.lastIndex(); }
-  // The log in memory holds the entries after this index.
+  // Returns the index immediately before the first entry in memory.
   LogIndex logBaseIndex() const { return log.baseIndex(); }
-  // The entry of an index in (logBaseIndex, lastIndex].
+  // Returns the entry at an index in (logBaseIndex, lastIndex].
   const LogEntry& entry(LogIndex index) const { return log.entry(index); }
-  // The latest snapshot, taken here or installed; empty with index 0 where there was none.
+  // Returns the latest snapshot, taken locally or installed. Its index is 0 if there is none.
   const Snapshot& snapshot() const { return latestSnapshot; }
-  // What was written since the last record with a snapshot, to decide when a snapshot is due.
+  // Number of records and bytes written since the last record with a snapshot. The owner uses them
+  // to decide when to take the next snapshot.
   std::uint64_t logRecordsSinceSnapshot() const { return writes.recordsSinceSnapshot(); }
   std::uint64_t logBytesSinceSnapshot() const { return writes.bytesSinceSnapshot(); }
 
-  // --- The members
+  // --- Members
 
-  // In force, though it may not be committed yet.
+  // Returns the membership in force, which may not be committed yet.
   const Membership& membership() const { return currentMembership; }
   bool membershipCommitted() const { return membershipIndex <= committedIndex; }
 
-  // --- The other members, as a leader knows them
+  // --- The leader's view of the other members
 
-  // The latest round of heartbeats that a majority has answered.
+  // Returns the latest heartbeat round that a majority has acknowledged.
   RoundNumber confirmedRound() const;
-  // When a majority of the voters last followed this leader for certain.
+  // Returns the latest time at which a majority of the voters is known to have followed this
+  // leader.
   MonotonicTime lastQuorumContact() const;
-  // When a member last answered; now where nothing is known of it.
+  // Returns the time of the member's last reply, or the current time if the member is unknown.
   MonotonicTime lastContactWith(const ControllerId& id) const;
-  // Up to here a member's log is the leader's and durable; 0 where nothing is known of it.
+  // Returns the index up to which the member's log matches the leader's and is durable, or 0 if the
+  // member is unknown.
   LogIndex matchIndexOf(const ControllerId& id) const;
-  // The member's disk does not hold what it once acknowledged to this leader. docs/design.md 3.5.
+  // Reports whether the member's disk no longer holds entries that it acknowledged to this leader.
+  // docs/design.md 3.5.
   bool hasLostState(const ControllerId& id) const;
-  // The member holds what was committed RaftLimits::caughtUpInterval ago.
+  // Reports whether the member holds every entry that was committed RaftLimits::caughtUpInterval
+  // ago.
   bool isCaughtUp(const ControllerId& id) const;
-  // The lower median of the voters' calendar clocks, where a majority of them is known; one clock
-  // alone can't move it ahead. docs/design.md 3.6.
+  // Returns the lower median of the voters' calendar clocks, or nullopt unless the clocks of a
+  // majority are known. A single clock cannot move the median forward. docs/design.md 3.6.
   std::optional<WallTime> medianWallTime(MonotonicTime now) const;
 
  private:
-  friend struct RaftNodeFingerprint;  // of the model checker, checker/model/fingerprint.hpp
+  friend struct RaftNodeFingerprint;  // the model checker's, in checker/model/fingerprint.hpp
 
   enum class ElectionKind : std::uint8_t { preVote, election, leaderTransfer };
-  // Whether a message is sent where there is no data to send, so that the follower hears its
+  // Whether a message is sent even if there is no data to send, so that the follower hears from its
   // leader.
   enum class SendMode : std::uint8_t { dataOnly, heartbeat };
 
@@ -236,8 +247,8 @@
   void handle(const PeerMessage& message, const JoinRequest& body, MonotonicTime now);
   void handle(const PeerMessage& message, const RemovedFromCluster& body, MonotonicTime now);
 
-  // The one snapshot that a leader sends, to whomever needs one. It is kept for as long as the
-  // entries after it are.
+  // The snapshot that a leader sends. All followers that need one get the same snapshot, which is
+  // kept as long as the log still holds the entries that follow it.
   struct OutgoingSnapshot {
     SnapshotIdentity identity;
     std::string bytes;
@@ -256,10 +267,11 @@
   Member selfMember;
   RaftOptions options;
   Random random;              // draws election timeouts
-  MonotonicTime currentTime;  // the latest time that was passed in
+  MonotonicTime currentTime;  // latest time passed in by the owner
   MonotonicTime lastTickAt;
-  WallTime wallTimeAtTick;  // at lastTickAt
-  // After a pause of this process, until then the others' unread messages are read first.
+  WallTime wallTimeAtTick;  // calendar time at lastTickAt
+  // After this process was paused, the leader normally does not step down before this time, so that
+  // it can first read messages that arrived during the pause.
   MonotonicTime pauseGraceUntil;
   std::vector<PeerMessage> outgoingMessages;
   bool snapshotInstalled = false;
@@ -276,8 +288,8 @@
   Role currentRole = Role::learner;
   ControllerId knownLeader;
   LogIndex committedIndex;
-  Membership currentMembership;  // by the latest entry that holds one, committed or not
-  LogIndex membershipIndex;      // of that entry
+  Membership currentMembership;  // from the latest membership entry, committed or not
+  LogIndex membershipIndex;      // index of that entry
   bool removed = false;
   Address joinAddress;
   std::size_t maxLearners = 1;
@@ -286,14 +298,14 @@
   std::set<ControllerId> votesGranted;
   bool preVoteElection = false;
   MonotonicTime electionDeadline;
-  MonotonicTime lastLeaderContactAt{-1'000'000};  // before any election timeout at the start
+  MonotonicTime lastLeaderContactAt{-1'000'000};  // initially earlier than any election timeout
 
   // --- As a follower
   ControllerId lastAppendLeader;  // the leader that last contacted this node
-  Term lastAppendTerm;            // the term in which it did
+  Term lastAppendTerm;            // the term of that contact
   RoundNumber lastAppendRound;
-  LogIndex verifiedIndex;  // up to here the log is known to be that leader's
-  // Up to here a majority of the voters holds the log, this node not counted.
+  LogIndex verifiedIndex;  // the log is known to match that leader's up to this index
+  // Highest index up to which a majority of the voters holds the log, not counting this node.
   LogIndex replicatedIndexWithoutSelf;
   std::optional<IncomingSnapshot> incomingSnapshot;
   std::optional<IncomingEntry> incomingEntry;
@@ -301,11 +313,12 @@
   // --- As a leader
   std::map<ControllerId, PeerProgress> peers;  // one for each other member
   HeartbeatRounds rounds;
-  // Of the next round of heartbeats; a learner without a leader asks to join at this time.
+  // When to start the next heartbeat round. On a learner without a leader, when to send the next
+  // join request.
   MonotonicTime nextHeartbeatAt;
   LogIndex firstIndexOfTerm;
-  LogIndex caughtUpIndex;      // a member that holds this much counts as caught up
-  LogIndex nextCaughtUpIndex;  // what caughtUpIndex becomes next
+  LogIndex caughtUpIndex;      // a member that holds the log up to this index is caught up
+  LogIndex nextCaughtUpIndex;  // the next value of caughtUpIndex
   MonotonicTime caughtUpIndexUpdatedAt;
   std::optional<OutgoingSnapshot> outgoingSnapshot;
   bool transferringLeadership = false;
--- a/source/raft/peer_progress.cpp
+++ b/source/raft/peer_progress.cpp
@@ -1,3 +1,4 @@
+// Tracks the replication progress of one peer.
 #include "raft/peer_progress.hpp"
 
 namespace aniseline {
@@ -26,8 +27,8 @@
   unacknowledgedBytes += bytes;
 }
 
-// A reply to a later round was made later. One to an earlier round may only have been overtaken on
-// its way, and proves nothing. docs/design.md 3.5.
+// A reply to a later round was created later. A reply to an earlier round may just have been
+// reordered on the network, and proves nothing. docs/design.md 3.5.
 bool PeerProgress::checkLastIndex(LogIndex lastIndex, RoundNumber round) {
   if (lastIndex >= matchedIndex)
     return true;
--- a/source/raft/peer_progress.hpp
+++ b/source/raft/peer_progress.hpp
@@ -1,6 +1,5 @@
-// What a leader knows of one other member: how far its log matches, what is under way to it, and
-// when it was in contact. A RaftNode owns one for each other member while it leads.
-// docs/design.md 3.2, 3.4, 3.5.
+// A leader's view of one other member: match index, data in flight, and the time of last contact. A
+// RaftNode owns one for each other member while it is the leader. docs/design.md 3.2, 3.4, 3.5.
 #ifndef ANISELINE_RAFT_PEER_PROGRESS_HPP
 #define ANISELINE_RAFT_PEER_PROGRESS_HPP
 #include "raft/chunk_progress.hpp"
@@ -10,7 +9,7 @@
 
 class PeerProgress {
  public:
-  // A follower counts as heard from at `now`, so that it has time to answer.
+  // The follower is considered in contact at `now`, which gives it time to reply.
   PeerProgress(LogIndex nextIndex, MonotonicTime now, const RaftOptions& options)
       : nextEntryIndex(nextIndex),
         lastReplyAt(now),
@@ -19,45 +18,47 @@
 
   // --- Contact
 
-  // A reply came, with the follower's calendar clock in it.
+  // Records a reply and the follower's calendar clock that it contained.
   void recordReply(WallTime wallTime, MonotonicTime now);
-  // The reply answers this round. True where that is a later one than any answered before.
+  // Records that a reply answers this round. Returns true if no later or equal round was
+  // acknowledged before.
   bool acknowledgeRound(RoundNumber round);
-  // The newly acknowledged round was sent at this time.
+  // Records the time at which the newly acknowledged round was sent.
   void recordRoundTrip(MonotonicTime sentAt, MonotonicTime now, const RaftOptions& options);
   RoundNumber ackedRound() const { return acknowledgedRound; }
   MonotonicTime lastContact() const { return lastReplyAt; }
-  // The follower still followed this leader at that time: the last acknowledged round was sent
-  // then.
+  // Returns the time at which the last acknowledged round was sent. The follower still followed
+  // this leader at that time.
   MonotonicTime ackedRoundSentAt() const { return acknowledgedRoundSentAt; }
-  // The follower's calendar clock minus the leader's monotonic clock, in milliseconds.
+  // Returns the follower's calendar clock minus the leader's monotonic clock, in milliseconds.
   const std::optional<std::int64_t>& wallClockOffset() const { return clockOffset; }
 
   // --- Replication by AppendEntries
 
-  // The next entry to send.
+  // Returns the index of the next entry to send.
   LogIndex nextIndex() const { return nextEntryIndex; }
-  // Up to here the follower's log is the leader's and durable.
+  // Returns the index up to which the follower's log matches the leader's and is durable.
   LogIndex matchIndex() const { return matchedIndex; }
-  // Bytes that may be sent now without exceeding the window.
+  // Reports whether this number of bytes can be sent now without exceeding the window.
   bool fitsWindow(std::size_t bytes) const { return unacknowledgedBytes + bytes <= window.bytes(); }
   bool allAcknowledged() const { return unacknowledgedBatches.empty(); }
   SendWindow& sendWindow() { return window; }
-  // Entries were sent, from nextIndex on.
+  // Records that entries starting at nextIndex were sent.
   void recordSent(std::size_t entryCount, std::size_t bytes);
-  // A reply of a round says that the follower's log ends at `lastIndex`. False where that is less
-  // than it has acknowledged; the reply then says nothing more.
+  // Checks the end of the follower's log as stated in its reply to a round. Returns false if
+  // `lastIndex` is lower than the acknowledged index; the rest of the reply must then be ignored.
   bool checkLastIndex(LogIndex lastIndex, RoundNumber round);
-  // The follower holds what it once acknowledged no more: its disk is another one.
+  // Reports whether the follower no longer holds entries that it acknowledged, which means that its
+  // disk was replaced.
   bool hasLostState() const { return stateLost; }
-  // The follower matches up to `index`, as the reply of a round says.
+  // Records that the follower's log matches up to `index`, as stated in its reply to a round.
   void onMatch(LogIndex index, RoundNumber round);
-  // The follower rejected what was sent, and matches up to `index` at least; it is sent again from
-  // there. False where the reply is to something that was sent before the last such step back, and
-  // therefore says nothing new.
+  // Records that the follower rejected entries and that its log matches at least up to `index`,
+  // from where sending resumes. Returns false if the reply answers a message sent before nextIndex
+  // was last moved back, and therefore contains nothing new.
   bool onMismatch(LogIndex index, RoundNumber round, RoundNumber currentRound, LogIndex logBase);
 
-  // --- Transfers in chunks; at most one of a snapshot and one of an entry
+  // --- Transfers in chunks; at most one snapshot and one entry at a time
 
   struct SnapshotTransfer {
     SnapshotIdentity identity;
@@ -68,17 +69,18 @@
     ChunkProgress chunks;
   };
   const std::optional<SnapshotTransfer>& snapshotTransfer() const { return activeSnapshot; }
-  // The transfer of this snapshot, begun anew where another or none was under way.
+  // Returns the transfer of this snapshot. Starts it if it is not the active one.
   ChunkProgress& openSnapshotTransfer(const SnapshotIdentity& identity);
-  // The transfer of this snapshot, or null where it is not the one under way.
+  // Returns the transfer of this snapshot, or null if it is not the active one.
   ChunkProgress* findSnapshotTransfer(const SnapshotIdentity& identity);
-  // The snapshot is not needed any more: the follower's log reaches the leader's.
+  // Ends the snapshot transfer because the follower's log now reaches the start of the leader's
+  // log.
   void closeSnapshotTransfer() { activeSnapshot.reset(); }
-  // Whether the next entry is being sent in chunks. A transfer of any other entry is dropped.
+  // Reports whether the next entry is being sent in chunks. Drops the transfer of any other entry.
   bool isSendingEntryInChunks();
-  // The transfer of the next entry, begun anew where none was under way.
+  // Returns the transfer of the next entry. Starts it if it is not active.
   ChunkProgress& openEntryTransfer();
-  // The transfer of the entry at this index, or null where it is not the one under way.
+  // Returns the transfer of the entry at this index, or null if it is not the active one.
   ChunkProgress* findEntryTransfer(LogIndex index);
 
  private:
@@ -92,8 +94,8 @@
 
   LogIndex nextEntryIndex;
   LogIndex matchedIndex;
-  RoundNumber resetRound;  // in which nextIndex was last set back
-  RoundNumber matchRound;  // of the reply that last raised matchIndex
+  RoundNumber resetRound;  // round in which nextIndex was last moved back
+  RoundNumber matchRound;  // round of the reply that last increased matchIndex
   RoundNumber acknowledgedRound;
   MonotonicTime lastReplyAt;
   MonotonicTime acknowledgedRoundSentAt;
@@ -102,7 +104,7 @@
   std::optional<SnapshotTransfer> activeSnapshot;
   std::optional<EntryTransfer> activeEntry;
   std::deque<UnacknowledgedBatch> unacknowledgedBatches;
-  std::size_t unacknowledgedBytes = 0;  // the sum over the batches
+  std::size_t unacknowledgedBytes = 0;  // sum over unacknowledgedBatches
   SendWindow window;
 };
 
--- a/source/raft/persistence.cpp
+++ b/source/raft/persistence.cpp
@@ -1,4 +1,5 @@
-// How the disk's progress changes what a node may send and count. docs/design.md 3.3.
+// Durability: hands out write-ahead records, and processes completed syncs, which release held
+// messages, count the node's own vote and advance the acknowledged index. docs/design.md 3.3.
 #include "raft/node.hpp"
 
 namespace aniseline {
--- a/source/raft/quorum.cpp
+++ b/source/raft/quorum.cpp
@@ -1,5 +1,5 @@
-// What a majority of the voters has reached: commitment, contact, and which copies would be missed.
-// docs/design.md 3.2, 3.5, 3.6.
+// Computes the values on which a majority of the voters agrees: commit index, leader contact,
+// clock, and whether a member's copy of the log is still needed. docs/design.md 3.2, 3.5, 3.6.
 #include "raft/node.hpp"
 
 namespace aniseline {
@@ -8,7 +8,7 @@
   return majorityOf(countVoters(currentMembership));
 }
 
-// The highest value that a majority of the voters has reached.
+// Returns the highest value that a majority of the voters has reached.
 template <class Value, class PeerValue>
 Value RaftNode::quorumValue(Value selfValue, PeerValue peerValue) const {
   std::vector<Value> reached;
@@ -67,8 +67,9 @@
   return std::min(writes.syncedIndex(), lastIndex());
 }
 
-// Up to where a majority of the voters holds the log without this member's copy. A member that is
-// not heard from may have lost its disk, so its copy is not counted either.
+// Returns the index up to which a majority of the voters holds the log without the copy of this
+// member. Members that are not in contact are not counted either, since they may have lost their
+// disks.
 LogIndex RaftNode::replicatedIndexWithout(const ControllerId& id) const {
   const auto excluded = peers.find(id);
   const LogIndex selfValue = id == selfMember.id ? LogIndex{} : syncedLogIndex();
@@ -88,8 +89,8 @@
   return replicated >= committedIndex;
 }
 
-// Only an entry of the leader's own term is committed by counting copies; the entries before it are
-// committed with it.
+// Only entries of the leader's current term are committed by counting replicas. Earlier entries are
+// committed indirectly with them.
 void RaftNode::advanceCommitIndex() {
   const LogIndex replicated =
       quorumValue(syncedLogIndex(), [](const PeerProgress& peer) { return peer.matchIndex(); });
--- a/source/raft/raft_log.cpp
+++ b/source/raft/raft_log.cpp
@@ -1,3 +1,4 @@
+// The entries of the log in memory and their base.
 #include "raft/raft_log.hpp"
 
 namespace aniseline {
--- a/source/raft/raft_log.hpp
+++ b/source/raft/raft_log.hpp
@@ -1,14 +1,14 @@
-// The part of the log that is kept in memory: the entries after a base, whose prefix a snapshot
-// holds. It owns the entries and knows nothing of commitment or of the disk. One RaftNode owns it
-// and calls it on its own thread. docs/design.md 3.2, 3.4.
+// The in-memory part of the log: the entries after a base index, up to which a snapshot covers the
+// log. It owns the entries and does not deal with commitment or the disk. A RaftNode owns it and
+// calls it on its own thread. docs/design.md 3.2, 3.4.
 #ifndef ANISELINE_RAFT_RAFT_LOG_HPP
 #define ANISELINE_RAFT_RAFT_LOG_HPP
 #include "raft/write_ahead_record.hpp"
 
 namespace aniseline {
 
-// The position of one entry in the history of all logs: two logs with an entry of the same term and
-// index agree up to it.
+// The position of an entry. Two logs that contain an entry with the same term and index are
+// identical up to it (Log Matching Property).
 struct EntryPosition {
   Term term;
   LogIndex index;
@@ -17,41 +17,41 @@
 
 class RaftLog {
  public:
-  // The index before the first entry in memory; 0 while nothing was ever discarded.
+  // Returns the index before the first entry in memory, or 0 if no entry was ever discarded.
   LogIndex baseIndex() const { return base.index; }
-  // The index of the last entry, or the base where there is none.
+  // Returns the index of the last entry, or the base index if there are no entries.
   LogIndex lastIndex() const { return LogIndex{base.index.value + entries.size()}; }
-  // The entry of an index in (baseIndex, lastIndex].
+  // Returns the entry at an index in (baseIndex, lastIndex].
   const LogEntry& entry(LogIndex index) const {
     return entries[index.value - base.index.value - 1];
   }
-  // The term of the base or an entry in memory; term 0 for any other index.
+  // Returns the term of the base or of an entry in memory, or term 0 for any other index.
   Term termAt(LogIndex index) const;
   bool contains(EntryPosition position) const;
 
   struct EffectiveMembership {
     Membership membership;
-    LogIndex index;  // of the entry that holds it, or of the base
+    LogIndex index;  // index of the membership entry, or of the base
   };
-  // The membership in force at an index of [baseIndex, lastIndex].
+  // Returns the membership in force at an index in [baseIndex, lastIndex].
   EffectiveMembership membershipAt(LogIndex index) const;
 
   void append(LogEntry entry) { entries.push_back(std::move(entry)); }
-  // Removes the entries from `index` on; `index` is in (baseIndex, lastIndex + 1].
+  // Removes the entries starting at `index`, which must be in (baseIndex, lastIndex + 1].
   void truncateFrom(LogIndex index);
-  // Removes the entries up to `index`, which becomes the base.
+  // Removes the entries up to and including `index`, which becomes the base.
   void discardThrough(LogIndex index);
-  // Makes the snapshot's last entry the base. The entries after it stay where the log contains that
-  // entry; otherwise the log is another one, and becomes empty.
+  // Makes the snapshot's last included entry the base. Keeps the entries after it if the log
+  // contains that entry. Otherwise the logs have diverged and all entries are removed.
   void resetTo(const Snapshot& snapshot);
-  // Applies one record of the disk, in the order of the records' versions.
+  // Applies one record read from disk. Records must be applied in the order of their versions.
   void restore(const WriteAheadRecord& record);
 
-  // The lowest index whose following entries take no more than so many bytes.
+  // Returns the lowest base index at which the entries after it take at most `maxBytes`.
   LogIndex baseIndexForTailOf(std::size_t maxBytes) const;
 
  private:
-  friend struct RaftNodeFingerprint;  // of the model checker, checker/model/fingerprint.hpp
+  friend struct RaftNodeFingerprint;  // the model checker's, in checker/model/fingerprint.hpp
   struct Base {
     LogIndex index;
     Term term;
--- a/source/raft/send_window.cpp
+++ b/source/raft/send_window.cpp
@@ -1,3 +1,4 @@
+// Adapts the send window to measured round-trip times.
 #include "raft/send_window.hpp"
 
 namespace aniseline {
--- a/source/raft/send_window.hpp
+++ b/source/raft/send_window.hpp
@@ -1,22 +1,22 @@
-// How many bytes may be under way to one follower. docs/design.md 3.4.
+// Limits the number of unacknowledged bytes sent to one follower. docs/design.md 3.4.
 #ifndef ANISELINE_RAFT_SEND_WINDOW_HPP
 #define ANISELINE_RAFT_SEND_WINDOW_HPP
 #include "raft/options.hpp"
 
 namespace aniseline {
 
-// A congestion window. A round trip that takes longer than the link's own delay explains has waited
-// behind what was sent before it; halving the window then keeps heartbeats timely on a slow link.
-// It is doubled again when it was exhausted and round trips are quick.
+// A congestion window. A round trip that is much longer than the fastest one was queued behind
+// earlier data; halving the window in that case keeps heartbeats timely on a slow link. The window
+// is doubled if it was exhausted while round trips were fast.
 class SendWindow {
  public:
   explicit SendWindow(const RaftOptions& options)
       : capacity(std::min(RaftLimits::initialWindowBytes, options.maxUnacknowledgedBytes)) {}
-  // Bytes that may be unacknowledged at once.
+  // Returns the maximum number of unacknowledged bytes.
   std::size_t bytes() const { return capacity; }
-  // Notes that more would have been sent if the window were larger.
+  // Records that more data would have been sent if the window were larger.
   void markExhausted() { exhausted = true; }
-  // A round of heartbeats was confirmed after this time; adapts the window.
+  // Adapts the window after a heartbeat round was confirmed with this round-trip time.
   void onRoundTrip(Duration roundTrip, const RaftOptions& options);
 
  private:
--- a/source/raft/snapshot_transfer.cpp
+++ b/source/raft/snapshot_transfer.cpp
@@ -1,12 +1,12 @@
-// Log compaction, and snapshots to followers that are behind the log: sent in chunks, paced, and
-// resumed. docs/design.md 3.4.
+// Log compaction, and chunked, flow-controlled, resumable transfer of snapshots to followers whose
+// next entry was already compacted. docs/design.md 3.4.
 #include "raft/node.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// The snapshot that was received; nothing where it was damaged on the way.
+// Deserializes a received snapshot. Returns nullopt if it was corrupted in transit.
 std::optional<Snapshot> decodeSnapshot(const std::string& bytes, const SnapshotIdentity& identity) {
   if (bytes.size() != identity.totalBytes || checksum(bytes) != identity.checksum)
     return std::nullopt;
@@ -19,8 +19,9 @@
 
 }  // namespace
 
-// The last entry to discard once everything up to `snapshotIndex` is in a snapshot. What members
-// that are late still need stays, as long as the remaining log keeps within its bytes.
+// Returns the last entry to discard once a snapshot covers everything up to `snapshotIndex`.
+// Entries that lagging members still need are retained as long as the retained log stays within its
+// size limit.
 LogIndex RaftNode::compactionIndex(LogIndex snapshotIndex) const {
   const std::uint64_t newest = lastIndex().value;
   LogIndex needed{newest - std::min<std::uint64_t>(newest, options.retainedEntries)};
@@ -47,8 +48,9 @@
     log.discardThrough(discarded);
 }
 
-// The same snapshot continues, also to another follower, until the log no longer holds what follows
-// it. Then, or while nobody has any of it, the newest takes its place.
+// Keeps sending the same snapshot, also to other followers, as long as the log holds the entries
+// that follow it. Switches to the latest snapshot after that, or if no follower has received any
+// part of the current one.
 void RaftNode::prepareOutgoingSnapshot() {
   if (outgoingSnapshot) {
     const SnapshotIdentity& current = outgoingSnapshot->identity;
@@ -66,7 +68,7 @@
   outgoingSnapshot = OutgoingSnapshot{identity, std::move(bytes)};
 }
 
-// Frees what is neither sent nor received any more.
+// Frees the buffers of transfers that are no longer active.
 void RaftNode::discardIdleTransfers() {
   const bool isSending = std::any_of(peers.begin(), peers.end(), [](const auto& entry) {
     return entry.second.snapshotTransfer().has_value();
@@ -88,8 +90,8 @@
                              rounds.current()});
 }
 
-// Adds a chunk to the snapshot that is being received, and returns that once it is complete. A
-// damaged one is received anew.
+// Adds a chunk to the incoming snapshot and returns the snapshot once it is complete. A corrupted
+// snapshot is received again from the start.
 std::optional<Snapshot> RaftNode::receiveSnapshotChunk(const InstallSnapshot& body) {
   if (!incomingSnapshot || incomingSnapshot->identity != body.snapshot)
     incomingSnapshot = IncomingSnapshot{body.snapshot, {}};
@@ -106,11 +108,11 @@
 void RaftNode::installSnapshot(Snapshot snapshot) {
   const LogIndex index = snapshot.lastIncludedIndex;
   if (log.contains({snapshot.lastIncludedTerm, index})) {
-    // The entries after it may have been claimed to the leader and counted, so they stay.
+    // Later entries may already have been acknowledged to the leader and counted, so they are kept.
     verifiedIndex = std::max(verifiedIndex, index);
   } else {
-    // What the disk holds beyond what this leader has verified may be another log, and stands for
-    // nothing of the snapshot.
+    // Entries on disk that this leader has not verified may belong to a diverged log, so they do
+    // not count as synced entries of the snapshot's log.
     writes.limitSynced(verifiedIndex);
     verifiedIndex = index;
   }
--- a/source/raft/write_ahead_queue.cpp
+++ b/source/raft/write_ahead_queue.cpp
@@ -1,3 +1,4 @@
+// Builds write-ahead records and tracks what is durable.
 #include "raft/write_ahead_queue.hpp"
 
 namespace aniseline {
--- a/source/raft/write_ahead_queue.hpp
+++ b/source/raft/write_ahead_queue.hpp
@@ -1,7 +1,7 @@
-// What a controller has yet to write to its disk, and the messages that wait for it. It decides
-// when a record is due and what the record holds; the owner of the RaftNode writes the record and
-// reports when it is synced. At most one write is under way: what changes meanwhile goes into the
-// next one (group commit). docs/design.md 3.3.
+// The changes that a controller still has to write to disk, and the messages that must wait for
+// them. The queue decides when a record is due and what it contains. The owner of the RaftNode
+// writes the record and reports when it is synced. At most one write is in flight; changes made in
+// the meantime go into the next record (group commit). docs/design.md 3.3.
 #ifndef ANISELINE_RAFT_WRITE_AHEAD_QUEUE_HPP
 #define ANISELINE_RAFT_WRITE_AHEAD_QUEUE_HPP
 #include "raft/messages.hpp"
@@ -9,7 +9,7 @@
 
 namespace aniseline {
 
-// The state that a record is made of.
+// The state from which a record is built.
 struct PersistentState {
   Term term;
   const ControllerId& votedFor;
@@ -19,50 +19,50 @@
 
 class WriteAheadQueue {
  public:
-  // --- While the node is restored
+  // --- Restoring
 
-  // A record was read from the disk.
+  // Accounts for a record that was read from disk.
   void recordRestored(const WriteAheadRecord& record);
-  // All records were read; the log ends at this index.
+  // Ends restoring: all records were read, and the log ends at this index.
   void finishRestore(LogIndex lastIndex) { synced = durable = lastIndex; }
 
-  // --- What is to be written
+  // --- Pending changes
 
-  // The term, the vote or the log from `index` on has changed. An index past the log's end stands
-  // for a change of term or vote only.
+  // Marks the term, the vote or the log starting at `index` as changed. An index after the end of
+  // the log marks only the term and vote.
   void persistFrom(LogIndex index);
-  // The next record is to hold the newest snapshot.
+  // Requests that the next record contain the latest snapshot.
   void persistSnapshot() { snapshotPending = true; }
-  // The node votes for itself in a new term. That vote counts once the next record is synced; a
-  // write under way holds the vote of an earlier term.
+  // Records that the node votes for itself in a new term. The vote counts once the next record is
+  // synced, because a write that is already in flight holds an earlier term's vote.
   void persistOwnVote(LogIndex index);
-  // Nothing waits to be written and no write is under way.
+  // Reports whether no change is pending and no write is in flight.
   bool isIdle() const { return !dirty && !inFlight; }
-  // The next record to write, if any is due and none is under way.
+  // Returns the next record to write if one is due and no write is in flight.
   std::optional<WriteAheadRecord> take(const PersistentState& state);
 
-  // --- What is on the disk
+  // --- Durable state
 
   struct SyncResult {
-    std::vector<PeerMessage> released;  // the messages that may leave now, in their order
+    std::vector<PeerMessage> released;  // messages that may be sent now, in order
     bool ownVoteSynced = false;
   };
-  // The record of this version is durable; nothing where it is not the one under way. The node's
-  // log ends at `lastIndex`.
+  // Records that the record of this version is durable. Returns nullopt if it is not the one in
+  // flight. `lastIndex` is the current end of the node's log.
   std::optional<SyncResult> onSynced(DiskVersion version, LogIndex lastIndex);
-  // Holds a message back until everything that has changed up to now is durable.
+  // Holds a message back until every change made so far is durable.
   void sendAfterSync(PeerMessage message);
-  // The log up to here is durable and is still the node's log.
+  // Returns the index up to which the node's current log is durable.
   LogIndex syncedIndex() const { return synced; }
-  // What the disk holds, whichever leader's log it is. It is lower than what was once acknowledged
-  // only where the disk was replaced by another. docs/design.md 3.5.
+  // Returns the last index on disk, regardless of which leader's log it belongs to. It is lower
+  // than an acknowledged index only if the disk was replaced. docs/design.md 3.5.
   LogIndex durableIndex() const { return durable; }
-  // The log was cut off from `index` on.
+  // Records that the log was truncated starting at `index`.
   void truncateFrom(LogIndex index);
-  // What the disk holds after this index is not the node's log any more.
+  // Records that entries on disk after this index no longer belong to the node's log.
   void limitSynced(LogIndex index);
 
-  // --- What has accumulated since the last record with a snapshot
+  // --- Amount written since the last record with a snapshot
 
   std::uint64_t recordsSinceSnapshot() const { return recordCount; }
   std::uint64_t bytesSinceSnapshot() const { return recordBytes; }
@@ -71,7 +71,7 @@
   friend struct RaftNodeFingerprint;
   struct InFlightWrite {
     DiskVersion version;
-    LogIndex lastIndex;  // of the log that it holds, as far as that is still the node's
+    LogIndex lastIndex;  // last index of the log in the record that is still in the node's log
     bool includesOwnVote = false;
   };
   struct MessageAwaitingSync {
@@ -81,7 +81,7 @@
   DiskVersion nextVersion{1};
   std::optional<InFlightWrite> inFlight;
   bool dirty = false;
-  LogIndex dirtyFromIndex;  // valid while dirty
+  LogIndex dirtyFromIndex;  // valid only while dirty
   bool snapshotPending = false;
   bool ownVotePending = false;
   LogIndex synced;
--- a/source/raft/write_ahead_record.hpp
+++ b/source/raft/write_ahead_record.hpp
@@ -1,21 +1,22 @@
-// What a controller writes to its disk before it answers anyone. docs/design.md 3.3.
+// The record that a controller writes to disk before it replies to other members.
+// docs/design.md 3.3.
 #ifndef ANISELINE_RAFT_WRITE_AHEAD_RECORD_HPP
 #define ANISELINE_RAFT_WRITE_AHEAD_RECORD_HPP
 #include "raft/log_entry.hpp"
 
 namespace aniseline {
 
-// One version of a controller's durable state, stored as one file. The state is what the newest
-// record with a snapshot holds, with all later records applied in the order of their versions.
+// One version of a controller's durable state, stored as one file. The current state is the newest
+// record with a snapshot plus all later records, applied in the order of their versions.
 struct WriteAheadRecord {
   DiskVersion version;
-  // The record holds a snapshot and the whole log after it, so that older records are obsolete.
-  // Otherwise its entries, if there are any, replace the log from `firstIndex` on.
+  // If set, the record contains a snapshot and the entire log after it, which makes older records
+  // obsolete. Otherwise its entries, if any, replace the log starting at `firstIndex`.
   bool holdsSnapshot = false;
   Term term;
-  ControllerId votedFor;  // in `term`; empty where it has not voted
+  ControllerId votedFor;  // vote cast in `term`; empty if none
   Snapshot snapshot;
-  LogIndex firstIndex;  // of `entries`
+  LogIndex firstIndex;  // index of the first of `entries`
   std::vector<LogEntry> entries;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
