--- a/source/raft/options.hpp
+++ b/source/raft/options.hpp
@@ -10,8 +10,8 @@
   // Interval at which a leader contacts each follower if there is nothing else to send.
   Duration heartbeatInterval{100};
   // Range from which the election timeout is drawn each time it is reset. The minimum is several
-  // heartbeats, so that one lost heartbeat does not start an election. A leader that
-  // has had no contact with a majority for the maximum steps down.
+  // heartbeats, so that one lost heartbeat does not start an election. A leader that has had no
+  // contact with a majority for the maximum steps down.
   Duration electionTimeoutMin{500};
   Duration electionTimeoutMax{1000};
   // Maximum size of the entries in one AppendEntries message, in bytes. A single entry may exceed
--- a/tests/gateway/leader_call_tests.cpp
+++ b/tests/gateway/leader_call_tests.cpp
@@ -1,3 +1,4 @@
+// Tests of the retry and redirect rules for calls from a gateway to the leader.
 #include "gateway/leader_call.hpp"
 
 #include <CppUTest/TestHarness.h>
@@ -14,7 +15,7 @@
   }
 };
 
-// What may have been taken is neither sent again nor called rejected.
+// A submission that may have been applied is neither sent again nor reported as rejected.
 TEST(LeaderCallTests, aSubmissionLostOnTheWayIsUnknown) {
   view.leader = Address{"r:1"};
   auto submit = course(RequestKind::submitJob);
@@ -26,8 +27,8 @@
   read.begin(MonotonicTime{0});
   CHECK(read.onFailure(LeaderCall::Failure::connectionLost, MonotonicTime{5}).kind ==
         LeaderCall::Step::Kind::backOff);
-  // One that did not serve is passed over; a leader that the route names meanwhile is asked at
-  // once.
+  // A target that did not serve is skipped. If the route names a leader in the meantime, that
+  // leader is contacted next.
   view.controllers = {Address{"r:1"}, Address{"r:2"}};
   STRCMP_EQUAL("r:2", read.onBackoffElapsed(MonotonicTime{30}).target.value.c_str());
   view.leader = Address{"r:3"};
@@ -48,8 +49,8 @@
         LeaderCall::Step::Kind::complete);
 }
 
-// Nor is an operator's config: lost or late it is unknown; only where nothing was sent, or nothing
-// was done, does it go on to another.
+// The outcome of a config change is unknown after a lost connection or a timeout. The change is
+// sent to another controller only if it was not sent at all or the receiver was not the leader.
 TEST(LeaderCallTests, aConfigIsSentOnceUnlessSurelyNotTaken) {
   view.leader = Address{"r:1"};
   for (const auto loss : {LeaderCall::Failure::connectionLost, LeaderCall::Failure::timedOut}) {
--- a/tests/gateway/leader_directory_tests.cpp
+++ b/tests/gateway/leader_directory_tests.cpp
@@ -1,3 +1,4 @@
+// Tests concurrent reads and updates of the route to the leader.
 #include "gateway/leader_directory.hpp"
 #include <urcu.h>
 
@@ -7,7 +8,7 @@
 
 TEST_GROUP(LeaderDirectoryTests){};
 
-// Under the thread sanitizer this fails when a view is freed under a reader.
+// Run under ThreadSanitizer, this test fails if a route is freed while a thread reads it.
 TEST(LeaderDirectoryTests, readersNeverSeeAFreedOrOlderView) {
   LeaderDirectory board;
   std::atomic<bool> over{false};
--- a/tests/gateway/peer_directory_tests.cpp
+++ b/tests/gateway/peer_directory_tests.cpp
@@ -1,3 +1,4 @@
+// Tests the order in which a client contacts seeds and discovered gateways.
 #include "gateway/peer_directory.hpp"
 
 #include <CppUTest/TestHarness.h>
@@ -21,8 +22,8 @@
   STRCMP_EQUAL("n:1 n:2 s:2 n:1 n:2 s:3 ", walk(6).c_str());
 }
 
-// All of the first addresses replaced: what was learned is asked, and a preferred one again after a
-// while.
+// If every seed has been replaced, the client contacts the discovered gateways, and retries the
+// preferred gateway after a delay.
 TEST(PeerDirectoryTests, survivesTheLossOfAllFirstContacts) {
   book.update({Address{"own:1"}, Address{"far:1"}});
   book.markFailed(MonotonicTime{100});
--- a/tests/raft/cluster_bootstrap_tests.cpp
+++ b/tests/raft/cluster_bootstrap_tests.cpp
@@ -1,5 +1,5 @@
-// Who founds a cluster: one controller and one only, whichever machines the seeds name.
-// docs/design.md 3.7.
+// Tests that exactly one controller bootstraps the cluster, for any combination of seeds with and
+// without disks. docs/design.md 3.7.
 #include "raft/cluster_bootstrap.hpp"
 #include <CppUTest/TestHarness.h>
 
@@ -11,7 +11,8 @@
 }
 const std::vector<Address> seeds{at("a:1"), at("b:1"), at("c:1")};
 
-// What one controller decides when it has heard every seed; those named have no disk.
+// Returns whether one controller bootstraps after every seed has answered. The seeds in `diskless`
+// have no disk.
 bool founds(const char* self, const std::set<std::string>& diskless, const char* nominee = "") {
   ClusterBootstrap bootstrap(at(self), !diskless.count(self), seeds);
   for (const auto& seed : seeds) {
@@ -40,7 +41,7 @@
   CHECK(founds("d:1", none, "d:1"));
   CHECK(!founds("e:1", none, "d:1"));
   CHECK(!founds("e:1", none));
-  // The word of another than the lowest does not count.
+  // Only the nomination of the lowest seed counts.
   ClusterBootstrap founding(at("e:1"), true, seeds);
   founding.addBlankSeed(at("a:1"), false, at("d:1"));
   founding.addBlankSeed(at("b:1"), false, at("e:1"));
@@ -52,7 +53,7 @@
   ClusterBootstrap founding(at("a:1"), true, seeds);
   founding.addBlankSeed(at("b:1"), true, Address{});
   CHECK(!founding.mayBootstrap());
-  founding.addBlankSeed(at("x:1"), true, Address{});  // no seed
+  founding.addBlankSeed(at("x:1"), true, Address{});  // not a seed
   CHECK(!founding.mayBootstrap());
   founding.addBlankSeed(at("c:1"), true, Address{});
   CHECK(founding.mayBootstrap());
--- a/tests/raft/leader_step_down_tests.cpp
+++ b/tests/raft/leader_step_down_tests.cpp
@@ -1,4 +1,5 @@
-// When a leader steps down: by silence of the others, not by its own lateness. docs/design.md 3.2.
+// Tests that a leader steps down if the other members are silent, but not if it was delayed itself.
+// docs/design.md 3.2.
 #include "raft/node.hpp"
 #include <CppUTest/TestHarness.h>
 
@@ -10,7 +11,7 @@
                      {ControllerId{"c"}, Address{"c:1"}, ZoneName{"z"}, true}};
   std::int64_t now = 0;
   std::map<std::string, std::unique_ptr<RaftNode>> nodes;
-  std::vector<PeerMessage> unread;  // for the leader, while it is busy
+  std::vector<PeerMessage> unread;  // messages to the leader while it is paused
   std::string leader;
 
   void setup() override {
@@ -32,8 +33,8 @@
     }
     run(300);
   }
-  // Everyone but `busy` lives on; what is sent to it lies unread. With `cut` nothing reaches it at
-  // all.
+  // Runs every node except `busy`, whose incoming messages stay unread. With `cut`, they are
+  // dropped.
   void run(std::int64_t span, const std::string& busy = "", bool cut = false) {
     for (const std::int64_t end = now + span; now < end; now += 10) {
       std::vector<PeerMessage> sent;
@@ -58,8 +59,8 @@
   }
 };
 
-// Its own step took 1.2 s (longer than any election time), and the first thing it does is to tick;
-// the answers are read next.
+// One step of the leader took 1.2 s, longer than any election timeout, and the next call is a tick.
+// The replies that arrived meanwhile are read only after it.
 TEST(LeaderTests, oneThatWasBusyReadsBeforeItStepsDown) {
   nodes[leader]->tick(MonotonicTime{now}, WallTime{now});
   const auto requests = nodes[leader]->takeMessages();
@@ -77,7 +78,7 @@
   CHECK(nodes[leader]->isLeader());
 }
 
-// Cut off but not busy it steps down in time.
+// A leader that is disconnected but not paused steps down within the election timeout.
 TEST(LeaderTests, oneThatIsCutOffStepsDown) {
   for (std::int64_t count = 0; count < 120 && nodes[leader]->isLeader(); ++count, now += 10) {
     nodes[leader]->tick(MonotonicTime{now}, WallTime{now});
@@ -86,7 +87,7 @@
   CHECK(!nodes[leader]->isLeader());
 }
 
-// Busy again and again it can't put that off for ever.
+// Repeated pauses cannot postpone the step-down indefinitely.
 TEST(LeaderTests, oneThatIsCutOffAndBusyStepsDownToo) {
   const std::int64_t begun = now;
   while (nodes[leader]->isLeader() && now - begun < 20'000) {
@@ -97,7 +98,7 @@
   CHECK(now - begun <= 6000);
 }
 
-// One that was frozen meanwhile learns of its successor and leads no more.
+// A leader that was paused while a successor was elected learns of it and stops leading.
 TEST(LeaderTests, oneThatWasFrozenGivesWay) {
   run(3000, leader);
   std::size_t others = 0;
@@ -109,8 +110,8 @@
   CHECK(!nodes[leader]->isLeader());
 }
 
-// Requests come a thousand a second and the others answer late, being busy too: what is under way
-// stays bounded, and the leader leads.
+// With a thousand requests per second and replies delayed by 200 ms, the number of messages in
+// flight stays bounded and the leader keeps its leadership.
 TEST(LeaderTests, manyRoundsDoNotHideTheAnswers) {
   constexpr std::int64_t way = 200;
   std::deque<std::pair<std::int64_t, PeerMessage>> underWay;
@@ -138,7 +139,7 @@
   CHECK(requests < 2 * 3000 / 25);
 }
 
-// Where answers come at once nothing waits for the heartbeat.
+// If the replies arrive without delay, a round does not wait for the heartbeat interval.
 TEST(LeaderTests, aRoundIsConfirmedAsSoonAsTheOthersAnswer) {
   for (std::size_t count = 0; count < 50; ++count) {
     const RoundNumber wanted = nodes[leader]->startRound(MonotonicTime{now});
--- a/tests/raft/log_memory_tests.cpp
+++ b/tests/raft/log_memory_tests.cpp
@@ -1,5 +1,5 @@
-// What a node holds in memory is bounded in bytes, whatever the size of an entry.
-// docs/design.md 3.4.
+// Tests that the memory used by a node's log is bounded in bytes, regardless of the size of the
+// entries. docs/design.md 3.4.
 #include "node_links.hpp"
 
 #include <CppUTest/TestHarness.h>
@@ -8,7 +8,8 @@
 namespace {
 constexpr std::size_t configBytes = 318 * 1000;  // a configuration of 830 queues
 constexpr std::size_t changes = 600;
-// The kept tail, the entries until the next snapshot, and one entry that passes each of the two.
+// The retained tail, the entries until the next snapshot, and one entry that exceeds each of the
+// two limits.
 constexpr std::size_t mostLogBytes = 16 * 1024 * 1024 + 8 * 1024 * 1024 + 2 * configBytes;
 }  // namespace
 
@@ -33,7 +34,8 @@
   CHECK_COMPARE(cluster.mostRetained, <=, mostLogBytes);
 }
 
-// One that is away holds entries back for its return, but within the same bound; and it returns.
+// A disconnected follower makes the leader retain entries, but within the same limit, and the
+// follower catches up after it is connected again.
 TEST(LogMemoryTests, aFollowerThatIsAwayDoesNotLiftTheBound) {
   const ControllerId away{cluster.leader() == &cluster.node("a") ? "b" : "a"};
   cluster.cut(away, true);
@@ -51,7 +53,7 @@
       10'000));
 }
 
-// Small entries behind a snapshot are kept for one that is late, as many as the bytes allow.
+// Small entries behind a snapshot are retained for a lagging follower, up to the limit in bytes.
 TEST(LogMemoryTests, smallEntriesAreKeptForAFollowerThatIsLate) {
   const ControllerId away{cluster.leader() == &cluster.node("a") ? "b" : "a"};
   const LogIndex heardUpTo = cluster.nodes.at(away)->lastIndex();
@@ -67,7 +69,7 @@
   CHECK(cluster.leader()->logBaseIndex() <= heardUpTo);
 }
 
-// To one that does not answer only so much is sent, and no more until it does.
+// Only a limited number of bytes is sent to a follower that does not reply.
 TEST(LogMemoryTests, whatIsUnacknowledgedIsBoundedInBytes) {
   RaftNode& leader = *cluster.leader();
   leader.takeMessages();
@@ -86,7 +88,8 @@
   }
 }
 
-// An entry above every bound still passes, in chunks, and no message is larger than the window.
+// An entry that exceeds every limit is still replicated, in chunks, and no message is larger than
+// the send window.
 TEST(LogMemoryTests, anEntryLargerThanEveryWindowPasses) {
   std::size_t largest = 0;
   cluster.delivered = [&](const PeerMessage& message) {
--- a/tests/raft/membership_tests.cpp
+++ b/tests/raft/membership_tests.cpp
@@ -1,5 +1,5 @@
-// Changes of membership: who may be told that it is out, and which changes a leader refuses.
-// docs/design.md 3.5.
+// Tests of membership changes: which changes a leader refuses, and when a member learns that it was
+// removed. docs/design.md 3.5.
 #include "raft/membership_change.hpp"
 
 #include <CppUTest/TestHarness.h>
@@ -26,8 +26,8 @@
   return members;
 }
 
-// Nodes on one clock, a network with cuts, and disks that sync at once. Leaders open their terms as
-// the controller does.
+// Nodes with a shared clock, a network that can be partitioned, and disks that sync immediately. A
+// new leader proposes the first entry of its term, as the controller does.
 struct Cluster {
   std::int64_t now = 0;
   std::map<std::string, std::unique_ptr<RaftNode>> nodes;
@@ -101,7 +101,7 @@
   RaftNode& at(const std::string& id) { return *nodes[id]; }
 };
 
-// The leader of these and the others in their order.
+// Returns the id of the leader, followed by the other ids in order.
 std::vector<std::string> leaderFirst(Cluster& cluster) {
   std::vector<std::string> order{cluster.elect()};
   for (const auto& [id, node] : cluster.nodes)
@@ -114,8 +114,9 @@
 
 TEST_GROUP(Membership){};
 
-// Four vote. The leader and x are cut off from the other two, so what the leader proposes can't be
-// committed: x is one of four still, and without its copy two of four could never go on.
+// The leader of four voters is partitioned from two of them together with the voter that it
+// removes, so the change cannot be committed. The voter is still one of the four and must not
+// retire: without its copy, the two others could never form a majority.
 TEST(Membership, aRemovalThatCannotCommitRetiresNobody) {
   Cluster cluster({"a", "b", "c", "d"});
   const auto order = leaderFirst(cluster);
@@ -127,13 +128,15 @@
   cluster.run(5000);
   CHECK(!leader.membershipCommitted());
   CHECK(!removed.removedFromCluster());
-  // The leader is lost for good: the three that are left are a majority of the committed four.
+  // The leader is lost permanently. The three remaining voters are a majority of the committed
+  // four.
   cluster.down.insert(order[0]);
   cluster.cuts.clear();
   CHECK(!cluster.elect().empty());
 }
 
-// Once it is committed the removed one learns of it, from the leader that it asks for a vote.
+// After the removal is committed, the removed node learns of it from the leader when it requests a
+// vote.
 TEST(Membership, aCommittedRemovalIsTold) {
   Cluster cluster({"a", "b", "c", "d"});
   const auto order = leaderFirst(cluster);
@@ -147,7 +150,8 @@
     CHECK(!cluster.at(id).removedFromCluster());
 }
 
-// Whoever is told checks it: by its own log and by what the word itself says.
+// The receiver of a RemovedFromCluster message validates it against its own log and against the
+// membership in the message.
 TEST(Membership, aWordOfRemovalIsChecked) {
   WriteAheadRecord record;
   record.version = DiskVersion{1};
@@ -164,9 +168,9 @@
   };
   const Membership others = voters({"a", "b"});
   CHECK(told("a", {Term{3}, LogIndex{3}, others}));
-  // Its own term counts for nothing: it may have asked for votes in vain meanwhile.
+  // The node's current term does not matter, since it may have increased in unsuccessful elections.
   CHECK(told("a", {Term{4}, LogIndex{2}, others}));
-  // It was taken in again since.
+  // The node was admitted again later.
   CHECK(!told("a", {Term{3}, LogIndex{1}, others}));
   CHECK(!told("a", {Term{2}, LogIndex{7}, others}));
   CHECK(!told("a", {Term{3}, LogIndex{2}, others}));
@@ -178,7 +182,7 @@
 
 const char* refused(const std::string& from, const std::string& to, const std::string& holding,
                     const std::string& lost = "") {
-  // A letter a voter, the leader is l; capitals learn.
+  // Each letter is a member, and "l" is the leader. Upper-case letters are learners.
   const auto list = [](const std::string& letters) {
     Membership members;
     for (const char letter : letters) {
@@ -222,16 +226,17 @@
   STRCMP_EQUAL("the leader would leave", refused("lab", "ab", "lab"));
   STRCMP_EQUAL("the leader would leave", refused("lab", "Lab", "lab"));
   STRCMP_EQUAL("listed twice", refused("lab", "labb", "lab"));
-  STRCMP_EQUAL("", refused("labC", "labD", "lab"));  // learners are in no majority
+  STRCMP_EQUAL("", refused("labC", "labD", "lab"));  // learners do not affect majorities
 }
 
-// One is dead: it is replaced by one who holds the log, who comes first; then the dead one goes.
+// To replace a failed voter, first a successor that holds the log is added, then the failed voter
+// is removed.
 TEST(Membership, theSuccessorHoldsTheLogBeforeItVotesAndBeforeTheOldCopyGoes) {
   STRCMP_EQUAL("the successor is behind", refused("labC", "labc", "la"));
   STRCMP_EQUAL("", refused("labC", "labc", "lac"));
   STRCMP_EQUAL("too few of the old voters hold the log", refused("labc", "lac", "la"));
   STRCMP_EQUAL("", refused("labc", "lac", "lac"));
-  // Five, two of them dead.
+  // Five voters, two of which have failed.
   STRCMP_EQUAL("the successor is behind", refused("labcdE", "labcde", "lab"));
   STRCMP_EQUAL("", refused("labcdE", "labcde", "labe"));
   STRCMP_EQUAL("too few of the old voters hold the log", refused("labcde", "labce", "lab"));
@@ -241,14 +246,16 @@
 TEST(Membership, noMajorityIsLeftWaiting) {
   STRCMP_EQUAL("too few of the old voters hold the log", refused("labC", "labc", "lc"));
   STRCMP_EQUAL("too few of the old voters hold the log", refused("la", "l", "la"));
-  // From three to five and back, one at a time, with one of them away.
+  // Growing from three to five voters and shrinking back, one at a time, with one voter
+  // unreachable.
   STRCMP_EQUAL("", refused("labCD", "labcD", "labc"));
   STRCMP_EQUAL("", refused("labcd", "labc", "labc"));
   STRCMP_EQUAL("too few of the old voters hold the log", refused("labcd", "labc", "lad"));
   STRCMP_EQUAL("", refused("labc", "lab", "lab"));
 }
 
-// What one that lost its state once acknowledged is gone: it is missed whether it stays or not.
+// The entries that a member has lost are gone whether or not it stays a member, so it is not
+// counted.
 TEST(Membership, whoLostItsStateIsNotCounted) {
   STRCMP_EQUAL("", refused("lax", "la", "la", "x"));
   STRCMP_EQUAL("", refused("lx", "l", "l", "x"));
@@ -257,7 +264,7 @@
   STRCMP_EQUAL("too few of the old voters hold the log", refused("lax", "la", "l", "x"));
 }
 
-// The leader's own judgement: one that it does not hear counts for nothing, however much it once
+// The leader does not count a member without recent contact, regardless of how much of the log it
 // held.
 TEST(Membership, aLeaderRefusesWhatWouldWaitForOneThatIsAway) {
   Cluster cluster({"a", "b", "c", "d"});
@@ -300,15 +307,15 @@
 
 namespace {
 
-// Members change at random while links are cut, messages are late or lost and nodes are away. What
-// must hold is checked at each step against all that was ever committed.
+// Changes members at random while links are cut, messages are delayed or lost, and nodes are down.
+// At each step the invariants are checked against every entry that was ever committed.
 struct RandomChanges : Cluster {
   Random draws;
   std::vector<std::pair<std::int64_t, PeerMessage>> underWay;
   std::map<Term, std::string> leaders;
   std::map<LogIndex, std::pair<Term, std::string>> committed;
   std::map<std::string, LogIndex> checked;
-  Membership inForce;  // by the last committed change
+  Membership inForce;  // from the latest committed membership entry
   LogIndex changedAt;
   std::size_t told = 0, changes = 0, blanks = 0;
   std::int64_t nextEvent = 0;
@@ -330,7 +337,7 @@
     if (chance(4))
       down.insert(any(inForce).id.value);
   }
-  // Each leader tries, also one that is cut off.
+  // Every leader tries a change, including a partitioned one.
   void tryChange() {
     for (auto& [id, node] : nodes) {
       if (!node->isLeader() || down.count(id))
@@ -363,7 +370,7 @@
         deliver(std::move(message));
   }
   void deliver(PeerMessage message) {
-    if (message.to.value.empty())  // to an address: a blank one asks to join
+    if (message.to.value.empty())  // a join request of a blank node, sent to an address
       message.to =
           ControllerId{message.toAddress.value.substr(0, message.toAddress.value.find(':'))};
     if (reaches(message))
@@ -430,8 +437,8 @@
 
 TEST_GROUP(StopOfAController){};
 
-// One of three is cut off, so the leader and the one that it hears hold the only full copies:
-// neither may stop until a third holds all.
+// With one of three voters disconnected, the leader and the remaining follower hold the only
+// complete copies. Neither may stop until the third voter has caught up.
 TEST(StopOfAController, theLastFullCopiesAreMissed) {
   Cluster cluster({"a", "b", "c"});
   const auto order = leaderFirst(cluster);
@@ -454,7 +461,7 @@
     CHECK(cluster.at(id).isSafeToStop());
 }
 
-// A leader that hands over has not handed on what it alone and one other hold.
+// Transferring the leadership does not replicate the entries that only two voters hold.
 TEST(StopOfAController, handingOverIsNotEnough) {
   Cluster cluster({"a", "b", "c"});
   const auto order = leaderFirst(cluster);
@@ -473,8 +480,7 @@
   CHECK(leader.isSafeToStop());
 }
 
-// One that is gone may have taken its disk along: however much it held, it stands for nothing until
-// it is heard again.
+// A member that is down may have lost its disk. Its copy does not count until it replies again.
 TEST(StopOfAController, aCopyThatIsNotHeardIsNotCounted) {
   Cluster cluster({"a", "b", "c"});
   const auto order = leaderFirst(cluster);
@@ -489,7 +495,7 @@
   CHECK(cluster.at(order[1]).isSafeToStop());
 }
 
-// Nobody else is there, or its copy counts for nothing.
+// A single voter or a learner may stop, since no other copy exists or its own is not needed.
 TEST(StopOfAController, aLoneOneOrALearnerIsNotWaitedFor) {
   Cluster alone({"a"});
   CHECK_EQUAL(std::string("a"), alone.elect());
@@ -498,7 +504,7 @@
   CHECK(blank.isSafeToStop());
 }
 
-// The leader's log may begin after the removal by then: the snapshot vouches for it.
+// If the leader's log starts after the removal, the position of the snapshot proves the removal.
 TEST(Membership, aRemovalIsToldAfterItsEntryIsCompacted) {
   Cluster cluster({"a", "b", "c", "d"});
   const auto order = leaderFirst(cluster);
--- a/tests/raft/node_links.hpp
+++ b/tests/raft/node_links.hpp
@@ -1,5 +1,5 @@
-// Consensus nodes with links of a given bandwidth between them, in virtual time: what is sent
-// waits its turn on the link, as in one TCP connection, and a cut loses what is on the way.
+// Raft nodes in virtual time, connected by links with a configurable bandwidth. Messages on a link
+// are queued in order, as on one TCP connection. Disconnecting a node drops its messages in flight.
 #ifndef ANISELINE_TESTS_RAFT_NODE_LINKS_HPP
 #define ANISELINE_TESTS_RAFT_NODE_LINKS_HPP
 #include "raft/node.hpp"
@@ -10,10 +10,10 @@
 
 class NodeLinks {
  public:
-  static constexpr std::int64_t step = 10;         // milliseconds between ticks
-  static constexpr std::int64_t propagation = 15;  // milliseconds one way
+  static constexpr std::int64_t step = 10;         // tick interval in milliseconds
+  static constexpr std::int64_t propagation = 15;  // one-way delay in milliseconds
 
-  // Milliseconds that a message spends on the wire; 0 where bandwidth is not what is looked at.
+  // Returns the transmission time of a message in milliseconds. 0 means unlimited bandwidth.
   std::function<std::int64_t(const PeerMessage&)> onWire = [](const PeerMessage&) {
     return 0;
   };
@@ -21,7 +21,7 @@
   };
   std::function<void(PeerMessage&)> damage = [](PeerMessage&) {
   };
-  std::size_t snapshotBytes = 8 * 1024 * 1024;  // as ControllerOptions::snapshotBytes
+  std::size_t snapshotBytes = 8 * 1024 * 1024;  // same as ControllerOptions::snapshotBytes
   std::size_t stateBytes = 1000;
   std::int64_t now = 0;
   RaftOptions options;
@@ -55,7 +55,7 @@
             std::make_unique<RaftNode>(member, options, ++seed, disks[id], MonotonicTime{now});
     down.erase(id);
   }
-  // What was not yet written is lost, and all that is on the way to and from it.
+  // Stops a node. Loses its unwritten state and all messages in flight to and from it.
   void kill(const ControllerId& id) {
     down.insert(id);
     dropOnTheWay(id);
@@ -133,7 +133,7 @@
       node.onWriteSynced(version, MonotonicTime{now});
     }
   }
-  // As the controller does it, but for the time that packing takes.
+  // Takes snapshots like the controller does, except that serialization takes no time.
   void compact(RaftNode& node) {
     node.takeSnapshotInstalled();
     mostRetained = std::max(mostRetained, retained(node));
--- a/tests/raft/node_tests.cpp
+++ b/tests/raft/node_tests.cpp
@@ -1,3 +1,4 @@
+// Tests of a single Raft node: acknowledgements, elections and snapshots. docs/design.md 3.
 #include "raft/node.hpp"
 
 #include <CppUTest/TestHarness.h>
@@ -7,7 +8,8 @@
 const Membership three{{ControllerId{"a"}, Address{"a:1"}, ZoneName{"x"}, true},
                        {ControllerId{"b"}, Address{"b:1"}, ZoneName{"y"}, true},
                        {ControllerId{"c"}, Address{"c:1"}, ZoneName{"z"}, true}};
-// A follower whose disk holds the members and entries of term 1 that no majority ever had.
+// Returns the disk of a follower with the membership and entries of term 1 that were never on a
+// majority.
 WriteAheadRecord heldBy(std::size_t entries) {
   WriteAheadRecord record;
   record.version = DiskVersion{1};
@@ -40,7 +42,8 @@
   }
 };
 
-// docs/design.md 3.3: what lies on disk is claimed only up to where it is known to be the leader's.
+// Entries on disk are acknowledged only up to the index at which they are known to match the
+// leader's. docs/design.md 3.3.
 TEST(RaftTests, aFollowerClaimsNoEntriesThatItsLeaderHasNotShown) {
   AppendEntries heartbeat;
   heartbeat.term = Term{2};
@@ -53,7 +56,8 @@
     LONGS_EQUAL(1, reply.matchIndex.value);
 }
 
-// docs/design.md 3.4: however its log differs, one answer tells the leader where to go on from.
+// However far the logs have diverged, one reply tells the leader where to resume.
+// docs/design.md 3.4.
 TEST(RaftTests, oneMismatchTellsWhereTheLogsAgree) {
   AppendEntries ahead;
   ahead.term = Term{2};
@@ -66,8 +70,9 @@
   AppendEntries again = ahead;
   again.previousLogIndex = replies[0].matchIndex;
   again.previousLogTerm = again.previousLogIndex.value > 1 ? Term{2}
-                          : again.previousLogIndex.value   ? Term{1}
-                                                           : Term{};  // the leader's own from 2 on
+                          : again.previousLogIndex.value   ? Term{1}  // the leader's log has term 2
+                                                                    // from index 2 on
+                                                         : Term{};
   again.entries.assign(9 - again.previousLogIndex.value, LogEntry{Term{2}, false, "kept"});
   follower.receive(fromC(again), MonotonicTime{12});
   replies = repliesOf(follower);
@@ -75,8 +80,8 @@
   LONGS_EQUAL(9, follower.lastIndex().value);
 }
 
-// docs/design.md 3.2: a candidate behind in terms learns it from the refusal; else no one could
-// ever be elected.
+// A refusal must carry the voter's term. Otherwise a candidate with an older term never catches up,
+// and no leader could ever be elected. docs/design.md 3.2.
 TEST(RaftTests, aRefusedTrialTellsTheTerm) {
   AppendEntries seen;
   seen.term = Term{47};
@@ -91,8 +96,8 @@
   LONGS_EQUAL(47, answer.term.value);
 }
 
-// A learner that was put out while it was away asks to learn again; it would stay out for ever.
-// docs/design.md 3.5.
+// A learner that was removed while it was unreachable must request to join again, otherwise it
+// would never become a member again. docs/design.md 3.5.
 TEST(RaftTests, aLearnerThatHearsNoLeaderAsksToJoin) {
   auto record = heldBy(1);
   Membership members = three;
@@ -107,7 +112,8 @@
   CHECK(asked > 0);
 }
 
-// A view counts only once it is synced; what lay on the disk before it is another log.
+// An installed snapshot is acknowledged only after it is synced. Entries that were on disk before
+// belong to a diverged log.
 TEST(RaftTests, anInstalledViewIsClaimedOnlyWhenItIsSynced) {
   const std::string whole = pack(Snapshot{LogIndex{4}, Term{2}, three, "state"});
   const SnapshotIdentity identity{LogIndex{4}, Term{2}, whole.size(), checksum(whole)};
@@ -121,8 +127,8 @@
   LONGS_EQUAL(4, after.back().matchIndex.value);
 }
 
-// docs/design.md 3.5: while a snapshot is being written the disk still holds what it held before; a
-// reply that told less would be taken for a lost disk.
+// While a snapshot is being written, the disk still holds the previous entries. A reply with a
+// lower last index would be taken for a lost disk. docs/design.md 3.5.
 TEST(RaftTests, aSnapshotUnderWayIsNoLostState) {
   const std::string whole = pack(Snapshot{LogIndex{9}, Term{2}, three, "state"});
   const SnapshotIdentity identity{LogIndex{9}, Term{2}, whole.size(), checksum(whole)};
@@ -133,8 +139,8 @@
     CHECK(reply.lastLogIndex >= held);
 }
 
-// docs/design.md 3.4: what was claimed to a leader may have been counted by it; a snapshot that
-// ends before it, and comes late, takes none of it away.
+// The leader may already count entries that were acknowledged to it. A delayed snapshot that ends
+// before them must not remove them. docs/design.md 3.4.
 TEST(RaftTests, aLateSnapshotLeavesTheEntriesAfterIt) {
   RaftNode behind{three[1], {}, 1, {heldBy(0)}, MonotonicTime{0}};
   std::vector<WriteAheadRecord> disk{heldBy(0)};
@@ -165,8 +171,8 @@
   LONGS_EQUAL(5, restarted.lastIndex().value);
 }
 
-// docs/design.md 3.3: a vote of one's own counts once it is synced; the write of an earlier term's
-// vote, late on a slow disk, is not it.
+// A candidate's own vote counts only once it is synced. The delayed write of an earlier term's vote
+// on a slow disk does not count. docs/design.md 3.3.
 TEST(RaftTests, aCandidateCountsItsOwnVoteOnlyOnceThatTermIsSynced) {
   const auto campaign = [&](std::int64_t now) {
     follower.tick(MonotonicTime{now}, WallTime{now});
@@ -186,8 +192,8 @@
   CHECK(follower.isLeader());
 }
 
-// A leader whose own term is not on its disk could lead that term again after a restart, with other
-// entries under the same index and term. docs/design.md 3.3.
+// A leader that has not stored its term could lead that term again after a restart, with different
+// entries at the same index and term. docs/design.md 3.3.
 TEST(RaftTests, aCandidateLeadsOnlyOnceItsOwnTermIsSynced) {
   follower.tick(MonotonicTime{5000}, WallTime{5000});
   follower.receive(fromC(RequestVoteReply{Term{2}, true, true}), MonotonicTime{5000});
--- a/tests/raft/peer_progress_tests.cpp
+++ b/tests/raft/peer_progress_tests.cpp
@@ -1,5 +1,5 @@
-// What a leader knows of one follower: its match, what is under way to it, its window.
-// docs/design.md 3.2, 3.4, 3.5.
+// Tests of a leader's state for one follower: match index, unacknowledged data, send window and
+// chunked transfers. docs/design.md 3.2, 3.4, 3.5.
 #include "raft/peer_progress.hpp"
 #include <CppUTest/TestHarness.h>
 
@@ -33,7 +33,7 @@
   CHECK(peer.onMismatch(LogIndex{4}, RoundNumber{3}, RoundNumber{4}, LogIndex{}));
   LONGS_EQUAL(5, peer.nextIndex().value);
   CHECK(peer.allAcknowledged());
-  // A reply to what was sent before says nothing new.
+  // A reply to a message sent before the reset contains nothing new.
   CHECK(!peer.onMismatch(LogIndex{2}, RoundNumber{4}, RoundNumber{5}, LogIndex{}));
   LONGS_EQUAL(5, peer.nextIndex().value);
   CHECK(peer.onMismatch(LogIndex{2}, RoundNumber{5}, RoundNumber{5}, LogIndex{}));
@@ -119,7 +119,8 @@
   LONGS_EQUAL(options.chunkBytes, window.bytes());
 }
 
-// A link that is always slow is no reason: only what a round trip takes beyond the fastest is.
+// A constant delay of the link does not shrink the window. Only the time beyond the fastest round
+// trip counts.
 TEST(SendWindowTests, aSteadyDelayDoesNotShrinkIt) {
   for (int count = 0; count < 5; ++count)
     window.onRoundTrip(slow, options);
@@ -145,7 +146,7 @@
 TEST(ChunkTransferTests, whatWasSentBeforeTheAnsweredRoundAndIsNotThereIsSentAgain) {
   LONGS_EQUAL(3, take(1000, 1));
   progress.onReply(100, RoundNumber{1});
-  CHECK(progress.allSent(bytes));  // the rest may still be on its way
+  CHECK(progress.allSent(bytes));  // the remaining chunks may still be in flight
   progress.onReply(100, RoundNumber{2});
   CHECK(!progress.allSent(bytes));
   const auto chunks = progress.takeChunks(bytes, 1000, 100, RoundNumber{3});
--- a/tests/raft/raft_log_tests.cpp
+++ b/tests/raft/raft_log_tests.cpp
@@ -1,4 +1,4 @@
-// The log in memory: its base, its memberships, and what of it a snapshot replaces.
+// Tests of the in-memory log: its base, its memberships, and the entries that a snapshot replaces.
 // docs/design.md 3.2, 3.4.
 #include "raft/raft_log.hpp"
 #include <CppUTest/TestHarness.h>
@@ -19,7 +19,7 @@
   return LogEntry{Term{term}, true, pack(membershipOf(id))};
 }
 
-// The membership of a, two entries, the membership of b, one entry; indices 1 to 5.
+// Indexes 1 to 5: the membership of "a", two entries, the membership of "b", one entry.
 RaftLog fiveEntries() {
   RaftLog log;
   log.append(membershipEntry(1, "a"));
--- a/tests/raft/snapshot_transfer_tests.cpp
+++ b/tests/raft/snapshot_transfer_tests.cpp
@@ -1,4 +1,5 @@
-// Snapshots to followers that are far behind: in chunks, paced, resumed. docs/design.md 3.4.
+// Tests of snapshot transfers to lagging followers: in chunks, flow-controlled and resumable.
+// docs/design.md 3.4.
 #include "node_links.hpp"
 
 #include <CppUTest/TestHarness.h>
@@ -6,13 +7,14 @@
 
 namespace {
 constexpr std::size_t configBytes = 318 * 1000;      // a configuration of 830 queues
-constexpr std::size_t stateBytes = 4 * 1024 * 1024;  // of jobs and workers beside it
+constexpr std::size_t stateBytes = 4 * 1024 * 1024;  // additional state of jobs and workers
 constexpr std::int64_t bytesEachMillisecond = 250;   // 2 Mbit/s
-constexpr std::int64_t changeEach = 12'000;          // 7,100 changes a day
+constexpr std::int64_t changeEach = 12'000;          // about 7,100 changes a day
 constexpr std::size_t burst = 300;
 constexpr std::size_t mostLogBytes = 16 * 1024 * 1024 + 8 * 1024 * 1024 + 2 * configBytes;
 
-// So that the bytes, and who is being caught up, decide what is kept.
+// Retains few entries, so that the limit in bytes and the lagging followers decide what is
+// retained.
 RaftOptions fewEntriesKept() {
   RaftOptions options;
   options.retainedEntries = 20;
@@ -35,7 +37,7 @@
   ControllerId slow;
   std::int64_t heardAt = 0, longestGap = 0;
 
-  // The slow one, a follower, is away until a snapshot is needed to bring it up to date.
+  // The slow follower is disconnected until it needs a snapshot to catch up.
   void setup() override {
     CHECK(cluster.runUntil([&] { return cluster.leader() != nullptr; }, 10'000));
     slow = ControllerId{cluster.leader() == &cluster.node("c") ? "b" : "c"};
@@ -80,13 +82,14 @@
     cluster.runUntil([&] { return level(); }, most);
     return cluster.now - begun;
   }
-  // Away for a second each eight; a whole 4 MB takes sixteen.
+  // Disconnects the slow follower for one second in every eight. Transferring 4 MB takes sixteen
+  // seconds.
   void cutNowAndThen() {
     cluster.cut(slow, cluster.now % 8000 >= 7000);
   }
 };
 
-// The tail of the log behind the snapshot is some 16 MB, 67 s on this link.
+// The log tail retained behind the snapshot is about 16 MB, which takes 67 s on this link.
 TEST(SnapshotTransferTests, aSnapshotGoesBesideHeartbeats) {
   leaveBehind();
   const LogIndex wanted = cluster.leader()->snapshot().lastIncludedIndex;
@@ -107,8 +110,8 @@
   CHECK_COMPARE(cluster.now - begun, <, 30'000);
 }
 
-// The letter's rate of changes, a burst of hundreds, cuts all along: whoever is behind becomes
-// level, stays so, and the leader's log keeps its bound.
+// At the required rate of changes, with a burst of hundreds and repeated disconnections, a lagging
+// follower catches up and stays caught up, and the leader's log stays within its limit.
 TEST(SnapshotTransferTests, aFollowerConvergesUnderSteadyChangesAndBursts) {
   leaveBehind();
   const Term term = cluster.leader()->term();
@@ -128,8 +131,8 @@
   LONGS_EQUAL(term.value, cluster.leader()->term().value);
 }
 
-// Snapshots are taken faster than one is sent: the one that was begun is ended, since the log still
-// holds what follows it.
+// Snapshots are taken faster than one can be sent. The transfer that was started is completed,
+// since the log still holds the entries that follow that snapshot.
 TEST(SnapshotTransferTests, aTransferIsEndedThoughNewerSnapshotsAreTaken) {
   leaveBehind();
   const LogIndex begun = cluster.leader()->snapshot().lastIncludedIndex;
@@ -140,8 +143,8 @@
   CHECK(follower().logBaseIndex() >= begun);
 }
 
-// Every link is slow, a change takes 1.3 s on it: nobody takes the leader for lost meanwhile, and
-// the leader goes on hearing a majority.
+// All links are slow, and one change takes 1.3 s on them. No follower times out meanwhile, and the
+// leader keeps its contact with a majority.
 TEST(SnapshotTransferTests, largeEntriesGoBesideHeartbeatsOnSlowLinks) {
   cluster.onWire = [](const PeerMessage& message) {
     return std::int64_t(wireBytes(message)) / bytesEachMillisecond;
@@ -161,7 +164,8 @@
   CHECK_COMPARE(longestGap, <, cluster.options.electionTimeoutMin.milliseconds);
 }
 
-// What it has received lies in memory; a restart begins the transfer anew and ends it.
+// Received chunks are only in memory. After a restart of the follower the transfer starts again and
+// completes.
 TEST(SnapshotTransferTests, aRestartOfTheFollowerBeginsAnew) {
   leaveBehind();
   const LogIndex wanted = cluster.leader()->snapshot().lastIncludedIndex;
@@ -187,8 +191,8 @@
   CHECK(cluster.runUntil([&] { return level(); }, 200'000));
 }
 
-// A chunk that was changed on the way spoils the whole: it is found by the checksum, nothing of it
-// is installed, and the transfer begins anew.
+// A corrupted chunk invalidates the whole snapshot. The checksum detects it, nothing is installed,
+// and the transfer starts again.
 TEST(SnapshotTransferTests, aDamagedSnapshotIsNeverInstalled) {
   leaveBehind();
   std::size_t damaged = 0;
@@ -206,7 +210,7 @@
   CHECK(follower().snapshot().state == cluster.leader()->snapshot().state);
 }
 
-// Chunks that come twice, late or out of turn change nothing but the time it takes.
+// Duplicated, delayed or reordered chunks only make the transfer take longer.
 TEST(SnapshotTransferTests, doubledChunksAreTakenOnce) {
   leaveBehind();
   std::vector<PeerMessage> seen;
--- a/tests/raft/write_ahead_queue_tests.cpp
+++ b/tests/raft/write_ahead_queue_tests.cpp
@@ -1,4 +1,5 @@
-// When a record is due, what it holds, and what waits for its sync. docs/design.md 3.3.
+// Tests when a record is due, what it contains, and which messages wait for its sync.
+// docs/design.md 3.3.
 #include "raft/write_ahead_queue.hpp"
 #include <CppUTest/TestHarness.h>
 
@@ -19,7 +20,7 @@
   std::optional<WriteAheadRecord> take() {
     return queue.take({Term{1}, votedFor, snapshot, log});
   }
-  // The number of messages released.
+  // Returns the number of messages released.
   std::size_t sync(const WriteAheadRecord& record) {
     const auto result = queue.onSynced(record.version, log.lastIndex());
     CHECK(result.has_value());
