--- a/tests/gateway/leader_directory_tests.cpp
+++ b/tests/gateway/leader_directory_tests.cpp
@@ -9,33 +9,34 @@
 TEST_GROUP(LeaderDirectoryTests){};
 
 // Run under ThreadSanitizer, this test fails if a route is freed while a thread reads it.
-TEST(LeaderDirectoryTests, readersNeverSeeAFreedOrOlderView) {
-  LeaderDirectory board;
-  std::atomic<bool> over{false};
-  std::atomic<int> slips{0};
+TEST(LeaderDirectoryTests, readersNeverSeeAFreedOrOlderRoute) {
+  LeaderDirectory directory;
+  std::atomic<bool> stopReaders{false};
+  std::atomic<int> violations{0};
   std::vector<std::thread> readers;
   for (int count = 0; count < 3; ++count)
     readers.emplace_back([&] {
       RcuReaderRegistration reader;
-      std::uint64_t seen = 0;
-      while (!over) {
-        const auto term = board.read(
-            [](const LeaderRoute& view) { return view.term.value + view.controllers.size() * 0; });
-        if (term < seen)
-          ++slips;
-        seen = term;
+      std::uint64_t lastTerm = 0;
+      while (!stopReaders) {
+        const auto term = directory.read([](const LeaderRoute& route) {
+          return route.term.value + route.controllers.size() * 0;
+        });
+        if (term < lastTerm)
+          ++violations;
+        lastTerm = term;
       }
     });
   for (std::uint64_t term = 1; term <= 300; ++term) {
-    LeaderRoute view;
-    view.term = Term{term};
-    view.controllers.assign(3, Address{"127.0.0.1:1"});
-    CHECK(board.publish(view));
-    view.term = Term{term - 1};
-    CHECK(!board.publish(view));
+    LeaderRoute route;
+    route.term = Term{term};
+    route.controllers.assign(3, Address{"127.0.0.1:1"});
+    CHECK(directory.publish(route));
+    route.term = Term{term - 1};
+    CHECK(!directory.publish(route));
   }
-  over = true;
+  stopReaders = true;
   for (auto& reader : readers)
     reader.join();
-  LONGS_EQUAL(0, slips.load());
+  LONGS_EQUAL(0, violations.load());
 }
--- a/tests/raft/cluster_bootstrap_tests.cpp
+++ b/tests/raft/cluster_bootstrap_tests.cpp
@@ -6,57 +6,57 @@
 using namespace aniseline;
 
 namespace {
-Address at(const char* text) {
+Address address(const char* text) {
   return Address{text};
 }
-const std::vector<Address> seeds{at("a:1"), at("b:1"), at("c:1")};
+const std::vector<Address> seeds{address("a:1"), address("b:1"), address("c:1")};
 
 // Returns whether one controller bootstraps after every seed has answered. The seeds in `diskless`
 // have no disk.
-bool founds(const char* self, const std::set<std::string>& diskless, const char* nominee = "") {
-  ClusterBootstrap bootstrap(at(self), !diskless.count(self), seeds);
+bool bootstraps(const char* self, const std::set<std::string>& diskless, const char* nominee = "") {
+  ClusterBootstrap bootstrap(address(self), !diskless.count(self), seeds);
   for (const auto& seed : seeds) {
     const bool hasDisk = !diskless.count(seed.value);
-    if (seed != at(self))
-      bootstrap.addBlankSeed(seed, hasDisk, hasDisk ? Address{} : at(nominee));
+    if (seed != address(self))
+      bootstrap.addBlankSeed(seed, hasDisk, hasDisk ? Address{} : address(nominee));
   }
   return bootstrap.mayBootstrap();
 }
 
 }  // namespace
 
-TEST_GROUP(FoundingTests){};
+TEST_GROUP(ClusterBootstrapTests){};
 
-TEST(FoundingTests, theLowestSeedWithADiskFoundsAndNoOther) {
-  CHECK(founds("a:1", {}));
+TEST(ClusterBootstrapTests, onlyTheLowestSeedWithADiskBootstraps) {
+  CHECK(bootstraps("a:1", {}));
   for (const char* other : {"b:1", "c:1", "0:1", "d:1"})
-    CHECK(!founds(other, {}));
-  CHECK(founds("b:1", {"a:1"}));
+    CHECK(!bootstraps(other, {}));
+  CHECK(bootstraps("b:1", {"a:1"}));
   for (const char* other : {"a:1", "c:1", "d:1"})
-    CHECK(!founds(other, {"a:1"}, "d:1"));
+    CHECK(!bootstraps(other, {"a:1"}, "d:1"));
 }
 
-TEST(FoundingTests, whereNoSeedHasADiskTheLowestNamesOne) {
-  const std::set<std::string> none{"a:1", "b:1", "c:1"};
-  CHECK(founds("d:1", none, "d:1"));
-  CHECK(!founds("e:1", none, "d:1"));
-  CHECK(!founds("e:1", none));
+TEST(ClusterBootstrapTests, withoutDisksTheLowestSeedNominates) {
+  const std::set<std::string> allSeeds{"a:1", "b:1", "c:1"};
+  CHECK(bootstraps("d:1", allSeeds, "d:1"));
+  CHECK(!bootstraps("e:1", allSeeds, "d:1"));
+  CHECK(!bootstraps("e:1", allSeeds));
   // Only the nomination of the lowest seed counts.
-  ClusterBootstrap founding(at("e:1"), true, seeds);
-  founding.addBlankSeed(at("a:1"), false, at("d:1"));
-  founding.addBlankSeed(at("b:1"), false, at("e:1"));
-  founding.addBlankSeed(at("c:1"), false, at("e:1"));
-  CHECK(!founding.mayBootstrap());
+  ClusterBootstrap bootstrap(address("e:1"), true, seeds);
+  bootstrap.addBlankSeed(address("a:1"), false, address("d:1"));
+  bootstrap.addBlankSeed(address("b:1"), false, address("e:1"));
+  bootstrap.addBlankSeed(address("c:1"), false, address("e:1"));
+  CHECK(!bootstrap.mayBootstrap());
 }
 
-TEST(FoundingTests, everySeedMustBeThereAndBlank) {
-  ClusterBootstrap founding(at("a:1"), true, seeds);
-  founding.addBlankSeed(at("b:1"), true, Address{});
-  CHECK(!founding.mayBootstrap());
-  founding.addBlankSeed(at("x:1"), true, Address{});  // not a seed
-  CHECK(!founding.mayBootstrap());
-  founding.addBlankSeed(at("c:1"), true, Address{});
-  CHECK(founding.mayBootstrap());
-  CHECK(ClusterBootstrap(at("a:1"), true, {at("a:1")}).mayBootstrap());
-  CHECK(!ClusterBootstrap(at("a:1"), false, {at("a:1")}).mayBootstrap());
+TEST(ClusterBootstrapTests, everySeedMustAnswerAndBeBlank) {
+  ClusterBootstrap bootstrap(address("a:1"), true, seeds);
+  bootstrap.addBlankSeed(address("b:1"), true, Address{});
+  CHECK(!bootstrap.mayBootstrap());
+  bootstrap.addBlankSeed(address("x:1"), true, Address{});  // not a seed
+  CHECK(!bootstrap.mayBootstrap());
+  bootstrap.addBlankSeed(address("c:1"), true, Address{});
+  CHECK(bootstrap.mayBootstrap());
+  CHECK(ClusterBootstrap(address("a:1"), true, {address("a:1")}).mayBootstrap());
+  CHECK(!ClusterBootstrap(address("a:1"), false, {address("a:1")}).mayBootstrap());
 }
--- a/tests/raft/log_memory_tests.cpp
+++ b/tests/raft/log_memory_tests.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 constexpr std::size_t configBytes = 318 * 1000;  // a configuration of 830 queues
-constexpr std::size_t changes = 600;
+constexpr std::size_t entryCount = 600;
 // The retained tail, the entries until the next snapshot, and one entry that exceeds each of the
 // two limits.
-constexpr std::size_t mostLogBytes = 16 * 1024 * 1024 + 8 * 1024 * 1024 + 2 * configBytes;
+constexpr std::size_t maxLogBytes = 16 * 1024 * 1024 + 8 * 1024 * 1024 + 2 * configBytes;
 }  // namespace
 
 TEST_GROUP(LogMemoryTests) {
@@ -18,59 +18,59 @@
   void setup() override {
     CHECK(cluster.runUntil([&] { return cluster.leader() != nullptr; }, 10'000));
   }
-  void change(std::size_t bytes) {
+  void proposeEntry(std::size_t bytes) {
     if (auto* leader = cluster.leader())
       leader->propose(std::string(bytes, 'c'), MonotonicTime{cluster.now});
   }
 };
 
-TEST(LogMemoryTests, theLogIsBoundedInBytesThroughHundredsOfLargeChanges) {
-  for (std::size_t count = 0; count < changes; ++count) {
-    change(configBytes);
+TEST(LogMemoryTests, logStaysBoundedUnderManyLargeEntries) {
+  for (std::size_t count = 0; count < entryCount; ++count) {
+    proposeEntry(configBytes);
     cluster.run(100);
   }
   for (const auto& [id, node] : cluster.nodes)
     LONGS_EQUAL(cluster.leader()->lastIndex().value, node->lastIndex().value);
-  CHECK_COMPARE(cluster.mostRetained, <=, mostLogBytes);
+  CHECK_COMPARE(cluster.peakRetainedBytes, <=, maxLogBytes);
 }
 
 // A disconnected follower makes the leader retain entries, but within the same limit, and the
 // follower catches up after it is connected again.
-TEST(LogMemoryTests, aFollowerThatIsAwayDoesNotLiftTheBound) {
-  const ControllerId away{cluster.leader() == &cluster.node("a") ? "b" : "a"};
-  cluster.cut(away, true);
-  for (std::size_t count = 0; count < changes; ++count) {
-    change(configBytes);
+TEST(LogMemoryTests, disconnectedFollowerDoesNotRaiseTheLimit) {
+  const ControllerId disconnectedId{cluster.leader() == &cluster.node("a") ? "b" : "a"};
+  cluster.setDisconnected(disconnectedId, true);
+  for (std::size_t count = 0; count < entryCount; ++count) {
+    proposeEntry(configBytes);
     cluster.run(100);
   }
-  CHECK_COMPARE(cluster.mostRetained, <=, mostLogBytes);
-  cluster.cut(away, false);
+  CHECK_COMPARE(cluster.peakRetainedBytes, <=, maxLogBytes);
+  cluster.setDisconnected(disconnectedId, false);
   CHECK(cluster.runUntil(
       [&] {
         return cluster.leader() &&
-               cluster.nodes.at(away)->commitIndex() == cluster.leader()->commitIndex();
+               cluster.nodes.at(disconnectedId)->commitIndex() == cluster.leader()->commitIndex();
       },
       10'000));
 }
 
 // Small entries behind a snapshot are retained for a lagging follower, up to the limit in bytes.
-TEST(LogMemoryTests, smallEntriesAreKeptForAFollowerThatIsLate) {
-  const ControllerId away{cluster.leader() == &cluster.node("a") ? "b" : "a"};
-  const LogIndex heardUpTo = cluster.nodes.at(away)->lastIndex();
-  cluster.cut(away, true);
+TEST(LogMemoryTests, smallEntriesAreRetainedForALaggingFollower) {
+  const ControllerId disconnectedId{cluster.leader() == &cluster.node("a") ? "b" : "a"};
+  const LogIndex lastReceived = cluster.nodes.at(disconnectedId)->lastIndex();
+  cluster.setDisconnected(disconnectedId, true);
   cluster.snapshotBytes = 100'000;
   for (std::size_t count = 0; count < 5000; ++count) {
-    change(100);
+    proposeEntry(100);
     if (count % 10 == 0)
       cluster.run(10);
   }
   cluster.run(100);
-  CHECK(cluster.leader()->snapshot().lastIncludedIndex > heardUpTo);
-  CHECK(cluster.leader()->logBaseIndex() <= heardUpTo);
+  CHECK(cluster.leader()->snapshot().lastIncludedIndex > lastReceived);
+  CHECK(cluster.leader()->logBaseIndex() <= lastReceived);
 }
 
 // Only a limited number of bytes is sent to a follower that does not reply.
-TEST(LogMemoryTests, whatIsUnacknowledgedIsBoundedInBytes) {
+TEST(LogMemoryTests, unacknowledgedBytesAreBounded) {
   RaftNode& leader = *cluster.leader();
   leader.takeMessages();
   std::map<ControllerId, std::size_t> sent;
@@ -90,15 +90,15 @@
 
 // An entry that exceeds every limit is still replicated, in chunks, and no message is larger than
 // the send window.
-TEST(LogMemoryTests, anEntryLargerThanEveryWindowPasses) {
+TEST(LogMemoryTests, entryLargerThanTheWindowIsReplicated) {
   std::size_t largest = 0;
-  cluster.delivered = [&](const PeerMessage& message) {
+  cluster.onDelivery = [&](const PeerMessage& message) {
     largest = std::max(largest, payloadBytes(message));
   };
   for (std::size_t count = 0; count < 3; ++count) {
-    change(100);
-    change(3'000'000);
-    change(100);
+    proposeEntry(100);
+    proposeEntry(3'000'000);
+    proposeEntry(100);
   }
   cluster.run(3000);
   for (const auto& [id, node] : cluster.nodes)
--- a/tests/raft/node_links.hpp
+++ b/tests/raft/node_links.hpp
@@ -10,16 +10,16 @@
 
 class NodeLinks {
  public:
-  static constexpr std::int64_t step = 10;         // tick interval in milliseconds
-  static constexpr std::int64_t propagation = 15;  // one-way delay in milliseconds
+  static constexpr std::int64_t tickInterval = 10;      // tick interval in milliseconds
+  static constexpr std::int64_t propagationDelay = 15;  // one-way delay in milliseconds
 
   // Returns the transmission time of a message in milliseconds. 0 means unlimited bandwidth.
-  std::function<std::int64_t(const PeerMessage&)> onWire = [](const PeerMessage&) {
+  std::function<std::int64_t(const PeerMessage&)> transmissionTime = [](const PeerMessage&) {
     return 0;
   };
-  std::function<void(const PeerMessage&)> delivered = [](const PeerMessage&) {
+  std::function<void(const PeerMessage&)> onDelivery = [](const PeerMessage&) {
   };
-  std::function<void(PeerMessage&)> damage = [](PeerMessage&) {
+  std::function<void(PeerMessage&)> corrupt = [](PeerMessage&) {
   };
   std::size_t snapshotBytes = 8 * 1024 * 1024;  // same as ControllerOptions::snapshotBytes
   std::size_t stateBytes = 1000;
@@ -28,67 +28,67 @@
   Membership members;
   std::map<ControllerId, std::unique_ptr<RaftNode>> nodes;
   std::map<ControllerId, std::vector<WriteAheadRecord>> disks;
-  std::set<ControllerId> cutOff, down;
-  std::size_t mostRetained = 0;
+  std::set<ControllerId> disconnected, stopped;
+  std::size_t peakRetainedBytes = 0;
 
   explicit NodeLinks(std::size_t voters, RaftOptions options = {}) : options(options) {
     for (std::size_t memberIndex = 0; memberIndex < voters; ++memberIndex) {
       const std::string name(1, char('a' + memberIndex));
       members.push_back({ControllerId{name}, Address{name + ":1"}, ZoneName{name}, true});
     }
-    WriteAheadRecord founding;
-    founding.version = DiskVersion{1};
-    founding.holdsSnapshot = true;
-    founding.term = Term{1};
-    founding.firstIndex = LogIndex{1};
-    founding.entries.push_back({Term{1}, true, pack(members)});
+    WriteAheadRecord initialRecord;
+    initialRecord.version = DiskVersion{1};
+    initialRecord.holdsSnapshot = true;
+    initialRecord.term = Term{1};
+    initialRecord.firstIndex = LogIndex{1};
+    initialRecord.entries.push_back({Term{1}, true, pack(members)});
     for (const auto& member : members) {
-      disks[member.id] = {founding};
-      boot(member.id);
+      disks[member.id] = {initialRecord};
+      startNode(member.id);
     }
   }
 
-  void boot(const ControllerId& id) {
+  void startNode(const ControllerId& id) {
     for (const auto& member : members)
       if (member.id == id)
         nodes[id] =
             std::make_unique<RaftNode>(member, options, ++seed, disks[id], MonotonicTime{now});
-    down.erase(id);
+    stopped.erase(id);
   }
   // Stops a node. Loses its unwritten state and all messages in flight to and from it.
-  void kill(const ControllerId& id) {
-    down.insert(id);
-    dropOnTheWay(id);
+  void stopNode(const ControllerId& id) {
+    stopped.insert(id);
+    dropMessagesInFlight(id);
   }
-  void cut(const ControllerId& id, bool away) {
-    if (!away)
-      cutOff.erase(id);
-    else if (cutOff.insert(id).second)
-      dropOnTheWay(id);
+  void setDisconnected(const ControllerId& id, bool isDisconnected) {
+    if (!isDisconnected)
+      disconnected.erase(id);
+    else if (disconnected.insert(id).second)
+      dropMessagesInFlight(id);
   }
 
   RaftNode* leader() {
     RaftNode* found = nullptr;
     for (const auto& [id, node] : nodes)
-      if (!down.count(id) && node->isLeader() && (!found || node->term() > found->term()))
+      if (!stopped.count(id) && node->isLeader() && (!found || node->term() > found->term()))
         found = node.get();
     return found;
   }
   RaftNode& node(const char* name) { return *nodes.at(ControllerId{name}); }
 
-  bool runUntil(const std::function<bool()>& condition, std::int64_t within) {
-    for (const std::int64_t end = now + within; now < end;) {
+  bool runUntil(const std::function<bool()>& condition, std::int64_t timeout) {
+    for (const std::int64_t end = now + timeout; now < end;) {
       if (condition())
         return true;
-      run(step);
+      run(tickInterval);
     }
     return condition();
   }
-  void run(std::int64_t span) {
-    for (const std::int64_t end = now + span; now < end; now += step)
-      pass();
+  void run(std::int64_t duration) {
+    for (const std::int64_t end = now + duration; now < end; now += tickInterval)
+      advanceOneTick();
   }
-  static std::size_t retained(const RaftNode& node) {
+  static std::size_t retainedBytes(const RaftNode& node) {
     std::size_t bytes = 0;
     for (LogIndex index = node.logBaseIndex().next(); index <= node.lastIndex();
          index = index.next())
@@ -97,30 +97,30 @@
   }
 
  private:
-  struct OnTheWay {
-    std::int64_t at;
+  struct InFlightMessage {
+    std::int64_t deliverAt;
     PeerMessage message;
   };
   using Link = std::pair<ControllerId, ControllerId>;
 
-  void pass() {
+  void advanceOneTick() {
     for (auto& [id, node] : nodes) {
-      if (down.count(id))
+      if (stopped.count(id))
         continue;
       node->tick(MonotonicTime{now}, WallTime{now});
       write(id, *node);
       compact(*node);
       for (auto& message : node->takeMessages())
-        put(std::move(message));
+        enqueue(std::move(message));
     }
     for (auto& [link, queue] : links)
-      while (!queue.empty() && queue.front().at <= now) {
+      while (!queue.empty() && queue.front().deliverAt <= now) {
         PeerMessage message = std::move(queue.front().message);
         queue.pop_front();
-        if (down.count(message.to))
+        if (stopped.count(message.to))
           continue;
-        damage(message);
-        delivered(message);
+        corrupt(message);
+        onDelivery(message);
         nodes.at(message.to)->receive(message, MonotonicTime{now});
       }
   }
@@ -136,7 +136,7 @@
   // Takes snapshots like the controller does, except that serialization takes no time.
   void compact(RaftNode& node) {
     node.takeSnapshotInstalled();
-    mostRetained = std::max(mostRetained, retained(node));
+    peakRetainedBytes = std::max(peakRetainedBytes, retainedBytes(node));
     if (node.logBytesSinceSnapshot() < snapshotBytes ||
         node.commitIndex() <= node.snapshot().lastIncludedIndex)
       return;
@@ -144,23 +144,24 @@
     state.resize(std::max(state.size(), stateBytes), 's');
     node.compact(node.commitIndex(), std::move(state));
   }
-  void put(PeerMessage message) {
-    if (cutOff.count(message.from) || cutOff.count(message.to) || down.count(message.to))
+  void enqueue(PeerMessage message) {
+    if (disconnected.count(message.from) || disconnected.count(message.to) ||
+        stopped.count(message.to))
       return;
     const Link link{message.from, message.to};
-    std::int64_t& free = freeAt[link];
-    free = std::max(free, now) + onWire(message);
-    links[link].push_back({free + propagation, std::move(message)});
+    std::int64_t& freeAt = linkFreeAt[link];
+    freeAt = std::max(freeAt, now) + transmissionTime(message);
+    links[link].push_back({freeAt + propagationDelay, std::move(message)});
   }
-  void dropOnTheWay(const ControllerId& id) {
+  void dropMessagesInFlight(const ControllerId& id) {
     for (auto& [link, queue] : links)
       if (link.first == id || link.second == id) {
         queue.clear();
-        freeAt[link] = now;
+        linkFreeAt[link] = now;
       }
   }
-  std::map<Link, std::deque<OnTheWay>> links;
-  std::map<Link, std::int64_t> freeAt;
+  std::map<Link, std::deque<InFlightMessage>> links;
+  std::map<Link, std::int64_t> linkFreeAt;
   std::uint64_t seed = 0;
 };
 
--- a/tests/raft/peer_progress_tests.cpp
+++ b/tests/raft/peer_progress_tests.cpp
@@ -15,7 +15,7 @@
   PeerProgress peer{LogIndex{11}, start, options};
 };
 
-TEST(PeerProgressTests, whatWasSentIsUnacknowledgedUntilItMatches) {
+TEST(PeerProgressTests, sentEntriesAreUnacknowledgedUntilTheyMatch) {
   peer.recordSent(3, 300);
   peer.recordSent(2, 200);
   LONGS_EQUAL(16, peer.nextIndex().value);
@@ -28,7 +28,7 @@
   LONGS_EQUAL(15, peer.matchIndex().value);
 }
 
-TEST(PeerProgressTests, aMismatchSetsItBackOnceARound) {
+TEST(PeerProgressTests, mismatchResetsNextIndexOncePerRound) {
   peer.recordSent(5, 500);
   CHECK(peer.onMismatch(LogIndex{4}, RoundNumber{3}, RoundNumber{4}, LogIndex{}));
   LONGS_EQUAL(5, peer.nextIndex().value);
@@ -40,13 +40,13 @@
   LONGS_EQUAL(3, peer.nextIndex().value);
 }
 
-TEST(PeerProgressTests, aMismatchNeverSetsItBackBehindItsMatch) {
+TEST(PeerProgressTests, mismatchNeverResetsBelowMatchIndex) {
   peer.onMatch(LogIndex{8}, RoundNumber{1});
   CHECK(peer.onMismatch(LogIndex{4}, RoundNumber{2}, RoundNumber{2}, LogIndex{}));
   LONGS_EQUAL(9, peer.nextIndex().value);
 }
 
-TEST(PeerProgressTests, aMismatchBeforeTheLogLeavesASnapshotUnderWay) {
+TEST(PeerProgressTests, mismatchBeforeTheLogBaseKeepsTheSnapshotTransfer) {
   peer.openSnapshotTransfer(snapshotOfTen);
   CHECK(!peer.onMismatch(LogIndex{4}, RoundNumber{3}, RoundNumber{3}, LogIndex{10}));
   CHECK(peer.snapshotTransfer().has_value());
@@ -54,7 +54,7 @@
   CHECK(!peer.snapshotTransfer().has_value());
 }
 
-TEST(PeerProgressTests, aShorterLogProvesALostDiskOnlyInALaterRound) {
+TEST(PeerProgressTests, shorterLogProvesALostDiskOnlyInALaterRound) {
   peer.onMatch(LogIndex{8}, RoundNumber{5});
   CHECK(peer.checkLastIndex(LogIndex{8}, RoundNumber{6}));
   CHECK(!peer.checkLastIndex(LogIndex{7}, RoundNumber{5}));
@@ -63,7 +63,7 @@
   CHECK(peer.hasLostState());
 }
 
-TEST(PeerProgressTests, anotherSnapshotBeginsTheTransferAnew) {
+TEST(PeerProgressTests, differentSnapshotRestartsTheTransfer) {
   peer.openSnapshotTransfer(snapshotOfTen).onReply(100, RoundNumber{1});
   LONGS_EQUAL(100, peer.openSnapshotTransfer(snapshotOfTen).acknowledged());
   SnapshotIdentity other = snapshotOfTen;
@@ -72,7 +72,7 @@
   LONGS_EQUAL(0, peer.openSnapshotTransfer(other).acknowledged());
 }
 
-TEST(PeerProgressTests, anEntryTransferIsOfTheNextEntryOnly) {
+TEST(PeerProgressTests, entryTransferCoversOnlyTheNextEntry) {
   peer.openEntryTransfer();
   CHECK(peer.isSendingEntryInChunks());
   CHECK(peer.findEntryTransfer(LogIndex{11}));
@@ -96,7 +96,7 @@
   const Duration slow{200};
 };
 
-TEST(SendWindowTests, itGrowsOnlyWhereItWasExhausted) {
+TEST(SendWindowTests, windowGrowsOnlyIfExhausted) {
   window.onRoundTrip(quick, options);
   LONGS_EQUAL(initial, window.bytes());
   window.markExhausted();
@@ -109,7 +109,7 @@
   LONGS_EQUAL(options.maxUnacknowledgedBytes, window.bytes());
 }
 
-TEST(SendWindowTests, itShrinksToOneChunkWhereRoundTripsAreDelayed) {
+TEST(SendWindowTests, delayedRoundTripsShrinkTheWindowToOneChunk) {
   window.onRoundTrip(quick, options);
   window.markExhausted();
   window.onRoundTrip(slow, options);
@@ -121,7 +121,7 @@
 
 // A constant delay of the link does not shrink the window. Only the time beyond the fastest round
 // trip counts.
-TEST(SendWindowTests, aSteadyDelayDoesNotShrinkIt) {
+TEST(SendWindowTests, constantDelayDoesNotShrinkTheWindow) {
   for (int count = 0; count < 5; ++count)
     window.onRoundTrip(slow, options);
   LONGS_EQUAL(initial, window.bytes());
@@ -135,7 +135,7 @@
   }
 };
 
-TEST(ChunkTransferTests, theWindowBoundsWhatIsUnacknowledged) {
+TEST(ChunkTransferTests, windowLimitsUnacknowledgedBytes) {
   LONGS_EQUAL(2, take(200, 1));
   LONGS_EQUAL(0, take(200, 1));
   progress.onReply(100, RoundNumber{1});
@@ -143,7 +143,7 @@
   CHECK(progress.allSent(bytes));
 }
 
-TEST(ChunkTransferTests, whatWasSentBeforeTheAnsweredRoundAndIsNotThereIsSentAgain) {
+TEST(ChunkTransferTests, lostChunksAreSentAgainAfterALaterRound) {
   LONGS_EQUAL(3, take(1000, 1));
   progress.onReply(100, RoundNumber{1});
   CHECK(progress.allSent(bytes));  // the remaining chunks may still be in flight
@@ -155,7 +155,7 @@
   LONGS_EQUAL(50, chunks[1].data.size());
 }
 
-TEST(ChunkTransferTests, theReceiverTakesOnlyWhatContinues) {
+TEST(ChunkTransferTests, receiverAcceptsOnlyContiguousChunks) {
   ChunkBuffer buffer;
   buffer.append(0, "abc");
   buffer.append(0, "abc");
--- a/tests/raft/raft_log_tests.cpp
+++ b/tests/raft/raft_log_tests.cpp
@@ -66,14 +66,14 @@
   LONGS_EQUAL(4, log.membershipAt(LogIndex{5}).index.value);
 }
 
-TEST(RaftLogTests, aTruncatedMembershipIsInForceNoMore) {
+TEST(RaftLogTests, truncatedMembershipIsNoLongerInForce) {
   RaftLog log = fiveEntries();
   log.truncateFrom(LogIndex{4});
   LONGS_EQUAL(3, log.lastIndex().value);
   STRCMP_EQUAL("a", memberAt(log, 3).c_str());
 }
 
-TEST(RaftLogTests, whatIsDiscardedLeavesItsTermAndMembershipAtTheBase) {
+TEST(RaftLogTests, discardingKeepsTermAndMembershipInTheBase) {
   RaftLog log = fiveEntries();
   log.discardThrough(LogIndex{2});
   LONGS_EQUAL(2, log.baseIndex().value);
@@ -84,7 +84,7 @@
   STRCMP_EQUAL("b", memberAt(log, 5).c_str());
 }
 
-TEST(RaftLogTests, aSnapshotKeepsTheEntriesAfterItWhereTheLogsAgree) {
+TEST(RaftLogTests, snapshotKeepsLaterEntriesOfAMatchingLog) {
   RaftLog log = fiveEntries();
   log.resetTo(Snapshot{LogIndex{3}, Term{1}, membershipOf("a"), "state"});
   LONGS_EQUAL(3, log.baseIndex().value);
@@ -92,7 +92,7 @@
   STRCMP_EQUAL("five", log.entry(LogIndex{5}).payload.c_str());
 }
 
-TEST(RaftLogTests, aSnapshotOfAnotherLogReplacesAll) {
+TEST(RaftLogTests, snapshotOfADivergedLogReplacesAllEntries) {
   RaftLog log = fiveEntries();
   log.resetTo(Snapshot{LogIndex{3}, Term{2}, membershipOf("c"), "state"});
   LONGS_EQUAL(3, log.baseIndex().value);
@@ -101,34 +101,34 @@
   STRCMP_EQUAL("c", memberAt(log, 3).c_str());
 }
 
-TEST(RaftLogTests, recordsOfTheDiskReplaceTheLogFromTheirFirstIndex) {
+TEST(RaftLogTests, restoredRecordsReplaceTheLogFromTheirFirstIndex) {
   RaftLog log;
-  WriteAheadRecord whole;
-  whole.holdsSnapshot = true;
-  whole.snapshot = Snapshot{LogIndex{3}, Term{1}, membershipOf("a"), "state"};
-  whole.entries = {entryOf(1, "four"), entryOf(1, "five")};
-  log.restore(whole);
-  WriteAheadRecord onlyTerm;
-  onlyTerm.firstIndex = LogIndex{6};
-  log.restore(onlyTerm);
+  WriteAheadRecord snapshotRecord;
+  snapshotRecord.holdsSnapshot = true;
+  snapshotRecord.snapshot = Snapshot{LogIndex{3}, Term{1}, membershipOf("a"), "state"};
+  snapshotRecord.entries = {entryOf(1, "four"), entryOf(1, "five")};
+  log.restore(snapshotRecord);
+  WriteAheadRecord termRecord;
+  termRecord.firstIndex = LogIndex{6};
+  log.restore(termRecord);
   LONGS_EQUAL(5, log.lastIndex().value);
-  WriteAheadRecord change;
-  change.firstIndex = LogIndex{5};
-  change.entries = {entryOf(2, "other"), entryOf(2, "six")};
-  log.restore(change);
+  WriteAheadRecord entriesRecord;
+  entriesRecord.firstIndex = LogIndex{5};
+  entriesRecord.entries = {entryOf(2, "other"), entryOf(2, "six")};
+  log.restore(entriesRecord);
   LONGS_EQUAL(3, log.baseIndex().value);
   LONGS_EQUAL(6, log.lastIndex().value);
   STRCMP_EQUAL("four", log.entry(LogIndex{4}).payload.c_str());
   STRCMP_EQUAL("other", log.entry(LogIndex{5}).payload.c_str());
 }
 
-TEST(RaftLogTests, theTailIsTheLongestThatKeepsWithinItsBytes) {
+TEST(RaftLogTests, tailIsTheLongestWithinItsByteLimit) {
   RaftLog log;
   for (int count = 0; count < 4; ++count)
     log.append(entryOf(1, std::string(1000, 'x')));
-  const std::size_t each = bytesOf(log.entry(LogIndex{1}));
-  LONGS_EQUAL(0, log.baseIndexForTailOf(4 * each).value);
-  LONGS_EQUAL(1, log.baseIndexForTailOf(4 * each - 1).value);
-  LONGS_EQUAL(3, log.baseIndexForTailOf(each).value);
-  LONGS_EQUAL(4, log.baseIndexForTailOf(each - 1).value);
+  const std::size_t entryBytes = bytesOf(log.entry(LogIndex{1}));
+  LONGS_EQUAL(0, log.baseIndexForTailOf(4 * entryBytes).value);
+  LONGS_EQUAL(1, log.baseIndexForTailOf(4 * entryBytes - 1).value);
+  LONGS_EQUAL(3, log.baseIndexForTailOf(entryBytes).value);
+  LONGS_EQUAL(4, log.baseIndexForTailOf(entryBytes - 1).value);
 }
--- a/tests/raft/write_ahead_queue_tests.cpp
+++ b/tests/raft/write_ahead_queue_tests.cpp
@@ -28,7 +28,7 @@
   }
 };
 
-TEST(WriteAheadQueueTests, nothingIsDueWhereNothingChanged) {
+TEST(WriteAheadQueueTests, nothingIsDueWithoutChanges) {
   CHECK(queue.isIdle());
   CHECK(!take());
 }
@@ -49,7 +49,7 @@
   LONGS_EQUAL(first->version.value + 1, second->version.value);
 }
 
-TEST(WriteAheadQueueTests, aChangeOfTermWritesNoEntries) {
+TEST(WriteAheadQueueTests, termChangeWritesNoEntries) {
   append(1);
   sync(*take());
   queue.persistFrom(log.lastIndex().next());
@@ -59,7 +59,7 @@
   STRCMP_EQUAL("a", record->votedFor.value.c_str());
 }
 
-TEST(WriteAheadQueueTests, aRecordWithASnapshotHoldsTheWholeLogAfterItAndStartsTheCountAnew) {
+TEST(WriteAheadQueueTests, snapshotRecordContainsTheLogAfterItAndResetsTheCounters) {
   append(3);
   sync(*take());
   LONGS_EQUAL(1, queue.recordsSinceSnapshot());
@@ -75,7 +75,7 @@
   LONGS_EQUAL(0, queue.bytesSinceSnapshot());
 }
 
-TEST(WriteAheadQueueTests, aMessageWaitsForTheRecordThatHoldsWhatItRestsOn) {
+TEST(WriteAheadQueueTests, messageWaitsForTheRecordItDependsOn) {
   append(1);
   const auto first = take();
   append(1);
@@ -84,7 +84,7 @@
   LONGS_EQUAL(1, sync(*take()));
 }
 
-TEST(WriteAheadQueueTests, onlyTheWriteUnderWayIsSynced) {
+TEST(WriteAheadQueueTests, onlyTheInFlightWriteIsSynced) {
   append(1);
   const auto record = take();
   CHECK(!queue.onSynced(record->version.next(), log.lastIndex()));
@@ -94,7 +94,7 @@
   LONGS_EQUAL(1, queue.syncedIndex().value);
 }
 
-TEST(WriteAheadQueueTests, whatWasTruncatedDuringItsWriteIsNotSynced) {
+TEST(WriteAheadQueueTests, entriesTruncatedDuringTheWriteAreNotSynced) {
   append(5);
   const auto record = take();
   log.truncateFrom(LogIndex{3});
@@ -104,7 +104,7 @@
   LONGS_EQUAL(2, queue.durableIndex().value);
 }
 
-TEST(WriteAheadQueueTests, aReplacedLogIsStillDurableUntilTheSnapshotIs) {
+TEST(WriteAheadQueueTests, replacedLogIsDurableUntilTheSnapshotIs) {
   append(5);
   sync(*take());
   queue.limitSynced(LogIndex{2});
@@ -112,7 +112,7 @@
   LONGS_EQUAL(5, queue.durableIndex().value);
 }
 
-TEST(WriteAheadQueueTests, aVoteOfItsOwnIsSyncedOnlyByARecordOfThatTerm) {
+TEST(WriteAheadQueueTests, ownVoteIsSyncedOnlyByARecordOfItsTerm) {
   queue.persistOwnVote(log.lastIndex().next());
   const auto earlier = take();
   queue.persistOwnVote(log.lastIndex().next());
