--- a/source/gateway/leader_call.cpp
+++ b/source/gateway/leader_call.cpp
@@ -17,9 +17,9 @@
 constexpr Duration shortBackoff{20};
 constexpr Duration longBackoff{60};
 
-// Only read-only requests may be sent again. A gateway never sends a submission, cancellation,
+// Reports whether a request may be sent again. A gateway never sends a submission, cancellation,
 // config change or worker order twice if the first attempt may have been applied.
-bool isReadOnly(RequestKind kind) {
+bool isIdempotent(RequestKind kind) {
   switch (kind) {
     case RequestKind::syncWorker:
     case RequestKind::showJob:
@@ -54,7 +54,7 @@
                        const std::vector<Address>& seeds, MonotonicTime now)
     : routeSource(std::move(routeSource)),
       seeds(seeds),
-      idempotent(isReadOnly(request.kind)),
+      idempotent(isIdempotent(request.kind)),
       deadline(now + timeoutOf(request)),
       leaderSearchDeadline(now + std::min(request.clientTimeout, maxLeaderSearchTime)) {}
 
--- a/source/raft/node.cpp
+++ b/source/raft/node.cpp
@@ -76,9 +76,9 @@
 // Detects that this process was paused. Replies may have arrived unread during a pause, so a long
 // gap between ticks says nothing about the other members. docs/design.md 3.2.
 void RaftNode::detectPause(MonotonicTime now) {
-  const Duration pause{RaftLimits::pauseThresholdHeartbeats *
-                       options.heartbeatInterval.milliseconds};
-  if (now - lastTickAt > pause)
+  const Duration pauseThreshold{RaftLimits::pauseThresholdHeartbeats *
+                                options.heartbeatInterval.milliseconds};
+  if (now - lastTickAt > pauseThreshold)
     pauseGraceUntil = now + options.electionTimeoutMin;
   lastTickAt = now;
 }
@@ -88,12 +88,12 @@
 bool RaftNode::hasLostQuorum(MonotonicTime now) const {
   if (currentMembership.size() <= 1)
     return false;
-  const Duration silence = now - lastQuorumContact();
-  if (silence <= options.electionTimeoutMax)
+  const Duration timeSinceContact = now - lastQuorumContact();
+  if (timeSinceContact <= options.electionTimeoutMax)
     return false;
-  const Duration longest{RaftLimits::maxElectionTimeoutsWhilePaused *
-                         options.electionTimeoutMax.milliseconds};
-  return now >= pauseGraceUntil || silence > longest;
+  const Duration maxTimeSinceContact{RaftLimits::maxElectionTimeoutsWhilePaused *
+                                     options.electionTimeoutMax.milliseconds};
+  return now >= pauseGraceUntil || timeSinceContact > maxTimeSinceContact;
 }
 
 void RaftNode::tickAsLeader(MonotonicTime now) {
--- a/source/raft/peer_progress.cpp
+++ b/source/raft/peer_progress.cpp
@@ -48,8 +48,8 @@
 
 bool PeerProgress::onMismatch(LogIndex index, RoundNumber round, RoundNumber currentRound,
                               LogIndex logBase) {
-  const bool awaitsSnapshot = activeSnapshot && index < logBase;
-  if (round <= resetRound || awaitsSnapshot)
+  const bool waitsForSnapshot = activeSnapshot && index < logBase;
+  if (round <= resetRound || waitsForSnapshot)
     return false;
   activeSnapshot.reset();
   activeEntry.reset();
--- a/source/raft/quorum.cpp
+++ b/source/raft/quorum.cpp
@@ -11,20 +11,20 @@
 // Returns the highest value that a majority of the voters has reached.
 template <class Value, class PeerValue>
 Value RaftNode::quorumValue(Value selfValue, PeerValue peerValue) const {
-  std::vector<Value> reached;
+  std::vector<Value> values;
   for (const auto& member : currentMembership) {
     if (!member.voter)
       continue;
     const auto peer = peers.find(member.id);
     if (member.id == selfMember.id)
-      reached.push_back(selfValue);
+      values.push_back(selfValue);
     else
-      reached.push_back(peer == peers.end() ? Value{} : peerValue(peer->second));
+      values.push_back(peer == peers.end() ? Value{} : peerValue(peer->second));
   }
-  if (reached.size() < majoritySize())
+  if (values.size() < majoritySize())
     return Value{};
-  std::sort(reached.begin(), reached.end(), std::greater<>());
-  return reached[majoritySize() - 1];
+  std::sort(values.begin(), values.end(), std::greater<>());
+  return values[majoritySize() - 1];
 }
 
 RoundNumber RaftNode::confirmedRound() const {
--- a/tests/raft/leader_step_down_tests.cpp
+++ b/tests/raft/leader_step_down_tests.cpp
@@ -33,8 +33,8 @@
     }
     run(300);
   }
-  // Runs every node except `busy`, whose incoming messages stay unread. With `cut`, they are
-  // dropped.
+  // Runs every node except `pausedId`, whose incoming messages stay unread or, with `dropMessages`,
+  // are lost.
   void run(std::int64_t duration, const std::string& pausedId = "", bool dropMessages = false) {
     for (const std::int64_t end = now + duration; now < end; now += 10) {
       std::vector<PeerMessage> sent;
@@ -110,10 +110,10 @@
   CHECK(!nodes[leader]->isLeader());
 }
 
-// With a thousand requests per second and replies delayed by 200 ms, the number of messages in
+// With a thousand requests per second and messages delayed by 200 ms, the number of messages in
 // flight stays bounded and the leader keeps its leadership.
 TEST(LeaderStepDownTests, manyRequestsKeepMessagesInFlightBounded) {
-  constexpr std::int64_t replyDelay = 200;
+  constexpr std::int64_t messageDelay = 200;
   std::deque<std::pair<std::int64_t, PeerMessage>> messagesInFlight;
   std::size_t leaderMessages = 0;
   const std::int64_t startedAt = now;
@@ -125,7 +125,7 @@
         node->onWriteSynced(record->version, MonotonicTime{now});
       for (auto& message : node->takeMessages()) {
         leaderMessages += id == leader;
-        messagesInFlight.emplace_back(now + replyDelay, std::move(message));
+        messagesInFlight.emplace_back(now + messageDelay, std::move(message));
       }
     }
     while (!messagesInFlight.empty() && messagesInFlight.front().first <= now) {
--- a/tests/raft/node_links.hpp
+++ b/tests/raft/node_links.hpp
@@ -10,15 +10,17 @@
 
 class NodeLinks {
  public:
-  static constexpr std::int64_t tickInterval = 10;      // tick interval in milliseconds
+  static constexpr std::int64_t tickInterval = 10;      // milliseconds
   static constexpr std::int64_t propagationDelay = 15;  // one-way delay in milliseconds
 
   // Returns the transmission time of a message in milliseconds. 0 means unlimited bandwidth.
   std::function<std::int64_t(const PeerMessage&)> transmissionTime = [](const PeerMessage&) {
     return 0;
   };
+  // Called before each delivery of a message.
   std::function<void(const PeerMessage&)> onDelivery = [](const PeerMessage&) {
   };
+  // May modify a message before it is delivered.
   std::function<void(PeerMessage&)> corrupt = [](PeerMessage&) {
   };
   std::size_t snapshotBytes = 8 * 1024 * 1024;  // same as ControllerOptions::snapshotBytes
--- a/tests/raft/node_tests.cpp
+++ b/tests/raft/node_tests.cpp
@@ -69,10 +69,10 @@
   CHECK(!replies.empty() && !replies[0].success);
   AppendEntries retried = mismatched;
   retried.previousLogIndex = replies[0].matchIndex;
+  // The leader's log has term 2 from index 2 on.
   retried.previousLogTerm = retried.previousLogIndex.value > 1 ? Term{2}
-                            : retried.previousLogIndex.value ? Term{1}  // the leader's log has term
-                                                                        // 2 from index 2 on
-                                                             : Term{};
+                            : retried.previousLogIndex.value   ? Term{1}
+                                                               : Term{};
   retried.entries.assign(9 - retried.previousLogIndex.value, LogEntry{Term{2}, false, "kept"});
   follower.receive(fromC(retried), MonotonicTime{12});
   replies = takeAppendReplies(follower);
--- a/tests/raft/snapshot_transfer_tests.cpp
+++ b/tests/raft/snapshot_transfer_tests.cpp
@@ -37,7 +37,7 @@
   ControllerId slowFollowerId;
   std::int64_t lastDeliveryAt = 0, longestGap = 0;
 
-  // The slow follower is disconnected until it needs a snapshot to catch up.
+  // Selects a follower and limits the bandwidth of its links.
   void setup() override {
     CHECK(cluster.runUntil([&] { return cluster.leader() != nullptr; }, 10'000));
     slowFollowerId = ControllerId{cluster.leader() == &cluster.node("c") ? "b" : "c"};
@@ -55,6 +55,7 @@
       lastDeliveryAt = cluster.now;
     };
   }
+  // Disconnects the slow follower until it needs a snapshot to catch up.
   void makeFollowerLag() {
     cluster.setDisconnected(slowFollowerId, true);
     for (std::size_t count = 0; count < 90; ++count) {
@@ -98,7 +99,7 @@
   CHECK_COMPARE(longestGap, <, cluster.options.electionTimeoutMin.milliseconds);
 }
 
-TEST(SnapshotTransferTests, aTransferResumesAfterCuts) {
+TEST(SnapshotTransferTests, transferResumesAfterDisconnections) {
   makeFollowerLag();
   const LogIndex targetIndex = cluster.leader()->snapshot().lastIncludedIndex;
   const std::int64_t startedAt = cluster.now;
@@ -113,7 +114,7 @@
 
 // At the required rate of changes, with a burst of hundreds and repeated disconnections, a lagging
 // follower catches up and stays caught up, and the leader's log stays within its limit.
-TEST(SnapshotTransferTests, aFollowerConvergesUnderSteadyChangesAndBursts) {
+TEST(SnapshotTransferTests, followerCatchesUpUnderSteadyChangesAndBursts) {
   makeFollowerLag();
   const Term term = cluster.leader()->term();
   auto runWithChanges = [&](std::int64_t duration, std::int64_t interval) {
@@ -194,7 +195,7 @@
 
 // A corrupted chunk invalidates the whole snapshot. The checksum detects it, nothing is installed,
 // and the transfer starts again.
-TEST(SnapshotTransferTests, aDamagedSnapshotIsNeverInstalled) {
+TEST(SnapshotTransferTests, corruptedSnapshotIsNeverInstalled) {
   makeFollowerLag();
   std::size_t corruptedChunks = 0;
   cluster.corrupt = [&](PeerMessage& message) {
