--- a/source/gateway/leader_call.cpp
+++ b/source/gateway/leader_call.cpp
@@ -1,23 +1,25 @@
+// Target selection, retries and deadlines of a gateway's call to the leader.
 #include "gateway/leader_call.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// Beyond a sync's long poll: for the answer to come.
+// Time allowed for the response in addition to the long-poll timeout of a sync.
 constexpr Duration syncTransitTime{1500};
-// However long the client would wait: an election is over well within these.
+// Upper limits, regardless of the client's timeout. An election takes much less time than either.
 constexpr Duration maxRequestTime{2500};
 constexpr Duration maxLeaderSearchTime{2000};
 constexpr std::size_t maxHintsFollowed = 3;
-// Between candidates: short for the first few, in case one of them leads.
-constexpr std::size_t quickCandidates = 4;
-constexpr Duration quickBackoff{20};
-constexpr Duration laterBackoff{60};
+// Backoff between candidates. It is short for the first attempts, in case one of them is the
+// leader.
+constexpr std::size_t shortBackoffAttempts = 4;
+constexpr Duration shortBackoff{20};
+constexpr Duration longBackoff{60};
 
-// A submission, cancel, config or order about a worker that may have been taken is never sent twice
-// by a gateway.
-bool readsOnly(RequestKind kind) {
+// Reports whether a request may be sent again. A gateway never sends a submission, cancellation,
+// config change or worker order twice if the first attempt may have been applied.
+bool isIdempotent(RequestKind kind) {
   switch (kind) {
     case RequestKind::syncWorker:
     case RequestKind::showJob:
@@ -48,11 +50,11 @@
 
 }  // namespace
 
-LeaderCall::LeaderCall(const ApiRequest& request, Route route, const std::vector<Address>& seeds,
-                       MonotonicTime now)
-    : route(std::move(route)),
+LeaderCall::LeaderCall(const ApiRequest& request, RouteSource routeSource,
+                       const std::vector<Address>& seeds, MonotonicTime now)
+    : routeSource(std::move(routeSource)),
       seeds(seeds),
-      idempotent(readsOnly(request.kind)),
+      idempotent(isIdempotent(request.kind)),
       deadline(now + timeoutOf(request)),
       leaderSearchDeadline(now + std::min(request.clientTimeout, maxLeaderSearchTime)) {}
 
@@ -60,12 +62,12 @@
   return Step{Step::Kind::complete, {}, {}, std::move(response)};
 }
 
-// The hint, else the leader by the route, else the controllers in turn; whoever did not serve when
-// last asked is skipped.
+// Prefers the hinted leader, then the leader named by the route, then each controller in turn.
+// Skips the target that has just failed to serve the request.
 Address LeaderCall::chooseTarget() {
   if (!leaderHint.value.empty())
     return std::exchange(leaderHint, Address{});
-  const LeaderRoute current = route();
+  const LeaderRoute current = routeSource();
   if (!current.leader.value.empty() && current.leader != skippedTarget)
     return current.leader;
   const std::vector<Address>& candidates =
@@ -91,7 +93,7 @@
     return send(now);
   leaderHint = Address{};
   ++candidateIndex;
-  const Duration backoff = candidateIndex < quickCandidates ? quickBackoff : laterBackoff;
+  const Duration backoff = candidateIndex < shortBackoffAttempts ? shortBackoff : longBackoff;
   return Step{Step::Kind::backOff, {}, backoff, {}};
 }
 
--- a/source/gateway/leader_directory.cpp
+++ b/source/gateway/leader_directory.cpp
@@ -1,8 +1,9 @@
+// Read-copy-update of the route to the leader with liburcu.
 #include "gateway/leader_directory.hpp"
 #include <urcu.h>
 
 #if defined(__SANITIZE_THREAD__)
-// liburcu's grace periods are not visible to the thread sanitizer; this says what they order.
+// ThreadSanitizer does not see the synchronization by liburcu's grace periods, so it is annotated.
 extern "C" void __tsan_acquire(void* address);
 extern "C" void __tsan_release(void* address);
 static char gracePeriod;
@@ -36,14 +37,14 @@
 }
 
 bool LeaderDirectory::publish(const LeaderRoute& route) {
-  const LeaderRoute* before = current.load(std::memory_order_acquire);
-  auto next = std::make_unique<LeaderRoute>(*before);
+  const LeaderRoute* previous = current.load(std::memory_order_acquire);
+  auto next = std::make_unique<LeaderRoute>(*previous);
   if (!next->mergeNewer(route))
     return false;
   current.store(next.release(), std::memory_order_release);
   synchronize_rcu();
   ANISELINE_GRACE_ACQUIRE();
-  const std::unique_ptr<const LeaderRoute> retired(before);  // nobody reads it any more
+  const std::unique_ptr<const LeaderRoute> retired(previous);  // no thread reads it any more
   return true;
 }
 
--- a/source/raft/leader_replication.cpp
+++ b/source/raft/leader_replication.cpp
@@ -1,5 +1,5 @@
-// The leader's side of log replication: rounds of AppendEntries, paced by each follower's send
-// window, and their replies. docs/design.md 3.2, 3.4.
+// The leader's side of log replication: heartbeat rounds, AppendEntries limited by each follower's
+// send window, and handling of the replies. docs/design.md 3.2, 3.4.
 #include "raft/node.hpp"
 
 namespace aniseline {
@@ -17,7 +17,7 @@
 }
 
 void RaftNode::broadcast(MonotonicTime now) {
-  rounds.begin(now);
+  rounds.startNext(now);
   for (const auto& member : currentMembership) {
     if (member.id != selfMember.id)
       replicate(member.id, peers.at(member.id), SendMode::heartbeat);
@@ -26,7 +26,8 @@
   advanceCommitIndex();
 }
 
-// Sends what the follower needs next, in the form that suits it.
+// Sends the data that the follower needs next, as snapshot chunks, entry chunks or a batch of
+// entries.
 void RaftNode::replicate(const ControllerId& to, PeerProgress& peer, SendMode mode) {
   if (peer.nextIndex() <= log.baseIndex())
     sendSnapshotChunks(to, peer, mode);
@@ -36,11 +37,12 @@
     sendEntries(to, peer, mode);
 }
 
-// An entry that was begun in chunks is also ended so, whatever the window is by then.
+// An entry whose transfer was started in chunks is also finished in chunks, even if the window has
+// grown in the meantime.
 bool RaftNode::isNextEntryTooLarge(PeerProgress& peer) const {
   if (peer.isSendingEntryInChunks())
     return true;
-  return peer.nothingUnacknowledged() && peer.nextIndex() <= lastIndex() &&
+  return peer.allAcknowledged() && peer.nextIndex() <= lastIndex() &&
          bytesOf(entry(peer.nextIndex())) > peer.sendWindow().bytes();
 }
 
@@ -51,7 +53,7 @@
   body.previousLogTerm = log.termAt(body.previousLogIndex);
   body.leaderCommit = committedIndex;
   body.round = rounds.current();
-  body.replicatedWithoutReceiver = std::min(replicatedIndexWithout(to), committedIndex);
+  body.replicatedIndexWithoutReceiver = std::min(replicatedIndexWithout(to), committedIndex);
   const std::size_t bytes = fillBatch(peer, body.entries);
   if (body.entries.empty() && mode == SendMode::dataOnly)
     return;
@@ -60,25 +62,26 @@
   send(to, std::move(body));
 }
 
-// Copies the next entries that fit the follower's window and one message. Returns their bytes.
+// Copies the next entries that fit both the follower's send window and one message. Returns their
+// size in bytes.
 std::size_t RaftNode::fillBatch(PeerProgress& peer, std::vector<LogEntry>& entries) const {
   std::size_t bytes = 0;
   for (LogIndex index = peer.nextIndex(); index <= lastIndex(); index = index.next()) {
-    const std::size_t grown = bytes + bytesOf(entry(index));
-    if (!peer.fitsWindow(grown)) {
-      peer.sendWindow().noteExhausted();
+    const std::size_t batchBytes = bytes + bytesOf(entry(index));
+    if (!peer.fitsWindow(batchBytes)) {
+      peer.sendWindow().markExhausted();
       break;
     }
-    if (!entries.empty() && grown > options.maxBatchBytes)
+    if (!entries.empty() && batchBytes > options.maxBatchBytes)
       break;
     entries.push_back(entry(index));
-    bytes = grown;
+    bytes = batchBytes;
   }
   return bytes;
 }
 
-// Notes what any reply of a follower tells: a later term, or contact in the answered round. Returns
-// the follower's progress, or null where the reply is to another leadership.
+// Processes the parts that all replies have in common: the term, and the acknowledged round.
+// Returns the follower's progress, or null if the reply does not belong to the current leadership.
 PeerProgress* RaftNode::acceptReply(const ControllerId& from, Term term, RoundNumber answered,
                                     WallTime wallTime, MonotonicTime now) {
   if (term > currentTerm) {
@@ -91,7 +94,7 @@
   PeerProgress& peer = found->second;
   peer.recordReply(wallTime, now);
   if (peer.acknowledgeRound(answered)) {
-    if (const auto sentAt = rounds.startOf(answered))
+    if (const auto sentAt = rounds.startTimeOf(answered))
       peer.recordRoundTrip(*sentAt, now, options);
   }
   return &peer;
--- a/source/raft/node.cpp
+++ b/source/raft/node.cpp
@@ -1,4 +1,4 @@
-// The construction of a node, its clock, and the dispatch of messages. docs/design.md 3.
+// Construction, clock handling and message dispatch of a Raft node. docs/design.md 3.
 #include "raft/node.hpp"
 
 namespace aniseline {
@@ -17,7 +17,7 @@
     if (record.holdsSnapshot)
       latestSnapshot = record.snapshot;
     log.restore(record);
-    writes.noteRestored(record);
+    writes.recordRestored(record);
   }
   committedIndex = log.baseIndex();
   writes.finishRestore(lastIndex());
@@ -39,8 +39,8 @@
   return wallTimeAtTick + (now - lastTickAt);
 }
 
-// Prefers the address that a member last sent from: it may have come back at another one, which the
-// log does not hold yet.
+// Prefers the address of the member's last message: the member may have restarted at a new address
+// that is not in the log yet.
 Address RaftNode::addressOf(const ControllerId& id) const {
   if (auto known = lastKnownAddresses.find(id); known != lastKnownAddresses.end())
     return known->second;
@@ -48,22 +48,23 @@
   return member ? member->address : Address{};
 }
 
-PeerMessage RaftNode::addressed(const ControllerId& to, PeerBody body) const {
+PeerMessage RaftNode::makeMessage(const ControllerId& to, PeerBody body) const {
   return PeerMessage{selfMember.id, to, addressOf(to), std::move(body), selfMember.address};
 }
 
 void RaftNode::send(const ControllerId& to, PeerBody body) {
-  outgoingMessages.push_back(addressed(to, std::move(body)));
+  outgoingMessages.push_back(makeMessage(to, std::move(body)));
 }
 
-// For what rests on durable state: it leaves only when that state is synced. docs/design.md 3.3.
+// Queues a message whose content depends on durable state. It is sent once that state is synced.
+// docs/design.md 3.3.
 void RaftNode::sendAfterSync(const ControllerId& to, PeerBody body) {
-  writes.sendAfterSync(addressed(to, std::move(body)));
+  writes.sendAfterSync(makeMessage(to, std::move(body)));
 }
 
 void RaftNode::tick(MonotonicTime now, WallTime wall) {
   currentTime = now;
-  notePause(now);
+  detectPause(now);
   wallTimeAtTick = wall;
   discardIdleTransfers();
   if (isLeader())
@@ -72,26 +73,27 @@
     tickAsFollower(now);
 }
 
-// After a pause of this process the others' answers may lie unread, so that its own lateness says
-// nothing of them. docs/design.md 3.2.
-void RaftNode::notePause(MonotonicTime now) {
-  const Duration pause{RaftLimits::pauseHeartbeats * options.heartbeatInterval.milliseconds};
-  if (now - lastTickAt > pause)
+// Detects that this process was paused. Replies may have arrived unread during a pause, so a long
+// gap between ticks says nothing about the other members. docs/design.md 3.2.
+void RaftNode::detectPause(MonotonicTime now) {
+  const Duration pauseThreshold{RaftLimits::pauseThresholdHeartbeats *
+                                options.heartbeatInterval.milliseconds};
+  if (now - lastTickAt > pauseThreshold)
     pauseGraceUntil = now + options.electionTimeoutMin;
   lastTickAt = now;
 }
 
-// A leader without contact to a majority for the maximal election timeout may have been replaced.
-// docs/design.md 3.2.
+// A leader that has had no contact with a majority for the maximum election timeout may have been
+// replaced. docs/design.md 3.2.
 bool RaftNode::hasLostQuorum(MonotonicTime now) const {
   if (currentMembership.size() <= 1)
     return false;
-  const Duration silence = now - lastQuorumContact();
-  if (silence <= options.electionTimeoutMax)
+  const Duration timeSinceContact = now - lastQuorumContact();
+  if (timeSinceContact <= options.electionTimeoutMax)
     return false;
-  const Duration longest{RaftLimits::pausedElectionTimeouts *
-                         options.electionTimeoutMax.milliseconds};
-  return now >= pauseGraceUntil || silence > longest;
+  const Duration maxTimeSinceContact{RaftLimits::maxElectionTimeoutsWhilePaused *
+                                     options.electionTimeoutMax.milliseconds};
+  return now >= pauseGraceUntil || timeSinceContact > maxTimeSinceContact;
 }
 
 void RaftNode::tickAsLeader(MonotonicTime now) {
@@ -103,12 +105,12 @@
   updateCaughtUpIndex(now);
   if (transferringLeadership && now > transferDeadline)
     transferringLeadership = false;
-  // Only a few rounds are unconfirmed at a time: where the others are slow, what is wanted
-  // meanwhile shares the next round. docs/design.md 3.2.
+  // Limits the number of unconfirmed rounds. If followers are slow to reply, requests that arrive
+  // in the meantime share the next round. docs/design.md 3.2.
   const std::uint64_t unconfirmed = rounds.current().value - confirmedRound().value;
-  const bool mayBegin = unconfirmed < options.maxUnconfirmedRounds ||
-                        now - rounds.lastStart() >= options.heartbeatInterval;
-  if (now >= nextHeartbeatAt && mayBegin)
+  const bool canStartRound = unconfirmed < options.maxUnconfirmedRounds ||
+                             now - rounds.lastStartTime() >= options.heartbeatInterval;
+  if (now >= nextHeartbeatAt && canStartRound)
     broadcast(now);
 }
 
@@ -130,7 +132,7 @@
   lastKnownAddresses[message.from] = message.fromAddress;
   boost::apply_visitor([&](const auto& body) { handle(message, body, now); }, message.body);
   if (canServe() && membershipCommitted())
-    proposeMovedAddresses(now);
+    proposeAddressChanges(now);
 }
 
 }  // namespace aniseline
--- a/source/raft/persistence.cpp
+++ b/source/raft/persistence.cpp
@@ -1,4 +1,5 @@
-// How the disk's progress changes what a node may send and count. docs/design.md 3.3.
+// Durability: hands out write-ahead records, and processes completed syncs, which release held
+// messages, count the node's own vote and advance the acknowledged index. docs/design.md 3.3.
 #include "raft/node.hpp"
 
 namespace aniseline {
@@ -21,9 +22,9 @@
   }
   if (isLeader()) {
     advanceCommitIndex();
-  } else if (!lastAppender.value.empty() && lastAppender == knownLeader) {
+  } else if (!lastAppendLeader.value.empty() && lastAppendLeader == knownLeader) {
     const LogIndex match = std::min(writes.syncedIndex(), verifiedIndex);
-    sendAppendReply(lastAppender, true, match, lastAppendRound);
+    sendAppendReply(lastAppendLeader, true, match, lastAppendRound);
   }
 }
 
--- a/source/raft/quorum.cpp
+++ b/source/raft/quorum.cpp
@@ -1,5 +1,5 @@
-// What a majority of the voters has reached: commitment, contact, and which copies would be missed.
-// docs/design.md 3.2, 3.5, 3.6.
+// Computes the values on which a majority of the voters agrees: commit index, leader contact,
+// clock, and whether a member's copy of the log is still needed. docs/design.md 3.2, 3.5, 3.6.
 #include "raft/node.hpp"
 
 namespace aniseline {
@@ -8,23 +8,23 @@
   return majorityOf(countVoters(currentMembership));
 }
 
-// The highest value that a majority of the voters has reached.
-template <class Value, class OfPeer>
-Value RaftNode::quorumValue(Value ofSelf, OfPeer ofPeer) const {
-  std::vector<Value> reached;
+// Returns the highest value that a majority of the voters has reached.
+template <class Value, class PeerValue>
+Value RaftNode::quorumValue(Value selfValue, PeerValue peerValue) const {
+  std::vector<Value> values;
   for (const auto& member : currentMembership) {
     if (!member.voter)
       continue;
     const auto peer = peers.find(member.id);
     if (member.id == selfMember.id)
-      reached.push_back(ofSelf);
+      values.push_back(selfValue);
     else
-      reached.push_back(peer == peers.end() ? Value{} : ofPeer(peer->second));
+      values.push_back(peer == peers.end() ? Value{} : peerValue(peer->second));
   }
-  if (reached.size() < majoritySize())
+  if (values.size() < majoritySize())
     return Value{};
-  std::sort(reached.begin(), reached.end(), std::greater<>());
-  return reached[majoritySize() - 1];
+  std::sort(values.begin(), values.end(), std::greater<>());
+  return values[majoritySize() - 1];
 }
 
 RoundNumber RaftNode::confirmedRound() const {
@@ -35,9 +35,9 @@
   return quorumValue(currentTime, [](const PeerProgress& peer) { return peer.ackedRoundSentAt(); });
 }
 
-MonotonicTime RaftNode::lastHeardFrom(const ControllerId& id) const {
+MonotonicTime RaftNode::lastContactWith(const ControllerId& id) const {
   const auto peer = peers.find(id);
-  return peer == peers.end() ? currentTime : peer->second.lastHeard();
+  return peer == peers.end() ? currentTime : peer->second.lastContact();
 }
 
 LogIndex RaftNode::matchIndexOf(const ControllerId& id) const {
@@ -67,16 +67,17 @@
   return std::min(writes.syncedIndex(), lastIndex());
 }
 
-// Up to where a majority of the voters holds the log without this member's copy. A member that is
-// not heard from may have lost its disk, so its copy is not counted either.
+// Returns the index up to which a majority of the voters holds the log without the copy of this
+// member. Members that are not in contact are not counted either, since they may have lost their
+// disks.
 LogIndex RaftNode::replicatedIndexWithout(const ControllerId& id) const {
   const auto excluded = peers.find(id);
-  const LogIndex ofSelf = id == selfMember.id ? LogIndex{} : syncedLogIndex();
-  return quorumValue(ofSelf, [&](const PeerProgress& peer) {
+  const LogIndex selfValue = id == selfMember.id ? LogIndex{} : syncedLogIndex();
+  return quorumValue(selfValue, [&](const PeerProgress& peer) {
     const bool isExcluded = excluded != peers.end() && &excluded->second == &peer;
-    const bool heardLately = currentTime - peer.lastHeard() <= options.electionTimeoutMax;
-    const bool counts = heardLately && !isExcluded && !peer.hasLostState();
-    return counts ? peer.matchIndex() : LogIndex{};
+    const bool heardRecently = currentTime - peer.lastContact() <= options.electionTimeoutMax;
+    const bool isCounted = heardRecently && !isExcluded && !peer.hasLostState();
+    return isCounted ? peer.matchIndex() : LogIndex{};
   });
 }
 
@@ -84,12 +85,12 @@
   if (!isVoter() || currentMembership.size() == 1)
     return true;
   const LogIndex replicated =
-      isLeader() ? replicatedIndexWithout(selfMember.id) : replicatedWithoutSelf;
+      isLeader() ? replicatedIndexWithout(selfMember.id) : replicatedIndexWithoutSelf;
   return replicated >= committedIndex;
 }
 
-// Only an entry of the leader's own term is committed by counting copies; the entries before it are
-// committed with it.
+// Only entries of the leader's current term are committed by counting replicas. Earlier entries are
+// committed indirectly with them.
 void RaftNode::advanceCommitIndex() {
   const LogIndex replicated =
       quorumValue(syncedLogIndex(), [](const PeerProgress& peer) { return peer.matchIndex(); });
@@ -101,7 +102,7 @@
     becomeFollower(currentTime);
 }
 
-std::optional<WallTime> RaftNode::agreedWallTime(MonotonicTime now) const {
+std::optional<WallTime> RaftNode::medianWallTime(MonotonicTime now) const {
   std::vector<std::int64_t> clocks;
   for (const auto& member : currentMembership) {
     if (!member.voter)
--- a/tests/raft/log_memory_tests.cpp
+++ b/tests/raft/log_memory_tests.cpp
@@ -1,5 +1,5 @@
-// What a node holds in memory is bounded in bytes, whatever the size of an entry.
-// docs/design.md 3.4.
+// Tests that the memory used by a node's log is bounded in bytes, regardless of the size of the
+// entries. docs/design.md 3.4.
 #include "node_links.hpp"
 
 #include <CppUTest/TestHarness.h>
@@ -7,9 +7,10 @@
 
 namespace {
 constexpr std::size_t configBytes = 318 * 1000;  // a configuration of 830 queues
-constexpr std::size_t changes = 600;
-// The kept tail, the entries until the next snapshot, and one entry that passes each of the two.
-constexpr std::size_t mostLogBytes = 16 * 1024 * 1024 + 8 * 1024 * 1024 + 2 * configBytes;
+constexpr std::size_t entryCount = 600;
+// The retained tail, the entries until the next snapshot, and one entry that exceeds each of the
+// two limits.
+constexpr std::size_t maxLogBytes = 16 * 1024 * 1024 + 8 * 1024 * 1024 + 2 * configBytes;
 }  // namespace
 
 TEST_GROUP(LogMemoryTests) {
@@ -17,58 +18,59 @@
   void setup() override {
     CHECK(cluster.runUntil([&] { return cluster.leader() != nullptr; }, 10'000));
   }
-  void change(std::size_t bytes) {
+  void proposeEntry(std::size_t bytes) {
     if (auto* leader = cluster.leader())
       leader->propose(std::string(bytes, 'c'), MonotonicTime{cluster.now});
   }
 };
 
-TEST(LogMemoryTests, theLogIsBoundedInBytesThroughHundredsOfLargeChanges) {
-  for (std::size_t count = 0; count < changes; ++count) {
-    change(configBytes);
+TEST(LogMemoryTests, logStaysBoundedUnderManyLargeEntries) {
+  for (std::size_t count = 0; count < entryCount; ++count) {
+    proposeEntry(configBytes);
     cluster.run(100);
   }
   for (const auto& [id, node] : cluster.nodes)
     LONGS_EQUAL(cluster.leader()->lastIndex().value, node->lastIndex().value);
-  CHECK_COMPARE(cluster.mostRetained, <=, mostLogBytes);
+  CHECK_COMPARE(cluster.peakRetainedBytes, <=, maxLogBytes);
 }
 
-// One that is away holds entries back for its return, but within the same bound; and it returns.
-TEST(LogMemoryTests, aFollowerThatIsAwayDoesNotLiftTheBound) {
-  const ControllerId away{cluster.leader() == &cluster.node("a") ? "b" : "a"};
-  cluster.cut(away, true);
-  for (std::size_t count = 0; count < changes; ++count) {
-    change(configBytes);
+// A disconnected follower makes the leader retain entries, but within the same limit, and the
+// follower catches up after it is connected again.
+TEST(LogMemoryTests, disconnectedFollowerDoesNotRaiseTheLimit) {
+  const ControllerId disconnectedId{cluster.leader() == &cluster.node("a") ? "b" : "a"};
+  cluster.setDisconnected(disconnectedId, true);
+  for (std::size_t count = 0; count < entryCount; ++count) {
+    proposeEntry(configBytes);
     cluster.run(100);
   }
-  CHECK_COMPARE(cluster.mostRetained, <=, mostLogBytes);
-  cluster.cut(away, false);
+  CHECK_COMPARE(cluster.peakRetainedBytes, <=, maxLogBytes);
+  cluster.setDisconnected(disconnectedId, false);
   CHECK(cluster.runUntil(
       [&] {
         return cluster.leader() &&
-               cluster.nodes.at(away)->commitIndex() == cluster.leader()->commitIndex();
+               cluster.nodes.at(disconnectedId)->commitIndex() == cluster.leader()->commitIndex();
       },
       10'000));
 }
 
-// Small entries behind a snapshot are kept for one that is late, as many as the bytes allow.
-TEST(LogMemoryTests, smallEntriesAreKeptForAFollowerThatIsLate) {
-  const ControllerId away{cluster.leader() == &cluster.node("a") ? "b" : "a"};
-  const LogIndex heardUpTo = cluster.nodes.at(away)->lastIndex();
-  cluster.cut(away, true);
+// Small entries behind a snapshot are retained for a lagging follower, up to the limit in bytes.
+TEST(LogMemoryTests, smallEntriesAreRetainedForALaggingFollower) {
+  const ControllerId disconnectedId{cluster.leader() == &cluster.node("a") ? "b" : "a"};
+  const LogIndex lastReceived = cluster.nodes.at(disconnectedId)->lastIndex();
+  cluster.setDisconnected(disconnectedId, true);
   cluster.snapshotBytes = 100'000;
   for (std::size_t count = 0; count < 5000; ++count) {
-    change(100);
+    proposeEntry(100);
     if (count % 10 == 0)
       cluster.run(10);
   }
   cluster.run(100);
-  CHECK(cluster.leader()->snapshot().lastIncludedIndex > heardUpTo);
-  CHECK(cluster.leader()->logBaseIndex() <= heardUpTo);
+  CHECK(cluster.leader()->snapshot().lastIncludedIndex > lastReceived);
+  CHECK(cluster.leader()->logBaseIndex() <= lastReceived);
 }
 
-// To one that does not answer only so much is sent, and no more until it does.
-TEST(LogMemoryTests, whatIsUnacknowledgedIsBoundedInBytes) {
+// Only a limited number of bytes is sent to a follower that does not reply.
+TEST(LogMemoryTests, unacknowledgedBytesAreBounded) {
   RaftNode& leader = *cluster.leader();
   leader.takeMessages();
   std::map<ControllerId, std::size_t> sent;
@@ -86,16 +88,17 @@
   }
 }
 
-// An entry above every bound still passes, in chunks, and no message is larger than the window.
-TEST(LogMemoryTests, anEntryLargerThanEveryWindowPasses) {
+// An entry that exceeds every limit is still replicated, in chunks, and no message is larger than
+// the send window.
+TEST(LogMemoryTests, entryLargerThanTheWindowIsReplicated) {
   std::size_t largest = 0;
-  cluster.delivered = [&](const PeerMessage& message) {
+  cluster.onDelivery = [&](const PeerMessage& message) {
     largest = std::max(largest, payloadBytes(message));
   };
   for (std::size_t count = 0; count < 3; ++count) {
-    change(100);
-    change(3'000'000);
-    change(100);
+    proposeEntry(100);
+    proposeEntry(3'000'000);
+    proposeEntry(100);
   }
   cluster.run(3000);
   for (const auto& [id, node] : cluster.nodes)
