--- a/source/daemons/agent_daemon.cpp
+++ b/source/daemons/agent_daemon.cpp
@@ -1,5 +1,5 @@
-// The agent process: carries calls of the core out at its worker, and syncs with the leader.
-// docs/design.md 5.8. One thread; every fiber of it works on the same core.
+// Implements the agent process on one thread: its fibers share one core, send the core's calls to
+// the worker, and sync with the leader. docs/design.md 5.8.
 #include "daemons/agent_daemon.hpp"
 #include "daemons/connection_drain.hpp"
 #include "daemons/listening.hpp"
@@ -13,19 +13,20 @@
 namespace {
 
 constexpr HttpLimits listenerLimits{64 * 1024, 50, Duration{60'000}, Duration{2000}};
-// The core is asked for its next calls at least this often.
+// The longest wait before the core is polled for its next calls.
 constexpr Duration maxIdle{500};
 constexpr Duration syncRetryDelay{100};
 constexpr Duration acknowledgementPollInterval{5};
 constexpr Duration drainReportRetryDelay{100};
-// Reports of an unknown instance's shutdown. An instance serves on for some seconds after its
-// notice; by then the leader has been told, or the instance is gone and its lease ends.
+// The number of attempts to report an unknown instance's shutdown to the leader. An instance keeps
+// serving for some seconds after its notice. By the last attempt either the leader has been told,
+// or the instance has ended and its lease expires.
 constexpr std::size_t maxDrainReports = 30;
 constexpr int firstServerErrorStatus = 500;
 
 constexpr Duration routeQueryTimeout{250};
-// A controller that is silent costs no more than its time-out: the next is asked at once.
-// docs/incidents.md 7.
+// The delay before the next controller is queried after one did not answer. It is short, so that a
+// silent controller delays the search by little more than its timeout. docs/incidents.md 7.
 constexpr Duration nextControllerDelay{20};
 constexpr Duration leaderlessRouteInterval{100};
 constexpr Duration routeInterval{300};
@@ -38,7 +39,7 @@
         forwarder(
             loop, [this] { return route; }, settings.seeds, [] { return false; }) {}
 
-  // The process' exit status where it could not start; else it ends the process itself.
+  // Returns the exit status if the agent can't start; otherwise ends the process itself.
   int run() {
     const StopSignal stop(loop);
     const ReloadSignal reload(loop, [this] { refreshSeeds(); });
@@ -63,9 +64,9 @@
     startCallsAndSyncs(now);
     waitForWork(now);
   }
-  // The worker is told by the answer to its next heartbeat that its connection closes; until then
-  // the agent works on. What runs goes on under its lease; the next process finds it by polling
-  // the worker. docs/operations.md 4.
+  // Keeps working until the response to the worker's next heartbeat has told the worker that its
+  // connection closes. Running tasks continue under their lease; the next agent process finds them
+  // by polling the worker. docs/operations.md 4.
   [[noreturn]] void shutDown(HttpServer& listener) {
     log(LogLevel::info, log_events::stopping);
     const DrainSchedule schedule =
@@ -101,13 +102,13 @@
     wakeCondition.notify_one();
   }
 
-  // --- towards the worker ---
+  // --- communication with the worker ---
 
-  // The worker registers, or says that it is about to end.
+  // Handles a worker's registration, or its notice that it is about to shut down.
   ApiResponse onNotice(const HttpRequest& request) {
     auto notice = settings.protocol.decodeNotice(request);
     if (!notice)
-      return ApiResponse::error(404, "missing", "an agent hears its worker only");
+      return ApiResponse::error(404, "missing", "an agent accepts only notices of its worker");
     const MonotonicTime now = monotonicNow();
     const WorkerRegistration& registration = notice->registration;
     return notice->shuttingDown ? onShutdown(registration.workerInstance, now)
@@ -121,15 +122,15 @@
   ApiResponse onRegistration(const WorkerRegistration& registration, MonotonicTime now) {
     const bool isNew = core.workerInstance() != registration.workerInstance;
     if (!core.onRegistration(registration, now))
-      return ApiResponse::error(410, "gone", "a later word of this worker has come before");
+      return ApiResponse::error(410, "gone", "a later registration of this worker was received");
     if (registration.draining)
       return acknowledgeDraining(registration.workerInstance, registration.drainTimeout, now);
     if (isNew)
       wakeUp();
     return ApiResponse::of(200, {});
   }
-  // Acknowledged only once it is logged; the leader is told also when no acknowledgement can be
-  // given in time. docs/design.md 5.7.
+  // Acknowledges a drain notice once the leader has logged it. The leader is also told if it is too
+  // late for an acknowledgement. docs/design.md 5.7.
   ApiResponse acknowledgeDraining(const WorkerId& instance, Duration period, MonotonicTime since) {
     auto isLogged = [&] {
       return core.drainAcknowledged(instance) || drainReported.count(instance) > 0;
@@ -142,9 +143,10 @@
     while (!isLogged() && monotonicNow() - since < settings.drainAcknowledgementTimeout)
       sleepFor(acknowledgementPollInterval);
     return isLogged() ? ApiResponse::of(200, {})
-                      : ApiResponse::notApplied("no leader heard of it yet");
+                      : ApiResponse::notApplied("no leader has logged the notice yet");
   }
-  // An instance that this process never heard of: the process before it may have reported it.
+  // Reports the shutdown of an instance that this process does not know, which may have registered
+  // with the previous agent process.
   void reportUnknownInstanceDraining(const WorkerId& instance) {
     if (!drainReported.count(instance) && drainReportsInFlight.insert(instance).second)
       spawn([this, instance] {
@@ -159,7 +161,7 @@
     request.drainTimeout = settings.defaultDrainPeriod;
     request.clientTimeout = settings.drainAcknowledgementTimeout;
     for (std::size_t attempt = 0; attempt < maxDrainReports; ++attempt) {
-      // Any other status: the leader logged it, or knows no such worker.
+      // A status below 500 means that the leader logged the notice or knows no such worker.
       if (forwarder.forward(request).status < firstServerErrorStatus) {
         drainReported.insert(instance);
         return;
@@ -191,7 +193,7 @@
         {{"worker_instance", json(loggedInstance.value)}});
   }
 
-  // --- towards the leader ---
+  // --- communication with the leader ---
 
   void startSync(bool& inFlight, Duration longPollTimeout) {
     inFlight = true;
@@ -222,12 +224,13 @@
     }
     sleepFor(syncRetryDelay);
   }
-  // The seeds may have changed, with or without a signal.
+  // Re-reads the seeds, which may change with or without a reload signal.
   void refreshSeeds() {
     if (aniseline::refreshSeeds(settings.seedSource, settings.seeds))
       forwarder.setSeeds(settings.seeds);
   }
-  // Which controllers there are; which of them leads is learned by asking. docs/design.md 9.2.
+  // Keeps the list of controllers and the route to the leader up to date by querying controllers.
+  // docs/design.md 9.2.
   void followRoute() {
     for (std::size_t turn = 0;; ++turn) {
       const bool learned = queryNextController(turn);
@@ -238,7 +241,8 @@
                                             : routeInterval);
     }
   }
-  // Each in turn, because one of them may be frozen. False: it told of no cluster.
+  // Queries the controllers in turn, because one of them may be unresponsive. Returns false if the
+  // queried controller did not answer or knows no cluster.
   bool queryNextController(std::size_t turn) {
     const auto& known = route.controllers.empty() ? settings.seeds : route.controllers;
     if (known.empty())
@@ -250,7 +254,7 @@
     if (!reply || reply->uninitialized)
       return false;
     route.mergeNewer(reply->view);
-    route.gateways.clear();  // an agent asks controllers only
+    route.gateways.clear();  // an agent sends its requests to controllers only
     return true;
   }
 
@@ -261,11 +265,11 @@
   LeaderForwarder forwarder;
   RpcClientPool controllers{loop};
   std::vector<std::unique_ptr<HttpClient>> idleClients;
-  // One sync that waits for orders, and one for what is urgent, at a time.
+  // At most one sync that waits for orders and one urgent sync are in flight at a time.
   bool longPollInFlight = false;
   bool urgentSyncInFlight = false;
   WorkerId loggedInstance;
-  std::set<WorkerId> drainReportsInFlight;  // of instances that the core does not know
+  std::set<WorkerId> drainReportsInFlight;  // only instances that the core does not know
   std::set<WorkerId> drainReported;
   bool awake = false;
   boost::fibers::mutex wakeMutex;
--- a/source/daemons/agent_daemon.hpp
+++ b/source/daemons/agent_daemon.hpp
@@ -1,5 +1,6 @@
-// The agent as a daemon: it stands beside one worker that is called rather than calls, carries the
-// leader's orders out there and reports what it sees. docs/design.md 5.8, 9.
+// Declares the agent daemon. An agent runs beside one worker that accepts calls but makes none to
+// the cluster: the agent delivers the leader's orders to it and reports its state to the leader.
+// docs/design.md 5.8, 9.
 #ifndef ANISELINE_DAEMONS_AGENT_DAEMON_HPP
 #define ANISELINE_DAEMONS_AGENT_DAEMON_HPP
 #include "net/leader_forwarder.hpp"
@@ -8,26 +9,28 @@
 namespace aniseline {
 
 struct AgentSettings {
-  Address listenAddress;  // where the worker registers
-  Address workerAddress;  // where the worker is called
+  Address listenAddress;  // the worker sends its registrations to this address
+  Address workerAddress;  // the agent sends its calls to this address
   std::string zone;
-  std::vector<Address> seeds;  // for first contact
-  bool quiet = false;          // no logs
+  std::vector<Address> seeds;  // controllers or gateways to contact first
+  bool quiet = false;          // disables logging
   NodeAgentOptions options;
-  Duration syncWait{1000};  // a sync waits for orders this long
-  // A worker's notice that it drains is answered by then, or not acknowledged.
+  Duration syncWait{1000};  // the leader holds a sync open for new orders this long
+  // The agent answers a worker's drain notice within this time; if no leader has logged the notice
+  // by then, the answer is an error.
   Duration drainAcknowledgementTimeout{900};
-  // How long a worker that ends without a drain serves on, at least.
+  // The minimum time for which a worker that announces its shutdown without a drain keeps serving.
   Duration defaultDrainPeriod{2000};
-  // How often the worker registers: a stop waits for its next time, and takes no longer than the
-  // time-out.
+  // The interval between registrations of the worker. A shutdown waits for the next registration,
+  // but no longer than `stopTimeout`.
   Duration heartbeatInterval{1500};
   Duration stopTimeout{3000};
   WorkerProtocol protocol;
-  SeedSource seedSource;  // where the seeds can change while the process runs
+  SeedSource seedSource;  // re-read while the process runs; empty if the seeds never change
 };
 
-// Serves until it is told to stop; the process' exit status.
+// Serves until the process is told to stop. Returns the exit status if the agent can't start;
+// otherwise ends the process itself.
 int runAgent(AgentSettings settings);
 
 }  // namespace aniseline
--- a/source/daemons/cluster_discovery.cpp
+++ b/source/daemons/cluster_discovery.cpp
@@ -1,3 +1,4 @@
+// Implements cluster discovery: one fiber searches for a cluster, one follows its leader.
 #include "daemons/cluster_discovery.hpp"
 #include "net/contacts.hpp"
 #include "net/log.hpp"
@@ -7,12 +8,12 @@
 
 namespace {
 
-constexpr Duration searchInterval{200};   // while nobody has told of a cluster
-constexpr Duration joinInterval{400};     // while a cluster is known that has not taken this one in
-constexpr Duration memberInterval{1000};  // on top of the above, once this one is a member
+constexpr Duration searchInterval{200};   // while no cluster is known
+constexpr Duration joinInterval{400};     // while a cluster is known but has not admitted this one
+constexpr Duration memberInterval{1000};  // added to the search interval while this is a member
 constexpr Duration searchTimeout{500};
 constexpr Duration introductionTimeout{300};
-constexpr Duration routeInterval{200};  // less than an election takes
+constexpr Duration routeInterval{200};  // shorter than an election
 constexpr Duration routeTimeout{500};
 constexpr std::size_t maxVisitors = 32;  // a cluster has far fewer controllers
 
@@ -47,8 +48,8 @@
 void ClusterDiscovery::onRouteQuery(const RouteQuery& query) {
   if (!query.gateway.address.value.empty())
     hooks.controller().recordGateway(query.gateway, monotonicNow());
-  // Where no seed has a disk, one of them names the controller that bootstraps, once and for all.
-  // docs/design.md 3.7.
+  // If no seed has a disk, one of them nominates the controller that bootstraps the cluster, and
+  // never changes its choice. docs/design.md 3.7.
   if (!self.hasDisk && bootstrapCandidate.value.empty() && query.canBootstrap)
     bootstrapCandidate = query.controller;
   if (isBlank() && !query.controller.value.empty() && visitors.size() < maxVisitors)
@@ -83,7 +84,8 @@
   return targets;
 }
 
-// Asks everyone once, then joins what was found, or bootstraps where nobody has a cluster.
+// Queries every known process once, then joins the cluster that was found, or bootstraps one if no
+// process belongs to a cluster.
 void ClusterDiscovery::searchRound() {
   ClusterBootstrap bootstrap(self.advertisedAddress, self.hasDisk, seeds);
   const RouteQuery query{{}, self.advertisedAddress, self.mayBootstrap && self.hasDisk};
@@ -92,7 +94,7 @@
       continue;
     const auto reply = queryRoute(*searchClients.clientFor(address), query, searchTimeout);
     if (!reply) {
-      // A seed may be a gateway; it names the controllers. docs/design.md 9.5.
+      // A seed may be a gateway, which names the controllers. docs/design.md 9.5.
       for (const auto& controller : fetchControllers(loop, address))
         joinThrough(controller);
     } else if (reply->uninitialized)
@@ -118,11 +120,12 @@
     joinThrough(view.controllers.front());
 }
 
-// A seed may belong to no cluster and have no disk, and other processes start from it: it must
-// learn of this member, also after it was restarted. docs/design.md 9.7, docs/incidents.md 8.
+// Queries all seeds that are not members, so that they learn of this member. A seed may belong to
+// no cluster and have no disk, yet other processes use it for their first contact, so it must learn
+// of a member again after each restart. docs/design.md 9.7, docs/incidents.md 8.
 void ClusterDiscovery::introduceToSeeds() {
   const auto members = hooks.controller().raftNode().membership();
-  // A copy: the seeds may be replaced while an answer is awaited.
+  // Iterates over a copy because the seeds may be replaced while a reply is awaited.
   for (const auto& seed : std::vector<Address>(seeds)) {
     const bool isMember = std::any_of(members.begin(), members.end(),
                                       [&](const Member& member) { return member.address == seed; });
@@ -132,8 +135,8 @@
   }
 }
 
-// A blank controller serves callers all the same, by the route that it discovered: it must learn
-// of a new leader as soon as gateways do, however many controllers are silent.
+// Refreshes the discovered route. A blank controller forwards requests by that route, so it must
+// learn of a new leader as soon as gateways do, even if some controllers do not answer.
 void ClusterDiscovery::followDiscoveredCluster() {
   for (;; sleepFor(routeInterval)) {
     if (!isBlank())
--- a/source/daemons/cluster_discovery.hpp
+++ b/source/daemons/cluster_discovery.hpp
@@ -1,6 +1,6 @@
-// How a controller finds its cluster: a blank one (it belongs to no cluster) asks the seeds and
-// whom they name, joins the cluster it finds or bootstraps one; a member introduces itself to
-// seeds that are not members. docs/design.md 3.5, 3.7, 9.5, 9.7.
+// Lets a controller find its cluster. A blank controller, which belongs to no cluster, queries the
+// seeds and the controllers that they name, and joins the cluster that it finds or bootstraps a new
+// one. A member introduces itself to seeds that are not members. docs/design.md 3.5, 3.7, 9.5, 9.7.
 #ifndef ANISELINE_DAEMONS_CLUSTER_DISCOVERY_HPP
 #define ANISELINE_DAEMONS_CLUSTER_DISCOVERY_HPP
 #include "controller/controller.hpp"
@@ -8,34 +8,36 @@
 
 namespace aniseline {
 
-// Belongs to the event loop's thread and runs two fibers there, which end with the process.
+// All methods are called on the event loop's thread. `start` runs two fibers on that thread, which
+// end with the process.
 class ClusterDiscovery {
  public:
-  // This controller, as others see it.
+  // Describes this controller to other processes.
   struct Self {
     Address advertisedAddress;
     ZoneName zone;
-    bool hasDisk = false;       // without one it neither joins nor bootstraps a cluster
-    bool mayBootstrap = false;  // the operator allows it to bootstrap
+    bool hasDisk = false;       // a controller without a disk neither joins nor bootstraps
+    bool mayBootstrap = false;  // the operator allows this controller to bootstrap a cluster
   };
   struct Hooks {
-    // The core of the identity in force; another one after this process began as a new identity.
+    // Returns the core of the current identity. The core is replaced when this process takes a new
+    // identity.
     std::function<Controller&()> controller;
-    std::function<void()> refreshSeeds;  // reads the seeds' source again
-    std::function<void()> wakeUp;        // the core has something to do
+    std::function<void()> refreshSeeds;  // re-reads the seeds from their source
+    std::function<void()> wakeUp;        // makes the event loop step the core
   };
   ClusterDiscovery(EventLoop& loop, Self self, std::vector<Address> seeds, Hooks hooks)
       : loop(loop), self(std::move(self)), seeds(std::move(seeds)), hooks(std::move(hooks)) {}
 
-  // Starts the fibers.
   void start();
   void setSeeds(std::vector<Address> given) { seeds = std::move(given); }
 
-  // The route that this process serves callers by: a blank controller's is the one it discovered.
+  // Returns the route by which this process forwards requests. A blank controller uses the route
+  // that it discovered.
   LeaderRoute route() const;
-  // The answer to another process that asks for the route.
+  // Returns the reply to another process' route query.
   RouteReply routeReply(const ControllerId& identity) const;
-  // Remembers who asks, before the reply is made.
+  // Records the sender of a route query; called before the reply is made.
   void onRouteQuery(const RouteQuery& query);
 
  private:
@@ -55,10 +57,11 @@
   Hooks hooks;
   RpcClientPool searchClients{loop};
   RpcClientPool routeClients{loop};
-  LeaderRoute discovered;              // while blank: the newest route that others told
-  std::set<Address> visitors;          // while blank: controllers that asked this one
-  std::set<Address> routeQueriesSent;  // whose answer is awaited
-  // Without a disk: the controller that this one named to bootstrap, once and for all.
+  LeaderRoute discovered;      // while blank: the newest route that another process reported
+  std::set<Address> visitors;  // while blank: controllers that queried this one
+  std::set<Address> routeQueriesSent;  // controllers with a route query in flight
+  // The controller that this one nominated to bootstrap the cluster. Set only on a controller
+  // without a disk, and never changed once set.
   Address bootstrapCandidate;
 };
 
--- a/source/daemons/connection_drain.cpp
+++ b/source/daemons/connection_drain.cpp
@@ -1,3 +1,4 @@
+// Implements the drain schedules and the drain loop, which polls the connection counts.
 #include "daemons/connection_drain.hpp"
 
 namespace aniseline {
@@ -5,13 +6,14 @@
 namespace {
 
 constexpr Duration pollInterval{10};
-// For last answers to be written, and for clients to end their side: so long at most, and no more
-// than this part of a short stop.
+// The time reserved for writing final responses and for clients to close their side: this duration,
+// but at most a quarter of the shutdown.
 constexpr Duration maxClosingTime{1000};
 constexpr std::int64_t closingPart = 4;
-// A periodic request may come that much late.
+// The tolerated delay of a periodic request.
 constexpr Duration periodicRequestDelay{500};
-// The first request of a connection that has just been made is on its way.
+// A connection that was idle for less is not closed, because the first request of a new connection
+// may still be in transit.
 constexpr Duration minIdleTime{500};
 
 ConnectionCounts countsOf(const std::vector<HttpServer*>& servers) {
--- a/source/daemons/connection_drain.hpp
+++ b/source/daemons/connection_drain.hpp
@@ -1,39 +1,40 @@
-// Ends the HTTP connections of a process that shuts down: by what they are at, not by the clock.
+// Closes the HTTP connections of a process that shuts down, each according to its state.
 // docs/design.md 9.8, docs/operations.md 4.
 //
-// A connection ends when its client has been told so by an answer. The clock only bounds how long
-// the process waits for clients that send nothing, and for answers that do not come. Called by the
-// daemons, in a fiber of the servers' thread.
+// A connection is closed once a response has told its client so. Time limits only bound how long
+// the process waits for clients that send nothing, and for responses that never become ready. The
+// daemons call this in a fiber of the servers' thread.
 #ifndef ANISELINE_DAEMONS_CONNECTION_DRAIN_HPP
 #define ANISELINE_DAEMONS_CONNECTION_DRAIN_HPP
 #include "net/http_server.hpp"
 
 namespace aniseline {
 
-// Spans from the beginning of the shutdown.
+// Deadlines of a connection drain, as durations since the start of the shutdown.
 struct DrainSchedule {
-  // Connections are accepted this long: who sends them has to learn first that this process is not
-  // ready.
+  // New connections are accepted until then, because clients and load balancers need time to learn
+  // that this process is not ready.
   Duration accepting;
-  // Clients that send nothing are waited for until then; what is still under way gets its last
-  // answer.
+  // Idle clients are waited for until then. After it, pending requests are answered at once and
+  // idle connections are closed.
   Duration waiting;
-  // What is open then is cut.
+  // Connections that are still open then are aborted.
   Duration end;
 };
 
-// The schedule of a process whose stop may take so long. Its last second, or the last quarter of a
-// shorter time, is left for last answers.
+// Returns the schedule of a process whose shutdown may take `stopTimeout`. The last second of it,
+// or the last quarter if it is shorter than four seconds, is reserved for final responses.
 DrainSchedule drainScheduleWithin(Duration stopTimeout, Duration accepting);
 
-// The same for a server whose only clients send a request every so often: one that sends none for
-// longer is not waited for.
+// Returns the schedule of a server whose clients all send a request once per `period`. A client
+// that sends none for longer is not waited for.
 DrainSchedule drainScheduleForPeriodicClients(Duration stopTimeout, Duration period);
 
-// Fields of the event `stopped`: the connections that the end of the process cut, by state.
+// Returns the fields of the log event `stopped` that count the aborted connections by state.
 picojson::object cutConnectionFields(const ConnectionCounts& cut);
 
-// Returns when no connection is open, or at the schedule's end: what is still open then.
+// Drains the servers and returns once no connection is open, or at the end of the schedule.
+// Returns the number of connections that are still open then; the caller ends the process.
 ConnectionCounts drainConnections(const std::vector<HttpServer*>& servers, MonotonicTime begunAt,
                                   const DrainSchedule& schedule);
 
--- a/source/daemons/controller_daemon.cpp
+++ b/source/daemons/controller_daemon.cpp
@@ -1,5 +1,6 @@
-// The controller process: one event loop that steps the core, carries out what the core asks for,
-// and ends in order. Its parts stand beside it: storage, background writers, peers, discovery.
+// Implements the controller process: one event loop steps the core, carries out the effects that
+// the core requests, and shuts the process down in order. Storage, background writers, peer
+// transport and cluster discovery are classes of their own in this folder.
 #include "daemons/controller_daemon.hpp"
 #include "daemons/cluster_discovery.hpp"
 #include "daemons/connection_drain.hpp"
@@ -15,17 +16,18 @@
 namespace {
 
 constexpr HttpLimits probeLimits{64 * 1024, 100, Duration{30'000}, Duration{2000}};
-// The loop is taken for stuck when it has not stepped the core for this long.
+// The health probe fails if the event loop has not stepped the core for this long.
 constexpr Duration aliveWithin{2000};
-// Between steps with nothing to do: as a member, for the core's timers; while blank, when there
-// are none.
+// The longest waits between steps. A member has to serve the core's timers; a blank controller has
+// no timers.
 constexpr Duration memberStepInterval{10};
 constexpr Duration blankStepInterval{100};
-// For last responses to gateways and agents to leave the process: so long at most, and no more than
-// this part of the stop's time-out.
+// The time allowed for writing the last responses to gateways and agents: this duration, but at
+// most a tenth of the shutdown's timeout.
 constexpr Duration maxFlushTime{300};
 constexpr std::int64_t flushPart = 10;
-// Between attempts to hand leadership over during a stop: an election and its messages.
+// The interval between attempts to transfer leadership during a shutdown. It covers an election and
+// its messages.
 constexpr Duration transferInterval{700};
 
 std::string joined(const std::vector<Address>& addresses) {
@@ -87,7 +89,8 @@
         externalServer(loop, settings.externalInterface.limits,
                        [this](const HttpRequest& request) { return serveExternally(request); }) {}
 
-  // The process' exit status where it could not start; else it ends the process itself.
+  // Returns the exit status if the controller can't start or has to end with an error; otherwise
+  // ends the process itself.
   int run() {
     const StopSignal stop(loop);
     const ReloadSignal reload(loop, [this] { refreshSeeds(); });
@@ -116,7 +119,7 @@
  private:
   // --- start-up and recovery ---
 
-  // Takes up an identity with a core of its own.
+  // Sets the current identity and creates its core from the recovered records.
   void adopt(const RecoveredState& recovered) {
     identity = recovered.identity;
     core = std::make_unique<Controller>(
@@ -138,8 +141,8 @@
                                   wakeUp();
                                 }});
   }
-  // The cluster has removed this identity: its state must not vote any more. False: the process has
-  // to end.
+  // Starts a new identity after the cluster has removed the current one, because the state of a
+  // removed identity must not vote any more. Returns false if the process has to end.
   bool rejoinAsNewMember() {
     log(LogLevel::warning, log_events::identityRemovedFromCluster,
         {{"identity", json(identity.value)}});
@@ -162,10 +165,10 @@
            listenOrLog(externalServer, settings.externalInterface.address);
   }
 
-  // --- the loop ---
+  // --- event loop ---
 
-  // Steps the core once and carries out what it asks for. False: the process has to end with an
-  // error, which has been logged.
+  // Steps the core once and carries out the effects that it requests. Returns false if the process
+  // has to end with an error, which has been logged.
   bool step() {
     lastStepAt.store(monotonicNow().milliseconds);
     core->step(monotonicNow(), wallNow());
@@ -194,7 +197,7 @@
     if (result)
       core->onRecordSynced(version, monotonicNow());
     else {
-      // What may not be on disk must not be vouched for.
+      // The process must not acknowledge records that may not be on disk.
       logDiskError(log_events::diskWriteFailed, result.error());
       writeFailed = true;
     }
@@ -212,7 +215,7 @@
                            [this] { return awake; });
     awake = false;
   }
-  // The seeds may have changed, with or without a signal.
+  // Re-reads the seeds, which may change with or without a reload signal.
   void refreshSeeds() {
     if (!aniseline::refreshSeeds(settings.seedSource, settings.seeds))
       return;
@@ -240,11 +243,11 @@
     if (!storage.isPersistent())
       return ApiResponse::error(409, "conflict", "this controller has no disk");
     if (!core->raftNode().isBlank())
-      return ApiResponse::error(409, "conflict", "this controller has a cluster already");
+      return ApiResponse::error(409, "conflict", "this controller already belongs to a cluster");
     core->bootstrap(monotonicNow());
     return ApiResponse::of(202, {{"founded", json(identity.value)}});
   }
-  // What an adapter serves here beside the product's own interface. docs/design.md 9.6.
+  // Serves an adapter's interface beside the standard one. docs/design.md 9.6.
   ApiResponse serveExternally(const HttpRequest& request) {
     return settings.externalInterface.handle(request, [this](const ApiRequest& apiRequest) {
       const MonotonicTime begunAt = monotonicNow();
@@ -269,7 +272,7 @@
       return *contacts;
     return ApiResponse::error(
         404, "missing",
-        "a controller serves /healthz, /readyz and /v1/contacts here; all else is at the gateways");
+        "a controller serves only /healthz, /readyz and /v1/contacts; ask a gateway for the rest");
   }
   ApiResponse answerReadiness(bool alive) const {
     const RaftNode& raft = core->raftNode();
@@ -285,8 +288,9 @@
 
   // --- shutdown ---
 
-  // A leader hands leadership over first, every controller waits until its copy is not missed, and
-  // what it serves operators is answered; all this at most for the stop's time-out.
+  // Advances the shutdown and reports whether the process can end. A leader first transfers
+  // leadership; every controller waits until the cluster does not need its copy of the state, and
+  // drains the connections of operators and probes. The shutdown's timeout bounds all of this.
   // docs/operations.md 4.
   bool readyToStop() {
     const MonotonicTime now = monotonicNow();
@@ -321,8 +325,8 @@
       wakeUp();
     });
   }
-  // What is answered has left the process; the threads are joined. The fibers that wait on sockets
-  // end with the process.
+  // Flushes the last responses, joins the threads and ends the process, and with it the fibers that
+  // wait on sockets.
   [[noreturn]] void shutDown() {
     peerServer.stop();
     const bool flushed = peerServer.flush(
@@ -348,8 +352,8 @@
   EventLoop loop;
   ControllerStorage storage;
   ControllerId identity;
-  std::unique_ptr<Controller> core;       // of the identity in force
-  std::unique_ptr<StateWriters> writers;  // the same
+  std::unique_ptr<Controller> core;       // belongs to the current identity
+  std::unique_ptr<StateWriters> writers;  // belongs to the current identity
   PendingResponses pendingResponses;
   PeerSender peerSender;
   PeerServer peerServer;
@@ -357,12 +361,12 @@
   LeaderForwarder forwarder;
   HttpServer probeServer;
   HttpServer externalServer;
-  std::atomic<std::int64_t> lastStepAt{0};  // milliseconds of the monotonic clock
+  std::atomic<std::int64_t> lastStepAt{0};  // in milliseconds of the monotonic clock
   std::optional<MonotonicTime> stopBegunAt;
   bool drainBegun = false;
-  // Of operators and probes, once a stop has drained their connections: what it cut.
+  // Connections of operators and probes that a shutdown aborts; set once the drain has finished.
   std::optional<ConnectionCounts> cutConnections;
-  bool givingUp = false;  // what is under way for operators is answered at once
+  bool givingUp = false;  // pending requests of operators are answered at once
   MonotonicTime nextTransferAt{0};
   bool writeFailed = false;
   bool awake = false;
--- a/source/daemons/controller_storage.cpp
+++ b/source/daemons/controller_storage.cpp
@@ -1,3 +1,4 @@
+// Implements recovery, quarantine and the choice of an identity.
 #include "daemons/controller_storage.hpp"
 #include "net/log.hpp"
 #include <random>
--- a/source/daemons/controller_storage.hpp
+++ b/source/daemons/controller_storage.hpp
@@ -1,5 +1,5 @@
-// A controller's durable identity and state: opens the data folder, recovers what it holds, and
-// begins as a new identity where the old one must not vote any more. docs/design.md 3.3, 3.5.
+// Stores a controller's durable identity and state: opens the data folder, recovers its contents,
+// and starts a new identity when the old one must not vote any more. docs/design.md 3.3, 3.5.
 #ifndef ANISELINE_DAEMONS_CONTROLLER_STORAGE_HPP
 #define ANISELINE_DAEMONS_CONTROLLER_STORAGE_HPP
 #include "net/data_folder.hpp"
@@ -7,7 +7,7 @@
 
 namespace aniseline {
 
-// What a controller starts from.
+// The identity and records from which a controller starts.
 struct RecoveredState {
   ControllerId identity;
   std::vector<WriteAheadRecord> records;  // oldest first; empty for a new identity
@@ -17,18 +17,20 @@
 // while no other thread writes; `write` is called on the disk thread.
 class ControllerStorage {
  public:
-  // An empty path: the controller has no disk, stores nothing and never votes.
+  // An empty path means that the controller has no disk, stores nothing and never votes.
   explicit ControllerStorage(const std::string& path) : path(path), folder(path) {}
 
   bool isPersistent() const { return !path.empty(); }
 
-  // Opens the folder and reads what it holds. A corrupt folder is quarantined and a new identity
-  // begins, because corrupt state must never vote. Nothing: the process has to end, and the reason
-  // has been logged; the state may be sound, and the next start tries again.
+  // Opens the folder and reads its contents. A corrupt folder is quarantined and a new identity is
+  // started, because corrupt state must never vote. Returns nothing after any other error, which
+  // has been logged: the process has to end, and since the state may be intact, the next start
+  // tries again.
   std::optional<RecoveredState> recover();
-  // Quarantines the folder and begins a new identity in it. Nothing: the process has to end.
+  // Quarantines the folder and starts a new identity in it. Returns nothing after an error, which
+  // has been logged: the process has to end.
   std::optional<RecoveredState> beginAsNewIdentity();
-  // Makes one record durable before it returns.
+  // Writes one record and returns once the record is durable.
   DiskResult<void> write(const WriteAheadRecord& record) { return folder.write(record); }
 
  private:
@@ -36,7 +38,7 @@
   DataFolder folder;
 };
 
-// Logs what the disk or the folder refused: its code, its file and what was said.
+// Logs a disk or data folder error under the given event name, with code, file and message.
 void logDiskError(std::string_view event, const DiskError& error);
 
 }  // namespace aniseline
--- a/source/daemons/gateway_daemon.cpp
+++ b/source/daemons/gateway_daemon.cpp
@@ -1,5 +1,5 @@
-// The gateway process: one thread keeps the route to the leader up to date, the others serve
-// callers by it. docs/design.md 9.1, 9.2.
+// Implements the gateway process: the main thread keeps the route to the leader up to date, and the
+// serving threads forward requests by it. docs/design.md 9.1, 9.2.
 #include "daemons/gateway_daemon.hpp"
 #include "daemons/connection_drain.hpp"
 #include "daemons/listening.hpp"
@@ -16,26 +16,28 @@
 
 constexpr HttpLimits readinessLimits{4096, 100, Duration{30'000}, Duration{2000}};
 constexpr Duration routeQueryTimeout{1000};
-// Of the product's own interface: its requests may carry a key.
+// Returns the limits of the standard interface, which keeps headers because requests may carry an
+// API key.
 HttpLimits clientLimits() {
   HttpLimits limits;
   limits.keepHeaders = true;
   return limits;
 }
-// A route that no controller has confirmed for this long is not good enough to be ready.
+// The gateway is not ready if no controller has confirmed its route for this long.
 constexpr Duration routeStaleAfter{2500};
-constexpr std::int64_t neverConfirmed = -1'000'000;  // long before the clock's start
+constexpr std::int64_t neverConfirmed = -1'000'000;  // long before the start of the clock
+// How often the main thread checks whether the process is told to stop.
 constexpr Duration stopPollInterval{100};
-// While the serving threads drain.
+// How often the main thread checks whether the serving threads have drained their connections.
 constexpr Duration stopWaitInterval{10};
-// How often a serving thread looks whether it is to drain.
+// How often a serving thread checks whether it has to drain its connections.
 constexpr Duration stoppingPollInterval{50};
 constexpr Duration threadLinger{60'000};
 class GatewayProcess {
  public:
   explicit GatewayProcess(GatewaySettings settings) : settings(std::move(settings)) {}
 
-  // Ends the process itself.
+  // Serves until the process is told to stop, and then ends it.
   [[noreturn]] void run() {
     const RcuReaderRegistration reader;
     const StopSignal stop(loop);
@@ -48,9 +50,10 @@
   }
 
  private:
-  // --- start and stop, on the main thread ---
+  // --- start and shutdown, on the main thread ---
 
-  // A thread that could not listen has logged it.
+  // Starts the serving threads and waits until they listen. Ends the process with status 1 if one
+  // can't; that thread has logged the failure.
   void startThreads() {
     for (std::int64_t count = 0; count < settings.threads; ++count)
       threads.emplace_back([this] { serve(); });
@@ -59,8 +62,8 @@
     if (threadsFailed > 0)
       std::_Exit(1);
   }
-  // Not ready first, so that no new connections are sent here; each serving thread then drains its
-  // connections. docs/operations.md 4, docs/design.md 9.8.
+  // Makes the gateway unready first, so that it gets no new connections; each serving thread then
+  // drains its connections. docs/operations.md 4, docs/design.md 9.8.
   [[noreturn]] void shutDown() {
     stoppedAt = monotonicNow();
     stopping = true;
@@ -89,10 +92,10 @@
       sleepFor(pollInterval);
     }
   }
-  // The seeds may have changed, with or without a signal.
+  // Re-reads the seeds, which may change with or without a reload signal.
   void refreshSeeds() { aniseline::refreshSeeds(settings.seedSource, settings.seeds); }
-  // Asks controllers for the route; the first contact goes to the seeds, later ones to whoever the
-  // state names.
+  // Queries controllers for the route: the seeds, the controllers that the current route names, and
+  // those that other gateways named.
   void refreshRoute() {
     if (!ready())
       refreshSeeds();
@@ -147,7 +150,7 @@
 
   // --- requests, on the serving threads ---
 
-  // A serving thread: its own loop, listeners and connections to the leader.
+  // Runs a serving thread, which has its own event loop, listeners and connections to the leader.
   void serve() {
     const RcuReaderRegistration reader;
     EventLoop threadLoop;
@@ -173,7 +176,8 @@
     while (!stopping)
       sleepFor(stoppingPollInterval);
     drain({&http, &external, &readiness});
-    // The process ends with the servers: fibers of what was cut refer to them.
+    // The servers must live until the process ends, because fibers of aborted connections refer to
+    // them.
     for (;;)
       sleepFor(threadLinger);
   }
@@ -221,14 +225,14 @@
                                                  {"term", json(route.term.value)},
                                                  {"config", json(route.config.value)}});
   }
-  // Forwards a request to the leader, unless too many are under way.
+  // Forwards a request to the leader, or rejects it if too many requests are in flight.
   ApiResponse forwardBounded(LeaderForwarder& forwarder, const ApiRequest& apiRequest) {
     const bool admitted = directory.read([&](const LeaderRoute& route) {
       return route.admits(apiRequest, std::size_t(inFlight),
                           std::size_t(settings.maxRequestsInFlight));
     });
     if (!admitted)
-      return ApiResponse::error(429, "overloaded", "this gateway has too many requests under way",
+      return ApiResponse::error(429, "overloaded", "this gateway has too many requests in flight",
                                 Duration{1000});
     ++inFlight;
     ApiResponse response = forwarder.forward(apiRequest);
@@ -243,26 +247,26 @@
     return directory.read([](const LeaderRoute& route) { return route; });
   }
 
-  // Of the main thread, but for what is constant.
+  // Used only by the main thread, except for constant settings, which the other threads read.
   GatewaySettings settings;
   EventLoop loop;
   RpcClientPool controllers{loop};
   std::set<Address> queriesInFlight;
-  std::set<Address> discoveredControllers;  // that other gateways named
+  std::set<Address> discoveredControllers;  // controllers that other gateways named
   std::vector<std::thread> threads;
   // Shared by all threads.
-  LeaderDirectory directory;                                   // published by the main thread only
-  std::atomic<std::int64_t> routeConfirmedAt{neverConfirmed};  // of the monotonic clock, in ms
+  LeaderDirectory directory;                                   // written by the main thread only
+  std::atomic<std::int64_t> routeConfirmedAt{neverConfirmed};  // monotonic clock, in ms
   std::atomic<std::int64_t> inFlight{0};
   std::atomic<std::uint64_t> served{0};
   std::atomic<int> threadsListening{0};
   std::atomic<int> threadsFailed{0};
   std::atomic<int> threadsDrained{0};
   std::mutex cutMutex;
-  ConnectionCounts allCut;  // by the end of the process, of all threads; guarded by `cutMutex`
+  ConnectionCounts allCut;  // connections aborted by all threads; guarded by `cutMutex`
   std::atomic<MonotonicTime> stoppedAt{MonotonicTime{0}};  // set before `stopping`
-  std::atomic<bool> stopping{false};  // not ready any more; the threads drain their connections
-  std::atomic<bool> givingUp{false};  // what is under way is answered at once
+  std::atomic<bool> stopping{false};  // the gateway is not ready; threads drain their connections
+  std::atomic<bool> givingUp{false};  // pending requests are answered at once
 };
 
 }  // namespace
--- a/source/daemons/listening.cpp
+++ b/source/daemons/listening.cpp
@@ -1,3 +1,4 @@
+// Implements the logging of listen failures.
 #include "daemons/listening.hpp"
 #include "net/log.hpp"
 
--- a/source/daemons/listening.hpp
+++ b/source/daemons/listening.hpp
@@ -1,4 +1,5 @@
-// Listening sockets of the daemons: a failure is logged in one form. docs/operations.md 5.
+// Opens the listening sockets of the daemons and logs failures in a common form.
+// docs/operations.md 5.
 #ifndef ANISELINE_DAEMONS_LISTENING_HPP
 #define ANISELINE_DAEMONS_LISTENING_HPP
 #include "net/http_server.hpp"
@@ -6,7 +7,8 @@
 namespace aniseline {
 
 void logListenFailure(const ListenError& error);
-// Has the server listen; a failure is logged. `shared`: other threads listen at the same address.
+// Starts listening and returns true, or logs the failure and returns false. `shared` allows other
+// threads to listen on the same address.
 bool listenOrLog(HttpServer& server, const Address& address, bool shared = false);
 
 }  // namespace aniseline
--- a/source/daemons/peer_transport.cpp
+++ b/source/daemons/peer_transport.cpp
@@ -1,3 +1,4 @@
+// Implements the sending, accepting and serving fibers of peer connections.
 #include "daemons/peer_transport.hpp"
 #include "net/log.hpp"
 
--- a/source/daemons/peer_transport.hpp
+++ b/source/daemons/peer_transport.hpp
@@ -1,8 +1,8 @@
-// Messages between controllers, and requests from gateways and agents, over the inner wire.
-// docs/design.md 3.4, 9.3.
+// Transports messages between controllers, and requests from gateways and agents, over the internal
+// wire protocol. docs/design.md 3.4, 9.3.
 //
-// Everything here belongs to the event loop's thread; each connection has a reading and a writing
-// fiber, each peer that is sent to has a sending fiber.
+// Everything here runs on the event loop's thread. Each accepted connection has a reading and a
+// writing fiber; each destination address has a sending fiber.
 #ifndef ANISELINE_DAEMONS_PEER_TRANSPORT_HPP
 #define ANISELINE_DAEMONS_PEER_TRANSPORT_HPP
 #include "net/peer_outbox.hpp"
@@ -11,13 +11,13 @@
 
 namespace aniseline {
 
-// Sends consensus messages, through one bounded queue and one connection for each address. A
-// message that does not fit, or is lost on the way, is made good by consensus.
+// Sends consensus messages through one bounded queue and one connection per address. Consensus
+// recovers from messages that exceed the queue's limit or are lost in transit.
 class PeerSender {
  public:
   PeerSender(EventLoop& loop, std::size_t maxQueuedBytes)
       : loop(loop), maxQueuedBytes(maxQueuedBytes) {}
-  // A message without an address is dropped.
+  // Queues a message. Drops it if it has no address.
   void send(PeerMessage message);
 
  private:
@@ -35,7 +35,7 @@
   std::map<Address, std::shared_ptr<Outbox>> outboxes;
 };
 
-// Accepts connections of other processes and hands out what they send.
+// Accepts connections from other processes and passes the messages that they send to the handlers.
 class PeerServer {
  public:
   using Connection = std::shared_ptr<WireWriter>;
@@ -44,12 +44,12 @@
     std::function<void(const Connection&)> onClosed;
   };
   PeerServer(EventLoop& loop, Handlers handlers) : loop(loop), handlers(std::move(handlers)) {}
-  // The address must be one that `parseEndpoint` reads.
+  // Starts accepting connections. The address must be one that `parseEndpoint` accepts.
   IoError listen(const Address& address);
-  // Closes the listening socket; open connections end with the process.
+  // Closes the listening socket. Open connections stay open until the process ends.
   void stop();
-  // Waits until what was sent on open connections has left the process, at most so long. False:
-  // something is still queued.
+  // Waits until all messages sent on open connections have been written to their sockets. Returns
+  // false if some are still queued after `timeout`.
   bool flush(Duration timeout) const;
 
  private:
@@ -63,12 +63,12 @@
   bool stopping = false;
 };
 
-// Which connection waits for the answer to which request of the core.
+// Maps each request that the core is processing to the connection that awaits its response.
 class PendingResponses {
  public:
-  // The number under which the core is handed the request.
+  // Registers a request and returns the number by which the core identifies it.
   RequestNumber add(const PeerServer::Connection& connection, std::uint64_t correlationId);
-  // Sends the answer; nothing happens when the connection has closed since.
+  // Sends the response. Does nothing if the connection has been closed meanwhile.
   void respond(RequestNumber number, ApiResponse response);
   void dropConnection(const PeerServer::Connection& connection);
 
--- a/source/daemons/serial_worker.cpp
+++ b/source/daemons/serial_worker.cpp
@@ -1,3 +1,4 @@
+// Implements the job queue and its thread's loop.
 #include "daemons/serial_worker.hpp"
 
 namespace aniseline {
--- a/source/daemons/state_writers.cpp
+++ b/source/daemons/state_writers.cpp
@@ -1,3 +1,4 @@
+// Implements the writers' jobs; results are posted back to the event loop.
 #include "daemons/state_writers.hpp"
 
 namespace aniseline {
--- a/source/daemons/state_writers.hpp
+++ b/source/daemons/state_writers.hpp
@@ -1,5 +1,5 @@
-// The two background threads of one controller identity: one makes log records durable, the other
-// packs snapshots. docs/design.md 3.4, 9.1.
+// Runs the two background threads of a controller identity: one makes log records durable, the
+// other packs snapshots. docs/design.md 3.4, 9.1.
 #ifndef ANISELINE_DAEMONS_STATE_WRITERS_HPP
 #define ANISELINE_DAEMONS_STATE_WRITERS_HPP
 #include "controller/snapshot_writer.hpp"
@@ -9,9 +9,9 @@
 
 namespace aniseline {
 
-// Belongs to one identity: the daemon destroys it, which joins both threads, before it begins as
-// another. What is still reported by then is dropped. All methods are called, and all callbacks
-// run, on the event loop's thread.
+// Belongs to one controller identity: the daemon destroys it, which joins both threads, before it
+// takes a new identity. Callbacks that are still queued on the event loop at that time are dropped.
+// All methods are called, and all callbacks run, on the event loop's thread.
 class StateWriters {
  public:
   struct Callbacks {
@@ -21,24 +21,24 @@
   StateWriters(EventLoop& loop, ControllerStorage& storage, Callbacks callbacks)
       : loop(loop), storage(storage), callbacks(std::move(callbacks)) {}
 
-  // Records become durable in the order in which they are handed over.
+  // Queues a record for writing. Records become durable in the order of the calls.
   void write(WriteAheadRecord record);
-  // Applies the work to the writer's own copy of the state, and packs a snapshot where one is
-  // asked for.
+  // Applies the work to the snapshot writer's own copy of the state, and packs a snapshot if the
+  // work requests one.
   void updateSnapshot(SnapshotWork work);
 
  private:
   struct Alive {};
-  // Runs a callback on the loop's thread, unless this object is gone by then.
+  // Runs a callback on the event loop's thread, unless this object has been destroyed by then.
   template <class Callback>
   void postToLoop(std::weak_ptr<Alive> alive, Callback callback);
 
   EventLoop& loop;
   ControllerStorage& storage;
   Callbacks callbacks;
-  SnapshotWriter snapshotWriter;  // of the snapshot thread
+  SnapshotWriter snapshotWriter;  // used only by the snapshot thread
   std::shared_ptr<Alive> alive = std::make_shared<Alive>();
-  // The last members: their destructors join the threads, which use all the others.
+  // Declared last: their destructors join the threads, which use all other members.
   SerialWorker diskThread;
   SerialWorker snapshotThread;
 };
