--- a/source/daemons/agent_daemon.cpp
+++ b/source/daemons/agent_daemon.cpp
@@ -14,7 +14,7 @@
 
 constexpr HttpLimits listenerLimits{64 * 1024, 50, Duration{60'000}, Duration{2000}};
 // The longest wait before the core is polled for its next calls.
-constexpr Duration maxIdle{500};
+constexpr Duration maxWaitInterval{500};
 constexpr Duration syncRetryDelay{100};
 constexpr Duration acknowledgementPollInterval{5};
 constexpr Duration drainReportRetryDelay{100};
@@ -33,8 +33,8 @@
 
 class AgentProcess {
  public:
-  explicit AgentProcess(AgentSettings given)
-      : settings(std::move(given)),
+  explicit AgentProcess(AgentSettings initialSettings)
+      : settings(std::move(initialSettings)),
         core(settings.options),
         forwarder(
             loop, [this] { return route; }, settings.seeds, [] { return false; }) {}
@@ -52,14 +52,14 @@
          {"worker", json(settings.workerAddress.value)}});
     spawn([this] { followRoute(); });
     while (!stop.requested())
-      work();
+      runOnce();
     shutDown(listener);
   }
 
  private:
   // --- the loop ---
 
-  void work() {
+  void runOnce() {
     const MonotonicTime now = monotonicNow();
     startCallsAndSyncs(now);
     waitForWork(now);
@@ -71,34 +71,34 @@
     log(LogLevel::info, log_events::stopping);
     const DrainSchedule schedule =
         drainScheduleForPeriodicClients(settings.stopTimeout, settings.heartbeatInterval);
-    std::optional<ConnectionCounts> cut;
+    std::optional<ConnectionCounts> aborted;
     spawn([&] {
-      cut = drainConnections({&listener}, monotonicNow(), schedule);
+      aborted = drainConnections({&listener}, monotonicNow(), schedule);
       wakeUp();
     });
-    while (!cut)
-      work();
-    log(LogLevel::info, log_events::stopped, cutConnectionFields(*cut));
+    while (!aborted)
+      runOnce();
+    log(LogLevel::info, log_events::stopped, abortedConnectionFields(*aborted));
     std::_Exit(0);
   }
   void startCallsAndSyncs(MonotonicTime now) {
     for (auto& call : core.takeCalls(now))
-      spawn([this, call = std::move(call)] { perform(call); });
+      spawn([this, call = std::move(call)] { performCall(call); });
     if (core.mayReport() && !longPollInFlight)
-      startSync(longPollInFlight, settings.syncWait);
+      startSync(longPollInFlight, settings.syncLongPollTimeout);
     if (core.hasUrgentReport(now) && !urgentSyncInFlight)
       startSync(urgentSyncInFlight, Duration{0});
   }
   void waitForWork(MonotonicTime now) {
     std::unique_lock lock(wakeMutex);
-    const Duration interval = std::clamp(core.nextWakeUp(now) - now, Duration{1}, maxIdle);
+    const Duration interval = std::clamp(core.nextWakeUp(now) - now, Duration{1}, maxWaitInterval);
     wakeCondition.wait_for(lock, std::chrono::milliseconds(interval.milliseconds),
-                           [this] { return awake; });
-    awake = false;
+                           [this] { return wakeRequested; });
+    wakeRequested = false;
   }
   void wakeUp() {
     const std::unique_lock lock(wakeMutex);
-    awake = true;
+    wakeRequested = true;
     wakeCondition.notify_one();
   }
 
@@ -169,7 +169,7 @@
       sleepFor(drainReportRetryDelay);
     }
   }
-  void perform(const WorkerCall& call) {
+  void performCall(const WorkerCall& call) {
     auto client = takeIdleClient();
     const auto answer =
         client->send(settings.workerAddress, settings.protocol.encodeCall(call), call.timeout);
@@ -233,10 +233,10 @@
   // docs/design.md 9.2.
   void followRoute() {
     for (std::size_t turn = 0;; ++turn) {
-      const bool learned = queryNextController(turn);
-      if (!learned)
+      const bool answered = queryNextController(turn);
+      if (!answered)
         refreshSeeds();
-      sleepFor(!learned                     ? nextControllerDelay
+      sleepFor(!answered                    ? nextControllerDelay
                : route.leader.value.empty() ? leaderlessRouteInterval
                                             : routeInterval);
     }
@@ -271,7 +271,7 @@
   WorkerId loggedInstance;
   std::set<WorkerId> drainReportsInFlight;  // only instances that the core does not know
   std::set<WorkerId> drainReported;
-  bool awake = false;
+  bool wakeRequested = false;
   boost::fibers::mutex wakeMutex;
   boost::fibers::condition_variable wakeCondition;
 };
--- a/source/daemons/agent_daemon.hpp
+++ b/source/daemons/agent_daemon.hpp
@@ -15,7 +15,7 @@
   std::vector<Address> seeds;  // controllers or gateways to contact first
   bool quiet = false;          // disables logging
   NodeAgentOptions options;
-  Duration syncWait{1000};  // the leader holds a sync open for new orders this long
+  Duration syncLongPollTimeout{1000};  // the leader holds a sync open for new orders this long
   // The agent answers a worker's drain notice within this time; if no leader has logged the notice
   // by then, the answer is an error.
   Duration drainAcknowledgementTimeout{900};
--- a/source/daemons/cluster_discovery.cpp
+++ b/source/daemons/cluster_discovery.cpp
@@ -15,7 +15,7 @@
 constexpr Duration introductionTimeout{300};
 constexpr Duration routeInterval{200};  // shorter than an election
 constexpr Duration routeTimeout{500};
-constexpr std::size_t maxVisitors = 32;  // a cluster has far fewer controllers
+constexpr std::size_t maxQueryingControllers = 32;  // a cluster has far fewer controllers
 
 bool contains(const std::vector<Address>& addresses, const Address& address) {
   return std::find(addresses.begin(), addresses.end(), address) != addresses.end();
@@ -29,18 +29,18 @@
 }
 
 LeaderRoute ClusterDiscovery::route() const {
-  return isBlank() ? discovered : hooks.controller().route(monotonicNow());
+  return isBlank() ? discoveredRoute : hooks.controller().route(monotonicNow());
 }
 
 RouteReply ClusterDiscovery::routeReply(const ControllerId& identity) const {
   RouteReply reply;
   reply.view = route();
   reply.id = identity;
-  reply.peer = self.advertisedAddress;
-  reply.zone = self.zone;
-  reply.uninitialized = isBlank() && discovered.controllers.empty();
+  reply.peer = local.advertisedAddress;
+  reply.zone = local.zone;
+  reply.uninitialized = isBlank() && discoveredRoute.controllers.empty();
   reply.isLeader = hooks.controller().raftNode().isLeader();
-  reply.hasDisk = self.hasDisk;
+  reply.hasDisk = local.hasDisk;
   reply.bootstrapCandidate = bootstrapCandidate;
   return reply;
 }
@@ -50,22 +50,23 @@
     hooks.controller().recordGateway(query.gateway, monotonicNow());
   // If no seed has a disk, one of them nominates the controller that bootstraps the cluster, and
   // never changes its choice. docs/design.md 3.7.
-  if (!self.hasDisk && bootstrapCandidate.value.empty() && query.canBootstrap)
+  if (!local.hasDisk && bootstrapCandidate.value.empty() && query.canBootstrap)
     bootstrapCandidate = query.controller;
-  if (isBlank() && !query.controller.value.empty() && visitors.size() < maxVisitors)
-    visitors.insert(query.controller);
+  if (isBlank() && !query.controller.value.empty() &&
+      queryingControllers.size() < maxQueryingControllers)
+    queryingControllers.insert(query.controller);
 }
 
 void ClusterDiscovery::searchForCluster() {
-  for (;; sleepFor(discovered.controllers.empty() ? searchInterval : joinInterval)) {
+  for (;; sleepFor(discoveredRoute.controllers.empty() ? searchInterval : joinInterval)) {
     if (route().leader.value.empty())
       hooks.refreshSeeds();
     if (isBlank()) {
       searchRound();
       continue;
     }
-    discovered = LeaderRoute{};
-    visitors.clear();
+    discoveredRoute = LeaderRoute{};
+    queryingControllers.clear();
     introduceToSeeds();
     sleepFor(memberInterval);
   }
@@ -73,11 +74,11 @@
 
 std::vector<Address> ClusterDiscovery::searchTargets() const {
   std::vector<Address> targets = seeds;
-  for (const auto& address : discovered.controllers) {
+  for (const auto& address : discoveredRoute.controllers) {
     if (!contains(targets, address))
       targets.push_back(address);
   }
-  for (const auto& address : visitors) {
+  for (const auto& address : queryingControllers) {
     if (!contains(targets, address))
       targets.push_back(address);
   }
@@ -87,10 +88,10 @@
 // Queries every known process once, then joins the cluster that was found, or bootstraps one if no
 // process belongs to a cluster.
 void ClusterDiscovery::searchRound() {
-  ClusterBootstrap bootstrap(self.advertisedAddress, self.hasDisk, seeds);
-  const RouteQuery query{{}, self.advertisedAddress, self.mayBootstrap && self.hasDisk};
+  ClusterBootstrap bootstrap(local.advertisedAddress, local.hasDisk, seeds);
+  const RouteQuery query{{}, local.advertisedAddress, local.mayBootstrap && local.hasDisk};
   for (const auto& address : searchTargets()) {
-    if (address == self.advertisedAddress)
+    if (address == local.advertisedAddress)
       continue;
     const auto reply = queryRoute(*searchClients.clientFor(address), query, searchTimeout);
     if (!reply) {
@@ -102,9 +103,9 @@
     else
       onClusterFound(reply->view);
   }
-  if (!discovered.leader.value.empty())
-    joinThrough(discovered.leader);
-  if (self.mayBootstrap && isBlank() && discovered.controllers.empty() &&
+  if (!discoveredRoute.leader.value.empty())
+    joinThrough(discoveredRoute.leader);
+  if (local.mayBootstrap && isBlank() && discoveredRoute.controllers.empty() &&
       bootstrap.mayBootstrap()) {
     log(LogLevel::info, log_events::clusterBootstrapped);
     hooks.controller().bootstrap(monotonicNow());
@@ -113,7 +114,7 @@
 }
 
 void ClusterDiscovery::onClusterFound(const LeaderRoute& view) {
-  discovered.mergeNewer(view);
+  discoveredRoute.mergeNewer(view);
   if (!view.leader.value.empty())
     joinThrough(view.leader);
   else if (!view.controllers.empty())
@@ -130,7 +131,7 @@
     const bool isMember = std::any_of(members.begin(), members.end(),
                                       [&](const Member& member) { return member.address == seed; });
     if (!isMember)
-      queryRoute(*searchClients.clientFor(seed), RouteQuery{{}, self.advertisedAddress, false},
+      queryRoute(*searchClients.clientFor(seed), RouteQuery{{}, local.advertisedAddress, false},
                  introductionTimeout);
   }
 }
@@ -141,8 +142,8 @@
   for (;; sleepFor(routeInterval)) {
     if (!isBlank())
       continue;
-    for (const auto& address : discovered.controllers) {
-      if (address != self.advertisedAddress && routeQueriesSent.insert(address).second)
+    for (const auto& address : discoveredRoute.controllers) {
+      if (address != local.advertisedAddress && routeQueriesSent.insert(address).second)
         spawn([this, address] { refreshRouteFrom(address); });
     }
   }
@@ -151,14 +152,14 @@
 void ClusterDiscovery::refreshRouteFrom(const Address& address) {
   const auto client = routeClients.clientFor(address);
   const auto reply =
-      queryRoute(*client, RouteQuery{{}, self.advertisedAddress, false}, routeTimeout);
+      queryRoute(*client, RouteQuery{{}, local.advertisedAddress, false}, routeTimeout);
   routeQueriesSent.erase(address);
   if (reply && !reply->uninitialized && isBlank())
-    discovered.mergeNewer(reply->view);
+    discoveredRoute.mergeNewer(reply->view);
 }
 
 void ClusterDiscovery::joinThrough(const Address& controller) {
-  if (self.hasDisk)
+  if (local.hasDisk)
     hooks.controller().join(controller);
 }
 
--- a/source/daemons/cluster_discovery.hpp
+++ b/source/daemons/cluster_discovery.hpp
@@ -13,7 +13,7 @@
 class ClusterDiscovery {
  public:
   // Describes this controller to other processes.
-  struct Self {
+  struct LocalController {
     Address advertisedAddress;
     ZoneName zone;
     bool hasDisk = false;       // a controller without a disk neither joins nor bootstraps
@@ -26,11 +26,11 @@
     std::function<void()> refreshSeeds;  // re-reads the seeds from their source
     std::function<void()> wakeUp;        // makes the event loop step the core
   };
-  ClusterDiscovery(EventLoop& loop, Self self, std::vector<Address> seeds, Hooks hooks)
-      : loop(loop), self(std::move(self)), seeds(std::move(seeds)), hooks(std::move(hooks)) {}
+  ClusterDiscovery(EventLoop& loop, LocalController local, std::vector<Address> seeds, Hooks hooks)
+      : loop(loop), local(std::move(local)), seeds(std::move(seeds)), hooks(std::move(hooks)) {}
 
   void start();
-  void setSeeds(std::vector<Address> given) { seeds = std::move(given); }
+  void setSeeds(std::vector<Address> newSeeds) { seeds = std::move(newSeeds); }
 
   // Returns the route by which this process forwards requests. A blank controller uses the route
   // that it discovered.
@@ -52,14 +52,14 @@
   bool isBlank() const { return hooks.controller().raftNode().isBlank(); }
 
   EventLoop& loop;
-  Self self;
+  LocalController local;
   std::vector<Address> seeds;
   Hooks hooks;
   RpcClientPool searchClients{loop};
   RpcClientPool routeClients{loop};
-  LeaderRoute discovered;      // while blank: the newest route that another process reported
-  std::set<Address> visitors;  // while blank: controllers that queried this one
-  std::set<Address> routeQueriesSent;  // controllers with a route query in flight
+  LeaderRoute discoveredRoute;  // while blank: the newest route that another process reported
+  std::set<Address> queryingControllers;  // while blank: controllers that queried this one
+  std::set<Address> routeQueriesSent;     // controllers with a route query in flight
   // The controller that this one nominated to bootstrap the cluster. Set only on a controller
   // without a disk, and never changed once set.
   Address bootstrapCandidate;
--- a/source/daemons/controller_daemon.cpp
+++ b/source/daemons/controller_daemon.cpp
@@ -17,7 +17,7 @@
 
 constexpr HttpLimits probeLimits{64 * 1024, 100, Duration{30'000}, Duration{2000}};
 // The health probe fails if the event loop has not stepped the core for this long.
-constexpr Duration aliveWithin{2000};
+constexpr Duration livenessTimeout{2000};
 // The longest waits between steps. A member has to serve the core's timers; a blank controller has
 // no timers.
 constexpr Duration memberStepInterval{10};
@@ -25,12 +25,12 @@
 // The time allowed for writing the last responses to gateways and agents: this duration, but at
 // most a tenth of the shutdown's timeout.
 constexpr Duration maxFlushTime{300};
-constexpr std::int64_t flushPart = 10;
+constexpr std::int64_t flushTimeDivisor = 10;
 // The interval between attempts to transfer leadership during a shutdown. It covers an election and
 // its messages.
 constexpr Duration transferInterval{700};
 
-std::string joined(const std::vector<Address>& addresses) {
+std::string joinAddresses(const std::vector<Address>& addresses) {
   std::string text;
   for (const auto& address : addresses)
     text += (text.empty() ? "" : ",") + address.value;
@@ -62,8 +62,8 @@
 
 class ControllerProcess {
  public:
-  explicit ControllerProcess(ControllerSettings given)
-      : settings(std::move(given)),
+  explicit ControllerProcess(ControllerSettings initialSettings)
+      : settings(std::move(initialSettings)),
         options(coreOptions(settings)),
         storage(settings.dataFolder),
         peerSender(loop, options.maxOutboxBytes),
@@ -83,9 +83,9 @@
                    }}),
         forwarder(
             loop, [this] { return discovery.route(); }, settings.seeds,
-            [this] { return givingUp; }),
+            [this] { return abortPendingRequests; }),
         probeServer(loop, probeLimits,
-                    [this](const HttpRequest& request) { return answerProbe(request); }),
+                    [this](const HttpRequest& request) { return handleProbe(request); }),
         externalServer(loop, settings.externalInterface.limits,
                        [this](const HttpRequest& request) { return serveExternally(request); }) {}
 
@@ -97,7 +97,7 @@
     auto recovered = storage.recover();
     if (!recovered)
       return 1;
-    adopt(*recovered);
+    adoptIdentity(*recovered);
     if (!listen())
       return 1;
     startWriters();
@@ -106,7 +106,7 @@
         {{"identity", json(identity.value)},
          {"peer", json(settings.peerAddress.value)},
          {"zone", json(settings.zone)},
-         {"seeds", json(joined(settings.seeds))}});
+         {"seeds", json(joinAddresses(settings.seeds))}});
     for (;;) {
       if (!step())
         return 1;
@@ -120,7 +120,7 @@
   // --- start-up and recovery ---
 
   // Sets the current identity and creates its core from the recovered records.
-  void adopt(const RecoveredState& recovered) {
+  void adoptIdentity(const RecoveredState& recovered) {
     identity = recovered.identity;
     core = std::make_unique<Controller>(
         Member{identity, settings.advertisedAddress, ZoneName{settings.zone}, false}, options,
@@ -147,10 +147,10 @@
     log(LogLevel::warning, log_events::identityRemovedFromCluster,
         {{"identity", json(identity.value)}});
     writers.reset();
-    auto fresh = storage.beginAsNewIdentity();
-    if (!fresh)
+    auto newState = storage.beginAsNewIdentity();
+    if (!newState)
       return false;
-    adopt(*fresh);
+    adoptIdentity(*newState);
     startWriters();
     return true;
   }
@@ -205,15 +205,15 @@
   }
   void wakeUp() {
     const std::unique_lock lock(wakeMutex);
-    awake = true;
+    wakeRequested = true;
     wakeCondition.notify_one();
   }
   void waitForWork() {
     const Duration interval = core->raftNode().isBlank() ? blankStepInterval : memberStepInterval;
     std::unique_lock lock(wakeMutex);
     wakeCondition.wait_for(lock, std::chrono::milliseconds(interval.milliseconds),
-                           [this] { return awake; });
-    awake = false;
+                           [this] { return wakeRequested; });
+    wakeRequested = false;
   }
   // Re-reads the seeds, which may change with or without a reload signal.
   void refreshSeeds() {
@@ -250,7 +250,7 @@
   // Serves an adapter's interface beside the standard one. docs/design.md 9.6.
   ApiResponse serveExternally(const HttpRequest& request) {
     return settings.externalInterface.handle(request, [this](const ApiRequest& apiRequest) {
-      const MonotonicTime begunAt = monotonicNow();
+      const MonotonicTime startedAt = monotonicNow();
       ApiResponse response = forwarder.forward(apiRequest);
       if (changesConfig(apiRequest.kind))
         log(LogLevel::info, log_events::configurationAnswered,
@@ -258,12 +258,12 @@
              {"status", json(response.status)},
              {"error", json(response.errorKind)},
              {"base", json(apiRequest.baseVersion.value)},
-             {"took_ms", json((monotonicNow() - begunAt).milliseconds)}});
+             {"took_ms", json((monotonicNow() - startedAt).milliseconds)}});
       return response;
     });
   }
-  ApiResponse answerProbe(const HttpRequest& request) {
-    const bool alive = monotonicNow() - MonotonicTime{lastStepAt.load()} < aliveWithin;
+  ApiResponse handleProbe(const HttpRequest& request) {
+    const bool alive = monotonicNow() - MonotonicTime{lastStepAt.load()} < livenessTimeout;
     if (request.target == "/healthz")
       return ApiResponse::of(alive ? 200 : 503, {{"alive", json(alive)}});
     if (request.target == "/readyz")
@@ -294,34 +294,34 @@
   // docs/operations.md 4.
   bool readyToStop() {
     const MonotonicTime now = monotonicNow();
-    if (!stopBegunAt)
+    if (!stopStartedAt)
       beginStop(now);
     const RaftNode& raft = core->raftNode();
     if (raft.isLeader() && now >= nextTransferAt) {
       core->transferLeadership(now);
       nextTransferAt = now + transferInterval;
     }
-    const bool isMissed = raft.isLeader() || !raft.isSafeToStop();
-    const bool waitedLongEnough = now >= *stopBegunAt + stopSchedule().waiting;
-    if (!drainBegun && (!isMissed || waitedLongEnough))
+    const bool isNeeded = raft.isLeader() || !raft.isSafeToStop();
+    const bool waitedLongEnough = now >= *stopStartedAt + stopSchedule().waitUntil;
+    if (!drainStarted && (!isNeeded || waitedLongEnough))
       beginDrain();
-    return (!isMissed && cutConnections) || now >= *stopBegunAt + stopSchedule().end;
+    return (!isNeeded && abortedConnections) || now >= *stopStartedAt + stopSchedule().abortAt;
   }
   DrainSchedule stopSchedule() const {
     return drainScheduleWithin(Duration{settings.stopTimeoutMilliseconds}, Duration{0});
   }
   void beginStop(MonotonicTime now) {
     log(LogLevel::info, log_events::stopping);
-    stopBegunAt = now;
+    stopStartedAt = now;
     probeServer.drain();
     externalServer.drain();
-    runAfter(stopSchedule().waiting, [this] { givingUp = true; });
+    runAfter(stopSchedule().waitUntil, [this] { abortPendingRequests = true; });
   }
   void beginDrain() {
-    drainBegun = true;
+    drainStarted = true;
     spawn([this] {
-      cutConnections =
-          drainConnections({&probeServer, &externalServer}, *stopBegunAt, stopSchedule());
+      abortedConnections =
+          drainConnections({&probeServer, &externalServer}, *stopStartedAt, stopSchedule());
       wakeUp();
     });
   }
@@ -330,13 +330,13 @@
   [[noreturn]] void shutDown() {
     peerServer.stop();
     const bool flushed = peerServer.flush(
-        std::min(maxFlushTime, Duration{settings.stopTimeoutMilliseconds / flushPart}));
+        std::min(maxFlushTime, Duration{settings.stopTimeoutMilliseconds / flushTimeDivisor}));
     writers.reset();
-    const ConnectionCounts cut = cutConnections.value_or(openConnections());
-    picojson::object fields = cutConnectionFields(cut);
+    const ConnectionCounts aborted = abortedConnections.value_or(openConnections());
+    picojson::object fields = abortedConnectionFields(aborted);
     fields["led"] = json(core->raftNode().isLeader());
     fields["others_hold_all"] = json(core->raftNode().isSafeToStop());
-    fields["connections_drained"] = json(cut.all() == 0);
+    fields["connections_drained"] = json(aborted.all() == 0);
     fields["responses_flushed"] = json(flushed);
     log(LogLevel::info, log_events::stopped, fields);
     std::_Exit(0);
@@ -362,14 +362,14 @@
   HttpServer probeServer;
   HttpServer externalServer;
   std::atomic<std::int64_t> lastStepAt{0};  // in milliseconds of the monotonic clock
-  std::optional<MonotonicTime> stopBegunAt;
-  bool drainBegun = false;
+  std::optional<MonotonicTime> stopStartedAt;
+  bool drainStarted = false;
   // Connections of operators and probes that a shutdown aborts; set once the drain has finished.
-  std::optional<ConnectionCounts> cutConnections;
-  bool givingUp = false;  // pending requests of operators are answered at once
+  std::optional<ConnectionCounts> abortedConnections;
+  bool abortPendingRequests = false;  // pending requests of operators are answered at once
   MonotonicTime nextTransferAt{0};
   bool writeFailed = false;
-  bool awake = false;
+  bool wakeRequested = false;
   boost::fibers::mutex wakeMutex;
   boost::fibers::condition_variable wakeCondition;
 };
--- a/source/daemons/controller_storage.cpp
+++ b/source/daemons/controller_storage.cpp
@@ -41,11 +41,11 @@
   logDiskError(log_events::dataFolderOpenFailed, recovered.error());
   if (!recovered.error().isCorruption())
     return std::nullopt;
-  auto fresh = beginAsNewIdentity();
-  if (fresh)
+  auto newState = beginAsNewIdentity();
+  if (newState)
     log(LogLevel::warning, log_events::newIdentityAfterCorruption,
-        {{"identity", json(fresh->identity.value)}});
-  return fresh;
+        {{"identity", json(newState->identity.value)}});
+  return newState;
 }
 
 std::optional<RecoveredState> ControllerStorage::beginAsNewIdentity() {
--- a/source/daemons/gateway_daemon.cpp
+++ b/source/daemons/gateway_daemon.cpp
@@ -27,12 +27,12 @@
 constexpr Duration routeStaleAfter{2500};
 constexpr std::int64_t neverConfirmed = -1'000'000;  // long before the start of the clock
 // How often the main thread checks whether the process is told to stop.
-constexpr Duration stopPollInterval{100};
+constexpr Duration stopSignalPollInterval{100};
 // How often the main thread checks whether the serving threads have drained their connections.
-constexpr Duration stopWaitInterval{10};
+constexpr Duration drainPollInterval{10};
 // How often a serving thread checks whether it has to drain its connections.
-constexpr Duration stoppingPollInterval{50};
-constexpr Duration threadLinger{60'000};
+constexpr Duration stoppingFlagPollInterval{50};
+constexpr Duration parkedThreadSleep{60'000};
 class GatewayProcess {
  public:
   explicit GatewayProcess(GatewaySettings settings) : settings(std::move(settings)) {}
@@ -45,7 +45,7 @@
     startThreads();
     log(LogLevel::info, log_events::started,
         {{"http", json(settings.httpAddress.value)}, {"zone", json(settings.zone)}});
-    followRouteUntil([&] { return stop.requested(); }, stopPollInterval);
+    followRouteUntil([&] { return stop.requested(); }, stopSignalPollInterval);
     shutDown();
   }
 
@@ -68,9 +68,9 @@
     stoppedAt = monotonicNow();
     stopping = true;
     log(LogLevel::info, log_events::stopping, {{"requests", json(inFlight.load())}});
-    runAfter(drainSchedule().waiting, [this] { givingUp = true; });
-    followRouteUntil([this] { return threadsDrained >= settings.threads; }, stopWaitInterval);
-    picojson::object fields = cutConnectionFields(cutConnections());
+    runAfter(drainSchedule().waitUntil, [this] { abortPendingRequests = true; });
+    followRouteUntil([this] { return threadsDrained >= settings.threads; }, drainPollInterval);
+    picojson::object fields = abortedConnectionFields(abortedConnections());
     fields["served"] = json(served.load());
     log(LogLevel::info, log_events::stopped, fields);
     std::_Exit(0);
@@ -156,7 +156,7 @@
     EventLoop threadLoop;
     LeaderForwarder forwarder(
         threadLoop, [this] { return currentRoute(); }, settings.seeds,
-        [this] { return givingUp.load(); });
+        [this] { return abortPendingRequests.load(); });
     HttpServer http(threadLoop, clientLimits(),
                     [&](const HttpRequest& request) { return handle(forwarder, request); });
     HttpServer external(
@@ -174,24 +174,24 @@
     }
     ++threadsListening;
     while (!stopping)
-      sleepFor(stoppingPollInterval);
+      sleepFor(stoppingFlagPollInterval);
     drain({&http, &external, &readiness});
     // The servers must live until the process ends, because fibers of aborted connections refer to
     // them.
     for (;;)
-      sleepFor(threadLinger);
+      sleepFor(parkedThreadSleep);
   }
   void drain(const std::vector<HttpServer*>& servers) {
-    const ConnectionCounts cut = drainConnections(servers, stoppedAt, drainSchedule());
+    const ConnectionCounts aborted = drainConnections(servers, stoppedAt, drainSchedule());
     {
-      const std::lock_guard lock(cutMutex);
-      allCut += cut;
+      const std::lock_guard lock(abortedMutex);
+      allAborted += aborted;
     }
     ++threadsDrained;
   }
-  ConnectionCounts cutConnections() {
-    const std::lock_guard lock(cutMutex);
-    return allCut;
+  ConnectionCounts abortedConnections() {
+    const std::lock_guard lock(abortedMutex);
+    return allAborted;
   }
   bool listen(HttpServer& http, HttpServer& external, HttpServer& readiness) const {
     constexpr bool shared = true;
@@ -262,11 +262,11 @@
   std::atomic<int> threadsListening{0};
   std::atomic<int> threadsFailed{0};
   std::atomic<int> threadsDrained{0};
-  std::mutex cutMutex;
-  ConnectionCounts allCut;  // connections aborted by all threads; guarded by `cutMutex`
+  std::mutex abortedMutex;
+  ConnectionCounts allAborted;  // connections aborted by all threads; guarded by `abortedMutex`
   std::atomic<MonotonicTime> stoppedAt{MonotonicTime{0}};  // set before `stopping`
   std::atomic<bool> stopping{false};  // the gateway is not ready; threads drain their connections
-  std::atomic<bool> givingUp{false};  // pending requests are answered at once
+  std::atomic<bool> abortPendingRequests{false};  // pending requests are answered at once
 };
 
 }  // namespace
--- a/source/daemons/state_writers.cpp
+++ b/source/daemons/state_writers.cpp
@@ -4,7 +4,7 @@
 namespace aniseline {
 
 template <class Callback>
-void StateWriters::postToLoop(std::weak_ptr<Alive> token, Callback callback) {
+void StateWriters::postToLoop(std::weak_ptr<LifetimeToken> token, Callback callback) {
   asio::post(loop.context, [token = std::move(token), callback = std::move(callback)]() mutable {
     if (token.lock())
       callback();
@@ -12,7 +12,7 @@
 }
 
 void StateWriters::write(WriteAheadRecord record) {
-  diskThread.submit([this, record = std::move(record), token = std::weak_ptr(alive)] {
+  diskThread.submit([this, record = std::move(record), token = std::weak_ptr(lifetimeToken)] {
     auto result = storage.write(record);
     postToLoop(token, [this, result = std::move(result), version = record.version] {
       callbacks.onRecordWritten(result, version);
@@ -21,7 +21,7 @@
 }
 
 void StateWriters::updateSnapshot(SnapshotWork work) {
-  snapshotThread.submit([this, work = std::move(work), token = std::weak_ptr(alive)] {
+  snapshotThread.submit([this, work = std::move(work), token = std::weak_ptr(lifetimeToken)] {
     auto snapshot = snapshotWriter.process(work);
     if (!snapshot)
       return;
--- a/source/daemons/state_writers.hpp
+++ b/source/daemons/state_writers.hpp
@@ -28,16 +28,16 @@
   void updateSnapshot(SnapshotWork work);
 
  private:
-  struct Alive {};
+  struct LifetimeToken {};
   // Runs a callback on the event loop's thread, unless this object has been destroyed by then.
   template <class Callback>
-  void postToLoop(std::weak_ptr<Alive> alive, Callback callback);
+  void postToLoop(std::weak_ptr<LifetimeToken> lifetimeToken, Callback callback);
 
   EventLoop& loop;
   ControllerStorage& storage;
   Callbacks callbacks;
   SnapshotWriter snapshotWriter;  // used only by the snapshot thread
-  std::shared_ptr<Alive> alive = std::make_shared<Alive>();
+  std::shared_ptr<LifetimeToken> lifetimeToken = std::make_shared<LifetimeToken>();
   // Declared last: their destructors join the threads, which use all other members.
   SerialWorker diskThread;
   SerialWorker snapshotThread;
