--- a/tests/platform_tenant_tests.cpp
+++ b/tests/platform_tenant_tests.cpp
@@ -285,7 +285,7 @@
   STRCMP_EQUAL("/tenants/0/name: is missing", faultOf("[7]").c_str());
   STRCMP_EQUAL("/tenants/0/api_keys: must be a list",
                faultOf(R"([{"name":"a","api_keys":"k"}])").c_str());
-  STRCMP_EQUAL("/tenants/0/api_keys: must hold texts that are not empty",
+  STRCMP_EQUAL("/tenants/0/api_keys: must contain only non-empty strings",
                faultOf(R"([{"name":"a","api_keys":[""]}])").c_str());
   STRCMP_EQUAL("/tenants/1: tenant a stands twice",
                faultOf(R"([{"name":"a"},{"name":"a"}])").c_str());
