--- a/tests/platform_tenant_tests.cpp
+++ b/tests/platform_tenant_tests.cpp
@@ -1,19 +1,17 @@
-// Two incidents, brought about as users met them: requests as clients and operators send them, the
-// controllers that judge them, and the answers as clients read them; only sockets and clocks are
-// left out.
+// Tests API keys and tenant caps through the platform's requests and responses and a cluster of
+// controllers, without sockets and real clocks. Two incidents are reproduced:
 //
-// A revoked key that was still good. Users saw requests answered 200 seconds after a configuration
-// without their key had been acknowledged, on processes that had been well all the time. The order:
-// version 8 was acknowledged with the key, version 12 without it half a second later, and requests
-// of 2.6 and 4.8 s after that were taken. Evidence of the cause: the same controllers refused a
-// path that version 12 had removed at once, so the configuration was in force; and a key that no
-// version had ever held was taken as well. No code read the header `Authorization` or the list of
-// tenants.
+// Revoked keys were accepted. Requests with a revoked key were accepted, with status 200, seconds
+// after the configuration that removed the key was acknowledged, by processes that had been healthy
+// throughout: version 8 had the key, version 12 removed it half a second later, and requests 2.6 s
+// and 4.8 s after that were accepted. The cause: no code read the header `Authorization` or the
+// list of tenants. Version 12 was in effect, because the same controllers rejected a path that it
+// had removed at once, and a key that no version had ever contained was accepted as well.
 //
-// A tenant above its cap. Users saw one tenant run 230 cores at once where it might have 180 and
-// the task that goes over it. The order: one wide job, or several, came on an idle fleet, and every
-// task was started. Evidence of the cause: the number of starts followed what the workers had free,
-// and changed in nothing with the cap. The planner knew no tenants.
+// A tenant exceeded its cap. A tenant ran 230 cores at once, though its cap allowed 180 plus the
+// task that exceeds it. One or several wide jobs reached an idle fleet, and every task was started.
+// The cause: the planner did not know tenants. The number of starts depended only on the free
+// capacity of the workers and did not change with the cap.
 #include "controller/controller_cluster.hpp"
 #include "platform/configuration_codec.hpp"
 #include "platform/request_codec.hpp"
@@ -119,12 +117,12 @@
     id << std::hex << 0x5c0e7a2100000000 + ++lastJob;
     return id.str();
   }
-  // The status of a submission of a new job.
+  // Submits a new job and returns the status of the response.
   int submit(const std::string& path, const std::string& key,
              const std::string& body = jobJson(1, 100)) {
     return call("POST", path + nextJobId(), key.empty() ? "" : "Bearer " + key, body);
   }
-  // An agent's report of its worker, which has applied all orders and runs what they started.
+  // Sends an agent's report of its worker, which has applied the orders up to `applied`.
   void syncWorker(const std::string& id, std::uint32_t cores, OrderNumber applied = {}) {
     ApiRequest request;
     request.kind = RequestKind::syncWorker;
@@ -147,7 +145,7 @@
       cores += attempt.cores;
     return cores;
   }
-  // What runs once the workers have been heard and plans were made.
+  // Returns the cores of running tasks after several rounds of worker reports and planning.
   std::uint64_t coresRunningAfterPlans() {
     for (int round = 0; round < 5; ++round) {
       syncWorker("a", 64'000);
@@ -170,7 +168,7 @@
 
   LONGS_EQUAL(200,
               fleet.configure(12, {routeJson(protectedPath)}, {{"orchard", {orchardSecondKey}}}));
-  // The configuration is in force: its routes are.
+  // The new configuration is in effect, because the route that it removed is rejected.
   LONGS_EQUAL(404, fleet.submit(removedPath, orchardSecondKey));
   LONGS_EQUAL(401, fleet.submit(protectedPath, orchardKey));
   LONGS_EQUAL(200, fleet.submit(protectedPath, orchardSecondKey));
@@ -187,7 +185,7 @@
   fleet.syncWorker("b", 64'000);
   LONGS_EQUAL(200, fleet.submit(protectedPath, orchardKey, jobJson(60, 1000)));
   LONGS_EQUAL(20'000, fleet.coresRunningAfterPlans());
-  // Of a tenant without a cap all that fits is started.
+  // All tasks of a tenant without a cap are started if they fit.
   LONGS_EQUAL(200, fleet.submit(protectedPath, breweryKey, jobJson(60, 1000)));
   LONGS_EQUAL(80'000, fleet.coresRunningAfterPlans());
 }
@@ -199,12 +197,12 @@
   fleet.syncWorker("b", 64'000);
   for (const char* key : {orchardKey, orchardSecondKey, orchardKey})
     LONGS_EQUAL(200, fleet.submit(protectedPath, key, jobJson(6, 1000)));
-  // 15 tasks of 100 MB each hold all the memory of the cap, though cores are left.
+  // 15 tasks of 100 MB each use up the cap's memory, although cores are left.
   LONGS_EQUAL(15'000, fleet.coresRunningAfterPlans());
 }
 
-// Its own state is the log's: what the leader before it has started is counted, whether it runs or
-// is on its way.
+// A new leader derives its state from the replicated log, so it counts the tasks that the previous
+// leader started, whether they are running or still being started.
 TEST(TenantCapTests, aNewLeaderCountsWhatTheOneBeforeHasStarted) {
   LONGS_EQUAL(200,
               fleet.configure(5, {routeJson(protectedPath)}, {{"orchard", {orchardKey}, 20'000}}));
@@ -303,7 +301,7 @@
   DOUBLES_EQUAL(10, tenant.weight, 0);
 }
 
-// A patch names tenants as it names routes.
+// A patch adds and removes tenants by name, like routes.
 TEST(TenantConfigurationTests, aPatchAddsAndRemovesTenants) {
   ControllerOptions options;
   options.parseConfig = [](const std::string& text) {
--- a/tests/platform_tests.cpp
+++ b/tests/platform_tests.cpp
@@ -1,5 +1,5 @@
-// The platform's words, both ways, without a socket: bodies in, typed words out, and back.
-// docs/platform.md 3.
+// Tests the encoding and decoding of the platform's requests, responses, configurations, worker
+// calls and settings, without sockets. docs/platform.md 3.
 #include "platform/configuration_codec.hpp"
 #include "platform/request_codec.hpp"
 #include "platform/response_codec.hpp"
@@ -35,7 +35,7 @@
   return request(method, target, body, {{"host", "press.example:8080"}, {"deadline-ms", "3000"}});
 }
 
-// A fault of a body: by its path, or "" where the body is good.
+// Returns the errors of a submission's body, or "" if the body is valid.
 std::string jobFault(const std::string& body) {
   auto job = decodeJob(body);
   if (!job)
@@ -153,7 +153,7 @@
   STRCMP_EQUAL("", jobFault(stage("")).c_str());
   STRCMP_EQUAL(
       "",
-      jobFault(R"({"stages":[{"replicas":1}]})").c_str());  // what is left out is 0, false or empty
+      jobFault(R"({"stages":[{"replicas":1}]})").c_str());  // missing fields are 0, false or empty
   STRCMP_EQUAL("", jobFault(R"({"spec":")" + std::string(4000, 'x') +
                             R"(","stages":[{"replicas":2000,"cpu":1}]})")
                        .c_str());
@@ -241,7 +241,7 @@
 
 TEST_GROUP(PlatformAnswers){};
 
-// 503 says that it never runs, 504 that it may.
+// Status 503 says that the request never takes effect, 504 that it may.
 TEST(PlatformAnswers, notTakenNeverRunsAndUnknownMayRun) {
   for (RequestKind kind :
        {RequestKind::submitJob, RequestKind::cancelJob, RequestKind::showPhase}) {
@@ -294,13 +294,13 @@
   CHECK(read.has_value());
   const ClusterConfig& config = read.value();
   LONGS_EQUAL(7, config.version.value);
-  STRCMP_EQUAL(text.c_str(), config.text.c_str());  // it is read back whole
+  STRCMP_EQUAL(text.c_str(), config.text.c_str());  // the original text is kept
   CHECK(config.pools.at("press").enforcesCapacity);
   CHECK_FALSE(config.pools.at("store").enforcesCapacity);
   const auto* quick = config.findQueue(QueueName{"quick"});
   const auto* slow = config.findQueue(QueueName{"slow"});
   CHECK(quick && slow);
-  CHECK(quick->priority > slow->priority);  // prio 0 goes first
+  CHECK(quick->priority > slow->priority);  // the lowest `prio` is served first
   CHECK(config.planner.strictPriority);
   LONGS_EQUAL(2, quick->maxFailures);
   DOUBLES_EQUAL(1.5, quick->latencyTargetFactor, 1e-9);
@@ -346,7 +346,7 @@
   CHECK(!configurationFault(R"({"version":1,"routes":[],"services":[{}]})").empty());
 }
 
-// The same host and prefix is one entrance; the same prefix on another host is another.
+// Two routes may have the same prefix if their hosts differ.
 TEST(PlatformConfiguration, hostsAreTakenApart) {
   std::string other = route("b", "/a/");
   other.replace(other.find("press.example"), 13, "store.example");
@@ -381,7 +381,8 @@
                        .status);
 }
 
-// What a patch makes of the configuration in force is read as a whole configuration is.
+// Applying a patch to the current configuration yields a text that is decoded like any other
+// configuration.
 TEST(PlatformConfiguration, theOperatorsPatch) {
   const std::string body = R"({"version":9,"upsert":{"routes":[)" + route("b", "/b/") +
                            R"(]},"remove":{"routes":["a"]}})";
@@ -406,7 +407,7 @@
                   .status);
 }
 
-// A service that a route still names can't be removed.
+// A patch that removes a service is invalid while a route still names the service.
 TEST(PlatformConfiguration, aPatchIsCheckedAsAWhole) {
   const std::string base = configuration(route("a", "/a/"));
   picojson::value root;
@@ -457,7 +458,7 @@
   CHECK(decodeTaskName(encodeTaskName(dotted), 9) == dotted);
   for (const char* odd : {"", "a", "a.0.0", "a.0.0.x", "a.0.-1.0", "a.0..0", "a.0.0.1 "})
     CHECK_TEXT(!decodeTaskName(odd, 1), odd);
-  Order order;  // of a timetable's occurrence, as the cluster state names it
+  Order order;  // the cluster state appends the occurrence of a timetable to the job's id
   order.job = JobId{"5c0e7a21d94b36f8@12"};
   order.indexInStep = 3;
   order.runNumber = 1;
@@ -507,7 +508,7 @@
   CHECK(kind(429, "") == Kind::unavailable);
   CHECK(kind(503, "") == Kind::unavailable);
   for (int status : {404, 500, 502, 504})
-    CHECK(kind(status, "") == Kind::noResponse);  // it may have been done
+    CHECK(kind(status, "") == Kind::noResponse);  // the worker may have carried out the call
   CHECK(platformWorkerProtocol("host")
             .decodeReply(call(start), Result<HttpResponse, HttpError>(
                                           HttpError{HttpError::Kind::connectionLost, "cut"}))
@@ -533,7 +534,7 @@
   STRCMP_EQUAL("s", look.results[2].checkpoint.c_str());
   for (std::size_t place = 2; place < 6; ++place)
     CHECK(look.results[place].outcome ==
-          AttemptOutcome::stopped);  // none of these is a failure of the task
+          AttemptOutcome::stopped);  // these outcomes are not failures of the task
   CHECK(reply(WorkerCall::Kind::poll, 200, "{").status == WorkerReply::Status::noResponse);
   CHECK(reply(WorkerCall::Kind::poll, 503, "").status == WorkerReply::Status::unavailable);
   std::string many;
@@ -543,7 +544,7 @@
   const auto full = reply(WorkerCall::Kind::poll, 200,
                           "{\"now_ms\":1,\"active\":[],\"finished\":[" + many + "]}");
   LONGS_EQUAL(500, full.results.size());
-  CHECK_FALSE(full.complete);  // there may be more
+  CHECK_FALSE(full.complete);  // a full list may be incomplete
 }
 
 TEST(PlatformWorkers, beats) {
@@ -568,7 +569,7 @@
         !capacity.supportsSuspend);
   CHECK(beat->registration.clockReading == WorkerTime{482'113});
   CHECK_FALSE(beat->registration.draining);
-  LONGS_EQUAL(5, beat->registration.sequence);  // counted from 1
+  LONGS_EQUAL(5, beat->registration.sequence);  // `seq` starts at 0, sequence numbers at 1
   std::string first = body;
   first.replace(first.find("\"seq\":4"), 7, "\"seq\":0");
   beat = words.decodeNotice(request("POST", "/api/Minions.Heartbeat/i-7f3a91c2", first));
@@ -638,7 +639,7 @@
   }
 }
 
-// Whatever the lists hold: an answer, and no end of the process.
+// Lists with elements of a wrong type yield an error; no exception may end the process.
 TEST(PlatformConfiguration, listsOfOtherThingsAreRefused) {
   for (const std::string body : {R"({"version":1,"routes":[],"services":["press"]})",
                                  R"({"version":1,"routes":[],"services":[null]})",
@@ -648,13 +649,14 @@
     try {
       fault = configurationFault(body);
     } catch (const std::exception& error) {
-      FAIL((body + " is thrown out by: " + error.what()).c_str());
+      FAIL((body + " throws: " + error.what()).c_str());
     }
     CHECK_TEXT(!fault.empty(), body.c_str());
   }
 }
 
-// A number past 32 bits is refused or stays large; it never comes round as a small one.
+// A number above 32 bits is rejected or clamped to a large one; it never wraps around to a small
+// one.
 TEST(PlatformJobs, largeNumbersDoNotComeRound) {
   CHECK(!jobFault(R"({"stages":[{"replicas":1,"cpu":4294967297}]})").empty());
   CHECK(
@@ -663,5 +665,5 @@
            .empty());
   auto accelerated = decodeJob(R"({"stages":[{"replicas":1,"gpus":4294967296}]})");
   CHECK_TEXT(!accelerated || accelerated.value().steps[0].tasks[0].accelerators > 0,
-             "a task that asks for accelerators asks for none");
+             "a task that requests accelerators was decoded without any");
 }
