--- a/tests/fuzz/api.cpp
+++ b/tests/fuzz/api.cpp
@@ -1,4 +1,4 @@
-// Requests of the outer interface: a line `METHOD TARGET`, then the body.
+// Fuzzes the parsing of HTTP API requests. Input: a line `METHOD TARGET`, then the body.
 #include "state/api_request.hpp"
 #include "fuzz.hpp"
 
@@ -6,7 +6,7 @@
 
 FUZZ_TARGET(bytes) {
   std::string body = bytes;
-  const std::string method = takeUntil(body, ' '), target = takeUntil(body, '\n');
+  const std::string method = takeUntilDelimiter(body, ' '), target = takeUntilDelimiter(body, '\n');
   auto request = ApiRequest::parse(method, target, body);
   (void)SyncResponse::parse(body);
   if (!request)
--- a/tests/fuzz/config.cpp
+++ b/tests/fuzz/config.cpp
@@ -1,4 +1,4 @@
-// Configurations as operators write them.
+// Fuzzes the parsing of configurations and of configuration patches. Input: the JSON text.
 #include "state/config_patch.hpp"
 #include "state/cluster_config.hpp"
 #include "fuzz.hpp"
--- a/tests/fuzz/disk.cpp
+++ b/tests/fuzz/disk.cpp
@@ -1,4 +1,4 @@
-// What a controller finds in its data folder: any bytes of a file are a record or an error.
+// Fuzzes the decoding of files in a controller's data folder: any bytes are a record or an error.
 #include "net/data_folder.hpp"
 #include "state/cluster_state.hpp"
 #include "fuzz.hpp"
@@ -15,7 +15,7 @@
   (void)unpack<ClusterState>(record.value().snapshot.state);
   for (const auto& entry : record.value().entries)
     (void)unpack<LogRecord>(entry.payload);
-  const std::string written = pack(record.value());
-  auto again = unpack<WriteAheadRecord>(written);
-  require(again.has_value() && pack(again.value()) == written);
+  const std::string encoded = pack(record.value());
+  auto decodedAgain = unpack<WriteAheadRecord>(encoded);
+  require(decodedAgain.has_value() && pack(decodedAgain.value()) == encoded);
 }
--- a/tests/fuzz/fuzz.hpp
+++ b/tests/fuzz/fuzz.hpp
@@ -1,4 +1,4 @@
-// What the fuzzers share. tests/fuzz.sh runs them.
+// Defines the entry point and helpers that the fuzzers share. tests/fuzz.sh runs the fuzzers.
 #ifndef ANISELINE_TESTS_FUZZ_FUZZ_HPP
 #define ANISELINE_TESTS_FUZZ_FUZZ_HPP
 #include <cstdint>
@@ -14,14 +14,15 @@
   }                                                                                   \
   static void run(const std::string& bytes)
 
-inline void require(bool holds) {
-  if (!holds)
+inline void require(bool condition) {
+  if (!condition)
     std::abort();
 }
 
-// Takes the text up to the mark off the front.
-inline std::string takeUntil(std::string& rest, char mark) {
-  const auto end = rest.find(mark);
+// Removes the text up to and including the first `delimiter` from the front of `rest`, and returns
+// it without the delimiter.
+inline std::string takeUntilDelimiter(std::string& rest, char delimiter) {
+  const auto end = rest.find(delimiter);
   const std::string taken = rest.substr(0, end);
   rest = end == std::string::npos ? "" : rest.substr(end + 1);
   return taken;
--- a/tests/fuzz/seeds.cpp
+++ b/tests/fuzz/seeds.cpp
@@ -1,4 +1,4 @@
-// Writes the seeds of the binary formats as this version writes them: seeds FOLDER.
+// Writes seed inputs of the binary formats in the encoding of this version. Usage: seeds FOLDER.
 #include "net/data_folder.hpp"
 #include "net/wire.hpp"
 #include <filesystem>
@@ -32,21 +32,21 @@
 
 }  // namespace
 
-int main(int count, char** values) {
-  if (count != 2) {
+int main(int argc, char** argv) {
+  if (argc != 2) {
     std::cerr << "seeds FOLDER\n";
     return 2;
   }
-  const std::string folder = values[1];
-  std::size_t place = 0;
+  const std::string folder = argv[1];
+  std::size_t fileNumber = 0;
   for (const auto& body : wireBodies())
-    write(folder + "/wire", std::to_string(++place), pack(WireMessage{7, body}));
-  for (bool whole : {false, true}) {
+    write(folder + "/wire", std::to_string(++fileNumber), pack(WireMessage{7, body}));
+  for (bool withSnapshot : {false, true}) {
     WriteAheadRecord record;
     record.version = DiskVersion{1};
-    record.holdsSnapshot = whole;
+    record.holdsSnapshot = withSnapshot;
     record.entries = {LogEntry{Term{1}, false, "payload"}};
-    write(folder + "/disk", whole ? "snapshot" : "log", pack(record));
+    write(folder + "/disk", withSnapshot ? "snapshot" : "log", pack(record));
   }
   return 0;
 }
--- a/tests/fuzz/wire.cpp
+++ b/tests/fuzz/wire.cpp
@@ -1,5 +1,5 @@
-// Frames between our processes: any bytes are a message or an error, and a message that was read is
-// written as the same bytes again.
+// Fuzzes the decoding of frames between aniseline's processes: any bytes are a message or an error,
+// and a decoded message is always encoded to the same bytes.
 #include "net/wire.hpp"
 #include "fuzz.hpp"
 
@@ -7,11 +7,11 @@
 
 FUZZ_TARGET(bytes) {
   (void)decode(bytes);
-  // The checksum would turn away nearly all: the body is read as if it had been right.
+  // The checksum would reject nearly all inputs, so the body is decoded without it.
   auto message = unpack<WireMessage>(bytes);
   if (!message)
     return;
-  const std::string written = encode(message.value());
-  auto again = decode(written);
-  require(again.has_value() && encode(again.value()) == written);
+  const std::string encoded = encode(message.value());
+  auto decodedAgain = decode(encoded);
+  require(decodedAgain.has_value() && encode(decodedAgain.value()) == encoded);
 }
--- a/tests/fuzz/worker.cpp
+++ b/tests/fuzz/worker.cpp
@@ -1,5 +1,5 @@
-// What an agent and its worker say to each other: a line of the target or the answer's status, then
-// the body.
+// Fuzzes the messages between an agent and its worker. Input: a line with the request's target or
+// the response's status, then the body.
 #include "net/json_worker_protocol.hpp"
 #include "fuzz.hpp"
 
@@ -7,7 +7,7 @@
 
 FUZZ_TARGET(bytes) {
   std::string body = bytes;
-  const std::string target = takeUntil(body, '\n');
+  const std::string target = takeUntilDelimiter(body, '\n');
   const HttpRequest request{"POST", target, body};
   const WorkerProtocol protocol = jsonWorkerProtocol();
   (void)protocol.decodeNotice(request);
