--- a/source/daemons/agent_daemon.cpp
+++ b/source/daemons/agent_daemon.cpp
@@ -57,7 +57,7 @@
   }
 
  private:
-  // --- the loop ---
+  // --- event loop ---
 
   void runOnce() {
     const MonotonicTime now = monotonicNow();
--- a/source/daemons/gateway_daemon.cpp
+++ b/source/daemons/gateway_daemon.cpp
@@ -80,7 +80,7 @@
                                Duration{settings.unreadyNoticeMilliseconds});
   }
 
-  // --- the route, on the main thread ---
+  // --- route updates, on the main thread ---
 
   void followRouteUntil(const std::function<bool()>& done, Duration pollInterval) {
     MonotonicTime refreshAt = monotonicNow();
--- a/tests/platform_tenant_tests.cpp
+++ b/tests/platform_tenant_tests.cpp
@@ -8,10 +8,10 @@
 // list of tenants. Version 12 was in effect, because the same controllers rejected a path that it
 // had removed at once, and a key that no version had ever contained was accepted as well.
 //
-// A tenant exceeded its cap. A tenant ran 230 cores at once, though its cap allowed 180 plus the
-// task that exceeds it. One or several wide jobs reached an idle fleet, and every task was started.
-// The cause: the planner did not know tenants. The number of starts depended only on the free
-// capacity of the workers and did not change with the cap.
+// A tenant exceeded its cap. A tenant ran 230 cores at once, though its cap allowed 180 plus one
+// task that crosses the limit. One or several wide jobs reached an idle fleet, and every task was
+// started. The cause: the planner did not know tenants. The number of starts depended only on the
+// free capacity of the workers and did not change with the cap.
 #include "controller/controller_cluster.hpp"
 #include "platform/configuration_codec.hpp"
 #include "platform/request_codec.hpp"
@@ -102,8 +102,8 @@
       currentVersion = version;
     return status;
   }
-  int call(const std::string& method, const std::string& target, const std::string& authorization,
-           const std::string& body = "") {
+  int sendRequest(const std::string& method, const std::string& target,
+                  const std::string& authorization, const std::string& body = "") {
     HttpRequest request{method, target, body, {{"host", "press.example"}}};
     if (!authorization.empty())
       request.headers.emplace_back("authorization", authorization);
@@ -120,7 +120,7 @@
   // Submits a new job and returns the status of the response.
   int submit(const std::string& path, const std::string& key,
              const std::string& body = jobJson(1, 100)) {
-    return call("POST", path + nextJobId(), key.empty() ? "" : "Bearer " + key, body);
+    return sendRequest("POST", path + nextJobId(), key.empty() ? "" : "Bearer " + key, body);
   }
   // Sends an agent's report of its worker, which has applied the orders up to `applied`.
   void syncWorker(const std::string& id, std::uint32_t cores, OrderNumber applied = {}) {
@@ -160,7 +160,7 @@
   TenantFleet fleet;
 };
 
-TEST(RevokedKeyTests, aKeyThatTheNewestConfigurationLacksRunsNothing) {
+TEST(RevokedKeyTests, rejectsKeyThatTheNewestConfigurationLacks) {
   LONGS_EQUAL(200, fleet.configure(8, {routeJson(protectedPath), routeJson(removedPath)},
                                    {{"orchard", {orchardKey, orchardSecondKey}}}));
   LONGS_EQUAL(200, fleet.submit(protectedPath, orchardKey));
@@ -178,7 +178,7 @@
   TenantFleet fleet;
 };
 
-TEST(TenantCapTests, aWideJobOnAnIdleFleetIsStartedUpToItsTenantsCap) {
+TEST(TenantCapTests, startsWideJobOnIdleFleetUpToTenantCap) {
   LONGS_EQUAL(200, fleet.configure(5, {routeJson(protectedPath)},
                                    {{"orchard", {orchardKey}, 20'000}, {"brewery", {breweryKey}}}));
   fleet.syncWorker("a", 64'000);
@@ -190,7 +190,7 @@
   LONGS_EQUAL(80'000, fleet.coresRunningAfterPlans());
 }
 
-TEST(TenantCapTests, severalJobsOfATenantCountTogether) {
+TEST(TenantCapTests, capAppliesToAllJobsOfATenantTogether) {
   LONGS_EQUAL(200, fleet.configure(5, {routeJson(protectedPath)},
                                    {{"orchard", {orchardKey, orchardSecondKey}, 20'000, 1500}}));
   fleet.syncWorker("a", 64'000);
@@ -203,13 +203,13 @@
 
 // A new leader derives its state from the replicated log, so it counts the tasks that the previous
 // leader started, whether they are running or still being started.
-TEST(TenantCapTests, aNewLeaderCountsWhatTheOneBeforeHasStarted) {
+TEST(TenantCapTests, newLeaderCountsTasksStartedByThePreviousLeader) {
   LONGS_EQUAL(200,
               fleet.configure(5, {routeJson(protectedPath)}, {{"orchard", {orchardKey}, 20'000}}));
   fleet.syncWorker("a", 64'000);
   LONGS_EQUAL(200, fleet.submit(protectedPath, orchardKey, jobJson(60, 1000)));
   LONGS_EQUAL(20'000, fleet.coresRunningAfterPlans());
-  for (int change = 0; change < 3; ++change) {
+  for (int leaderChange = 0; leaderChange < 3; ++leaderChange) {
     const std::size_t leader = fleet.cluster.leader();
     fleet.cluster.kill(leader);
     fleet.cluster.run(3000);
@@ -219,7 +219,7 @@
   }
 }
 
-TEST(TenantCapTests, aLowerCapStopsFurtherStartsAndAHigherOneLetsThemGoOn) {
+TEST(TenantCapTests, loweringTheCapStopsStartsAndRaisingItResumesThem) {
   const std::vector<std::string> routes{routeJson(protectedPath)};
   LONGS_EQUAL(200, fleet.configure(5, routes, {{"orchard", {orchardKey}, 20'000}}));
   fleet.syncWorker("a", 64'000);
@@ -231,23 +231,23 @@
   LONGS_EQUAL(30'000, fleet.coresRunningAfterPlans());
 }
 
-TEST(RevokedKeyTests, aKeyMayBeSentInAnyFormOfTheHeaderThatNamesIt) {
+TEST(RevokedKeyTests, acceptsBearerSchemeInAnyCaseAndSpacing) {
   LONGS_EQUAL(200, fleet.configure(8, {routeJson(protectedPath), routeJson(publicPath, true)},
                                    {{"orchard", {orchardKey}}}));
   const std::string path = protectedPath + fleet.nextJobId();
   const std::string body = jobJson(1, 100);
-  LONGS_EQUAL(200, fleet.call("POST", path, std::string("Bearer ") + orchardKey, body));
-  LONGS_EQUAL(200, fleet.call("GET", path, std::string("bearer  ") + orchardKey));
-  LONGS_EQUAL(401, fleet.call("GET", path, std::string("Basic ") + orchardKey));
-  LONGS_EQUAL(401, fleet.call("GET", path, orchardKey));
-  LONGS_EQUAL(401, fleet.call("GET", path, "Bearer "));
-  LONGS_EQUAL(401, fleet.call("GET", path, ""));
-  LONGS_EQUAL(401, fleet.call("DELETE", path, std::string("Bearer ") + breweryKey));
+  LONGS_EQUAL(200, fleet.sendRequest("POST", path, std::string("Bearer ") + orchardKey, body));
+  LONGS_EQUAL(200, fleet.sendRequest("GET", path, std::string("bearer  ") + orchardKey));
+  LONGS_EQUAL(401, fleet.sendRequest("GET", path, std::string("Basic ") + orchardKey));
+  LONGS_EQUAL(401, fleet.sendRequest("GET", path, orchardKey));
+  LONGS_EQUAL(401, fleet.sendRequest("GET", path, "Bearer "));
+  LONGS_EQUAL(401, fleet.sendRequest("GET", path, ""));
+  LONGS_EQUAL(401, fleet.sendRequest("DELETE", path, std::string("Bearer ") + breweryKey));
   LONGS_EQUAL(200, fleet.submit(publicPath, ""));
   LONGS_EQUAL(404, fleet.submit("/nowhere/", orchardKey));
 }
 
-TEST(RevokedKeyTests, aConfigurationWithoutTenantsAsksForNoKeys) {
+TEST(RevokedKeyTests, configurationWithoutTenantsRequiresNoKeys) {
   HttpRequest request{"POST", "/api/Config.Replace",
                       R"({"version":3,"routes":[)" + routeJson(protectedPath) +
                           R"(],"services":[{"name":"press"}]})"};
@@ -261,14 +261,14 @@
   TenantFleet fleet;
   const std::vector<std::string> routes{routeJson(protectedPath)};
 
-  static std::string faultOf(const std::string& tenants) {
-    const auto read = decodeConfiguration(
+  static std::string configurationErrors(const std::string& tenants) {
+    const auto decoded = decodeConfiguration(
         R"({"version":7,"routes":[],"services":[],"tenants":)" + tenants + "}", settings());
-    return read ? "" : read.error().text();
+    return decoded ? "" : decoded.error().text();
   }
 };
 
-TEST(TenantConfigurationTests, aKeyOfTwoTenantsMakesItInvalid) {
+TEST(TenantConfigurationTests, rejectsKeySharedByTwoTenants) {
   LONGS_EQUAL(200, fleet.configure(5, routes, {{"orchard", {orchardKey}}}));
   LONGS_EQUAL(400,
               fleet.configure(7, routes, {{"orchard", {orchardKey}}, {"brewery", {orchardKey}}}));
@@ -277,24 +277,25 @@
                                    {{"orchard", {orchardSecondKey}}, {"brewery", {orchardKey}}}));
 }
 
-TEST(TenantConfigurationTests, whatCannotBeReadWholeIsInvalidByItsPath) {
-  STRCMP_EQUAL("/tenants: must be a list", faultOf("{}").c_str());
-  STRCMP_EQUAL("/tenants/0/name: is missing", faultOf("[{}]").c_str());
-  STRCMP_EQUAL("/tenants/0/name: is missing", faultOf("[7]").c_str());
+TEST(TenantConfigurationTests, errorsNameThePathOfTheInvalidField) {
+  STRCMP_EQUAL("/tenants: must be a list", configurationErrors("{}").c_str());
+  STRCMP_EQUAL("/tenants/0/name: is missing", configurationErrors("[{}]").c_str());
+  STRCMP_EQUAL("/tenants/0/name: is missing", configurationErrors("[7]").c_str());
   STRCMP_EQUAL("/tenants/0/api_keys: must be a list",
-               faultOf(R"([{"name":"a","api_keys":"k"}])").c_str());
+               configurationErrors(R"([{"name":"a","api_keys":"k"}])").c_str());
   STRCMP_EQUAL("/tenants/0/api_keys: must contain only non-empty strings",
-               faultOf(R"([{"name":"a","api_keys":[""]}])").c_str());
+               configurationErrors(R"([{"name":"a","api_keys":[""]}])").c_str());
   STRCMP_EQUAL("/tenants/1: tenant a stands twice",
-               faultOf(R"([{"name":"a"},{"name":"a"}])").c_str());
-  STRCMP_EQUAL("", faultOf(R"([{"name":"a","api_keys":["k","l"]},{"name":"b"}])").c_str());
+               configurationErrors(R"([{"name":"a"},{"name":"a"}])").c_str());
+  STRCMP_EQUAL("",
+               configurationErrors(R"([{"name":"a","api_keys":["k","l"]},{"name":"b"}])").c_str());
 }
 
-TEST(TenantConfigurationTests, capsAreReadInThousandthsOfACoreAndMegabytes) {
-  const auto read = decodeConfiguration(
+TEST(TenantConfigurationTests, decodesCapsInThousandthsOfACoreAndMegabytes) {
+  const auto decoded = decodeConfiguration(
       R"({"version":7,"routes":[],"services":[],"tenants":[{"name":"a","weight":10,"cap":{"cpu":1500,"mem_mb":2048,"gpus":3}}]})",
       settings());
-  const TenantOptions& tenant = *read.value().tenants.find(TenantName{"a"});
+  const TenantOptions& tenant = *decoded.value().tenants.find(TenantName{"a"});
   LONGS_EQUAL(1500, tenant.cap.cores);
   LONGS_EQUAL(2048, tenant.cap.memory);
   LONGS_EQUAL(3, tenant.cap.accelerators);
@@ -302,7 +303,7 @@
 }
 
 // A patch adds and removes tenants by name, like routes.
-TEST(TenantConfigurationTests, aPatchAddsAndRemovesTenants) {
+TEST(TenantConfigurationTests, patchAddsAndRemovesTenants) {
   ControllerOptions options;
   options.parseConfig = [](const std::string& text) {
     return decodeConfiguration(text, settings());
