--- a/tests/platform_tenant_tests.cpp
+++ b/tests/platform_tenant_tests.cpp
@@ -1,19 +1,17 @@
-// Two incidents, brought about as users met them: requests as clients and operators send them, the
-// controllers that judge them, and the answers as clients read them; only sockets and clocks are
-// left out.
+// Tests API keys and tenant caps through the platform's requests and responses and a cluster of
+// controllers, without sockets and real clocks. Two incidents are reproduced:
 //
-// A revoked key that was still good. Users saw requests answered 200 seconds after a configuration
-// without their key had been acknowledged, on processes that had been well all the time. The order:
-// version 8 was acknowledged with the key, version 12 without it half a second later, and requests
-// of 2.6 and 4.8 s after that were taken. Evidence of the cause: the same controllers refused a
-// path that version 12 had removed at once, so the configuration was in force; and a key that no
-// version had ever held was taken as well. No code read the header `Authorization` or the list of
-// tenants.
+// Revoked keys were accepted. Requests with a revoked key were accepted, with status 200, seconds
+// after the configuration that removed the key was acknowledged, by processes that had been healthy
+// throughout: version 8 had the key, version 12 removed it half a second later, and requests 2.6 s
+// and 4.8 s after that were accepted. The cause: no code read the header `Authorization` or the
+// list of tenants. Version 12 was in effect, because the same controllers rejected a path that it
+// had removed at once, and a key that no version had ever contained was accepted as well.
 //
-// A tenant above its cap. Users saw one tenant run 230 cores at once where it might have 180 and
-// the task that goes over it. The order: one wide job, or several, came on an idle fleet, and every
-// task was started. Evidence of the cause: the number of starts followed what the workers had free,
-// and changed in nothing with the cap. The planner knew no tenants.
+// A tenant exceeded its cap. A tenant ran 230 cores at once, though its cap allowed 180 plus one
+// task that crosses the limit. One or several wide jobs reached an idle fleet, and every task was
+// started. The cause: the planner did not know tenants. The number of starts depended only on the
+// free capacity of the workers and did not change with the cap.
 #include "controller/controller_cluster.hpp"
 #include "platform/configuration_codec.hpp"
 #include "platform/request_codec.hpp"
@@ -104,8 +102,8 @@
       currentVersion = version;
     return status;
   }
-  int call(const std::string& method, const std::string& target, const std::string& authorization,
-           const std::string& body = "") {
+  int sendRequest(const std::string& method, const std::string& target,
+                  const std::string& authorization, const std::string& body = "") {
     HttpRequest request{method, target, body, {{"host", "press.example"}}};
     if (!authorization.empty())
       request.headers.emplace_back("authorization", authorization);
@@ -119,12 +117,12 @@
     id << std::hex << 0x5c0e7a2100000000 + ++lastJob;
     return id.str();
   }
-  // The status of a submission of a new job.
+  // Submits a new job and returns the status of the response.
   int submit(const std::string& path, const std::string& key,
              const std::string& body = jobJson(1, 100)) {
-    return call("POST", path + nextJobId(), key.empty() ? "" : "Bearer " + key, body);
+    return sendRequest("POST", path + nextJobId(), key.empty() ? "" : "Bearer " + key, body);
   }
-  // An agent's report of its worker, which has applied all orders and runs what they started.
+  // Sends an agent's report of its worker, which has applied the orders up to `applied`.
   void syncWorker(const std::string& id, std::uint32_t cores, OrderNumber applied = {}) {
     ApiRequest request;
     request.kind = RequestKind::syncWorker;
@@ -147,7 +145,7 @@
       cores += attempt.cores;
     return cores;
   }
-  // What runs once the workers have been heard and plans were made.
+  // Returns the cores of running tasks after several rounds of worker reports and planning.
   std::uint64_t coresRunningAfterPlans() {
     for (int round = 0; round < 5; ++round) {
       syncWorker("a", 64'000);
@@ -162,7 +160,7 @@
   TenantFleet fleet;
 };
 
-TEST(RevokedKeyTests, aKeyThatTheNewestConfigurationLacksRunsNothing) {
+TEST(RevokedKeyTests, rejectsKeyThatTheNewestConfigurationLacks) {
   LONGS_EQUAL(200, fleet.configure(8, {routeJson(protectedPath), routeJson(removedPath)},
                                    {{"orchard", {orchardKey, orchardSecondKey}}}));
   LONGS_EQUAL(200, fleet.submit(protectedPath, orchardKey));
@@ -170,7 +168,7 @@
 
   LONGS_EQUAL(200,
               fleet.configure(12, {routeJson(protectedPath)}, {{"orchard", {orchardSecondKey}}}));
-  // The configuration is in force: its routes are.
+  // The new configuration is in effect, because the route that it removed is rejected.
   LONGS_EQUAL(404, fleet.submit(removedPath, orchardSecondKey));
   LONGS_EQUAL(401, fleet.submit(protectedPath, orchardKey));
   LONGS_EQUAL(200, fleet.submit(protectedPath, orchardSecondKey));
@@ -180,38 +178,38 @@
   TenantFleet fleet;
 };
 
-TEST(TenantCapTests, aWideJobOnAnIdleFleetIsStartedUpToItsTenantsCap) {
+TEST(TenantCapTests, startsWideJobOnIdleFleetUpToTenantCap) {
   LONGS_EQUAL(200, fleet.configure(5, {routeJson(protectedPath)},
                                    {{"orchard", {orchardKey}, 20'000}, {"brewery", {breweryKey}}}));
   fleet.syncWorker("a", 64'000);
   fleet.syncWorker("b", 64'000);
   LONGS_EQUAL(200, fleet.submit(protectedPath, orchardKey, jobJson(60, 1000)));
   LONGS_EQUAL(20'000, fleet.coresRunningAfterPlans());
-  // Of a tenant without a cap all that fits is started.
+  // All tasks of a tenant without a cap are started if they fit.
   LONGS_EQUAL(200, fleet.submit(protectedPath, breweryKey, jobJson(60, 1000)));
   LONGS_EQUAL(80'000, fleet.coresRunningAfterPlans());
 }
 
-TEST(TenantCapTests, severalJobsOfATenantCountTogether) {
+TEST(TenantCapTests, capAppliesToAllJobsOfATenantTogether) {
   LONGS_EQUAL(200, fleet.configure(5, {routeJson(protectedPath)},
                                    {{"orchard", {orchardKey, orchardSecondKey}, 20'000, 1500}}));
   fleet.syncWorker("a", 64'000);
   fleet.syncWorker("b", 64'000);
   for (const char* key : {orchardKey, orchardSecondKey, orchardKey})
     LONGS_EQUAL(200, fleet.submit(protectedPath, key, jobJson(6, 1000)));
-  // 15 tasks of 100 MB each hold all the memory of the cap, though cores are left.
+  // 15 tasks of 100 MB each use up the cap's memory, although cores are left.
   LONGS_EQUAL(15'000, fleet.coresRunningAfterPlans());
 }
 
-// Its own state is the log's: what the leader before it has started is counted, whether it runs or
-// is on its way.
-TEST(TenantCapTests, aNewLeaderCountsWhatTheOneBeforeHasStarted) {
+// A new leader derives its state from the replicated log, so it counts the tasks that the previous
+// leader started, whether they are running or still being started.
+TEST(TenantCapTests, newLeaderCountsTasksStartedByThePreviousLeader) {
   LONGS_EQUAL(200,
               fleet.configure(5, {routeJson(protectedPath)}, {{"orchard", {orchardKey}, 20'000}}));
   fleet.syncWorker("a", 64'000);
   LONGS_EQUAL(200, fleet.submit(protectedPath, orchardKey, jobJson(60, 1000)));
   LONGS_EQUAL(20'000, fleet.coresRunningAfterPlans());
-  for (int change = 0; change < 3; ++change) {
+  for (int leaderChange = 0; leaderChange < 3; ++leaderChange) {
     const std::size_t leader = fleet.cluster.leader();
     fleet.cluster.kill(leader);
     fleet.cluster.run(3000);
@@ -221,7 +219,7 @@
   }
 }
 
-TEST(TenantCapTests, aLowerCapStopsFurtherStartsAndAHigherOneLetsThemGoOn) {
+TEST(TenantCapTests, loweringTheCapStopsStartsAndRaisingItResumesThem) {
   const std::vector<std::string> routes{routeJson(protectedPath)};
   LONGS_EQUAL(200, fleet.configure(5, routes, {{"orchard", {orchardKey}, 20'000}}));
   fleet.syncWorker("a", 64'000);
@@ -233,23 +231,23 @@
   LONGS_EQUAL(30'000, fleet.coresRunningAfterPlans());
 }
 
-TEST(RevokedKeyTests, aKeyMayBeSentInAnyFormOfTheHeaderThatNamesIt) {
+TEST(RevokedKeyTests, acceptsBearerSchemeInAnyCaseAndSpacing) {
   LONGS_EQUAL(200, fleet.configure(8, {routeJson(protectedPath), routeJson(publicPath, true)},
                                    {{"orchard", {orchardKey}}}));
   const std::string path = protectedPath + fleet.nextJobId();
   const std::string body = jobJson(1, 100);
-  LONGS_EQUAL(200, fleet.call("POST", path, std::string("Bearer ") + orchardKey, body));
-  LONGS_EQUAL(200, fleet.call("GET", path, std::string("bearer  ") + orchardKey));
-  LONGS_EQUAL(401, fleet.call("GET", path, std::string("Basic ") + orchardKey));
-  LONGS_EQUAL(401, fleet.call("GET", path, orchardKey));
-  LONGS_EQUAL(401, fleet.call("GET", path, "Bearer "));
-  LONGS_EQUAL(401, fleet.call("GET", path, ""));
-  LONGS_EQUAL(401, fleet.call("DELETE", path, std::string("Bearer ") + breweryKey));
+  LONGS_EQUAL(200, fleet.sendRequest("POST", path, std::string("Bearer ") + orchardKey, body));
+  LONGS_EQUAL(200, fleet.sendRequest("GET", path, std::string("bearer  ") + orchardKey));
+  LONGS_EQUAL(401, fleet.sendRequest("GET", path, std::string("Basic ") + orchardKey));
+  LONGS_EQUAL(401, fleet.sendRequest("GET", path, orchardKey));
+  LONGS_EQUAL(401, fleet.sendRequest("GET", path, "Bearer "));
+  LONGS_EQUAL(401, fleet.sendRequest("GET", path, ""));
+  LONGS_EQUAL(401, fleet.sendRequest("DELETE", path, std::string("Bearer ") + breweryKey));
   LONGS_EQUAL(200, fleet.submit(publicPath, ""));
   LONGS_EQUAL(404, fleet.submit("/nowhere/", orchardKey));
 }
 
-TEST(RevokedKeyTests, aConfigurationWithoutTenantsAsksForNoKeys) {
+TEST(RevokedKeyTests, configurationWithoutTenantsRequiresNoKeys) {
   HttpRequest request{"POST", "/api/Config.Replace",
                       R"({"version":3,"routes":[)" + routeJson(protectedPath) +
                           R"(],"services":[{"name":"press"}]})"};
@@ -263,14 +261,14 @@
   TenantFleet fleet;
   const std::vector<std::string> routes{routeJson(protectedPath)};
 
-  static std::string faultOf(const std::string& tenants) {
-    const auto read = decodeConfiguration(
+  static std::string configurationErrors(const std::string& tenants) {
+    const auto decoded = decodeConfiguration(
         R"({"version":7,"routes":[],"services":[],"tenants":)" + tenants + "}", settings());
-    return read ? "" : read.error().text();
+    return decoded ? "" : decoded.error().text();
   }
 };
 
-TEST(TenantConfigurationTests, aKeyOfTwoTenantsMakesItInvalid) {
+TEST(TenantConfigurationTests, rejectsKeySharedByTwoTenants) {
   LONGS_EQUAL(200, fleet.configure(5, routes, {{"orchard", {orchardKey}}}));
   LONGS_EQUAL(400,
               fleet.configure(7, routes, {{"orchard", {orchardKey}}, {"brewery", {orchardKey}}}));
@@ -279,32 +277,33 @@
                                    {{"orchard", {orchardSecondKey}}, {"brewery", {orchardKey}}}));
 }
 
-TEST(TenantConfigurationTests, whatCannotBeReadWholeIsInvalidByItsPath) {
-  STRCMP_EQUAL("/tenants: must be a list", faultOf("{}").c_str());
-  STRCMP_EQUAL("/tenants/0/name: is missing", faultOf("[{}]").c_str());
-  STRCMP_EQUAL("/tenants/0/name: is missing", faultOf("[7]").c_str());
+TEST(TenantConfigurationTests, errorsNameThePathOfTheInvalidField) {
+  STRCMP_EQUAL("/tenants: must be a list", configurationErrors("{}").c_str());
+  STRCMP_EQUAL("/tenants/0/name: is missing", configurationErrors("[{}]").c_str());
+  STRCMP_EQUAL("/tenants/0/name: is missing", configurationErrors("[7]").c_str());
   STRCMP_EQUAL("/tenants/0/api_keys: must be a list",
-               faultOf(R"([{"name":"a","api_keys":"k"}])").c_str());
-  STRCMP_EQUAL("/tenants/0/api_keys: must hold texts that are not empty",
-               faultOf(R"([{"name":"a","api_keys":[""]}])").c_str());
+               configurationErrors(R"([{"name":"a","api_keys":"k"}])").c_str());
+  STRCMP_EQUAL("/tenants/0/api_keys: must contain only non-empty strings",
+               configurationErrors(R"([{"name":"a","api_keys":[""]}])").c_str());
   STRCMP_EQUAL("/tenants/1: tenant a stands twice",
-               faultOf(R"([{"name":"a"},{"name":"a"}])").c_str());
-  STRCMP_EQUAL("", faultOf(R"([{"name":"a","api_keys":["k","l"]},{"name":"b"}])").c_str());
+               configurationErrors(R"([{"name":"a"},{"name":"a"}])").c_str());
+  STRCMP_EQUAL("",
+               configurationErrors(R"([{"name":"a","api_keys":["k","l"]},{"name":"b"}])").c_str());
 }
 
-TEST(TenantConfigurationTests, capsAreReadInThousandthsOfACoreAndMegabytes) {
-  const auto read = decodeConfiguration(
+TEST(TenantConfigurationTests, decodesCapsInThousandthsOfACoreAndMegabytes) {
+  const auto decoded = decodeConfiguration(
       R"({"version":7,"routes":[],"services":[],"tenants":[{"name":"a","weight":10,"cap":{"cpu":1500,"mem_mb":2048,"gpus":3}}]})",
       settings());
-  const TenantOptions& tenant = *read.value().tenants.find(TenantName{"a"});
+  const TenantOptions& tenant = *decoded.value().tenants.find(TenantName{"a"});
   LONGS_EQUAL(1500, tenant.cap.cores);
   LONGS_EQUAL(2048, tenant.cap.memory);
   LONGS_EQUAL(3, tenant.cap.accelerators);
   DOUBLES_EQUAL(10, tenant.weight, 0);
 }
 
-// A patch names tenants as it names routes.
-TEST(TenantConfigurationTests, aPatchAddsAndRemovesTenants) {
+// A patch adds and removes tenants by name, like routes.
+TEST(TenantConfigurationTests, patchAddsAndRemovesTenants) {
   ControllerOptions options;
   options.parseConfig = [](const std::string& text) {
     return decodeConfiguration(text, settings());
