--- a/programs/model_check.cpp
+++ b/programs/model_check.cpp
@@ -47,7 +47,7 @@
     good = tell(start, report);
   }
   if (bounds.walks.walks > 0) {
-    const auto open = model::widenForWalks(start, outcomes);
+    const auto open = model::withWalkOptions(start, outcomes);
     const auto report = model::searchRandomly(open, bounds.walks);
     show("walks", scenario.name, report);
     good = tell(open, report) && good;
--- a/source/checker/config_order_checker.cpp
+++ b/source/checker/config_order_checker.cpp
@@ -12,14 +12,14 @@
   if (event.digest.empty())
     return observeUnidentified(event);
   const std::string identity = identityOf(event);
-  auto [place, isNew] = orders.try_emplace(identity);
+  auto [found, isNew] = orders.try_emplace(identity);
   if (isNew)
-    place->second.newestWhenFirstSent = newestVersion;
+    found->second.newestWhenFirstSent = newestVersion;
   switch (event.kind) {
     case HistoryEvent::Kind::configAcknowledged:
-      return onAcknowledged(event, place->second);
+      return onAcknowledged(event, found->second);
     case HistoryEvent::Kind::configRejected:
-      return onRejected(event, place->second);
+      return onRejected(event, found->second);
     default:
       return std::nullopt;
   }
@@ -46,12 +46,12 @@
     return identity + " was acknowledged as " + std::to_string(order.version) + " and as " +
            version;
   order.version = event.version;
-  const auto ofVersion = orderByVersion.try_emplace(event.version, identity).first;
-  if (ofVersion->second != identity)
-    return ofVersion->second + " and " + identity + " were both acknowledged as " + version;
-  const auto ofBase = orderByBase.try_emplace(event.baseVersion, identity).first;
-  if (ofBase->second != identity)
-    return ofBase->second + " and " + identity + " were both acknowledged";
+  const auto versionOwner = orderByVersion.try_emplace(event.version, identity).first;
+  if (versionOwner->second != identity)
+    return versionOwner->second + " and " + identity + " were both acknowledged as " + version;
+  const auto baseOwner = orderByBase.try_emplace(event.baseVersion, identity).first;
+  if (baseOwner->second != identity)
+    return baseOwner->second + " and " + identity + " were both acknowledged";
   if (event.version <= order.newestWhenFirstSent)
     return identity + " was acknowledged as " + version + " though it was first sent after " +
            std::to_string(order.newestWhenFirstSent) + " was acknowledged";
--- a/source/checker/history.cpp
+++ b/source/checker/history.cpp
@@ -27,44 +27,44 @@
 }
 
 std::string HistoryEvent::toJsonLine() const {
-  picojson::object shown{{"at", picojson::value(double(timestamp))},
-                         {"kind", picojson::value(name(kind))}};
-  auto add = [&](const char* field, const std::string& text) {
+  picojson::object fields{{"at", picojson::value(double(timestamp))},
+                          {"kind", picojson::value(name(kind))}};
+  auto addText = [&](const char* field, const std::string& text) {
     if (!text.empty())
-      shown[field] = picojson::value(text);
+      fields[field] = picojson::value(text);
   };
   auto addNumber = [&](const char* field, double number) {
     if (number != 0)
-      shown[field] = picojson::value(number);
+      fields[field] = picojson::value(number);
   };
-  add("job", job);
-  add("worker", worker);
-  add("attempt", attempt);
-  add("detail", detail);
+  addText("job", job);
+  addText("worker", worker);
+  addText("attempt", attempt);
+  addText("detail", detail);
   addNumber("task", task);
   addNumber("version", double(version));
   addNumber("cores", cores);
   addNumber("memory_mb", double(memory));
   if (trial)
-    shown["trial"] = picojson::value(true);
+    fields["trial"] = picojson::value(true);
   if (enforcesCapacity)
-    shown["guards"] = picojson::value(true);
+    fields["guards"] = picojson::value(true);
   if (executedLate)
-    shown["late"] = picojson::value(true);
+    fields["late"] = picojson::value(true);
   addNumber("accelerators", accelerators);
-  add("payload", payload);
-  add("saved", checkpoint);
-  add("pool", pool);
+  addText("payload", payload);
+  addText("saved", checkpoint);
+  addText("pool", pool);
   if (!labels.empty()) {
     picojson::array listed;
     for (const auto& label : labels)
       listed.push_back(picojson::value(label));
-    shown["labels"] = picojson::value(listed);
+    fields["labels"] = picojson::value(listed);
   }
   addNumber("since", double(invokedAt));
   addNumber("base", double(baseVersion));
-  add("digest", digest);
-  return picojson::value(shown).serialize();
+  addText("digest", digest);
+  return picojson::value(fields).serialize();
 }
 
 std::optional<HistoryEvent> HistoryEvent::parseJsonLine(const std::string& line) {
@@ -72,7 +72,7 @@
   if (!parseJson(root, line).empty() || !root.is<picojson::object>())
     return std::nullopt;
   const auto& object = root.get<picojson::object>();
-  auto words = [&](const char* field) {
+  auto textField = [&](const char* field) {
     auto found = object.find(field);
     return found != object.end() && found->second.is<std::string>()
                ? found->second.get<std::string>()
@@ -82,12 +82,12 @@
     auto found = object.find(field);
     return found != object.end() && found->second.is<double>() ? found->second.get<double>() : 0.0;
   };
-  auto flag = [&](const char* field) {
+  auto flagField = [&](const char* field) {
     auto found = object.find(field);
     return found != object.end() && found->second.is<bool>() && found->second.get<bool>();
   };
   HistoryEvent event;
-  const std::string kind = words("kind");
+  const std::string kind = textField("kind");
   std::size_t index = 0;
   while (index < std::size(kindNames) && kind != kindNames[index])
     ++index;
@@ -95,24 +95,24 @@
     return std::nullopt;
   event.kind = Kind(index);
   event.timestamp = std::int64_t(number("at"));
-  event.job = words("job");
+  event.job = textField("job");
   event.task = std::uint32_t(number("task"));
-  event.worker = words("worker");
-  event.attempt = words("attempt");
-  event.detail = words("detail");
+  event.worker = textField("worker");
+  event.attempt = textField("attempt");
+  event.detail = textField("detail");
   event.version = std::uint64_t(number("version"));
   event.cores = std::uint32_t(number("cores"));
   event.memory = std::uint64_t(number("memory_mb"));
-  event.trial = flag("trial");
-  event.enforcesCapacity = flag("guards");
-  event.executedLate = flag("late");
+  event.trial = flagField("trial");
+  event.enforcesCapacity = flagField("guards");
+  event.executedLate = flagField("late");
   event.accelerators = std::uint32_t(number("accelerators"));
-  event.payload = words("payload");
-  event.checkpoint = words("saved");
-  event.pool = words("pool");
+  event.payload = textField("payload");
+  event.checkpoint = textField("saved");
+  event.pool = textField("pool");
   event.invokedAt = std::int64_t(number("since"));
   event.baseVersion = std::uint64_t(number("base"));
-  event.digest = words("digest");
+  event.digest = textField("digest");
   if (auto found = object.find("labels");
       found != object.end() && found->second.is<picojson::array>())
     for (const auto& label : found->second.get<picojson::array>())
@@ -121,32 +121,33 @@
 }
 
 Result<std::vector<HistoryEvent>, HistoryError> readHistory(const std::string& file,
-                                                            const std::string& text, bool atWork) {
+                                                            const std::string& text,
+                                                            bool stillWriting) {
   std::vector<HistoryEvent> history;
   std::istringstream stream(text);
-  std::size_t number = 0, torn = 0;
+  std::size_t number = 0, tornLine = 0;
   for (std::string line; std::getline(stream, line);) {
     ++number;
     if (line.empty())
       continue;
     auto event = HistoryEvent::parseJsonLine(line);
-    if (torn && (!event || event->kind != HistoryEvent::Kind::workerLost))
-      return HistoryError{file, torn, "is no witness' line"};
+    if (tornLine && (!event || event->kind != HistoryEvent::Kind::workerLost))
+      return HistoryError{file, tornLine, "is no witness' line"};
     if (!event) {
-      torn = number;
+      tornLine = number;
       continue;
     }
-    torn = 0;
+    tornLine = 0;
     // A writer notes what it saw in the order in which it saw it; its clock may be set a little.
     if (!history.empty() && event->timestamp + 1000 < history.back().timestamp)
       return HistoryError{file, number, "stands after a later line: the history is out of order"};
     history.push_back(std::move(*event));
   }
-  if (torn && !atWork)
-    return HistoryError{file, torn, "is no witness' line"};
+  if (tornLine && !stillWriting)
+    return HistoryError{file, tornLine, "is no witness' line"};
   if (history.empty())
     return HistoryError{file, 0, "holds no history"};
-  if (!atWork && history.back().kind != HistoryEvent::Kind::closed)
+  if (!stillWriting && history.back().kind != HistoryEvent::Kind::closed)
     return HistoryError{file, number, "is cut off: the writer's closing line is missing"};
   return history;
 }
--- a/source/checker/history.hpp
+++ b/source/checker/history.hpp
@@ -95,7 +95,7 @@
 // process vanished. Of a writer that is still at work the end may be missing.
 Result<std::vector<HistoryEvent>, HistoryError> readHistory(const std::string& file,
                                                             const std::string& text,
-                                                            bool atWork = false);
+                                                            bool stillWriting = false);
 
 }  // namespace aniseline
 
--- a/source/checker/history_operations.cpp
+++ b/source/checker/history_operations.cpp
@@ -10,25 +10,25 @@
 using Kind = HistoryEvent::Kind;
 
 // Of a call whose beginning was not noted: it may have begun at any time before its answer.
-constexpr std::int64_t longAgo = 0;
+constexpr std::int64_t unknownInvocationTime = 0;
 
 // More than any call takes from its asking to its answer.
-constexpr std::int64_t longestCall = 60'000;
+constexpr std::int64_t maxCallDurationMs = 60'000;
 
 // The calls of one kind upon one key that were asked and are not answered yet.
-class Asked {
+class PendingCalls {
  public:
-  void ask(const HistoryEvent& event) { open.push_back(event); }
+  void add(const HistoryEvent& event) { open.push_back(event); }
 
   // Takes out the call that this answers: the one asked at the time the answer tells, else the
   // first of all.
-  void answer(const HistoryEvent& event) {
-    answerOneOf(event, [](const HistoryEvent&) { return true; });
+  void removeAnswered(const HistoryEvent& event) {
+    removeFirst(event, [](const HistoryEvent&) { return true; });
   }
   // The same among the calls that bring this very configuration: others may be asked at the same
   // time.
-  void answerOrder(const HistoryEvent& event) {
-    answerOneOf(event, [&](const HistoryEvent& asked) {
+  void removeAnsweredOrder(const HistoryEvent& event) {
+    removeFirst(event, [&](const HistoryEvent& asked) {
       return asked.digest == event.digest && asked.baseVersion == event.baseVersion;
     });
   }
@@ -37,7 +37,7 @@
 
  private:
   template <class Matches>
-  void answerOneOf(const HistoryEvent& event, Matches matches) {
+  void removeFirst(const HistoryEvent& event, Matches matches) {
     auto call = std::find_if(open.begin(), open.end(), [&](const HistoryEvent& asked) {
       return matches(asked) && (event.invokedAt == 0 || asked.timestamp == event.invokedAt);
     });
@@ -48,7 +48,7 @@
   std::vector<HistoryEvent> open;
 };
 
-std::optional<JobPhase> phaseNamed(const std::string& word) {
+std::optional<JobPhase> parsePhase(const std::string& word) {
   static const std::map<std::string, JobPhase> phases = {
       {"missing", JobPhase::missing},       {"timed", JobPhase::pendingOrRunning},
       {"open", JobPhase::pendingOrRunning}, {"waiting", JobPhase::pending},
@@ -63,189 +63,189 @@
 }
 
 // Collects one history's operations.
-class Collector {
+class OperationCollector {
  public:
-  explicit Collector(const HistoryOperationsOptions& options) : options(options) {}
+  explicit OperationCollector(const HistoryOperationsOptions& options) : options(options) {}
 
   HistoryOperations collect(const std::vector<HistoryEvent>& history) {
     for (const HistoryEvent& event : history)
-      see(event);
-    leaveUnanswered();
-    keepWhatCanBeJudged();
+      observe(event);
+    addUnansweredCalls();
+    removeUndecidable();
     return std::move(found);
   }
 
  private:
-  void see(const HistoryEvent& event) {
+  void observe(const HistoryEvent& event) {
     switch (event.kind) {
       case Kind::submitted:
-        return askToSubmit(event);
+        return onSubmitted(event);
       case Kind::accepted:
-        return submitted(event, JobOutput::Kind::accepted);
+        return onSubmissionAnswered(event, JobOutput::Kind::accepted);
       case Kind::rejected:
-        return submitted(event, refusalOf(event));
+        return onSubmissionAnswered(event, rejectionKind(event));
       case Kind::outcomeUnknown:
         return;  // what was asked stays unanswered
       case Kind::stateObserved:
       case Kind::stateUnchanged:
-        return shown(event);
+        return onShown(event);
       case Kind::cancelSubmitted:
-        return cancels[event.job].ask(event);
+        return cancels[event.job].add(event);
       case Kind::cancelAcknowledged:
-        return cancelled(event, JobPhase::cancellingOrEnded);
+        return onCancelAnswered(event, JobPhase::cancellingOrEnded);
       case Kind::cancelNotFound:
-        return cancelled(event, JobPhase::missing);
+        return onCancelAnswered(event, JobPhase::missing);
       case Kind::started:
-        return started(event);
+        return onStarted(event);
       case Kind::configSubmitted:
-        return orders.ask(event);
+        return orders.add(event);
       case Kind::configAcknowledged:
-        return ordered(event, ConfigurationOutput::Kind::applied);
+        return onOrderAnswered(event, ConfigurationOutput::Kind::applied);
       case Kind::configRejected:
-        return ordered(event, ConfigurationOutput::Kind::rejected);
+        return onOrderAnswered(event, ConfigurationOutput::Kind::rejected);
       case Kind::configReturned:
-        return read(event);
+        return onRead(event);
       default:
         return;
     }
   }
 
-  void askToSubmit(const HistoryEvent& event) {
-    submissions[event.job].ask(event);
-    judged.insert(event.job);
+  void onSubmitted(const HistoryEvent& event) {
+    submissions[event.job].add(event);
+    submittedJobs.insert(event.job);
   }
 
-  static JobOutput::Kind refusalOf(const HistoryEvent& event) {
+  static JobOutput::Kind rejectionKind(const HistoryEvent& event) {
     const bool overloaded = event.detail == "429";
     return overloaded ? JobOutput::Kind::overloaded : JobOutput::Kind::rejected;
   }
 
-  JobModel::Operation answeredJob(const HistoryEvent& event, JobInput::Kind asked) const {
-    JobModel::Operation made;
-    made.key = event.job;
-    made.client = "caller";
-    made.invokedAt = event.invokedAt ? event.invokedAt : longAgo;
-    made.returnedAt = event.timestamp;
-    made.input.kind = asked;
-    made.input.digest = event.digest;
-    return made;
+  JobModel::Operation makeJobOperation(const HistoryEvent& event, JobInput::Kind asked) const {
+    JobModel::Operation operation;
+    operation.key = event.job;
+    operation.client = "caller";
+    operation.invokedAt = event.invokedAt ? event.invokedAt : unknownInvocationTime;
+    operation.returnedAt = event.timestamp;
+    operation.input.kind = asked;
+    operation.input.digest = event.digest;
+    return operation;
   }
 
-  void submitted(const HistoryEvent& event, JobOutput::Kind answer) {
-    submissions[event.job].answer(event);
-    JobModel::Operation made = answeredJob(event, JobInput::Kind::submit);
-    made.output.kind = answer;
-    found.jobOperations.push_back(std::move(made));
+  void onSubmissionAnswered(const HistoryEvent& event, JobOutput::Kind answer) {
+    submissions[event.job].removeAnswered(event);
+    JobModel::Operation operation = makeJobOperation(event, JobInput::Kind::submit);
+    operation.output.kind = answer;
+    found.jobOperations.push_back(std::move(operation));
   }
 
-  void shown(const HistoryEvent& event) {
-    const auto phase = phaseNamed(event.detail);
+  void onShown(const HistoryEvent& event) {
+    const auto phase = parsePhase(event.detail);
     if (!phase)
       return;
-    JobModel::Operation made = answeredJob(event, JobInput::Kind::show);
-    made.output = JobOutput{JobOutput::Kind::shown, *phase};
-    found.jobOperations.push_back(std::move(made));
+    JobModel::Operation operation = makeJobOperation(event, JobInput::Kind::show);
+    operation.output = JobOutput{JobOutput::Kind::shown, *phase};
+    found.jobOperations.push_back(std::move(operation));
   }
 
-  void cancelled(const HistoryEvent& event, JobPhase otherwise) {
-    cancels[event.job].answer(event);
-    JobModel::Operation made = answeredJob(event, JobInput::Kind::cancel);
-    const JobPhase notified = phaseNamed(event.detail).value_or(otherwise);
-    made.output = JobOutput{JobOutput::Kind::acknowledged, notified};
-    found.jobOperations.push_back(std::move(made));
+  void onCancelAnswered(const HistoryEvent& event, JobPhase otherwise) {
+    cancels[event.job].removeAnswered(event);
+    JobModel::Operation operation = makeJobOperation(event, JobInput::Kind::cancel);
+    const JobPhase phase = parsePhase(event.detail).value_or(otherwise);
+    operation.output = JobOutput{JobOutput::Kind::acknowledged, phase};
+    found.jobOperations.push_back(std::move(operation));
   }
 
   // That a job exists is all a start tells, and it stays true: the first one is enough.
-  void started(const HistoryEvent& event) {
+  void onStarted(const HistoryEvent& event) {
     const std::string job = OccurrenceId::submittedIdOf(JobId{event.job}).value;
-    if (!ran.insert(job).second)
+    if (!startedJobs.insert(job).second)
       return;
-    JobModel::Operation made = answeredJob(event, JobInput::Kind::run);
-    made.key = job;
-    made.client = event.worker;
-    made.invokedAt = event.timestamp - options.clockSlackMs;
-    made.returnedAt = event.timestamp + options.clockSlackMs;
-    made.output.kind = JobOutput::Kind::ran;
-    found.jobOperations.push_back(std::move(made));
+    JobModel::Operation operation = makeJobOperation(event, JobInput::Kind::run);
+    operation.key = job;
+    operation.client = event.worker;
+    operation.invokedAt = event.timestamp - options.clockSlackMs;
+    operation.returnedAt = event.timestamp + options.clockSlackMs;
+    operation.output.kind = JobOutput::Kind::ran;
+    found.jobOperations.push_back(std::move(operation));
   }
 
-  static ConfigurationModel::Operation orderOf(const HistoryEvent& event) {
-    ConfigurationModel::Operation made;
-    made.key = configurationKey;
-    made.client = "operator";
-    made.input.kind = ConfigurationInput::Kind::apply;
-    made.input.order =
+  static ConfigurationModel::Operation makeOrderOperation(const HistoryEvent& event) {
+    ConfigurationModel::Operation operation;
+    operation.key = configurationKey;
+    operation.client = "operator";
+    operation.input.kind = ConfigurationInput::Kind::apply;
+    operation.input.order =
         ConfigurationOrder{0, event.baseVersion, event.digest, event.detail == configPatchDetail};
-    return made;
+    return operation;
   }
 
   // Histories of before orders were noted whole hold their acknowledgements alone.
-  void ordered(const HistoryEvent& event, ConfigurationOutput::Kind answer) {
+  void onOrderAnswered(const HistoryEvent& event, ConfigurationOutput::Kind answer) {
     if (event.digest.empty())
       return;
-    orders.answerOrder(event);
-    ConfigurationModel::Operation made = orderOf(event);
-    made.invokedAt = event.invokedAt ? event.invokedAt : longAgo;
-    made.returnedAt = event.timestamp;
-    made.output.kind = answer;
+    orders.removeAnsweredOrder(event);
+    ConfigurationModel::Operation operation = makeOrderOperation(event);
+    operation.invokedAt = event.invokedAt ? event.invokedAt : unknownInvocationTime;
+    operation.returnedAt = event.timestamp;
+    operation.output.kind = answer;
     if (event.version)
-      made.output.version = event.version;
-    found.configurationOperations.push_back(std::move(made));
-    ordersSeen = true;
+      operation.output.version = event.version;
+    found.configurationOperations.push_back(std::move(operation));
+    hasOrders = true;
   }
 
-  void read(const HistoryEvent& event) {
-    ConfigurationModel::Operation made;
-    made.key = configurationKey;
-    made.client = "operator";
-    made.invokedAt = event.invokedAt ? event.invokedAt : longAgo;
-    made.returnedAt = event.timestamp;
-    made.output =
+  void onRead(const HistoryEvent& event) {
+    ConfigurationModel::Operation operation;
+    operation.key = configurationKey;
+    operation.client = "operator";
+    operation.invokedAt = event.invokedAt ? event.invokedAt : unknownInvocationTime;
+    operation.returnedAt = event.timestamp;
+    operation.output =
         ConfigurationOutput{ConfigurationOutput::Kind::shown, event.version, event.digest};
-    found.configurationOperations.push_back(std::move(made));
+    found.configurationOperations.push_back(std::move(operation));
   }
 
-  void leaveUnanswered() {
+  void addUnansweredCalls() {
     for (const auto& [job, asked] : submissions)
-      leaveJob(asked, JobInput::Kind::submit);
+      addUnansweredJobCalls(asked, JobInput::Kind::submit);
     for (const auto& [job, asked] : cancels)
-      leaveJob(asked, JobInput::Kind::cancel);
+      addUnansweredJobCalls(asked, JobInput::Kind::cancel);
     for (const HistoryEvent& event : orders.unanswered()) {
-      ConfigurationModel::Operation made = orderOf(event);
-      made.invokedAt = event.timestamp;
-      made.outcome = OperationOutcome::unknown;
-      found.configurationOperations.push_back(std::move(made));
-      ordersSeen = true;
+      ConfigurationModel::Operation operation = makeOrderOperation(event);
+      operation.invokedAt = event.timestamp;
+      operation.outcome = OperationOutcome::unknown;
+      found.configurationOperations.push_back(std::move(operation));
+      hasOrders = true;
     }
   }
 
-  void leaveJob(const Asked& asked, JobInput::Kind kind) {
+  void addUnansweredJobCalls(const PendingCalls& asked, JobInput::Kind kind) {
     for (const HistoryEvent& event : asked.unanswered()) {
-      JobModel::Operation made = answeredJob(event, kind);
-      made.invokedAt = event.timestamp;
-      made.returnedAt.reset();
-      made.outcome = OperationOutcome::unknown;
-      found.jobOperations.push_back(std::move(made));
+      JobModel::Operation operation = makeJobOperation(event, kind);
+      operation.invokedAt = event.timestamp;
+      operation.returnedAt.reset();
+      operation.outcome = OperationOutcome::unknown;
+      found.jobOperations.push_back(std::move(operation));
     }
   }
 
-  void keepWhatCanBeJudged() {
-    if (!ordersSeen)
+  void removeUndecidable() {
+    if (!hasOrders)
       found.configurationOperations.clear();
-    std::map<std::string, std::int64_t> firstOf;
+    std::map<std::string, std::int64_t> firstTimes;
     for (const auto& operation : found.jobOperations) {
-      const auto [first, added] = firstOf.emplace(operation.key, timeOf(operation));
+      const auto [first, added] = firstTimes.emplace(operation.key, timeOf(operation));
       first->second = std::min(first->second, timeOf(operation));
     }
-    const bool allKept = firstOf.size() <= options.retainedJobsLimit;
+    const bool nothingEvicted = firstTimes.size() <= options.retainedJobsLimit;
     std::erase_if(found.jobOperations, [&](const JobModel::Operation& operation) {
-      if (!judged.count(operation.key))
+      if (!submittedJobs.count(operation.key))
         return true;
       const std::int64_t judgedUntil =
-          firstOf.at(operation.key) + options.finishedRetentionMs - longestCall;
+          firstTimes.at(operation.key) + options.finishedRetentionMs - maxCallDurationMs;
       if (timeOf(operation) > judgedUntil)
         return true;
-      return !allKept && tellsOfNoJob(operation);
+      return !nothingEvicted && reportsMissingJob(operation);
     });
   }
 
@@ -253,7 +253,7 @@
     return operation.returnedAt.value_or(operation.invokedAt);
   }
 
-  static bool tellsOfNoJob(const JobModel::Operation& operation) {
+  static bool reportsMissingJob(const JobModel::Operation& operation) {
     return operation.outcome == OperationOutcome::ok &&
            operation.output.phase == JobPhase::missing &&
            operation.input.kind != JobInput::Kind::submit;
@@ -261,17 +261,17 @@
 
   const HistoryOperationsOptions& options;
   HistoryOperations found;
-  std::map<std::string, Asked> submissions, cancels;  // by job
-  Asked orders;
-  std::set<std::string> judged, ran;
-  bool ordersSeen = false;
+  std::map<std::string, PendingCalls> submissions, cancels;  // by job
+  PendingCalls orders;
+  std::set<std::string> submittedJobs, startedJobs;
+  bool hasOrders = false;
 };
 
 }  // namespace
 
 HistoryOperations extractOperations(const std::vector<HistoryEvent>& history,
                                     const HistoryOperationsOptions& options) {
-  return Collector(options).collect(history);
+  return OperationCollector(options).collect(history);
 }
 
 std::vector<LinearizabilityViolation> findViolations(const std::vector<HistoryEvent>& history,
--- a/source/checker/invariant_checker.hpp
+++ b/source/checker/invariant_checker.hpp
@@ -110,27 +110,27 @@
   void checkShownFinished(const HistoryEvent& event, JobHistory& job);
   void checkAllTasksSucceeded(const HistoryEvent& event, const std::string& id,
                               const JobSubmission& submission);
-  void checkStoppedAfterCancel(const JobHistory& job, const std::string& what,
+  void checkStoppedAfterCancel(const JobHistory& job, const std::string& taskText,
                                const ObservedRun& run, std::int64_t at);
   void checkJobAtEnd(const std::string& id, JobHistory& job, std::int64_t end);
 
   // --- runs on workers, rules 1, 5 to 7, 9 and 10: invariants_runs.cpp ---
   void onStarted(const HistoryEvent& event);
   void checkNoConcurrentRuns(const HistoryEvent& event, const TaskHistory& task,
-                             const std::string& what);
+                             const std::string& taskText);
   void checkNoRerunAfterSuccess(const HistoryEvent& event, const TaskHistory& task,
-                                const std::string& what);
-  void checkOrder(const HistoryEvent& event, JobHistory& job, const JobSubmission& submission,
-                  const std::string& what);
+                                const std::string& taskText);
+  void checkDependencies(const HistoryEvent& event, JobHistory& job,
+                         const JobSubmission& submission, const std::string& taskText);
   void checkPrecedingStepDone(const HistoryEvent& event, JobHistory& job,
                               const JobSubmission& submission, std::uint32_t step,
-                              const std::string& what);
+                              const std::string& taskText);
   void checkTimetable(const HistoryEvent& event, const JobSubmission& submission,
-                      const std::string& what);
+                      const std::string& taskText);
   void checkRetryLimit(const HistoryEvent& event, const TaskHistory& task,
-                       const JobSubmission& submission, const std::string& what);
+                       const JobSubmission& submission, const std::string& taskText);
   void checkRerunBeforeConfirmation(const HistoryEvent& event, const TaskHistory& task,
-                                    const std::string& what);
+                                    const std::string& taskText);
   void onSuspended(const HistoryEvent& event);
   void onResumed(const HistoryEvent& event);
   void onEnded(const HistoryEvent& event);
@@ -147,19 +147,20 @@
 
   // --- workers that are called, rules 13 to 18: invariants_called.cpp, invariants_failures.cpp ---
   void checkStartOnCalledWorker(const HistoryEvent& event, JobHistory& job,
-                                const std::string& what);
+                                const std::string& taskText);
   void checkPlacement(const HistoryEvent& event, JobHistory& job, const JobSubmission& submission,
-                      std::uint32_t step, const std::string& what);
+                      std::uint32_t step, const std::string& taskText);
   void checkCheckpoint(const HistoryEvent& event, const std::string& owner, bool gang,
-                       const std::string& what);
-  void checkStartTime(const HistoryEvent& event, const JobHistory& job, const std::string& what);
+                       const std::string& taskText);
+  void checkStartTime(const HistoryEvent& event, const JobHistory& job,
+                      const std::string& taskText);
   static std::string checkpointOwnerOf(const std::string& job, std::uint32_t task,
                                        const StepRequest& request, std::uint32_t step);
   void onCheckpointed(const HistoryEvent& event);
   void checkOutcomes(const std::string& id, JobHistory& job);
   void checkSuccesses(const std::string& id, JobHistory& job, std::uint32_t index,
                       const StepRequest& step);
-  void checkNoRunAfterSuccess(const std::string& what, const TaskHistory& task,
+  void checkNoRunAfterSuccess(const std::string& taskText, const TaskHistory& task,
                               const ObservedRun& done, std::int64_t noted, bool redundant);
   void checkAttemptLimit(const std::string& id, const JobHistory& job, std::uint32_t index,
                          const StepRequest& step);
@@ -170,7 +171,7 @@
   bool fitsKnownWorkers(const JobSubmission& submission, const StepRequest& step) const;
 
   // --- configs and service, rules 11, 12 and 19: invariants_service.cpp ---
-  void checkOrder(const HistoryEvent& event);
+  void checkConfigOrder(const HistoryEvent& event);
   void onConfigAcknowledged(const HistoryEvent& event);
   void onConfigObserved(const HistoryEvent& event);
   void onServiceRestored(const HistoryEvent& event);
--- a/source/checker/invariants.cpp
+++ b/source/checker/invariants.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // ms of a fault's consequences: lease, margin and a change of leader.
-constexpr std::int64_t aftermath = 6000;
+constexpr std::int64_t faultEffectMs = 6000;
 
 }  // namespace
 
@@ -51,12 +51,12 @@
       open.emplace(event.detail, event.timestamp);
     else if (event.kind == HistoryEvent::Kind::faultEnded) {
       if (auto begun = open.find(event.detail); begun != open.end()) {
-        faultIntervals.emplace_back(begun->second, event.timestamp + aftermath);
+        faultIntervals.emplace_back(begun->second, event.timestamp + faultEffectMs);
         open.erase(begun);
       }
     } else if (event.kind == HistoryEvent::Kind::clusterHealed) {
       for (const auto& [name, begun] : open)
-        faultIntervals.emplace_back(begun, event.timestamp + aftermath);
+        faultIntervals.emplace_back(begun, event.timestamp + faultEffectMs);
       open.clear();
     }
   for (const auto& [name, begun] : open)
@@ -105,7 +105,7 @@
       return onCapacityReported(event);
     case Kind::configSubmitted:
     case Kind::configRejected:
-      return checkOrder(event);
+      return checkConfigOrder(event);
     case Kind::configAcknowledged:
       return onConfigAcknowledged(event);
     case Kind::configObserved:
--- a/source/checker/invariants.hpp
+++ b/source/checker/invariants.hpp
@@ -11,11 +11,11 @@
 // The rules that a history has to keep. Their numbers are printed by the programs and stand in
 // docs/design.md 11; rules from 13 to 18 are about workers that are called.
 enum class Invariant : std::uint8_t {
-  atMostOneRun = 1,           // no task runs twice at once, or again after a confirmed success
-  acceptedJobsKept = 2,       // no accepted job is forgotten
-  rejectedJobsNeverRun = 3,   // nothing runs of a job whose every submission was rejected
-  shownFinishedWhenDone = 4,  // no job is shown as finished while a task of it is open
-  cancelledJobsStop = 5,      // nothing of a cancelled job starts or runs on
+  atMostOneRun = 1,          // no task runs twice at once, or again after a confirmed success
+  acceptedJobsKept = 2,      // no accepted job is forgotten
+  rejectedJobsNeverRun = 3,  // nothing runs of a job whose every submission was rejected
+  finishedOnlyWhenDone = 4,  // no job is shown as finished while a task of it is open
+  cancelledJobsStop = 5,     // nothing of a cancelled job starts or runs on
   startOrder = 6,        // no step starts before its dependencies, no occurrence before its time
   retryLimit = 7,        // no task starts more often than its queue allows
   gangsRunTogether = 8,  // no member of a gang runs on without the others
@@ -30,9 +30,9 @@
   noStartAfterDrainAcknowledged = 17,
   failuresHaveCause = 18,    // no job is shown as failed without a cause
   linearizability = 19,      // all answers fit one order of taking effect
-  startsWhereRoomIs = 20,    // nothing waits for seconds while there is room for it
+  noStarvation = 20,         // nothing waits for seconds while there is room for it
   cancelsAcknowledged = 21,  // while nothing is broken a cancel is answered within seconds
-  keysInForce = 22,          // keys are known and unknown as a configuration in force has it
+  apiKeysInForce = 22,       // keys are known and unknown as a configuration in force has it
   tenantCaps = 23,           // nothing of a tenant starts that is above its cap
 };
 constexpr int number(Invariant rule) {
--- a/source/checker/invariants_failures.cpp
+++ b/source/checker/invariants_failures.cpp
@@ -7,50 +7,53 @@
 
 namespace {
 
-constexpr std::int64_t noticeReaches = 1000;  // ms until an ending that was noted stops new starts
+constexpr std::int64_t resultPropagationMs =
+    1000;  // ms until an ending that was noted stops new starts
 
 }  // namespace
 
 // What only later lines decide: whether an ending was ever taken note of.
 void InvariantChecker::checkOutcomes(const std::string& id, JobHistory& job) {
-  for (auto& [place, task] : job.tasks) {
-    const auto* step = findStep(id, place);
+  for (auto& [taskIndex, task] : job.tasks) {
+    const auto* step = findStep(id, taskIndex);
     if (!step || step->requirements.longRunning)
       continue;
-    checkSuccesses(id, job, place, *step);
-    checkAttemptLimit(id, job, place, *step);
+    checkSuccesses(id, job, taskIndex, *step);
+    checkAttemptLimit(id, job, taskIndex, *step);
   }
 }
 
 void InvariantChecker::checkSuccesses(const std::string& id, JobHistory& job, std::uint32_t index,
                                       const StepRequest& step) {
   const TaskHistory& task = job.tasks.at(index);
-  for (const auto& done : task.runs) {
-    if (!done.onCalledWorker || done.outcome != "finished")
+  for (const auto& finishedRun : task.runs) {
+    if (!finishedRun.onCalledWorker || finishedRun.outcome != "finished")
       continue;
-    std::optional<std::int64_t> noted;
-    forEachGangMember(id, job, index, done.attempt, [&](TaskHistory&, const ObservedRun& member) {
-      if (member.outcome == "finished" && member.confirmedAt)
-        noted = std::min(noted.value_or(*member.confirmedAt), *member.confirmedAt);
-    });
-    if (noted)
-      checkNoRunAfterSuccess(describeTask(id, index), task, done, *noted,
+    std::optional<std::int64_t> recordedAt;
+    forEachGangMember(
+        id, job, index, finishedRun.attempt, [&](TaskHistory&, const ObservedRun& member) {
+          if (member.outcome == "finished" && member.confirmedAt)
+            recordedAt = std::min(recordedAt.value_or(*member.confirmedAt), *member.confirmedAt);
+        });
+    if (recordedAt)
+      checkNoRunAfterSuccess(describeTask(id, index), task, finishedRun, *recordedAt,
                              step.requirements.redundant);
   }
 }
 
-void InvariantChecker::checkNoRunAfterSuccess(const std::string& what, const TaskHistory& task,
-                                              const ObservedRun& done, std::int64_t noted,
-                                              bool redundant) {
+void InvariantChecker::checkNoRunAfterSuccess(const std::string& taskText, const TaskHistory& task,
+                                              const ObservedRun& finishedRun,
+                                              std::int64_t recordedAt, bool redundant) {
   for (const auto& run : task.runs) {
-    if (&run == &done || run.startedAt < *done.endedAt)
+    if (&run == &finishedRun || run.startedAt < *finishedRun.endedAt)
       continue;
-    const std::string text = what + " starts on " + run.worker + " though its run " + done.attempt +
-                             " had ended well on " + done.worker;
+    const std::string text = taskText + " starts on " + run.worker + " though its run " +
+                             finishedRun.attempt + " had ended well on " + finishedRun.worker;
     if (!redundant)
       reportViolation(Invariant::atMostOneRun, run.startedAt, text);
-    else if (!run.executedLate && run.startedAt > noted + noticeReaches + options.clockSlackMs &&
-             !hadFaultWithin(noted, run.startedAt))
+    else if (!run.executedLate &&
+             run.startedAt > recordedAt + resultPropagationMs + options.clockSlackMs &&
+             !hadFaultWithin(recordedAt, run.startedAt))
       reportViolation(Invariant::atMostOneRun, run.startedAt, text + ", which was long known");
   }
 }
@@ -58,17 +61,18 @@
 void InvariantChecker::checkAttemptLimit(const std::string& id, const JobHistory& job,
                                          std::uint32_t index, const StepRequest& step) {
   const auto* submission = findSubmission(id);
-  const auto tries = options.maxAttemptsByQueue.find(submission->queue.value);
-  if (tries == options.maxAttemptsByQueue.end())
+  const auto maxAttempts = options.maxAttemptsByQueue.find(submission->queue.value);
+  if (maxAttempts == options.maxAttemptsByQueue.end())
     return;
   const auto [first, after] = gangRangeOf(*submission, index);
   for (const auto& run : job.tasks.at(index).runs) {
     const std::size_t failed =
         countFailuresBefore(job, first, after, run, step.requirements.redundant);
-    if (failed >= tries->second)
+    if (failed >= maxAttempts->second)
       reportViolation(Invariant::attemptLimit, run.startedAt,
                       describeTask(id, index) + " starts after " + std::to_string(failed) +
-                          " runs that failed, with " + std::to_string(tries->second) + " tries");
+                          " runs that failed, with " + std::to_string(maxAttempts->second) +
+                          " tries");
   }
 }
 
@@ -81,13 +85,14 @@
     const auto known = job.tasks.find(member);
     if (known == job.tasks.end())
       continue;
-    for (const auto& before : known->second.runs) {
-      if (before.outcome != "failed" || !before.confirmedAt || *before.endedAt > run.startedAt)
+    for (const auto& earlierRun : known->second.runs) {
+      if (earlierRun.outcome != "failed" || !earlierRun.confirmedAt ||
+          *earlierRun.endedAt > run.startedAt)
         continue;
-      const bool longKnown =
-          *before.confirmedAt + noticeReaches + options.clockSlackMs < run.startedAt;
-      if (!redundant || (!run.executedLate && longKnown))
-        failed.insert(before.attempt);
+      const bool knownToLeader =
+          *earlierRun.confirmedAt + resultPropagationMs + options.clockSlackMs < run.startedAt;
+      if (!redundant || (!run.executedLate && knownToLeader))
+        failed.insert(earlierRun.attempt);
     }
   }
   return failed.size();
@@ -96,12 +101,13 @@
 // A job with tries fails by these, or because no worker that was ever there could hold it.
 void InvariantChecker::checkShownFailed(const HistoryEvent& event,
                                         const JobSubmission& submission) {
-  const auto tries = options.maxAttemptsByQueue.find(submission.queue.value);
-  if (tries == options.maxAttemptsByQueue.end())
+  const auto maxAttempts = options.maxAttemptsByQueue.find(submission.queue.value);
+  if (maxAttempts == options.maxAttemptsByQueue.end())
     return;
   for (const auto& [id, job] : jobs)
     if (id == event.job || id.starts_with(event.job + OccurrenceId::separator))
-      if (const std::size_t most = maxFailures(job, submission); most && most >= tries->second)
+      if (const std::size_t failedAttempts = maxFailures(job, submission);
+          failedAttempts && failedAttempts >= maxAttempts->second)
         return;
   for (const auto& step : submission.steps)
     if (!fitsKnownWorkers(submission, step))
@@ -114,31 +120,31 @@
 std::size_t InvariantChecker::maxFailures(const JobHistory& job, const JobSubmission& submission) {
   std::map<std::pair<std::uint32_t, bool>, std::set<std::string>>
       failed;  // by step of a gang, else by task
-  for (const auto& [place, task] : job.tasks) {
-    const auto step = positionOf(submission, place).first;
+  for (const auto& [taskIndex, task] : job.tasks) {
+    const auto step = positionOf(submission, taskIndex).first;
     if (step >= submission.steps.size())
       continue;
     const bool gang = submission.steps[step].gang;
     for (const auto& run : task.runs)
       if (run.outcome == "failed")
-        failed[{gang ? step : place, gang}].insert(run.attempt);
+        failed[{gang ? step : taskIndex, gang}].insert(run.attempt);
   }
-  std::size_t most = 0;
+  std::size_t failedAttempts = 0;
   for (const auto& [key, attempts] : failed)
-    most = std::max(most, attempts.size());
-  return most;
+    failedAttempts = std::max(failedAttempts, attempts.size());
+  return failedAttempts;
 }
 
 bool InvariantChecker::fitsKnownWorkers(const JobSubmission& submission,
                                         const StepRequest& step) const {
   if (step.gang) {  // together they may not fit though one by one they do
-    std::uint64_t wanted = 0, known = 0;
+    std::uint64_t requestedCores = 0, known = 0;
     for (const auto& task : step.tasks)
-      wanted += task.cores;
+      requestedCores += task.cores;
     for (const auto& [worker, capacity] : capacities)
       if (isEligible(options, submission, step, capacity))
         known += capacity.cores;
-    if (wanted > known)
+    if (requestedCores > known)
       return false;
   }
   return std::all_of(step.tasks.begin(), step.tasks.end(), [&](const TaskRequest& task) {
--- a/source/checker/invariants_gangs.cpp
+++ b/source/checker/invariants_gangs.cpp
@@ -7,7 +7,7 @@
 
 // Without a fault a gang's parts begin within little more than a round of syncs, with one within
 // lease, margin and a round trip; ms.
-constexpr std::int64_t calmGang = 700, disturbedGang = 5000;
+constexpr std::int64_t gangStartMs = 700, gangStartDuringFaultMs = 5000;
 
 }  // namespace
 
@@ -26,24 +26,24 @@
                                              std::int64_t end) {
   const auto first = firstTaskOfStep(submission, step);
   const auto after = std::uint32_t(first + submission.steps[step].tasks.size());
-  for (auto part = first; part < after; ++part)
-    for (const auto& run : job.tasks[part].runs)
+  for (auto member = first; member < after; ++member)
+    for (const auto& run : job.tasks[member].runs)
       for (auto other = run.onCalledWorker ? after : first; other < after; ++other) {
-        const auto& beside = job.tasks[other];
-        if (other == part || (beside.succeededAt && *beside.succeededAt <= run.startedAt))
+        const auto& otherTask = job.tasks[other];
+        if (other == member || (otherTask.succeededAt && *otherTask.succeededAt <= run.startedAt))
           continue;
         std::int64_t until = run.endedAt.value_or(end);
-        for (const auto& with : beside.runs)
-          if (!with.endedAt || *with.endedAt >= run.startedAt)
-            until = std::min(until, std::max(with.startedAt, run.startedAt));
-        const bool calm = !hadFaultWithin(run.startedAt - disturbedGang, until);
-        const std::int64_t alone = run.activeTimeUntil(until);
-        if (alone <= (calm ? calmGang : disturbedGang) + options.clockSlackMs)
+        for (const auto& otherRun : otherTask.runs)
+          if (!otherRun.endedAt || *otherRun.endedAt >= run.startedAt)
+            until = std::min(until, std::max(otherRun.startedAt, run.startedAt));
+        const bool noFault = !hadFaultWithin(run.startedAt - gangStartDuringFaultMs, until);
+        const std::int64_t aloneMs = run.activeTimeUntil(until);
+        if (aloneMs <= (noFault ? gangStartMs : gangStartDuringFaultMs) + options.clockSlackMs)
           continue;
         reportViolation(Invariant::gangsRunTogether, run.startedAt,
-                        describeTask(id, part) + " ran for " + std::to_string(alone) +
+                        describeTask(id, member) + " ran for " + std::to_string(aloneMs) +
                             " ms while " + describeTask(id, other) + " did not begin" +
-                            (calm ? ", with no fault about" : ""));
+                            (noFault ? ", with no fault about" : ""));
         break;
       }
 }
--- a/source/checker/invariants_jobs.cpp
+++ b/source/checker/invariants_jobs.cpp
@@ -22,13 +22,13 @@
 // Callers send a cancel again after silence and after an error, to the next gateway.
 void InvariantChecker::checkCancelsAnsweredBy(std::int64_t at) {
   std::erase_if(unansweredCancels, [&](const auto& entry) {
-    const auto& [job, askedAt] = entry;
-    if (at < askedAt + cancelAnswerMs + options.clockSlackMs)
+    const auto& [job, submittedAt] = entry;
+    if (at < submittedAt + cancelAnswerMs + options.clockSlackMs)
       return false;
-    if (!hadFaultWithin(askedAt, at))
+    if (!hadFaultWithin(submittedAt, at))
       reportViolation(Invariant::cancelsAcknowledged, at,
                       "the cancel of job " + job + " has no answer after " +
-                          std::to_string(at - askedAt) + " ms");
+                          std::to_string(at - submittedAt) + " ms");
     return true;
   });
 }
@@ -61,8 +61,8 @@
     return;
   if (!submission->hasTimetable())
     return checkAllTasksSucceeded(event, event.job, *submission);
-  for (std::uint32_t time = 0; time < submission->timetable.count; ++time)
-    checkAllTasksSucceeded(event, OccurrenceId::make(JobId{event.job}, time).value, *submission);
+  for (std::uint32_t number = 0; number < submission->timetable.count; ++number)
+    checkAllTasksSucceeded(event, OccurrenceId::make(JobId{event.job}, number).value, *submission);
 }
 
 void InvariantChecker::checkAllTasksSucceeded(const HistoryEvent& event, const std::string& id,
@@ -73,7 +73,7 @@
     auto known = job.tasks.find(task);
     if (known == job.tasks.end() || !known->second.succeededAt ||
         *known->second.succeededAt > event.timestamp + options.clockSlackMs)
-      return reportViolation(Invariant::shownFinishedWhenDone, event.timestamp,
+      return reportViolation(Invariant::finishedOnlyWhenDone, event.timestamp,
                              "job " + event.job + " is shown as finished while " +
                                  describeTask(id, task) + " is open");
     for (const auto& run : known->second.runs)
@@ -81,18 +81,18 @@
           !(run.onCalledWorker &&
             (hadFaultWithin(run.startedAt, event.timestamp) ||
              submission.steps[positionOf(submission, task).first].requirements.redundant)))
-        reportViolation(Invariant::shownFinishedWhenDone, event.timestamp,
+        reportViolation(Invariant::finishedOnlyWhenDone, event.timestamp,
                         "job " + event.job + " is shown as finished while " +
                             describeTask(id, task) + " still runs on " + run.worker);
   }
 }
 
-void InvariantChecker::checkStoppedAfterCancel(const JobHistory& job, const std::string& what,
+void InvariantChecker::checkStoppedAfterCancel(const JobHistory& job, const std::string& taskText,
                                                const ObservedRun& run, std::int64_t at) {
   if (!job.cancelledAt || at <= *job.cancelledAt + cancelGraceMs + options.clockSlackMs)
     return;
   const std::string text =
-      what + " kept running " + std::to_string(at - *job.cancelledAt) + " ms after its cancel";
+      taskText + " kept running " + std::to_string(at - *job.cancelledAt) + " ms after its cancel";
   // With a fault about, the hold of a worker that is called ends it: docs/design.md 5.8.
   if (run.onCalledWorker && hadFaultWithin(*job.cancelledAt, at) &&
       at <= *job.cancelledAt + longestLeaseMs + options.clockSlackMs)
@@ -117,10 +117,10 @@
   if (quiescentAt && job.acceptedAt && !job.ended && !job.waitExplained)
     reportViolation(Invariant::acceptedJobsKept, *quiescentAt,
                     "job " + id + " was accepted and is neither over nor explained");
-  for (auto& [place, task] : job.tasks)
+  for (auto& [taskIndex, task] : job.tasks)
     for (auto& run : task.runs)
       if (!run.endedAt && run.active)
-        checkStoppedAfterCancel(job, describeTask(id, place), run, end);
+        checkStoppedAfterCancel(job, describeTask(id, taskIndex), run, end);
 }
 
 }  // namespace aniseline
--- a/source/checker/invariants_lookups.cpp
+++ b/source/checker/invariants_lookups.cpp
@@ -5,8 +5,9 @@
 namespace aniseline {
 
 bool InvariantChecker::hadFaultWithin(std::int64_t from, std::int64_t to) const {
-  return std::any_of(faultIntervals.begin(), faultIntervals.end(),
-                     [&](const auto& span) { return span.first <= to && from <= span.second; });
+  return std::any_of(faultIntervals.begin(), faultIntervals.end(), [&](const auto& interval) {
+    return interval.first <= to && from <= interval.second;
+  });
 }
 
 bool InvariantChecker::ignoresLeases(const std::string& worker) const {
--- a/source/checker/invariants_runs.cpp
+++ b/source/checker/invariants_runs.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-constexpr std::int64_t cancelReaches = 3000;   // ms until no start follows a cancel
-constexpr std::int64_t leavingReaches = 2000;  // ms until no start follows a leaving
+constexpr std::int64_t cancelPropagationMs = 3000;  // ms until no start follows a cancel
+constexpr std::int64_t drainPropagationMs = 2000;   // ms until no start follows a leaving
 
-ObservedRun runFrom(const HistoryEvent& event, bool called) {
+ObservedRun makeObservedRun(const HistoryEvent& event, bool onCalledWorker) {
   ObservedRun run;
   run.worker = event.worker;
   run.attempt = event.attempt;
@@ -19,7 +19,7 @@
   run.cores = event.cores;
   run.memory = event.memory;
   run.accelerators = event.accelerators;
-  run.onCalledWorker = called;
+  run.onCalledWorker = onCalledWorker;
   run.executedLate = event.executedLate;
   return run;
 }
@@ -29,69 +29,72 @@
 void InvariantChecker::onStarted(const HistoryEvent& event) {
   auto& job = jobs[event.job];
   auto& task = job.tasks[event.task];
-  const std::string what = describeTask(event.job, event.task);
-  const bool called = isCalled(event.worker);
-  if (called)
-    checkStartOnCalledWorker(event, job, what);
-  checkNoConcurrentRuns(event, task, what);
-  if (!called)  // of others it is judged when all is known: judgeEndings
-    checkNoRerunAfterSuccess(event, task, what);
+  const std::string taskText = describeTask(event.job, event.task);
+  const bool onCalledWorker = isCalled(event.worker);
+  if (onCalledWorker)
+    checkStartOnCalledWorker(event, job, taskText);
+  checkNoConcurrentRuns(event, task, taskText);
+  if (!onCalledWorker)  // of others it is judged when all is known: judgeEndings
+    checkNoRerunAfterSuccess(event, task, taskText);
   if (job.cancelledAt &&
-      event.timestamp > *job.cancelledAt + cancelReaches + options.clockSlackMs &&
-      !(called && (event.executedLate || hadFaultWithin(*job.cancelledAt, event.timestamp))))
+      event.timestamp > *job.cancelledAt + cancelPropagationMs + options.clockSlackMs &&
+      !(onCalledWorker &&
+        (event.executedLate || hadFaultWithin(*job.cancelledAt, event.timestamp))))
     reportViolation(Invariant::cancelledJobsStop, event.timestamp,
-                    what + " starts long after its job was cancelled");
-  if (auto left = drainingSince.find(event.worker);
-      left != drainingSince.end() && !called &&
-      event.timestamp > left->second + leavingReaches + options.clockSlackMs)
+                    taskText + " starts long after its job was cancelled");
+  if (auto drain = drainingSince.find(event.worker);
+      drain != drainingSince.end() && !onCalledWorker &&
+      event.timestamp > drain->second + drainPropagationMs + options.clockSlackMs)
     reportViolation(Invariant::noStartWhileDraining, event.timestamp,
-                    what + " starts on " + event.worker + ", which is leaving");
+                    taskText + " starts on " + event.worker + ", which is leaving");
   if (const auto* submission = findSubmission(event.job)) {
     if (positionOf(*submission, event.task).first >= submission->steps.size())
       return reportViolation(Invariant::rejectedJobsNeverRun, event.timestamp,
-                             what + " is none of the job's tasks");
-    checkOrder(event, job, *submission, what);
+                             taskText + " is none of the job's tasks");
+    checkDependencies(event, job, *submission, taskText);
     if (submission->hasTimetable())
-      checkTimetable(event, *submission, what);
-    checkRetryLimit(event, task, *submission, what);
+      checkTimetable(event, *submission, taskText);
+    checkRetryLimit(event, task, *submission, taskText);
   }
-  task.runs.push_back(runFrom(event, called));
+  task.runs.push_back(makeObservedRun(event, onCalledWorker));
   checkCapacity(event);
 }
 
 void InvariantChecker::checkNoConcurrentRuns(const HistoryEvent& event, const TaskHistory& task,
-                                             const std::string& what) {
+                                             const std::string& taskText) {
   const auto* step = findStep(event.job, event.task);
   if (step && step->requirements.redundant)
     return;
-  const std::string text = what + " runs on " + event.worker + " and still on ";
+  const std::string text = taskText + " runs on " + event.worker + " and still on ";
   for (const auto& run : task.runs)
     if (!run.endedAt && run.active)
       reportViolation(Invariant::atMostOneRun, event.timestamp, text + run.worker);
 }
 
 void InvariantChecker::checkNoRerunAfterSuccess(const HistoryEvent& event, const TaskHistory& task,
-                                                const std::string& what) {
+                                                const std::string& taskText) {
   if (task.confirmedAt)
     reportViolation(Invariant::atMostOneRun, event.timestamp,
-                    what + " starts again after finishing well");
+                    taskText + " starts again after finishing well");
   else if (task.succeededAt)
-    checkRerunBeforeConfirmation(event, task, what);
+    checkRerunBeforeConfirmation(event, task, taskText);
 }
 
-void InvariantChecker::checkOrder(const HistoryEvent& event, JobHistory& job,
-                                  const JobSubmission& submission, const std::string& what) {
+void InvariantChecker::checkDependencies(const HistoryEvent& event, JobHistory& job,
+                                         const JobSubmission& submission,
+                                         const std::string& taskText) {
   const auto step = positionOf(submission, event.task).first;
   for (const auto& before : submission.steps[step].dependencies)
     for (std::uint32_t other = 0; other < submission.steps.size(); ++other)
       if (submission.steps[other].name == before)
-        checkPrecedingStepDone(event, job, submission, other, what);
+        checkPrecedingStepDone(event, job, submission, other, taskText);
 }
 
 void InvariantChecker::checkPrecedingStepDone(const HistoryEvent& event, JobHistory& job,
                                               const JobSubmission& submission, std::uint32_t step,
-                                              const std::string& what) {
-  const std::string text = what + " starts before step " + submission.steps[step].name + " is done";
+                                              const std::string& taskText) {
+  const std::string text =
+      taskText + " starts before step " + submission.steps[step].name + " is done";
   const auto first = firstTaskOfStep(submission, step);
   for (auto task = first; task < first + submission.steps[step].tasks.size(); ++task)
     if (!job.tasks[task].succeededAt)
@@ -99,27 +102,28 @@
 }
 
 void InvariantChecker::checkTimetable(const HistoryEvent& event, const JobSubmission& submission,
-                                      const std::string& what) {
+                                      const std::string& taskText) {
   const auto occurrence = OccurrenceId::parse(JobId{event.job});
   const auto count = occurrence ? std::strtoll(occurrence->number.c_str(), nullptr, 10) : 0;
   const auto due = submission.timetable.firstStart.milliseconds +
                    count * submission.timetable.interval.milliseconds;
   if (event.timestamp + options.clockSlackMs < due)
     reportViolation(Invariant::startOrder, event.timestamp,
-                    what + " starts " + std::to_string(due - event.timestamp) + " ms early");
+                    taskText + " starts " + std::to_string(due - event.timestamp) + " ms early");
 }
 
 void InvariantChecker::checkRetryLimit(const HistoryEvent& event, const TaskHistory& task,
-                                       const JobSubmission& submission, const std::string& what) {
+                                       const JobSubmission& submission,
+                                       const std::string& taskText) {
   const auto allowed = options.retriesByQueue.find(submission.queue.value);
   if (allowed == options.retriesByQueue.end())
     return;
-  std::size_t counted = 1;
+  std::size_t starts = 1;
   for (const auto& run : task.runs)
-    counted += run.outcome != "ran_out";
-  if (counted > 1 + allowed->second)
+    starts += run.outcome != "ran_out";
+  if (starts > 1 + allowed->second)
     reportViolation(Invariant::retryLimit, event.timestamp,
-                    what + " starts for the " + std::to_string(counted) + "th time with " +
+                    taskText + " starts for the " + std::to_string(starts) + "th time with " +
                         std::to_string(allowed->second) + " retries allowed");
 }
 
@@ -127,14 +131,14 @@
 // docs/design.md 5.5.
 void InvariantChecker::checkRerunBeforeConfirmation(const HistoryEvent& event,
                                                     const TaskHistory& task,
-                                                    const std::string& what) {
+                                                    const std::string& taskText) {
   const auto done = std::find_if(task.runs.begin(), task.runs.end(),
                                  [](const ObservedRun& run) { return run.outcome == "finished"; });
   if (done == task.runs.end())
     return;
-  auto lost = workersLostAt.find(done->worker);
-  const std::string text = what + " starts again after an ending that was not yet confirmed: ";
-  if (lost != workersLostAt.end() && lost->second >= *task.succeededAt)
+  auto workerLost = workersLostAt.find(done->worker);
+  const std::string text = taskText + " starts again after an ending that was not yet confirmed: ";
+  if (workerLost != workersLostAt.end() && workerLost->second >= *task.succeededAt)
     reportUnavoidableViolation(Invariant::atMostOneRun, event.timestamp,
                                text + done->worker + " vanished before it was");
   else if (hadFaultWithin(*task.succeededAt, event.timestamp))
@@ -185,16 +189,16 @@
 
 void InvariantChecker::closeRun(const HistoryEvent& event, const JobHistory& job,
                                 ObservedRun& run) {
-  const std::string what = describeTask(event.job, event.task);
+  const std::string taskText = describeTask(event.job, event.task);
   if (run.active)
-    checkStoppedAfterCancel(job, what, run, event.timestamp);
+    checkStoppedAfterCancel(job, taskText, run, event.timestamp);
   run.end(event.timestamp, event.detail);
   // A gang's member that is alone waits for nothing: the others were not started, or not in time.
   if (run.onCalledWorker && event.detail == "alone" && !job.cancelledAt &&
       !hadFaultWithin(run.startedAt - 1000, event.timestamp))
-    reportViolation(
-        Invariant::gangsAssemble, event.timestamp,
-        what + " waited alone on " + run.worker + " for the rest of its gang, with no fault about");
+    reportViolation(Invariant::gangsAssemble, event.timestamp,
+                    taskText + " waited alone on " + run.worker +
+                        " for the rest of its gang, with no fault about");
 }
 
 // docs/design.md 5.5: an ending is final once the worker has its confirmation; before that nobody
@@ -212,7 +216,7 @@
 void InvariantChecker::onWorkerLost(const HistoryEvent& event) {
   workersLostAt[event.worker] = event.timestamp;
   for (auto& [id, job] : jobs)
-    for (auto& [place, task] : job.tasks)
+    for (auto& [taskIndex, task] : job.tasks)
       for (auto& run : task.runs)
         if (run.worker == event.worker && !run.endedAt)
           run.end(event.timestamp, "vanished");
@@ -229,7 +233,7 @@
     return;
   std::uint64_t cores = 0, memory = 0, accelerators = 0;
   for (const auto& [id, job] : jobs)
-    for (const auto& [place, task] : job.tasks)
+    for (const auto& [taskIndex, task] : job.tasks)
       for (const auto& run : task.runs)
         if (run.worker == event.worker && !run.endedAt) {
           memory += run.memory;
--- a/source/checker/invariants_service.cpp
+++ b/source/checker/invariants_service.cpp
@@ -6,27 +6,27 @@
 
 namespace {
 
-constexpr std::int64_t configReaches = 2000;     // ms until a config is in force everywhere
-constexpr std::int64_t serviceReturns = 12'000;  // ms from being whole to the first answer
+constexpr std::int64_t configPropagationMs = 2000;  // ms until a config is in force everywhere
+constexpr std::int64_t serviceRecoveryMs = 12'000;  // ms from being whole to the first answer
 
 }  // namespace
 
-void InvariantChecker::checkOrder(const HistoryEvent& event) {
-  if (auto fault = configOrders.observe(event))
-    reportViolation(Invariant::configurationOrder, event.timestamp, *fault);
+void InvariantChecker::checkConfigOrder(const HistoryEvent& event) {
+  if (auto violation = configOrders.observe(event))
+    reportViolation(Invariant::configurationOrder, event.timestamp, *violation);
 }
 
 void InvariantChecker::onConfigAcknowledged(const HistoryEvent& event) {
-  checkOrder(event);
+  checkConfigOrder(event);
   acknowledgedConfigs.emplace_back(event.timestamp, event.version);
 }
 
 // A process that is cut off can't know; what the leader answers is judged always.
 void InvariantChecker::onConfigObserved(const HistoryEvent& event) {
   const bool judged = event.detail == "the leader" ||
-                      !hadFaultWithin(event.timestamp - configReaches, event.timestamp);
+                      !hadFaultWithin(event.timestamp - configPropagationMs, event.timestamp);
   for (const auto& [at, version] : acknowledgedConfigs)
-    if (judged && at + configReaches + options.clockSlackMs < event.timestamp &&
+    if (judged && at + configPropagationMs + options.clockSlackMs < event.timestamp &&
         version > event.version)
       return reportViolation(Invariant::configurationOrder, event.timestamp,
                              "config " + std::to_string(event.version) + " is in force at " +
@@ -40,7 +40,7 @@
 }
 
 void InvariantChecker::onServiceRestored(const HistoryEvent& event) {
-  if (healedAt && event.timestamp - *healedAt > serviceReturns + options.clockSlackMs)
+  if (healedAt && event.timestamp - *healedAt > serviceRecoveryMs + options.clockSlackMs)
     reportViolation(Invariant::serviceRecovery, event.timestamp,
                     "service returned only after " + std::to_string(event.timestamp - *healedAt) +
                         " ms of being whole");
@@ -63,11 +63,11 @@
 // Whether all that was answered fits one order of taking effect. One that was not decided is no
 // pass.
 void InvariantChecker::checkLinearizability() {
-  HistoryOperationsOptions operations;
-  operations.clockSlackMs = options.clockSlackMs;
-  operations.finishedRetentionMs = options.finishedRetentionMs;
-  operations.retainedJobsLimit = options.retainedJobsLimit;
-  for (const auto& violation : findViolations(history, operations, &report.searchStatistics))
+  HistoryOperationsOptions operationsOptions;
+  operationsOptions.clockSlackMs = options.clockSlackMs;
+  operationsOptions.finishedRetentionMs = options.finishedRetentionMs;
+  operationsOptions.retainedJobsLimit = options.retainedJobsLimit;
+  for (const auto& violation : findViolations(history, operationsOptions, &report.searchStatistics))
     reportViolation(Invariant::linearizability, violation.timestamp, violation.description);
 }
 
--- a/source/checker/job_model.cpp
+++ b/source/checker/job_model.cpp
@@ -12,9 +12,9 @@
 }
 
 // Whether a job whose earliest possible phase is `earliest` can be answered to be in `answered`.
-bool canBe(JobPhase earliest, JobPhase answered) {
+bool isPossibleAnswer(JobPhase earliest, JobPhase answered) {
   const bool open = isPendingOrRunning(earliest);
-  const bool unnamedEnd = earliest == JobPhase::cancellingOrEnded;
+  const bool cancelledOrEnded = earliest == JobPhase::cancellingOrEnded;
   switch (answered) {
     case JobPhase::missing:
     case JobPhase::pending:
@@ -25,19 +25,19 @@
     case JobPhase::cancellingOrEnded:
       return !open && earliest != JobPhase::missing;
     case JobPhase::cancelling:
-      return unnamedEnd || earliest == answered;
+      return cancelledOrEnded || earliest == answered;
     case JobPhase::cancelled:
-      return unnamedEnd || earliest == JobPhase::cancelling || earliest == answered;
+      return cancelledOrEnded || earliest == JobPhase::cancelling || earliest == answered;
     case JobPhase::succeeded:
     case JobPhase::failed:
-      return open || unnamedEnd || earliest == answered;
+      return open || cancelledOrEnded || earliest == answered;
   }
   return false;
 }
 
 // The earliest phase of the job once one was answered; nothing if it can't be in that one.
 std::optional<JobPhase> phaseAfterAnswer(JobPhase earliest, JobPhase answered) {
-  if (!canBe(earliest, answered))
+  if (!isPossibleAnswer(earliest, answered))
     return std::nullopt;
   return answered == JobPhase::pendingOrRunning ? earliest : answered;
 }
--- a/source/checker/linearizability.cpp
+++ b/source/checker/linearizability.cpp
@@ -137,25 +137,25 @@
 };
 
 template <class Model>
-std::vector<LinearizabilityViolation> findInEveryKey(
+std::vector<LinearizabilityViolation> findViolationsByKey(
     const Model& model, const std::vector<typename Model::Operation>& operations,
     SearchLimits limits, SearchStatistics* statistics) {
   std::map<std::string, std::vector<std::size_t>> byKey;
   for (std::size_t index = 0; index < operations.size(); ++index) {
     byKey[operations[index].key].push_back(index);
   }
-  SearchStatistics done{byKey.size(), operations.size(), 0};
+  SearchStatistics totals{byKey.size(), operations.size(), 0};
   std::vector<LinearizabilityViolation> found;
   for (const auto& [key, indices] : byKey) {
     KeyCheck<Model> check(model, operations, indices, limits);
     if (auto violation = check.check())
       found.push_back(std::move(*violation));
-    done.configurations += check.exploredConfigurations();
+    totals.configurations += check.exploredConfigurations();
   }
   if (statistics) {
-    statistics->keys += done.keys;
-    statistics->operations += done.operations;
-    statistics->configurations += done.configurations;
+    statistics->keys += totals.keys;
+    statistics->operations += totals.operations;
+    statistics->configurations += totals.configurations;
   }
   return found;
 }
@@ -165,13 +165,13 @@
 std::vector<LinearizabilityViolation> findViolations(
     const ConfigurationModel& model, const std::vector<ConfigurationModel::Operation>& operations,
     SearchLimits limits, SearchStatistics* statistics) {
-  return findInEveryKey(model, operations, limits, statistics);
+  return findViolationsByKey(model, operations, limits, statistics);
 }
 
 std::vector<LinearizabilityViolation> findViolations(
     const JobModel& model, const std::vector<JobModel::Operation>& operations, SearchLimits limits,
     SearchStatistics* statistics) {
-  return findInEveryKey(model, operations, limits, statistics);
+  return findViolationsByKey(model, operations, limits, statistics);
 }
 
 }  // namespace aniseline
--- a/source/checker/model/describe.cpp
+++ b/source/checker/model/describe.cpp
@@ -53,16 +53,18 @@
     return "Join of " + body.member.id.value;
   }
   std::string operator()(const RemovedFromCluster& body) const {
-    return of("RemovedFromCluster", body);
+    return summarize("RemovedFromCluster", body);
+  }
+  std::string operator()(const InstallSnapshot& body) const {
+    return summarize("InstallSnapshot", body);
   }
-  std::string operator()(const InstallSnapshot& body) const { return of("InstallSnapshot", body); }
   // Kinds of message that came later.
   template <class Body>
   std::string operator()(const Body& body) const {
-    return of("message", body);
+    return summarize("message", body);
   }
   template <class Body>
-  static std::string of(std::string text, const Body& body) {
+  static std::string summarize(std::string text, const Body& body) {
     if constexpr (requires { body.term; })
       text += " term " + number(body.term);
     if constexpr (requires { body.round; })
--- a/source/checker/model/model_cluster.cpp
+++ b/source/checker/model/model_cluster.cpp
@@ -9,28 +9,28 @@
 
 // Five of the longest election times: past it a leader stops waiting for late readings, a candidate
 // asks again, and a learner asks whether it is still one (2 s).
-Duration pastEveryTimeOut(const RaftOptions& options) {
+Duration beyondAllTimeouts(const RaftOptions& options) {
   return Duration{5 * options.electionTimeoutMax.milliseconds + 1};
 }
 
-std::string letter(std::size_t machine) {
+std::string machineName(std::size_t machine) {
   return std::string(1, char('a' + machine));
 }
 
-const Member* memberIn(const Membership& members, const ControllerId& id) {
+const Member* findMemberById(const Membership& members, const ControllerId& id) {
   for (const auto& member : members)
     if (member.id == id)
       return &member;
   return nullptr;
 }
 
-bool beginsLife(ActionKind kind) {
+bool startsNewProcess(ActionKind kind) {
   return kind == ActionKind::restart || kind == ActionKind::restartKeepingWrite ||
          kind == ActionKind::loseDisk || kind == ActionKind::rejoinAsNewMember;
 }
 
 bool isVoter(const Membership& members, const ControllerId& id) {
-  const auto* member = memberIn(members, id);
+  const auto* member = findMemberById(members, id);
   return member && member->voter;
 }
 
@@ -45,7 +45,7 @@
 }
 
 Member ModelCluster::memberAt(std::size_t machine, unsigned instance) {
-  const auto name = letter(machine);
+  const auto name = machineName(machine);
   return Member{ControllerId{name + std::to_string(instance)}, Address{name + ":1"}, ZoneName{name},
                 false};
 }
@@ -56,18 +56,18 @@
     members.push_back(memberAt(machine, 1));
     members.back().voter = true;
   }
-  WriteAheadRecord founding;
-  founding.version = DiskVersion{1};
-  founding.holdsSnapshot = true;
-  founding.term = Term{1};
-  founding.firstIndex = LogIndex{1};
-  founding.entries.push_back(LogEntry{Term{1}, true, pack(members)});
+  WriteAheadRecord bootstrapRecord;
+  bootstrapRecord.version = DiskVersion{1};
+  bootstrapRecord.holdsSnapshot = true;
+  bootstrapRecord.term = Term{1};
+  bootstrapRecord.firstIndex = LogIndex{1};
+  bootstrapRecord.entries.push_back(LogEntry{Term{1}, true, pack(members)});
   auto history = std::make_shared<HistoryVariables>();
-  history->commit(founding.entries[0], Term{1});
+  history->commit(bootstrapRecord.entries[0], Term{1});
   for (std::size_t machine = 0; machine < options->machines; ++machine) {
     std::vector<WriteAheadRecord> disk;
     if (machine < options->voters)
-      disk.push_back(founding);
+      disk.push_back(bootstrapRecord);
     auto node = std::make_shared<ModelNode>(memberAt(machine, 1), options->raft, std::move(disk));
     nodes.push_back({node, node->hash()});
   }
@@ -235,20 +235,21 @@
     machine = *recipientOf(findPacket(action.packetHash)->message);
   const auto before = nodes[machine].node;
   auto after = std::make_shared<ModelNode>(*before);
-  auto ghost = std::make_shared<HistoryVariables>(*currentHistory);
+  auto historyVariables = std::make_shared<HistoryVariables>(*currentHistory);
   if (action.kind == ActionKind::loseDisk || action.kind == ActionKind::rejoinAsNewMember)
-    replaceIdentity(machine, *after, *ghost);
+    replaceIdentity(machine, *after, *historyVariables);
   else
-    performAction(action, *after, *ghost);
-  runEffects(*after, *ghost, *before, beginsLife(action.kind));
+    performAction(action, *after, *historyVariables);
+  runEffects(*after, *historyVariables, *before, startsNewProcess(action.kind));
   nodes[machine].hash = after->hash();
   nodes[machine].node = std::move(after);
-  historyHash = ghost->hash();
-  currentHistory = std::move(ghost);
+  historyHash = historyVariables->hash();
+  currentHistory = std::move(historyVariables);
   return true;
 }
 
-void ModelCluster::performAction(const Action& action, ModelNode& node, HistoryVariables& ghost) {
+void ModelCluster::performAction(const Action& action, ModelNode& node,
+                                 HistoryVariables& historyVariables) {
   const RaftOptions& raft = options->raft;
   switch (action.kind) {
     case ActionKind::deliver:
@@ -263,25 +264,25 @@
       node.advanceClock(raft.heartbeatInterval);
       return node.tick();
     case ActionKind::electionTimeout:
-      node.advanceClock(pastEveryTimeOut(raft));
+      node.advanceClock(beyondAllTimeouts(raft));
       return node.tick();
     case ActionKind::leaderSilence:
       return node.advanceClock(raft.electionTimeoutMin);
     case ActionKind::restart:
     case ActionKind::restartKeepingWrite:
-      std::erase_if(ghost.pendingReads,
+      std::erase_if(historyVariables.pendingReads,
                     [&](const auto& read) { return read.reader == node.self.id; });
       return node.restart(raft, action.kind == ActionKind::restartKeepingWrite,
                           options->seededDefect.restartsFromOldDisk);
     case ActionKind::compact:
       return node.raft.compact(node.raft.commitIndex(),
-                               std::to_string(ghost.digestAt(node.raft.commitIndex())));
+                               std::to_string(historyVariables.digestAt(node.raft.commitIndex())));
     case ActionKind::join:
       node.raft.setJoinAddress(this->node(action.target).self.address);
-      node.advanceClock(pastEveryTimeOut(raft));
+      node.advanceClock(beyondAllTimeouts(raft));
       return node.tick();
     default:
-      return performLeaderAction(action, node, ghost);
+      return performLeaderAction(action, node, historyVariables);
   }
 }
 
@@ -294,14 +295,14 @@
 }
 
 void ModelCluster::performLeaderAction(const Action& action, ModelNode& node,
-                                       HistoryVariables& ghost) {
+                                       HistoryVariables& historyVariables) {
   Membership members = node.raft.membership();
   switch (action.kind) {
     case ActionKind::propose:
       node.raft.propose(node.uniquePayload("value"), node.now());
       break;
     case ActionKind::read:
-      beginRead(node, ghost);
+      beginRead(node, historyVariables);
       break;
     case ActionKind::removeMember:
       members.erase(members.begin() + action.target);
@@ -319,14 +320,14 @@
   node.tick();  // what was proposed leaves at once
 }
 
-void ModelCluster::beginRead(ModelNode& node, HistoryVariables& ghost) const {
+void ModelCluster::beginRead(ModelNode& node, HistoryVariables& historyVariables) const {
   PendingRead read;
   read.reader = node.self.id;
   read.term = node.raft.term();
   read.round = node.raft.startRound(node.now());
   read.lastIndexAtStart = node.raft.lastIndex();
-  read.committedAtStart = ghost.lastIndex();
-  ghost.pendingReads.push_back(read);
+  read.committedAtStart = historyVariables.lastIndex();
+  historyVariables.pendingReads.push_back(read);
 }
 
 void ModelCluster::deliver(const Action& action, ModelNode& node) {
@@ -336,17 +337,19 @@
   node.raft.receive(message, node.now());
 }
 
-void ModelCluster::replaceIdentity(std::size_t machine, ModelNode& node, HistoryVariables& ghost) {
+void ModelCluster::replaceIdentity(std::size_t machine, ModelNode& node,
+                                   HistoryVariables& historyVariables) {
   const ControllerId old = node.self.id;
-  ghost.lostDisks[old] = node.diskImage;
-  std::erase_if(ghost.pendingReads, [&](const auto& read) { return read.reader == old; });
+  historyVariables.lostDisks[old] = node.diskImage;
+  std::erase_if(historyVariables.pendingReads,
+                [&](const auto& read) { return read.reader == old; });
   std::erase_if(packets, [&](const auto& packet) { return packet->message.to == old; });
   ++nodes[machine].incarnation;
   node = ModelNode(memberAt(machine, nodes[machine].incarnation), options->raft, {});
 }
 
-void ModelCluster::runEffects(ModelNode& node, HistoryVariables& ghost, const ModelNode& before,
-                              bool restarted) {
+void ModelCluster::runEffects(ModelNode& node, HistoryVariables& historyVariables,
+                              const ModelNode& before, bool restarted) {
   node.proposeOpeningEntry();
   if (options->seededDefect.mutateNode)
     options->seededDefect.mutateNode(node.raft);
@@ -355,7 +358,8 @@
     node.startWrite();
   while (options->syncImmediately && (node.writing() || node.startWrite()))
     completeWrite(node);
-  StepInvariantChecker checker(*this, before, node, ghost, options->outcomesOnly, restarted);
+  StepInvariantChecker checker(*this, before, node, historyVariables, options->outcomesOnly,
+                               restarted);
   for (auto& message : node.raft.takeMessages()) {
     checker.checkSentMessage(message);
     if (options->seededDefect.mutateMessage)
--- a/source/checker/model/model_cluster.hpp
+++ b/source/checker/model/model_cluster.hpp
@@ -105,13 +105,14 @@
   bool isEnabled(const Action& action) const;
   bool isEnabledForLeader(const Action& action) const;
   bool mayLoseDisk(const ControllerId& id) const;
-  void performAction(const Action& action, ModelNode& node, HistoryVariables& ghost);
-  void performLeaderAction(const Action& action, ModelNode& node, HistoryVariables& ghost);
+  void performAction(const Action& action, ModelNode& node, HistoryVariables& historyVariables);
+  void performLeaderAction(const Action& action, ModelNode& node,
+                           HistoryVariables& historyVariables);
   void completeWrite(ModelNode& node) const;
-  void beginRead(ModelNode& node, HistoryVariables& ghost) const;
+  void beginRead(ModelNode& node, HistoryVariables& historyVariables) const;
   void deliver(const Action& action, ModelNode& node);
-  void replaceIdentity(std::size_t machine, ModelNode& node, HistoryVariables& ghost);
-  void runEffects(ModelNode& node, HistoryVariables& ghost, const ModelNode& before,
+  void replaceIdentity(std::size_t machine, ModelNode& node, HistoryVariables& historyVariables);
+  void runEffects(ModelNode& node, HistoryVariables& historyVariables, const ModelNode& before,
                   bool restarted);
   void send(PeerMessage message);
   void removePacket(std::uint64_t packet);
--- a/source/checker/model/scenarios.cpp
+++ b/source/checker/model/scenarios.cpp
@@ -46,25 +46,25 @@
 }
 
 // a leads, its opening entry is committed everywhere.
-void led(Script& script) {
+void electedLeader(Script& script) {
   script.elect(a);
   script.replicate(a);
 }
 
 // a was granted every pre-vote; its vote for itself is still being written.
-void slowCandidate(Script& script) {
+void unsyncedCandidate(Script& script) {
   script.step(Kind::electionTimeout, a);
   script.deliverAllUnsynced();
 }
 
 void oneEntryUnsent(Script& script) {
-  led(script);
+  electedLeader(script);
   script.step(Kind::propose, a);
 }
 
 // a still takes itself for the leader; b was elected by b and c, and committed an entry.
 void twoLeaders(Script& script) {
-  led(script);
+  electedLeader(script);
   script.elect(b, {b, c});
   script.step(Kind::propose, b);
   script.deliverAll({b, c});
@@ -72,17 +72,17 @@
 
 // a led with an entry that nobody else has; b was elected and has one of its own at the same index.
 void forkedLogs(Script& script) {
-  led(script);
+  electedLeader(script);
   script.step(Kind::propose, a);
   script.completeWrites({a});
   script.dropAllMessages();
-  script.electWithoutDelivery(b, {b, c});
+  script.electAndDropMessages(b, {b, c});
   script.completeWrites({b});
 }
 
 // a holds two entries that nobody else has; b and c committed others there, which come one by one.
-void forkOfTwo(Script& script) {
-  led(script);
+void twoForkedEntries(Script& script) {
+  electedLeader(script);
   script.step(Kind::propose, a);
   script.step(Kind::propose, a);
   script.completeWrites({a});
@@ -96,19 +96,19 @@
 
 // As the first fork, and the old leader's entry is still under way to c, the new one's too.
 void staleLeader(Script& script) {
-  led(script);
+  electedLeader(script);
   script.step(Kind::propose, a);
   script.completeWrites({a});
   script.withhold(a, c, hasEntries);
   script.dropAllMessages();
-  script.electWithoutDelivery(b, {b, c});
+  script.electAndDropMessages(b, {b, c});
   script.step(Kind::heartbeat, b);
 }
 
 // b and c answered a in an earlier leadership of a's, which it has not read. a was elected again,
 // then b, which committed an entry.
 void staleReplies(Script& script) {
-  led(script);
+  electedLeader(script);
   script.replicate(a);
   script.replicate(a);
   script.step(Kind::heartbeat, a);
@@ -124,8 +124,8 @@
 }
 
 // a and b committed an entry that c has not.
-void behind(Script& script) {
-  led(script);
+void laggingFollower(Script& script) {
+  electedLeader(script);
   script.step(Kind::propose, a);
   script.deliverAll({a, b});
 }
@@ -133,7 +133,7 @@
 // a holds entries of its own that nobody else has, also on its disk; b was elected, went on and
 // dropped the log that a needs: the snapshot is on its way.
 void forkedSnapshot(Script& script) {
-  led(script);
+  electedLeader(script);
   for (int entry = 0; entry < 3; ++entry) {
     script.step(Kind::propose, a);
     script.completeWrites({a});
@@ -153,23 +153,23 @@
 
 // a proposes to remove b, cut off from c and d.
 void pendingRemoval(Script& script) {
-  led(script);
+  electedLeader(script);
   script.step(Kind::removeMember, a, b);
   script.dropAllMessages();
 }
 
 // d has learnt all; its promotion is proposed and not sent.
 void pendingPromotion(Script& script) {
-  led(script);
+  electedLeader(script);
   script.step(Kind::join, d, a);
   script.deliverAll();
   script.replicate(a);
-  script.step(Kind::promote, a, script.memberIndexOf(a, d));
+  script.step(Kind::promote, a, script.findMemberIndex(a, d));
 }
 
 // c slept while a and b went on and dropped the log that c needs; the snapshot is on its way.
-void installing(Script& script) {
-  led(script);
+void snapshotInFlight(Script& script) {
+  electedLeader(script);
   for (int entry = 0; entry < 3; ++entry) {
     script.step(Kind::propose, a);
     script.deliverAll({a, b});
@@ -188,7 +188,7 @@
     const auto* append = boost::get<AppendEntries>(&message.body);
     return append && append->previousLogIndex == LogIndex{4};
   };
-  led(script);
+  electedLeader(script);
   script.step(Kind::propose, a);
   script.step(Kind::propose, a);
   script.step(Kind::propose, a);
@@ -203,7 +203,7 @@
 
 // b's disk is lost; it is back as a new identity and asks to learn.
 void lostDisk(Script& script) {
-  led(script);
+  electedLeader(script);
   script.step(Kind::loseDisk, b);
   script.step(Kind::join, b, a);
   script.deliverAll();
@@ -211,7 +211,7 @@
 }
 
 // d took the place of b, whose removal is committed by a, c and d; b has not heard.
-void replaced(Script& script) {
+void replacedVoter(Script& script) {
   pendingPromotion(script);
   script.deliverAll();
   script.replicate(a);
@@ -222,13 +222,13 @@
 
 // The Raft paper's figure 8: an entry of term 2 on a and b, one of term 3 on e alone; a leads
 // again.
-void olderTermsEntry(Script& script) {
-  led(script);
+void entryOfOlderTerm(Script& script) {
+  electedLeader(script);
   script.step(Kind::propose, a);
   script.deliverAll({a, b});
-  script.electWithoutDelivery(e, {c, d, e});
+  script.electAndDropMessages(e, {c, d, e});
   script.completeWrites({e});
-  script.electWithoutDelivery(a, {a, b, c, d});
+  script.electAndDropMessages(a, {a, b, c, d});
   // e steps down, then learns of the term that a leads: its next election would be a later one.
   script.step(Kind::electionTimeout, e);
   script.step(Kind::electionTimeout, e);
@@ -249,7 +249,7 @@
        budgetWith({{Kind::electionTimeout, 2}, {Kind::leaderSilence, 0}, {Kind::heartbeat, 0}}),
        [](Script&) {}, true},
       {"slow disk", "a candidate whose vote for itself is not yet synced", 3, 3,
-       budgetWith({{Kind::heartbeat, 0}, {Kind::leaderSilence, 0}}), slowCandidate},
+       budgetWith({{Kind::heartbeat, 0}, {Kind::leaderSilence, 0}}), unsyncedCandidate},
       {"entry", "a leader with an entry not yet sent", 3, 3,
        budgetWith({{Kind::propose, 1}, {Kind::duplicate, 1}}), oneEntryUnsent},
       {"read", "a leader that another has replaced is read from", 3, 3,
@@ -257,14 +257,14 @@
       {"fork", "two logs that differ at one index; the stale leader is back", 3, 3,
        budgetWith({{Kind::duplicate, 1}, {Kind::heartbeat, 2}}), forkedLogs},
       {"fork of two", "a committed log comes entry by entry to a stale leader", 3, 3,
-       budgetWith({{Kind::heartbeat, 1}}), forkOfTwo, true, true},
+       budgetWith({{Kind::heartbeat, 1}}), twoForkedEntries, true, true},
       {"stale leader", "entries of an old and of a new leader under way to one follower", 3, 3,
        budgetWith({{Kind::heartbeat, 0}, {Kind::electionTimeout, 0}, {Kind::removeMember, 1}}),
        staleLeader, true},
       {"stale reply", "a read by a leader that others replaced, old answers under way to it", 3, 3,
        budgetWith({{Kind::read, 1}, {Kind::heartbeat, 0}}), staleReplies, true},
       {"behind", "one that lacks what is committed asks for votes", 3, 3,
-       budgetWith({{Kind::heartbeat, 0}, {Kind::restart, 0}}), behind, true},
+       budgetWith({{Kind::heartbeat, 0}, {Kind::restart, 0}}), laggingFollower, true},
       {"forked snapshot", "a snapshot under way to one whose disk holds another log", 3, 3,
        budgetWith({{Kind::heartbeat, 2}, {Kind::electionTimeout, 0}}), forkedSnapshot},
       {"removal", "the removal of a voter, cut off from half of the voters", 4, 4,
@@ -273,19 +273,19 @@
        budgetWith({{Kind::removeMember, 1}}), pendingPromotion},
       {"snapshot", "a follower far behind, the snapshot under way", 3, 3,
        budgetWith({{Kind::heartbeat, 2}, {Kind::restartKeepingWrite, 1}, {Kind::propose, 1}}),
-       installing},
+       snapshotInFlight},
       {"late snapshot", "entries and a snapshot that ends before the last of them, in any order", 3,
        3, budgetWith({{Kind::electionTimeout, 0}, {Kind::leaderSilence, 0}}), lateSnapshot, true},
       {"lost disk", "a voter's disk is lost, its machine learns anew", 3, 3,
        budgetWith({{Kind::promote, 1}, {Kind::removeMember, 1}, {Kind::join, 1}}), lostDisk},
       {"replaced", "a voter is replaced and has not heard of it", 4, 3,
        budgetWith({{Kind::electionTimeout, 2}, {Kind::loseDisk, 1}, {Kind::duplicate, 1}}),
-       replaced},
+       replacedVoter},
       {"older term", "an entry of an older term on a minority, its leader is elected again", 5, 5,
        budgetWith({{Kind::heartbeat, 0}, {Kind::leaderSilence, 1}, {Kind::restart, 0}}),
-       olderTermsEntry, true, true},
+       entryOfOlderTerm, true, true},
       {"transfer", "a leader that hands over", 3, 3,
-       budgetWith({{Kind::transferLeadership, 1}, {Kind::propose, 1}}), led},
+       budgetWith({{Kind::transferLeadership, 1}, {Kind::propose, 1}}), electedLeader},
   };
   return all;
 }
@@ -297,43 +297,43 @@
   throw std::invalid_argument("no scenario " + name);
 }
 
-ModelCluster widenForWalks(ModelCluster world, bool outcomesOnly, const SeededDefect& tamper) {
-  auto open = std::make_shared<ModelOptions>();
-  open->machines = world.machines();
-  open->writeImmediately = false;
-  open->outcomesOnly = outcomesOnly;
-  open->seededDefect = tamper;
-  open->budget = {{Kind::duplicate, 6},
-                  {Kind::electionTimeout, 12},
-                  {Kind::restart, 4},
-                  {Kind::loseDisk, 2},
-                  {Kind::restartKeepingWrite, 3},
-                  {Kind::propose, 6},
-                  {Kind::read, 4},
-                  {Kind::removeMember, 4},
-                  {Kind::promote, 4},
-                  {Kind::transferLeadership, 2},
-                  {Kind::compact, 3}};
-  world.setOptions(open);
-  return world;
-}
-
-ModelCluster prepare(const Scenario& scenario, const SeededDefect& tamper, bool outcomesOnly) {
-  auto free = std::make_shared<ModelOptions>();
-  free->machines = scenario.machines;
-  free->voters = scenario.voters;
-  free->syncImmediately = scenario.syncImmediately;
+ModelCluster withWalkOptions(ModelCluster cluster, bool outcomesOnly, const SeededDefect& defect) {
+  auto walkOptions = std::make_shared<ModelOptions>();
+  walkOptions->machines = cluster.machines();
+  walkOptions->writeImmediately = false;
+  walkOptions->outcomesOnly = outcomesOnly;
+  walkOptions->seededDefect = defect;
+  walkOptions->budget = {{Kind::duplicate, 6},
+                         {Kind::electionTimeout, 12},
+                         {Kind::restart, 4},
+                         {Kind::loseDisk, 2},
+                         {Kind::restartKeepingWrite, 3},
+                         {Kind::propose, 6},
+                         {Kind::read, 4},
+                         {Kind::removeMember, 4},
+                         {Kind::promote, 4},
+                         {Kind::transferLeadership, 2},
+                         {Kind::compact, 3}};
+  cluster.setOptions(walkOptions);
+  return cluster;
+}
+
+ModelCluster prepare(const Scenario& scenario, const SeededDefect& defect, bool outcomesOnly) {
+  auto scriptOptions = std::make_shared<ModelOptions>();
+  scriptOptions->machines = scenario.machines;
+  scriptOptions->voters = scenario.voters;
+  scriptOptions->syncImmediately = scenario.syncImmediately;
   if (scenario.oneEntryPerMessage)
-    free->raft.maxBatchBytes = 1;
-  ModelCluster world(free);
-  Script script(world);
+    scriptOptions->raft.maxBatchBytes = 1;
+  ModelCluster cluster(scriptOptions);
+  Script script(cluster);
   scenario.prepare(script);
-  auto bounded = std::make_shared<ModelOptions>(*free);
-  bounded->budget = scenario.budget;
-  bounded->seededDefect = tamper;
-  bounded->outcomesOnly = outcomesOnly;
-  world.setOptions(bounded);
-  return world;
+  auto searchOptions = std::make_shared<ModelOptions>(*scriptOptions);
+  searchOptions->budget = scenario.budget;
+  searchOptions->seededDefect = defect;
+  searchOptions->outcomesOnly = outcomesOnly;
+  cluster.setOptions(searchOptions);
+  return cluster;
 }
 
 void Script::step(ActionKind kind, std::size_t machine, std::size_t other) {
@@ -443,7 +443,7 @@
   runUntilLeads(machine, among, [&] { deliverAll(among); });
 }
 
-void Script::electWithoutDelivery(std::size_t machine, const std::set<std::size_t>& among) {
+void Script::electAndDropMessages(std::size_t machine, const std::set<std::size_t>& among) {
   runUntilLeads(machine, among, [&] {
     for (completeWrites(among); !cluster.node(machine).raft.isLeader() && firstDeliverable();
          completeWrites(among))
@@ -460,7 +460,7 @@
   }
 }
 
-std::size_t Script::memberIndexOf(std::size_t leader, std::size_t machine) const {
+std::size_t Script::findMemberIndex(std::size_t leader, std::size_t machine) const {
   const auto& members = cluster.node(leader).raft.membership();
   const auto found = std::find_if(members.begin(), members.end(), [&](const Member& member) {
     return member.id == cluster.node(machine).self.id;
--- a/source/checker/model/scenarios.hpp
+++ b/source/checker/model/scenarios.hpp
@@ -20,11 +20,11 @@
 const Scenario& scenario(const std::string& name);
 // Runs the scenario's script and gives the search its budget. The tamper is in force from the
 // search on.
-ModelCluster prepare(const Scenario& scenario, const SeededDefect& tamper = {},
+ModelCluster prepare(const Scenario& scenario, const SeededDefect& defect = {},
                      bool outcomesOnly = false);
 // The same world with more of everything, writes taken late and messages lost: for long walks.
-ModelCluster widenForWalks(ModelCluster world, bool outcomesOnly = false,
-                           const SeededDefect& tamper = {});
+ModelCluster withWalkOptions(ModelCluster cluster, bool outcomesOnly = false,
+                             const SeededDefect& defect = {});
 
 // Drives a world along one path.
 class Script {
@@ -50,11 +50,11 @@
   // Makes a machine the leader of those named.
   void elect(std::size_t machine, const std::set<std::size_t>& among = {});
   // The same, but all that the new leader sends is lost.
-  void electWithoutDelivery(std::size_t machine, const std::set<std::size_t>& among);
+  void electAndDropMessages(std::size_t machine, const std::set<std::size_t>& among);
   // Heartbeats until these have seen all that is committed.
   void replicate(std::size_t leader, const std::set<std::size_t>& among = {});
   // The place of a machine's present identity among the leader's members.
-  std::size_t memberIndexOf(std::size_t leader, std::size_t machine) const;
+  std::size_t findMemberIndex(std::size_t leader, std::size_t machine) const;
 
  private:
   const Packet* firstDeliverable() const;
--- a/source/checker/model/search.cpp
+++ b/source/checker/model/search.cpp
@@ -30,14 +30,14 @@
 
   SearchReport run() {
     const Stopwatch watch;
-    while (!frontier.empty() && !report.counterexample && !full) {
-      const Open open = std::move(frontier.front());
+    while (!frontier.empty() && !report.counterexample && !limitReached) {
+      const FrontierState current = std::move(frontier.front());
       frontier.pop_front();
-      report.completeDepth = open.depth;
-      if (open.depth < bounds.depth)
-        expand(open);
+      report.completeDepth = current.depth;
+      if (current.depth < bounds.depth)
+        expand(current);
     }
-    report.exhausted = frontier.empty() && !report.counterexample && !full;
+    report.exhausted = frontier.empty() && !report.counterexample && !limitReached;
     if (report.exhausted)
       report.completeDepth = report.depth;
     report.states = reached.size();
@@ -46,8 +46,8 @@
   }
 
  private:
-  struct Open {
-    ModelCluster world;
+  struct FrontierState {
+    ModelCluster cluster;
     std::size_t place;  // in `reached`
     std::size_t depth;
   };
@@ -56,31 +56,31 @@
     Action by;
   };
 
-  void expand(const Open& open) {
-    for (const auto& action : open.world.enabledActions()) {
-      ModelCluster next = open.world;
+  void expand(const FrontierState& current) {
+    for (const auto& action : current.cluster.enabledActions()) {
+      ModelCluster next = current.cluster;
       if (!next.apply(action))
         continue;
       ++report.transitions;
       if (next.violation()) {
-        report.counterexample = Counterexample{*next.violation(), traceTo(open.place)};
+        report.counterexample = Counterexample{*next.violation(), traceTo(current.place)};
         report.counterexample->trace.push_back(action);
         return;
       }
-      visit(std::move(next), open.place, action, open.depth + 1);
+      visit(std::move(next), current.place, action, current.depth + 1);
       if (reached.size() >= bounds.states) {
-        full = true;
+        limitReached = true;
         return;
       }
     }
   }
 
-  void visit(ModelCluster world, std::size_t from, const Action& by, std::size_t depth) {
-    if (!seen.insert(world.hash()).second)
+  void visit(ModelCluster cluster, std::size_t from, const Action& by, std::size_t depth) {
+    if (!seen.insert(cluster.hash()).second)
       return;
     reached.push_back({from, by});
     report.depth = std::max(report.depth, depth);
-    frontier.push_back({std::move(world), reached.size() - 1, depth});
+    frontier.push_back({std::move(cluster), reached.size() - 1, depth});
   }
 
   Trace traceTo(std::size_t index) const {
@@ -93,10 +93,10 @@
 
   SearchBounds bounds;
   SearchReport report;
-  bool full = false;
+  bool limitReached = false;
   std::unordered_set<std::uint64_t> seen;
   std::vector<Reached> reached;
-  std::deque<Open> frontier;
+  std::deque<FrontierState> frontier;
 };
 
 // How much more often than the rest a kind of step is drawn: without these most walks are
@@ -129,18 +129,18 @@
 class Walk {
  public:
   Walk(const ModelCluster& start, const WalkOptions& options, std::uint64_t seed)
-      : world(start), options(options), random(seed) {}
+      : cluster(start), options(options), random(seed) {}
 
   std::optional<Counterexample> run(std::unordered_set<std::uint64_t>& seen) {
     while (trace.size() < options.steps) {
       const auto action = draw();
       if (!action)
         return std::nullopt;
-      world.apply(*action);
+      cluster.apply(*action);
       trace.push_back(*action);
-      seen.insert(world.hash());
-      if (world.violation())
-        return Counterexample{*world.violation(), trace};
+      seen.insert(cluster.hash());
+      if (cluster.violation())
+        return Counterexample{*cluster.violation(), trace};
     }
     return std::nullopt;
   }
@@ -148,8 +148,8 @@
 
  private:
   std::optional<Action> draw() {
-    auto actions = world.enabledActions();
-    if (world.network().size() > options.maxPacketsInFlight) {
+    auto actions = cluster.enabledActions();
+    if (cluster.network().size() > options.maxPacketsInFlight) {
       std::erase_if(actions, [](const Action& action) {
         return action.kind != ActionKind::drop && action.kind != ActionKind::deliver;
       });
@@ -168,7 +168,7 @@
     return std::nullopt;
   }
 
-  ModelCluster world;
+  ModelCluster cluster;
   const WalkOptions& options;
   Random random;
   Trace trace;
@@ -198,10 +198,10 @@
 }
 
 std::optional<std::string> replay(const ModelCluster& start, const Trace& trace) {
-  ModelCluster world = start;
+  ModelCluster cluster = start;
   for (const auto& action : trace)
-    if (world.apply(action) && world.violation())
-      return world.violation();
+    if (cluster.apply(action) && cluster.violation())
+      return cluster.violation();
   return std::nullopt;
 }
 
@@ -231,16 +231,16 @@
 
 std::string print(const ModelCluster& start, const Counterexample& finding) {
   std::string text = finding.rule + "\n";
-  ModelCluster world = start;
-  for (std::size_t machine = 0; machine < world.machines(); ++machine)
-    text += "  start " + describe(world.node(machine)) + "\n";
+  ModelCluster cluster = start;
+  for (std::size_t machine = 0; machine < cluster.machines(); ++machine)
+    text += "  start " + describe(cluster.node(machine)) + "\n";
   std::size_t step = 0;
   for (const auto& action : finding.trace) {
-    text += "  " + std::to_string(++step) + ". " + world.describe(action) + "\n";
-    world.apply(action);
+    text += "  " + std::to_string(++step) + ". " + cluster.describe(action) + "\n";
+    cluster.apply(action);
   }
-  for (std::size_t machine = 0; machine < world.machines(); ++machine)
-    text += "  end   " + describe(world.node(machine)) + "\n";
+  for (std::size_t machine = 0; machine < cluster.machines(); ++machine)
+    text += "  end   " + describe(cluster.node(machine)) + "\n";
   return text;
 }
 
--- a/source/checker/model/step_invariants.cpp
+++ b/source/checker/model/step_invariants.cpp
@@ -199,13 +199,13 @@
 // Any majority of one meets any majority of the next.
 void StepInvariantChecker::checkMembershipChange(const Membership& earlier,
                                                  const Membership& later) {
-  const auto old = votersOf(earlier), fresh = votersOf(later);
-  std::set<ControllerId> all = old;
-  all.insert(fresh.begin(), fresh.end());
-  const auto common = old.size() + fresh.size() - all.size();
+  const auto oldVoters = votersOf(earlier), newVoters = votersOf(later);
+  std::set<ControllerId> all = oldVoters;
+  all.insert(newVoters.begin(), newVoters.end());
+  const auto common = oldVoters.size() + newVoters.size() - all.size();
   if (all.size() - common > 1)
     reportViolation("one voter a change", std::to_string(all.size() - common) + " voters differ");
-  if (majorityOf(old.size()) + majorityOf(fresh.size()) <= all.size())
+  if (majorityOf(oldVoters.size()) + majorityOf(newVoters.size()) <= all.size())
     reportViolation("majorities overlap", "of successive committed memberships");
 }
 
--- a/source/checker/starvation_checker.cpp
+++ b/source/checker/starvation_checker.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 constexpr std::int64_t starvedAfterMs = 3000;      // of continuous room
-constexpr std::int64_t calmBeforeMs = 4000;        // without a fault, before these
+constexpr std::int64_t faultFreeBeforeMs = 4000;   // without a fault, before these
 constexpr std::int64_t restartAllowanceMs = 6000;  // of a long-running task, from its last run
-constexpr std::int64_t copiesThatMustFit = 2;
+constexpr std::int64_t requiredCopies = 2;
 // A worker with so many failures within this time is no room: docs/design.md 5.6.
-constexpr std::size_t distrustedAfterFailures = 2;
-constexpr std::int64_t distrustedForMs = 60'000;
+constexpr std::size_t repeatedFailures = 2;
+constexpr std::int64_t repeatedFailureWindowMs = 60'000;
 
 std::size_t taskCountOf(const JobSubmission& submission) {
   std::size_t count = 0;
@@ -36,9 +36,9 @@
   return id == submittedId || id.starts_with(submittedId + OccurrenceId::separator);
 }
 
-bool isDistrusted(const std::vector<std::int64_t>& failuresAt, std::int64_t at) {
-  return failuresAt.size() >= distrustedAfterFailures &&
-         failuresAt[failuresAt.size() - distrustedAfterFailures] > at - distrustedForMs;
+bool failsRepeatedly(const std::vector<std::int64_t>& failuresAt, std::int64_t at) {
+  return failuresAt.size() >= repeatedFailures &&
+         failuresAt[failuresAt.size() - repeatedFailures] > at - repeatedFailureWindowMs;
 }
 
 // How many of these requests the free resources hold.
@@ -55,7 +55,7 @@
     check(id, job, event.timestamp, violations);
   apply(event);
   for (auto& [id, job] : openJobs)
-    reassess(job, event.timestamp);
+    updateStarvation(job, event.timestamp);
   return violations;
 }
 
@@ -82,10 +82,10 @@
       return;
     case Kind::cancelSubmitted:
     case Kind::cancelAcknowledged:
-      return forget(event.job);
+      return removeJob(event.job);
     case Kind::stateObserved:
       if (event.detail == "finished" || event.detail == "failed" || event.detail == "cancelled")
-        forget(event.job);
+        removeJob(event.job);
       return;
     default:
       return;
@@ -134,7 +134,7 @@
 }
 
 // A timetable is one job to its caller, who cancels or sees the end of all its occurrences.
-void StarvationChecker::forget(const std::string& submittedId) {
+void StarvationChecker::removeJob(const std::string& submittedId) {
   closedJobs.insert(submittedId);
   std::erase_if(openJobs, [&](const auto& entry) { return isPartOf(entry.first, submittedId); });
 }
@@ -192,12 +192,12 @@
 void StarvationChecker::recordSuccess(const HistoryEvent& event) {
   JobProgress& job = openJobs.at(event.job);
   forEachStep(*job.submission, [&](const StepRequest& step, std::size_t first) {
-    const std::size_t after = first + step.tasks.size();
-    if (event.task < first || event.task >= after)
+    const std::size_t endOfStep = first + step.tasks.size();
+    if (event.task < first || event.task >= endOfStep)
       return;
     const std::size_t firstMember = step.gang ? first : event.task;
-    const std::size_t afterMembers = step.gang ? after : event.task + 1;
-    for (std::size_t member = firstMember; member < afterMembers; ++member)
+    const std::size_t endOfMembers = step.gang ? endOfStep : event.task + 1;
+    for (std::size_t member = firstMember; member < endOfMembers; ++member)
       job.tasks[member].succeeded = true;
   });
 }
@@ -210,66 +210,66 @@
 
 void StarvationChecker::check(const std::string& id, JobProgress& job, std::int64_t at,
                               std::vector<InvariantViolation>& violations) const {
-  if (job.told)
+  if (job.reported)
     return;
-  const auto inVain = [&](std::int64_t since) {
+  const auto isStarved = [&](std::int64_t since) {
     return at - since >= starvedAfterMs + options.clockSlackMs &&
-           isCalm(since - calmBeforeMs, since + starvedAfterMs);
+           isFaultFree(since - faultFreeBeforeMs, since + starvedAfterMs);
   };
-  const auto tell = [&](const std::string& what, std::int64_t since) {
-    job.told = true;
-    violations.push_back({Invariant::startsWhereRoomIs, at,
+  const auto report = [&](const std::string& what, std::int64_t since) {
+    job.reported = true;
+    violations.push_back({Invariant::noStarvation, at,
                           what + " of " + id + " has waited since " + std::to_string(since) +
                               " though there is room for it twice over"});
   };
-  if (job.starvedSince && inVain(*job.starvedSince))
-    return tell("every task", *job.starvedSince);
+  if (job.starvedSince && isStarved(*job.starvedSince))
+    return report("every task", *job.starvedSince);
   for (const auto& [taskIndex, since] : job.starvedTasksSince) {
-    if (inVain(since))
-      return tell("long-running task " + std::to_string(taskIndex), since);
+    if (isStarved(since))
+      return report("long-running task " + std::to_string(taskIndex), since);
   }
 }
 
-void StarvationChecker::reassess(JobProgress& job, std::int64_t at) const {
-  if (!isOwedAStart(job, at))
+void StarvationChecker::updateStarvation(JobProgress& job, std::int64_t at) const {
+  if (!isStartDue(job, at))
     job.starvedSince.reset();
   else if (!job.starvedSince)
     job.starvedSince = at;
-  reassessLongRunning(job, at);
+  updateLongRunningStarvation(job, at);
 }
 
 // Is a start due while nothing of the job runs?
-bool StarvationChecker::isOwedAStart(const JobProgress& job, std::int64_t at) const {
+bool StarvationChecker::isStartDue(const JobProgress& job, std::int64_t at) const {
   if (!job.acceptedAt || at < job.dueAt || !tenantHasRoom(job))
     return false;
   for (const auto& task : job.tasks) {
     if (task.openRuns > 0)
       return false;
   }
-  bool owed = false;
+  bool isDue = false;
   forEachStep(*job.submission, [&](const StepRequest& step, std::size_t first) {
-    if (owed || !dependenciesSucceeded(job, step))
+    if (isDue || !dependenciesSucceeded(job, step))
       return;
-    for (std::size_t index = 0; index < step.tasks.size() && !owed; ++index) {
+    for (std::size_t index = 0; index < step.tasks.size() && !isDue; ++index) {
       const TaskProgress& task = job.tasks[first + index];
-      owed = !task.succeeded && mayStillStart(job, task) &&
-             hasRoomTwiceOver(job, step, step.tasks[index], at);
+      isDue = !task.succeeded && mayStillStart(job, task) &&
+              hasRoomForTwoCopies(job, step, step.tasks[index], at);
     }
   });
-  return owed;
+  return isDue;
 }
 
-void StarvationChecker::reassessLongRunning(JobProgress& job, std::int64_t at) const {
+void StarvationChecker::updateLongRunningStarvation(JobProgress& job, std::int64_t at) const {
   forEachStep(*job.submission, [&](const StepRequest& step, std::size_t first) {
     if (!step.requirements.longRunning || step.gang || !dependenciesSucceeded(job, step))
       return;
     for (std::size_t index = 0; index < step.tasks.size(); ++index) {
       const auto taskIndex = std::uint32_t(first + index);
       const TaskProgress& task = job.tasks[taskIndex];
-      const bool owed = job.acceptedAt && task.openRuns == 0 && tenantHasRoom(job) &&
-                        at >= std::max(job.dueAt, task.eligibleSince) &&
-                        hasRoomTwiceOver(job, step, step.tasks[index], at);
-      if (owed)
+      const bool isDue = job.acceptedAt && task.openRuns == 0 && tenantHasRoom(job) &&
+                         at >= std::max(job.dueAt, task.eligibleSince) &&
+                         hasRoomForTwoCopies(job, step, step.tasks[index], at);
+      if (isDue)
         job.starvedTasksSince.emplace(taskIndex, at);
       else
         job.starvedTasksSince.erase(taskIndex);
@@ -326,25 +326,25 @@
 }
 
 // Of a gang all members, as if each were as large as this one.
-bool StarvationChecker::hasRoomTwiceOver(const JobProgress& job, const StepRequest& step,
-                                         const TaskRequest& request, std::int64_t at) const {
+bool StarvationChecker::hasRoomForTwoCopies(const JobProgress& job, const StepRequest& step,
+                                            const TaskRequest& request, std::int64_t at) const {
   const std::int64_t limit = step.requirements.maxPerWorker;
-  const std::int64_t needed = copiesThatMustFit * (step.gang ? std::int64_t(step.tasks.size()) : 1);
+  const std::int64_t needed = requiredCopies * (step.gang ? std::int64_t(step.tasks.size()) : 1);
   std::int64_t slots = 0;
   for (const auto& [id, worker] : workers) {
-    if (worker.draining || isDistrusted(worker.failuresAt, at) ||
+    if (worker.draining || failsRepeatedly(worker.failuresAt, at) ||
         !isEligible(options, *job.submission, step, worker.capacity))
       continue;
-    std::int64_t here = needed;
-    here = std::min(here, slotsIn(worker.capacity.cores - worker.cores, request.cores));
-    here = std::min(here, slotsIn(std::int64_t(worker.capacity.memory) -
-                                      options.reservedTrialMemory - worker.memory,
-                                  std::int64_t(request.memory)));
-    here = std::min(
-        here, slotsIn(worker.capacity.accelerators - worker.accelerators, request.accelerators));
+    std::int64_t slotsHere = needed;
+    slotsHere = std::min(slotsHere, slotsIn(worker.capacity.cores - worker.cores, request.cores));
+    slotsHere = std::min(slotsHere, slotsIn(std::int64_t(worker.capacity.memory) -
+                                                options.reservedTrialMemory - worker.memory,
+                                            std::int64_t(request.memory)));
+    slotsHere = std::min(slotsHere, slotsIn(worker.capacity.accelerators - worker.accelerators,
+                                            request.accelerators));
     if (limit > 0)
-      here = std::min(here, limit);
-    slots += here;
+      slotsHere = std::min(slotsHere, limit);
+    slots += slotsHere;
     if (slots >= needed)
       return true;
   }
--- a/source/checker/starvation_checker.hpp
+++ b/source/checker/starvation_checker.hpp
@@ -14,12 +14,12 @@
 class StarvationChecker {
  public:
   /// No fault in that span of the history, in ms?
-  using CalmQuery = std::function<bool(std::int64_t from, std::int64_t to)>;
+  using FaultFreeQuery = std::function<bool(std::int64_t from, std::int64_t to)>;
 
   /// The submissions and the options must outlive the checker.
   StarvationChecker(const std::map<std::string, JobSubmission>& submissions,
-                    const InvariantOptions& options, CalmQuery isCalm)
-      : submissions(submissions), options(options), isCalm(std::move(isCalm)) {}
+                    const InvariantOptions& options, FaultFreeQuery isFaultFree)
+      : submissions(submissions), options(options), isFaultFree(std::move(isFaultFree)) {}
 
   /// Takes the next event and returns what it shows to have waited in vain. Each wait is told once.
   std::vector<InvariantViolation> observe(const HistoryEvent& event);
@@ -56,7 +56,7 @@
     std::vector<TaskProgress> tasks;
     std::optional<std::int64_t> starvedSince;
     std::map<std::uint32_t, std::int64_t> starvedTasksSince;  // long-running ones, by index
-    bool told = false;
+    bool reported = false;
   };
 
   void onSubmitted(const HistoryEvent& event);
@@ -71,23 +71,23 @@
   // Null for a job that is not judged.
   TaskProgress* findTask(const std::string& job, std::uint32_t taskIndex);
   void addJob(const std::string& id, const JobSubmission& submission, std::int64_t dueAt);
-  void forget(const std::string& submittedId);
+  void removeJob(const std::string& submittedId);
 
   void check(const std::string& id, JobProgress& job, std::int64_t at,
              std::vector<InvariantViolation>& violations) const;
-  void reassess(JobProgress& job, std::int64_t at) const;
-  void reassessLongRunning(JobProgress& job, std::int64_t at) const;
-  bool isOwedAStart(const JobProgress& job, std::int64_t at) const;
+  void updateStarvation(JobProgress& job, std::int64_t at) const;
+  void updateLongRunningStarvation(JobProgress& job, std::int64_t at) const;
+  bool isStartDue(const JobProgress& job, std::int64_t at) const;
   // Does its tenant hold less than half of its cap?
   bool tenantHasRoom(const JobProgress& job) const;
   bool dependenciesSucceeded(const JobProgress& job, const StepRequest& step) const;
   bool mayStillStart(const JobProgress& job, const TaskProgress& task) const;
-  bool hasRoomTwiceOver(const JobProgress& job, const StepRequest& step, const TaskRequest& request,
-                        std::int64_t at) const;
+  bool hasRoomForTwoCopies(const JobProgress& job, const StepRequest& step,
+                           const TaskRequest& request, std::int64_t at) const;
 
   const std::map<std::string, JobSubmission>& submissions;
   const InvariantOptions& options;
-  CalmQuery isCalm;
+  FaultFreeQuery isFaultFree;
   std::map<std::string, WorkerUsage> workers;
   OpenRuns openRuns;
   std::map<std::string, JobProgress> openJobs;  // occurrences by their own ids
--- a/source/checker/tenant_checker.cpp
+++ b/source/checker/tenant_checker.cpp
@@ -23,7 +23,7 @@
   accelerators += sign * std::int64_t(start.accelerators);
 }
 
-std::vector<std::size_t> TenantChecker::inForceWithin(std::int64_t from, std::int64_t to) const {
+std::vector<std::size_t> TenantChecker::possiblyInForce(std::int64_t from, std::int64_t to) const {
   std::vector<std::size_t> possible;
   for (std::size_t index = 0; index < configs.size() && configs[index].sentAt <= to; ++index) {
     const bool superseded = std::any_of(
@@ -41,17 +41,17 @@
   for (const auto& use : uses) {
     bool mayBeKnown = false;
     bool mayBeUnknown = false;
-    for (const auto index : inForceWithin(use.sentAt, use.answeredAt)) {
+    for (const auto index : possiblyInForce(use.sentAt, use.answeredAt)) {
       const bool known = configs[index].tenants.findByKey(use.key) != nullptr;
       mayBeKnown = mayBeKnown || known;
       mayBeUnknown = mayBeUnknown || !known;
     }
     if (use.accepted && !mayBeKnown)
-      violations.push_back({Invariant::keysInForce, use.answeredAt,
+      violations.push_back({Invariant::apiKeysInForce, use.answeredAt,
                             "a submission of " + std::to_string(use.sentAt) +
                                 " was accepted with a key that no configuration in force held"});
     if (!use.accepted && !mayBeUnknown)
-      violations.push_back({Invariant::keysInForce, use.answeredAt,
+      violations.push_back({Invariant::apiKeysInForce, use.answeredAt,
                             "a submission of " + std::to_string(use.sentAt) +
                                 " was refused though every configuration in force held its key"});
   }
@@ -71,12 +71,13 @@
   return found == tenantByJob.end() ? TenantName{} : found->second;
 }
 
-std::optional<std::string> TenantChecker::capPassed(const TenantName& tenant, const Usage& before,
-                                                    const HistoryEvent& start) const {
+std::optional<std::string> TenantChecker::describeExceededCap(const TenantName& tenant,
+                                                              const Usage& before,
+                                                              const HistoryEvent& start) const {
   const std::int64_t allowance =
       start.executedLate ? lateOrderArrivesWithinMs : orderArrivesWithinMs;
   std::optional<TenantCap> highest;
-  for (const auto index : inForceWithin(start.timestamp - allowance, start.timestamp)) {
+  for (const auto index : possiblyInForce(start.timestamp - allowance, start.timestamp)) {
     const TenantOptions* options = optionsOf(tenant, index);
     if (!options)
       continue;
@@ -91,14 +92,14 @@
   }
   if (!highest)
     return std::nullopt;
-  const auto passes = [](std::int64_t used, std::uint64_t cap) {
+  const auto exceeds = [](std::int64_t used, std::uint64_t cap) {
     return cap > 0 && used > std::int64_t(cap);
   };
-  if (passes(before.cores, highest->cores))
+  if (exceeds(before.cores, highest->cores))
     return describe("cores", before.cores, std::int64_t(highest->cores));
-  if (passes(before.memory, highest->memory))
+  if (exceeds(before.memory, highest->memory))
     return describe("memory", before.memory, std::int64_t(highest->memory));
-  if (passes(before.accelerators, highest->accelerators))
+  if (exceeds(before.accelerators, highest->accelerators))
     return describe("accelerators", before.accelerators, std::int64_t(highest->accelerators));
   return std::nullopt;
 }
@@ -118,10 +119,10 @@
       const TenantName tenant = tenantOf(event.job);
       if (isAbsent(tenant) || !open.emplace(key, Run{tenant, event}).second)
         continue;
-      if (auto passed = capPassed(tenant, usage[tenant], event))
+      if (auto exceeded = describeExceededCap(tenant, usage[tenant], event))
         violations.push_back(
             {Invariant::tenantCaps, event.timestamp,
-             "a start of " + event.job + " finds tenant " + tenant.value + " with " + *passed});
+             "a start of " + event.job + " finds tenant " + tenant.value + " with " + *exceeded});
       usage[tenant].add(event, 1);
     } else if (event.kind == HistoryEvent::Kind::ended) {
       if (const auto run = open.find(key); run != open.end())
--- a/source/checker/tenant_checker.hpp
+++ b/source/checker/tenant_checker.hpp
@@ -52,12 +52,12 @@
   using RunKey = std::tuple<std::string, std::string, std::uint32_t, std::string>;
 
   // The indices of the configurations that may be in force at some time from `from` to `to`.
-  std::vector<std::size_t> inForceWithin(std::int64_t from, std::int64_t to) const;
+  std::vector<std::size_t> possiblyInForce(std::int64_t from, std::int64_t to) const;
   // A tenant that a configuration does not name keeps what the one before gave it; null if none
   // named it.
   const TenantOptions* optionsOf(const TenantName& tenant, std::size_t index) const;
-  std::optional<std::string> capPassed(const TenantName& tenant, const Usage& before,
-                                       const HistoryEvent& start) const;
+  std::optional<std::string> describeExceededCap(const TenantName& tenant, const Usage& before,
+                                                 const HistoryEvent& start) const;
   TenantName tenantOf(const std::string& job) const;
 
   std::vector<ObservedTenantConfig> configs;
--- a/tests/checker/called_worker_invariants_tests.cpp
+++ b/tests/checker/called_worker_invariants_tests.cpp
@@ -10,28 +10,28 @@
 HistoryEvent line(HistoryEvent::Kind kind, std::int64_t at, const std::string& job = "",
                   std::uint32_t task = 0, const std::string& worker = "",
                   const std::string& attempt = "1", const std::string& detail = "") {
-  HistoryEvent witness;
-  witness.kind = kind;
-  witness.timestamp = at;
-  witness.job = job;
-  witness.task = task;
-  witness.worker = worker;
-  witness.attempt = attempt;
-  witness.detail = detail;
+  HistoryEvent event;
+  event.kind = kind;
+  event.timestamp = at;
+  event.job = job;
+  event.task = task;
+  event.worker = worker;
+  event.attempt = attempt;
+  event.detail = detail;
   if (kind == K::started)
-    witness.payload = "p";
-  witness.cores = witness.memory = kind == K::started ? 1 : 0;
-  return witness;
+    event.payload = "p";
+  event.cores = event.memory = kind == K::started ? 1 : 0;
+  return event;
 }
-HistoryEvent worker(const std::string& life) {
-  auto witness = line(K::capacityReported, 1, "", 0, life, "", "called");
-  witness.cores = witness.memory = 2;
-  witness.pool = "pool";
-  witness.labels = {"fine", "shelf1"};
-  return witness;
+HistoryEvent worker(const std::string& workerId) {
+  auto event = line(K::capacityReported, 1, "", 0, workerId, "", "called");
+  event.cores = event.memory = 2;
+  event.pool = "pool";
+  event.labels = {"fine", "shelf1"};
+  return event;
 }
 // One task in a queue of two tries; `change` says what is special.
-JobSubmission oneTask(std::function<void(JobSubmission&)> change = {}) {
+JobSubmission makeJob(std::function<void(JobSubmission&)> change = {}) {
   JobSubmission job;
   job.id = JobId{"a"};
   job.queue = QueueName{"q"};
@@ -41,29 +41,30 @@
     change(job);
   return job;
 }
-std::map<int, std::string> broken(std::vector<HistoryEvent> history,
-                                  const JobSubmission& job = oneTask()) {
+std::map<int, std::string> violationsByRule(std::vector<HistoryEvent> history,
+                                            const JobSubmission& job = makeJob()) {
   history.insert(history.begin(), {worker("v"), worker("w")});
   InvariantOptions options;
   options.clockSlackMs = 0;
   options.maxAttemptsByQueue["q"] = 2;
   options.poolsByQueue["q"] = {"pool"};
   std::map<int, std::string> found;
-  for (const auto& promise : checkInvariants(std::move(history), {{"a", job}}, options).violations)
-    found[number(promise.rule)] += promise.description + "\n";
+  for (const auto& violation :
+       checkInvariants(std::move(history), {{"a", job}}, options).violations)
+    found[number(violation.rule)] += violation.description + "\n";
   return found;
 }
-std::vector<HistoryEvent> runOn(const std::string& life, std::int64_t from, std::int64_t to,
-                                const std::string& attempt, const std::string& how,
-                                std::int64_t noted = 0, std::uint32_t task = 0) {
-  std::vector<HistoryEvent> lines{line(K::started, from, "a", task, life, attempt),
-                                  line(K::ended, to, "a", task, life, attempt, how)};
-  if (noted)
-    lines.push_back(line(K::resultConfirmed, noted, "a", task, life, attempt, how));
+std::vector<HistoryEvent> runOn(const std::string& workerId, std::int64_t from, std::int64_t to,
+                                const std::string& attempt, const std::string& outcome,
+                                std::int64_t confirmedAt = 0, std::uint32_t task = 0) {
+  std::vector<HistoryEvent> lines{line(K::started, from, "a", task, workerId, attempt),
+                                  line(K::ended, to, "a", task, workerId, attempt, outcome)};
+  if (confirmedAt)
+    lines.push_back(line(K::resultConfirmed, confirmedAt, "a", task, workerId, attempt, outcome));
   return lines;
 }
-std::vector<HistoryEvent> both(std::vector<HistoryEvent> first,
-                               const std::vector<HistoryEvent>& second) {
+std::vector<HistoryEvent> concatenate(std::vector<HistoryEvent> first,
+                                      const std::vector<HistoryEvent>& second) {
   first.insert(first.end(), second.begin(), second.end());
   return first;
 }
@@ -74,152 +75,164 @@
 
 TEST(CalledInvariantTests, aGoodRunBreaksNothing) {
   auto history =
-      both(runOn("v", 10, 20, "1", "failed", 25), runOn("w", 30, 40, "2", "finished", 45));
+      concatenate(runOn("v", 10, 20, "1", "failed", 25), runOn("w", 30, 40, "2", "finished", 45));
   history.push_back(line(K::stateObserved, 50, "a", 0, "", "", "finished"));
-  CHECK(broken(history).empty());
+  CHECK(violationsByRule(history).empty());
 }
 TEST(CalledInvariantTests, twice) {
   CHECK(
-      broken({line(K::started, 10, "a", 0, "v"), line(K::started, 11, "a", 0, "w", "2")}).count(1));
+      violationsByRule({line(K::started, 10, "a", 0, "v"), line(K::started, 11, "a", 0, "w", "2")})
+          .count(1));
   // After an ending that was taken note of, be it later; one that was void by a lapse is never
   // taken note of.
-  CHECK(broken(both(runOn("v", 10, 20, "1", "finished", 25), runOn("w", 30, 40, "2", "finished")))
+  CHECK(violationsByRule(concatenate(runOn("v", 10, 20, "1", "finished", 25),
+                                     runOn("w", 30, 40, "2", "finished")))
             .count(1));
-  CHECK(broken(both(runOn("v", 10, 20, "1", "finished", 35), runOn("w", 30, 40, "2", "finished")))
+  CHECK(violationsByRule(concatenate(runOn("v", 10, 20, "1", "finished", 35),
+                                     runOn("w", 30, 40, "2", "finished")))
             .count(1));
-  CHECK(!broken(both(runOn("v", 10, 20, "1", "finished"), runOn("w", 30, 40, "2", "finished", 45)))
+  CHECK(!violationsByRule(concatenate(runOn("v", 10, 20, "1", "finished"),
+                                      runOn("w", 30, 40, "2", "finished", 45)))
              .count(1));
-  const auto redundant = oneTask([](auto& job) { job.steps[0].requirements.redundant = true; });
-  CHECK(
-      broken({line(K::started, 10, "a", 0, "v"), line(K::started, 11, "a", 0, "w", "2")}, redundant)
-          .empty());
-  CHECK(!broken(both(runOn("v", 10, 20, "1", "finished", 25), runOn("w", 30, 40, "2", "finished")),
-                redundant)
+  const auto redundant = makeJob([](auto& job) { job.steps[0].requirements.redundant = true; });
+  CHECK(violationsByRule(
+            {line(K::started, 10, "a", 0, "v"), line(K::started, 11, "a", 0, "w", "2")}, redundant)
+            .empty());
+  CHECK(!violationsByRule(concatenate(runOn("v", 10, 20, "1", "finished", 25),
+                                      runOn("w", 30, 40, "2", "finished")),
+                          redundant)
              .count(1));
-  CHECK(
-      broken(both(runOn("v", 10, 20, "1", "finished", 25), runOn("w", 1030, 1040, "2", "finished")),
-             redundant)
-          .count(1));
+  CHECK(violationsByRule(concatenate(runOn("v", 10, 20, "1", "finished", 25),
+                                     runOn("w", 1030, 1040, "2", "finished")),
+                         redundant)
+            .count(1));
   // Of a gang one member's ending is all members'.
-  const auto gang = oneTask([](auto& job) {
+  const auto gang = makeJob([](auto& job) {
     job.steps[0].gang = true;
     job.steps[0].tasks.resize(2, job.steps[0].tasks[0]);
   });
-  CHECK(broken(both(both(runOn("v", 10, 20, "1", "finished", 25),
-                         runOn("w", 10, 20, "1", "finished", 0, 1)),
-                    runOn("w", 30, 40, "2", "broken", 0, 1)),
-               gang)
+  CHECK(violationsByRule(concatenate(concatenate(runOn("v", 10, 20, "1", "finished", 25),
+                                                 runOn("w", 10, 20, "1", "finished", 0, 1)),
+                                     runOn("w", 30, 40, "2", "broken", 0, 1)),
+                         gang)
             .count(1));
 }
-TEST(CalledInvariantTests, place) {
+TEST(CalledInvariantTests, placement) {
   const auto start = {line(K::started, 10, "a", 0, "v")};
-  CHECK(broken(start, oneTask([](auto& job) { job.steps[0].requirements.requiredLabel = "plain"; }))
+  CHECK(violationsByRule(
+            start, makeJob([](auto& job) { job.steps[0].requirements.requiredLabel = "plain"; }))
             .count(13));
-  CHECK(broken(start, oneTask([](auto& job) { job.steps[0].requirements.requiredLabel = "fine"; }))
+  CHECK(violationsByRule(
+            start, makeJob([](auto& job) { job.steps[0].requirements.requiredLabel = "fine"; }))
             .empty());
   InvariantOptions elsewhere;
   elsewhere.poolsByQueue["q"] = {"other"};
   const auto placed = checkInvariants({worker("v"), line(K::started, 10, "a", 0, "v")},
-                                      {{"a", oneTask()}}, elsewhere);
+                                      {{"a", makeJob()}}, elsewhere);
   LONGS_EQUAL(13, number(placed.violations.at(0).rule));
-  const auto apart = oneTask([](auto& job) {
+  const auto apart = makeJob([](auto& job) {
     job.steps[0].requirements.maxPerWorker = 1;
     job.steps[0].tasks.resize(2, job.steps[0].tasks[0]);
   });
-  CHECK(broken({line(K::started, 10, "a", 0, "v"), line(K::started, 11, "a", 1, "v")}, apart)
+  CHECK(violationsByRule({line(K::started, 10, "a", 0, "v"), line(K::started, 11, "a", 1, "v")},
+                         apart)
             .count(13));
-  CHECK(broken({line(K::started, 10, "a", 0, "v"), line(K::started, 11, "a", 1, "w")}, apart)
+  CHECK(violationsByRule({line(K::started, 10, "a", 0, "v"), line(K::started, 11, "a", 1, "w")},
+                         apart)
             .empty());
 }
 TEST(CalledInvariantTests, tries) {
   const auto twoFailed =
-      both(runOn("v", 10, 20, "1", "failed", 25), runOn("w", 30, 40, "2", "failed", 55));
-  CHECK(broken(twoFailed).empty());
-  CHECK(broken(both(twoFailed, runOn("v", 50, 60, "3", "finished"))).count(14));
-  CHECK(broken(both(both(runOn("v", 10, 20, "1", "stopped", 25),
-                         runOn("w", 30, 40, "2", "failed", 45)),
-                    runOn("v", 50, 60, "3", "finished")))
+      concatenate(runOn("v", 10, 20, "1", "failed", 25), runOn("w", 30, 40, "2", "failed", 55));
+  CHECK(violationsByRule(twoFailed).empty());
+  CHECK(violationsByRule(concatenate(twoFailed, runOn("v", 50, 60, "3", "finished"))).count(14));
+  CHECK(violationsByRule(concatenate(concatenate(runOn("v", 10, 20, "1", "stopped", 25),
+                                                 runOn("w", 30, 40, "2", "failed", 45)),
+                                     runOn("v", 50, 60, "3", "finished")))
             .empty());
-  CHECK(broken(both(twoFailed, runOn("v", 50, 60, "3", "failed")),
-               oneTask([](auto& job) { job.steps[0].requirements.longRunning = true; }))
+  CHECK(violationsByRule(concatenate(twoFailed, runOn("v", 50, 60, "3", "failed")),
+                         makeJob([](auto& job) { job.steps[0].requirements.longRunning = true; }))
             .empty());
 }
 TEST(CalledInvariantTests, unasked) {
-  CHECK(broken({line(K::started, 10, "b", 0, "v")}).count(15));
-  CHECK(broken({line(K::started, 10, "a", 7, "v")}).count(15));
-  CHECK(broken({line(K::started, 10, "a@1", 0, "v")}).count(15));
+  CHECK(violationsByRule({line(K::started, 10, "b", 0, "v")}).count(15));
+  CHECK(violationsByRule({line(K::started, 10, "a", 7, "v")}).count(15));
+  CHECK(violationsByRule({line(K::started, 10, "a@1", 0, "v")}).count(15));
   auto other = line(K::started, 10, "a", 0, "v");
   other.payload = "another";
-  CHECK(broken({other}).count(15));
+  CHECK(violationsByRule({other}).count(15));
   auto made = line(K::checkpointed, 15, "a", 0, "v");
   made.checkpoint = "of task 0";
   auto from = line(K::started, 30, "a", 0, "w", "2");
   from.checkpoint = made.checkpoint;
   const auto first = line(K::started, 10, "a", 0, "v"),
              end = line(K::ended, 20, "a", 0, "v", "1", "stopped");
-  CHECK(broken({first, made, end, from}).empty());
+  CHECK(violationsByRule({first, made, end, from}).empty());
   made.task = 1;
-  const auto two = oneTask([](auto& job) { job.steps[0].tasks.resize(2, job.steps[0].tasks[0]); });
-  CHECK(broken({first, made, end, from}, two).count(15));
+  const auto two = makeJob([](auto& job) { job.steps[0].tasks.resize(2, job.steps[0].tasks[0]); });
+  CHECK(violationsByRule({first, made, end, from}, two).count(15));
   // A gang may go on from any member's, but all from the same.
   auto gang = two;
   gang.steps[0].gang = true;
   auto beside = line(K::started, 31, "a", 1, "v", "2");
   beside.checkpoint = made.checkpoint;
-  CHECK(broken({first, made, end, from, beside}, gang).empty());
+  CHECK(violationsByRule({first, made, end, from, beside}, gang).empty());
   beside.checkpoint.clear();
-  CHECK(broken({first, made, end, from, beside}, gang).count(15));
+  CHECK(violationsByRule({first, made, end, from, beside}, gang).count(15));
 }
 TEST(CalledInvariantTests, gangAlone) {
-  const auto gang = oneTask([](auto& job) {
+  const auto gang = makeJob([](auto& job) {
     job.steps[0].gang = true;
     job.steps[0].tasks.resize(2, job.steps[0].tasks[0]);
   });
   const auto alone = runOn("v", 10, 3010, "1", "alone");
-  CHECK(broken(alone, gang).count(16));
-  CHECK(broken(both({line(K::faultBegan, 5, "", 0, "", "", "a fault")}, alone), gang).empty());
-  CHECK(broken(both({line(K::cancelAcknowledged, 8, "a")}, alone), gang).empty());
+  CHECK(violationsByRule(alone, gang).count(16));
+  CHECK(
+      violationsByRule(concatenate({line(K::faultBegan, 5, "", 0, "", "", "a fault")}, alone), gang)
+          .empty());
+  CHECK(violationsByRule(concatenate({line(K::cancelAcknowledged, 8, "a")}, alone), gang).empty());
 }
 TEST(CalledInvariantTests, leaving) {
   const auto leaving = line(K::draining, 5, "", 0, "v");
   auto start = line(K::started, 10, "a", 0, "v");
-  CHECK(broken({leaving, start}).count(17));
+  CHECK(violationsByRule({leaving, start}).count(17));
   start.executedLate = true;  // an order from before, carried out seconds after it was given up
-  CHECK(broken({leaving, start}).empty());
+  CHECK(violationsByRule({leaving, start}).empty());
 }
 TEST(CalledInvariantTests, shownFinishedOrFailedTooSoon) {
   const auto shown = line(K::stateObserved, 50, "a", 0, "", "", "finished"),
              failed = line(K::stateObserved, 50, "a", 0, "", "", "failed");
-  CHECK(broken(both(runOn("v", 10, 20, "1", "lapsed", 25), {shown})).count(4));
-  const auto timed = oneTask([](auto& job) {
+  CHECK(violationsByRule(concatenate(runOn("v", 10, 20, "1", "lapsed", 25), {shown})).count(4));
+  const auto timed = makeJob([](auto& job) {
     job.timetable.firstStart = ClusterTime{5};
     job.timetable.interval = Duration{1};
     job.timetable.count = 2;
   });
   auto first = runOn("v", 10, 20, "1", "finished", 25);
-  for (auto& witness : first)
-    witness.job = "a@0";
-  CHECK(broken(both(first, {shown}), timed).count(4));
+  for (auto& event : first)
+    event.job = "a@0";
+  CHECK(violationsByRule(concatenate(first, {shown}), timed).count(4));
   auto second = runOn("w", 10, 20, "1", "finished", 25);
-  for (auto& witness : second)
-    witness.job = "a@1";
-  CHECK(broken(both(both(first, second), {shown}), timed).empty());
-  CHECK(broken(both(runOn("v", 10, 20, "1", "failed", 25), {failed})).count(18));
-  CHECK(broken(
-            both(both(runOn("v", 10, 20, "1", "failed", 25), runOn("v", 30, 40, "2", "failed", 45)),
-                 {failed}))
+  for (auto& event : second)
+    event.job = "a@1";
+  CHECK(violationsByRule(concatenate(concatenate(first, second), {shown}), timed).empty());
+  CHECK(violationsByRule(concatenate(runOn("v", 10, 20, "1", "failed", 25), {failed})).count(18));
+  CHECK(violationsByRule(concatenate(concatenate(runOn("v", 10, 20, "1", "failed", 25),
+                                                 runOn("v", 30, 40, "2", "failed", 45)),
+                                     {failed}))
+            .empty());
+  CHECK(violationsByRule({failed}, makeJob([](auto& job) { job.steps[0].tasks[0].cores = 9; }))
             .empty());
-  CHECK(broken({failed}, oneTask([](auto& job) { job.steps[0].tasks[0].cores = 9; })).empty());
 }
 TEST(CalledInvariantTests, room) {
   const auto three =
-      oneTask([](auto& job) { job.steps[0].tasks.resize(3, job.steps[0].tasks[0]); });
+      makeJob([](auto& job) { job.steps[0].tasks.resize(3, job.steps[0].tasks[0]); });
   std::vector<HistoryEvent> starts;
   for (std::uint32_t task = 0; task < 3; ++task)
     starts.push_back(line(K::started, 10, "a", task, "v"));
-  CHECK(broken(starts, three).count(10));
+  CHECK(violationsByRule(starts, three).count(10));
   starts.pop_back();
-  CHECK(broken(starts, three).empty());
+  CHECK(violationsByRule(starts, three).empty());
   starts[0].accelerators = 1;
-  CHECK(broken(starts, three).count(10));
+  CHECK(violationsByRule(starts, three).count(10));
 }
--- a/tests/checker/history_operations_tests.cpp
+++ b/tests/checker/history_operations_tests.cpp
@@ -10,20 +10,21 @@
 
 using Kind = HistoryEvent::Kind;
 
-HistoryEvent line(Kind kind, std::int64_t at, const std::string& detail = "",
-                  std::int64_t since = 0) {
+HistoryEvent makeEvent(Kind kind, std::int64_t at, const std::string& detail = "",
+                       std::int64_t invokedAt = 0) {
   HistoryEvent made;
   made.kind = kind;
   made.timestamp = at;
   made.job = "a";
   made.detail = detail;
-  made.invokedAt = since;
+  made.invokedAt = invokedAt;
   return made;
 }
 
-HistoryEvent ofConfig(Kind kind, std::int64_t at, std::uint64_t base, const std::string& digest,
-                      std::int64_t since = 0, std::uint64_t version = 0) {
-  HistoryEvent made = line(kind, at, "", since);
+HistoryEvent makeConfigEvent(Kind kind, std::int64_t at, std::uint64_t base,
+                             const std::string& digest, std::int64_t invokedAt = 0,
+                             std::uint64_t version = 0) {
+  HistoryEvent made = makeEvent(kind, at, "", invokedAt);
   made.job.clear();
   made.baseVersion = base;
   made.digest = digest;
@@ -48,9 +49,10 @@
 }
 
 // A good life of a job, asked for at 10.
-std::vector<HistoryEvent> life() {
-  return {line(Kind::submitted, 10), line(Kind::accepted, 20, "202", 10), line(Kind::started, 30),
-          line(Kind::stateObserved, 50, "open", 40), line(Kind::stateObserved, 80, "finished", 70)};
+std::vector<HistoryEvent> jobHistory() {
+  return {makeEvent(Kind::submitted, 10), makeEvent(Kind::accepted, 20, "202", 10),
+          makeEvent(Kind::started, 30), makeEvent(Kind::stateObserved, 50, "open", 40),
+          makeEvent(Kind::stateObserved, 80, "finished", 70)};
 }
 
 std::vector<HistoryEvent> with(std::vector<HistoryEvent> history, const HistoryEvent& more) {
@@ -59,14 +61,14 @@
 }
 
 // Two operators one after the other, the second's first try refused.
-std::vector<HistoryEvent> orders() {
-  return {ofConfig(Kind::configSubmitted, 10, 0, "x"),
-          ofConfig(Kind::configAcknowledged, 20, 0, "x", 10, 1),
-          ofConfig(Kind::configSubmitted, 30, 0, "y"),
-          ofConfig(Kind::configRejected, 40, 0, "y", 30, 1),
-          ofConfig(Kind::configReturned, 60, 0, "x", 50, 1),
-          ofConfig(Kind::configSubmitted, 70, 1, "y"),
-          ofConfig(Kind::configAcknowledged, 80, 1, "y", 70, 2)};
+std::vector<HistoryEvent> configHistory() {
+  return {makeConfigEvent(Kind::configSubmitted, 10, 0, "x"),
+          makeConfigEvent(Kind::configAcknowledged, 20, 0, "x", 10, 1),
+          makeConfigEvent(Kind::configSubmitted, 30, 0, "y"),
+          makeConfigEvent(Kind::configRejected, 40, 0, "y", 30, 1),
+          makeConfigEvent(Kind::configReturned, 60, 0, "x", 50, 1),
+          makeConfigEvent(Kind::configSubmitted, 70, 1, "y"),
+          makeConfigEvent(Kind::configAcknowledged, 80, 1, "y", 70, 2)};
 }
 
 }  // namespace
@@ -75,12 +77,12 @@
 
 TEST(HistoryOperations, goodHistoriesPass) {
   passes({});
-  passes(life());
-  passes(orders());
+  passes(jobHistory());
+  passes(configHistory());
 }
 
 TEST(HistoryOperations, eachAnswerIsACallFromItsAsking) {
-  const auto operations = extractOperations(life(), {}).jobOperations;
+  const auto operations = extractOperations(jobHistory(), {}).jobOperations;
   LONGS_EQUAL(4, operations.size());
   LONGS_EQUAL(10, operations[0].invokedAt);
   LONGS_EQUAL(20, *operations[0].returnedAt);
@@ -88,14 +90,14 @@
   CHECK(operations[1].input.kind == JobInput::Kind::run);
   LONGS_EQUAL(40, operations[2].invokedAt);
   CHECK(operations[3].output.phase == JobPhase::succeeded);
-  LONGS_EQUAL(4, extractOperations(orders(), {}).configurationOperations.size());
+  LONGS_EQUAL(4, extractOperations(configHistory(), {}).configurationOperations.size());
 }
 
 TEST(HistoryOperations, whatWasNeverAnsweredIsUnknown) {
   const std::vector<HistoryEvent> history{
-      line(Kind::submitted, 10),       line(Kind::outcomeUnknown, 20, "0", 10),
-      line(Kind::submitted, 30),       line(Kind::accepted, 40, "202", 30),
-      line(Kind::cancelSubmitted, 50), ofConfig(Kind::configSubmitted, 60, 0, "x")};
+      makeEvent(Kind::submitted, 10),       makeEvent(Kind::outcomeUnknown, 20, "0", 10),
+      makeEvent(Kind::submitted, 30),       makeEvent(Kind::accepted, 40, "202", 30),
+      makeEvent(Kind::cancelSubmitted, 50), makeConfigEvent(Kind::configSubmitted, 60, 0, "x")};
   const auto operations = extractOperations(history, {});
   LONGS_EQUAL(3, operations.jobOperations.size());
   CHECK(operations.jobOperations[1].outcome == OperationOutcome::unknown);
@@ -105,95 +107,101 @@
   LONGS_EQUAL(1, operations.configurationOperations.size());
   CHECK(operations.configurationOperations[0].outcome == OperationOutcome::unknown);
   // The cancel may have reached the cluster, or not.
-  passes(with(history, line(Kind::stateObserved, 80, "cancelled", 70)));
-  passes(with(history, line(Kind::stateObserved, 80, "open", 70)));
+  passes(with(history, makeEvent(Kind::stateObserved, 80, "cancelled", 70)));
+  passes(with(history, makeEvent(Kind::stateObserved, 80, "open", 70)));
 }
 
 TEST(HistoryOperations, aStaleReadIsFound) {
-  failsAt(100, with(orders(), ofConfig(Kind::configReturned, 100, 0, "x", 90, 1)));
-  failsAt(100, with(life(), line(Kind::stateObserved, 100, "open", 90)));
+  failsAt(100, with(configHistory(), makeConfigEvent(Kind::configReturned, 100, 0, "x", 90, 1)));
+  failsAt(100, with(jobHistory(), makeEvent(Kind::stateObserved, 100, "open", 90)));
   // One that was asked for before the later answer came is none.
-  passes(with(life(), line(Kind::stateObserved, 100, "open", 75)));
+  passes(with(jobHistory(), makeEvent(Kind::stateObserved, 100, "open", 75)));
 }
 
 TEST(HistoryOperations, twoConfirmedConfigurationsUponOneBaseAreFound) {
-  failsAt(100, with(orders(), ofConfig(Kind::configAcknowledged, 100, 1, "z", 90, 2)));
+  failsAt(100,
+          with(configHistory(), makeConfigEvent(Kind::configAcknowledged, 100, 1, "z", 90, 2)));
 }
 
 TEST(HistoryOperations, aTakenOrderRefusedOnResendIsFound) {
-  failsAt(100, with(orders(), ofConfig(Kind::configRejected, 100, 0, "x", 90, 2)));
-  passes(with(orders(), ofConfig(Kind::configAcknowledged, 100, 0, "x", 90, 1)));
-  failsAt(100, with(life(), line(Kind::rejected, 100, "409", 90)));
-  passes(with(life(), line(Kind::rejected, 100, "429", 90)));
+  failsAt(100, with(configHistory(), makeConfigEvent(Kind::configRejected, 100, 0, "x", 90, 2)));
+  passes(with(configHistory(), makeConfigEvent(Kind::configAcknowledged, 100, 0, "x", 90, 1)));
+  failsAt(100, with(jobHistory(), makeEvent(Kind::rejected, 100, "409", 90)));
+  passes(with(jobHistory(), makeEvent(Kind::rejected, 100, "429", 90)));
 }
 
 // Two orders of one moment: the answer to the second is not taken for one to the first, which was
 // applied without an answer.
 TEST(HistoryOperations, ordersOfOneMomentAreToldApart) {
-  passes({ofConfig(Kind::configSubmitted, 10, 0, "x"), ofConfig(Kind::configSubmitted, 10, 0, "y"),
-          ofConfig(Kind::configRejected, 20, 0, "y", 10, 1)});
+  passes({makeConfigEvent(Kind::configSubmitted, 10, 0, "x"),
+          makeConfigEvent(Kind::configSubmitted, 10, 0, "y"),
+          makeConfigEvent(Kind::configRejected, 20, 0, "y", 10, 1)});
 }
 
 // What a patch makes of its base is known from the first read of it.
 TEST(HistoryOperations, readsOfAPatchedConfigurationAgree) {
-  HistoryEvent patch = ofConfig(Kind::configSubmitted, 110, 2, "p");
+  HistoryEvent patch = makeConfigEvent(Kind::configSubmitted, 110, 2, "p");
   patch.detail = configPatchDetail;
-  HistoryEvent taken = ofConfig(Kind::configAcknowledged, 120, 2, "p", 110, 3);
+  HistoryEvent taken = makeConfigEvent(Kind::configAcknowledged, 120, 2, "p", 110, 3);
   taken.detail = configPatchDetail;
-  std::vector<HistoryEvent> history = orders();
-  history.insert(history.end(), {patch, taken, ofConfig(Kind::configReturned, 140, 0, "m", 130, 3),
-                                 ofConfig(Kind::configReturned, 160, 0, "m", 150, 3)});
+  std::vector<HistoryEvent> history = configHistory();
+  history.insert(history.end(),
+                 {patch, taken, makeConfigEvent(Kind::configReturned, 140, 0, "m", 130, 3),
+                  makeConfigEvent(Kind::configReturned, 160, 0, "m", 150, 3)});
   passes(history);
-  failsAt(180, with(history, ofConfig(Kind::configReturned, 180, 0, "n", 170, 3)));
-  failsAt(180, with(history, ofConfig(Kind::configReturned, 180, 0, "x", 170, 1)));
+  failsAt(180, with(history, makeConfigEvent(Kind::configReturned, 180, 0, "n", 170, 3)));
+  failsAt(180, with(history, makeConfigEvent(Kind::configReturned, 180, 0, "x", 170, 1)));
 }
 
 TEST(HistoryOperations, aForgottenJobIsFound) {
-  failsAt(100, with(life(), line(Kind::stateObserved, 100, "missing", 90)));
-  failsAt(100, with(life(), line(Kind::cancelNotFound, 100, "", 90)));
+  failsAt(100, with(jobHistory(), makeEvent(Kind::stateObserved, 100, "missing", 90)));
+  failsAt(100, with(jobHistory(), makeEvent(Kind::cancelNotFound, 100, "", 90)));
   // After an hour it may be.
   const std::int64_t later = 3'700'000;
-  passes(with(life(), line(Kind::stateObserved, later, "missing", later - 10)));
+  passes(with(jobHistory(), makeEvent(Kind::stateObserved, later, "missing", later - 10)));
 }
 
 TEST(HistoryOperations, aTurnedAwayJobThatRanIsFound) {
-  failsAt(30, {line(Kind::submitted, 10), line(Kind::rejected, 20, "400", 10),
-               line(Kind::started, 30)});
-  failsAt(30, {line(Kind::submitted, 10), line(Kind::rejected, 20, "429", 10),
-               line(Kind::started, 30)});
-  passes({line(Kind::submitted, 10), line(Kind::outcomeUnknown, 15, "0", 10),
-          line(Kind::submitted, 16), line(Kind::rejected, 20, "429", 16), line(Kind::started, 30)});
+  failsAt(30, {makeEvent(Kind::submitted, 10), makeEvent(Kind::rejected, 20, "400", 10),
+               makeEvent(Kind::started, 30)});
+  failsAt(30, {makeEvent(Kind::submitted, 10), makeEvent(Kind::rejected, 20, "429", 10),
+               makeEvent(Kind::started, 30)});
+  passes({makeEvent(Kind::submitted, 10), makeEvent(Kind::outcomeUnknown, 15, "0", 10),
+          makeEvent(Kind::submitted, 16), makeEvent(Kind::rejected, 20, "429", 16),
+          makeEvent(Kind::started, 30)});
 }
 
 TEST(HistoryOperations, aJobThatGoesOnAfterItsCancelIsFound) {
-  std::vector<HistoryEvent> history{line(Kind::submitted, 10), line(Kind::accepted, 20, "202", 10),
-                                    line(Kind::cancelSubmitted, 30),
-                                    line(Kind::cancelAcknowledged, 40, "cancelling", 30)};
-  passes(with(history, line(Kind::stateObserved, 60, "cancelled", 50)));
-  failsAt(60, with(history, line(Kind::stateObserved, 60, "open", 50)));
-  failsAt(60, with(history, line(Kind::stateObserved, 60, "finished", 50)));
+  std::vector<HistoryEvent> history{makeEvent(Kind::submitted, 10),
+                                    makeEvent(Kind::accepted, 20, "202", 10),
+                                    makeEvent(Kind::cancelSubmitted, 30),
+                                    makeEvent(Kind::cancelAcknowledged, 40, "cancelling", 30)};
+  passes(with(history, makeEvent(Kind::stateObserved, 60, "cancelled", 50)));
+  failsAt(60, with(history, makeEvent(Kind::stateObserved, 60, "open", 50)));
+  failsAt(60, with(history, makeEvent(Kind::stateObserved, 60, "finished", 50)));
 }
 
 TEST(HistoryOperations, anOccurrenceIsOfItsJob) {
-  HistoryEvent started = line(Kind::started, 30);
+  HistoryEvent started = makeEvent(Kind::started, 30);
   started.job = "a@2";
-  passes({line(Kind::submitted, 10), line(Kind::accepted, 20, "202", 10), started});
-  failsAt(30, {line(Kind::submitted, 10), line(Kind::rejected, 20, "400", 10), started});
+  passes({makeEvent(Kind::submitted, 10), makeEvent(Kind::accepted, 20, "202", 10), started});
+  failsAt(30, {makeEvent(Kind::submitted, 10), makeEvent(Kind::rejected, 20, "400", 10), started});
 }
 
 // Histories of before calls were noted whole: an answer may have been asked for at any time before.
 TEST(HistoryOperations, aCallWithoutItsBeginningIsNoOrder) {
-  passes({line(Kind::started, 5), line(Kind::submitted, 20), line(Kind::accepted, 20, "202"),
-          line(Kind::stateObserved, 40, "finished"), line(Kind::stateObserved, 41, "open")});
-  const auto acknowledged = ofConfig(Kind::configAcknowledged, 20, 0, "", 0, 1);
+  passes({makeEvent(Kind::started, 5), makeEvent(Kind::submitted, 20),
+          makeEvent(Kind::accepted, 20, "202"), makeEvent(Kind::stateObserved, 40, "finished"),
+          makeEvent(Kind::stateObserved, 41, "open")});
+  const auto acknowledged = makeConfigEvent(Kind::configAcknowledged, 20, 0, "", 0, 1);
   CHECK(extractOperations({acknowledged}, {}).configurationOperations.empty());
 }
 
 TEST(HistoryOperations, theInvariantsTellOfIt) {
-  const auto history = with(life(), line(Kind::stateObserved, 100, "open", 90));
+  const auto history = with(jobHistory(), makeEvent(Kind::stateObserved, 100, "open", 90));
   const auto findings = checkInvariants(history, {}, InvariantOptions{});
   CHECK(std::any_of(findings.violations.begin(), findings.violations.end(),
-                    [](const InvariantViolation& promise) {
-                      return promise.rule == Invariant::linearizability;
+                    [](const InvariantViolation& violation) {
+                      return violation.rule == Invariant::linearizability;
                     }));
 }
--- a/tests/checker/invariants_tests.cpp
+++ b/tests/checker/invariants_tests.cpp
@@ -14,17 +14,17 @@
 }
 HistoryEvent line(HistoryEvent::Kind kind, std::int64_t at, std::uint32_t task = 0,
                   std::string worker = "m", std::string attempt = "1", std::string detail = "") {
-  HistoryEvent witness;
-  witness.kind = kind;
-  witness.timestamp = at;
-  witness.job = "a";
-  witness.task = task;
-  witness.worker = std::move(worker);
-  witness.attempt = std::move(attempt);
-  witness.detail = std::move(detail);
-  witness.cores = 1;
-  witness.memory = 1;
-  return witness;
+  HistoryEvent event;
+  event.kind = kind;
+  event.timestamp = at;
+  event.job = "a";
+  event.task = task;
+  event.worker = std::move(worker);
+  event.attempt = std::move(attempt);
+  event.detail = std::move(detail);
+  event.cores = 1;
+  event.memory = 1;
+  return event;
 }
 using K = HistoryEvent::Kind;
 // A run with nothing wrong: both parts of the gang, then the second step.
@@ -45,7 +45,7 @@
           line(K::ended, 300, 2, "m", "3", "finished"),
           line(K::stateObserved, 400, 0, "", "", "finished")};
 }
-CheckReport findingsOf(std::vector<HistoryEvent> history, const JobSubmission& job = twoSteps()) {
+CheckReport reportOf(std::vector<HistoryEvent> history, const JobSubmission& job = twoSteps()) {
   InvariantOptions options;
   options.retriesByQueue["q"] = 0;
   options.clockSlackMs = 0;
@@ -53,13 +53,13 @@
 }
 std::set<int> rulesOf(const std::vector<InvariantViolation>& promises) {
   std::set<int> rules;
-  for (const auto& promise : promises)
-    rules.insert(number(promise.rule));
+  for (const auto& violation : promises)
+    rules.insert(number(violation.rule));
   return rules;
 }
 std::set<int> rulesBroken(std::vector<HistoryEvent> history,
                           const JobSubmission& job = twoSteps()) {
-  return rulesOf(findingsOf(std::move(history), job).violations);
+  return rulesOf(reportOf(std::move(history), job).violations);
 }
 std::vector<HistoryEvent> with(std::vector<HistoryEvent> more) {
   auto history = goodRun();
@@ -145,7 +145,7 @@
   const std::vector<HistoryEvent> unaware{
       line(K::started, 20), line(K::ended, 100, 0, "m", "1", "finished"), line(K::workerLost, 101),
       line(K::started, 5000, 0, "n", "2")};
-  CHECK(rulesOf(findingsOf(unaware).unavoidableViolations).count(1));
+  CHECK(rulesOf(reportOf(unaware).unavoidableViolations).count(1));
   CHECK(!rulesBroken(unaware).count(1));
   auto capacity = line(K::capacityReported, 1);
   capacity.cores = capacity.memory = 9;
@@ -153,7 +153,7 @@
   const std::vector<HistoryEvent> unresponsive{
       capacity, line(K::started, 2), line(K::faultBegan, 3), line(K::cancelAcknowledged, 4),
       line(K::ended, 9000, 0, "m", "1", "finished")};
-  CHECK(rulesOf(findingsOf(unresponsive).unavoidableViolations).count(5));
+  CHECK(rulesOf(reportOf(unresponsive).unavoidableViolations).count(5));
   CHECK(!rulesBroken(unresponsive).count(5));
   auto calm = unresponsive;
   calm.erase(calm.begin() + 2);
--- a/tests/checker/linearizability_tests.cpp
+++ b/tests/checker/linearizability_tests.cpp
@@ -34,14 +34,14 @@
   return made;
 }
 
-ConfigurationModel::Operation refusal(std::int64_t invokedAt, std::int64_t returnedAt,
-                                      std::uint64_t base, const std::string& digest,
-                                      std::uint64_t version = 0) {
+ConfigurationModel::Operation rejectedApply(std::int64_t invokedAt, std::int64_t returnedAt,
+                                            std::uint64_t base, const std::string& digest,
+                                            std::uint64_t version = 0) {
   return apply(invokedAt, returnedAt, base, digest, ConfigurationOutput::Kind::rejected, version);
 }
 
-ConfigurationModel::Operation lost(std::int64_t invokedAt, std::uint64_t base,
-                                   const std::string& digest) {
+ConfigurationModel::Operation unansweredApply(std::int64_t invokedAt, std::uint64_t base,
+                                              const std::string& digest) {
   return apply(invokedAt, std::nullopt, base, digest);
 }
 
@@ -108,11 +108,11 @@
 // The history is refuted, and the last operation of the smallest prefix is the one at that
 // place.
 template <class Operations>
-void failsAt(std::size_t place, const Operations& operations) {
+void failsAt(std::size_t index, const Operations& operations) {
   const auto violation = check(operations);
   CHECK(violation.has_value());
   CHECK(violation->verdict == Verdict::notLinearizable);
-  LONGS_EQUAL(place, violation->prefix.back());
+  LONGS_EQUAL(index, violation->prefix.back());
 }
 
 }  // namespace
@@ -152,26 +152,28 @@
   // Also when others were taken since.
   passes(Configurations{apply(0, 1, 0, "a"), apply(2, 3, 1, "b"), apply(4, 5, 0, "a"),
                         read(6, 7, 2, "b")});
-  passes(Configurations{lost(0, 0, "a"), apply(2, 3, 1, "b"), apply(4, 5, 0, "a")});
+  passes(Configurations{unansweredApply(0, 0, "a"), apply(2, 3, 1, "b"), apply(4, 5, 0, "a")});
 }
 
 TEST(Linearizability, aTakenOrderRefusedOnResendIsFound) {
-  failsAt(1, Configurations{apply(0, 1, 0, "a"), refusal(2, 3, 0, "a")});
+  failsAt(1, Configurations{apply(0, 1, 0, "a"), rejectedApply(2, 3, 0, "a")});
   // The answer was lost, but a later reading shows that it was taken.
-  failsAt(2, Configurations{lost(0, 0, "a"), read(2, 3, 1, "a"), refusal(4, 5, 0, "a")});
-  failsAt(2, Configurations{apply(0, 1, 0, "a"), apply(2, 3, 1, "b"), refusal(4, 5, 0, "a")});
+  failsAt(2, Configurations{unansweredApply(0, 0, "a"), read(2, 3, 1, "a"),
+                            rejectedApply(4, 5, 0, "a")});
+  failsAt(2, Configurations{apply(0, 1, 0, "a"), apply(2, 3, 1, "b"), rejectedApply(4, 5, 0, "a")});
   // What only the refusal contradicts: nobody else could have made the base of the second.
-  failsAt(2, Configurations{lost(0, 0, "a"), apply(2, 3, 1, "b"), refusal(4, 5, 0, "a")});
+  failsAt(2, Configurations{unansweredApply(0, 0, "a"), apply(2, 3, 1, "b"),
+                            rejectedApply(4, 5, 0, "a")});
 }
 
 TEST(Linearizability, aRefusalNeedsItsCause) {
-  passes(Configurations{apply(0, 1, 0, "a"), refusal(2, 3, 0, "b")});
-  failsAt(0, Configurations{refusal(0, 1, 0, "a")});
+  passes(Configurations{apply(0, 1, 0, "a"), rejectedApply(2, 3, 0, "b")});
+  failsAt(0, Configurations{rejectedApply(0, 1, 0, "a")});
   // A version that is not above the one in force.
   passes(Configurations{apply(0, 1, 0, "a", ConfigurationOutput::Kind::applied, 7),
-                        refusal(2, 3, 7, "b", 7)});
+                        rejectedApply(2, 3, 7, "b", 7)});
   failsAt(1, Configurations{apply(0, 1, 0, "a", ConfigurationOutput::Kind::applied, 7),
-                            refusal(2, 3, 7, "b", 8)});
+                            rejectedApply(2, 3, 7, "b", 8)});
   failsAt(1, Configurations{apply(0, 1, 0, "a", ConfigurationOutput::Kind::applied, 7),
                             apply(2, 3, 7, "b", ConfigurationOutput::Kind::applied, 7)});
 }
@@ -182,7 +184,7 @@
   passes(Configurations{told});
   told.output.version = 2;
   failsAt(0, Configurations{told});
-  auto refused = refusal(2, 3, 0, "b");
+  auto refused = rejectedApply(2, 3, 0, "b");
   refused.output.version = 1;
   passes(Configurations{apply(0, 1, 0, "a"), refused});
   refused.output.version = 0;
@@ -190,13 +192,13 @@
 }
 
 TEST(Linearizability, whatWasNotAnsweredMayTakeEffectLateOrNever) {
-  passes(Configurations{lost(0, 0, "a"), read(2, 3, 0, ""), read(100, 101, 1, "a")});
-  passes(
-      Configurations{lost(0, 0, "a"), read(2, 3, 0, ""), apply(4, 5, 0, "b"), read(6, 7, 1, "b")});
+  passes(Configurations{unansweredApply(0, 0, "a"), read(2, 3, 0, ""), read(100, 101, 1, "a")});
+  passes(Configurations{unansweredApply(0, 0, "a"), read(2, 3, 0, ""), apply(4, 5, 0, "b"),
+                        read(6, 7, 1, "b")});
   // But not twice, nor before it was asked for.
-  failsAt(3, Configurations{lost(0, 0, "a"), read(2, 3, 1, "a"), apply(4, 5, 1, "b"),
+  failsAt(3, Configurations{unansweredApply(0, 0, "a"), read(2, 3, 1, "a"), apply(4, 5, 1, "b"),
                             read(6, 7, 1, "a")});
-  failsAt(0, Configurations{read(0, 1, 1, "a"), lost(2, 0, "a")});
+  failsAt(0, Configurations{read(0, 1, 1, "a"), unansweredApply(2, 0, "a")});
 }
 
 TEST(Linearizability, theSmallestPrefixEndsWhereNoOrderIsLeft) {
@@ -227,8 +229,8 @@
 
 TEST(Linearizability, aSearchThatMeetsItsLimitIsUndecidedAndNoPass) {
   Configurations history;
-  for (int place = 0; place < 12; ++place)
-    history.push_back(lost(0, std::uint64_t(place % 4), "d" + std::to_string(place)));
+  for (int index = 0; index < 12; ++index)
+    history.push_back(unansweredApply(0, std::uint64_t(index % 4), "d" + std::to_string(index)));
   history.push_back(read(1, 2, 4, "none of these"));
   const auto decided = check(history);
   CHECK(decided.has_value());
@@ -238,7 +240,7 @@
   CHECK(undecided->verdict == Verdict::undecided);
   // What is refuted goes before what was not decided.
   Configurations both = history;
-  both.push_back(refusal(0, 1, 0, "z"));
+  both.push_back(rejectedApply(0, 1, 0, "z"));
   both.back().key = "later key";
   const auto first = checkLinearizable(ConfigurationModel(), both, SearchLimits{20});
   CHECK(first.has_value());
@@ -318,86 +320,91 @@
 
 // Every order of the operations that took effect, tried one by one: slow, and plainly right.
 template <class Model>
-bool someOrderHolds(const Model& model, const std::vector<typename Model::Operation>& operations,
-                    std::set<std::size_t> left, const typename Model::State& state) {
+bool isLinearizableByEnumeration(const Model& model,
+                                 const std::vector<typename Model::Operation>& operations,
+                                 std::set<std::size_t> remaining,
+                                 const typename Model::State& state) {
   std::int64_t earliest = std::numeric_limits<std::int64_t>::max();
   bool answeredLeft = false;
-  for (const std::size_t place : left) {
-    if (operations[place].outcome == OperationOutcome::unknown)
+  for (const std::size_t index : remaining) {
+    if (operations[index].outcome == OperationOutcome::unknown)
       continue;
-    earliest = std::min(earliest, *operations[place].returnedAt);
+    earliest = std::min(earliest, *operations[index].returnedAt);
     answeredLeft = true;
   }
   if (!answeredLeft)
     return true;
-  for (const std::size_t place : left) {
-    const auto& operation = operations[place];
+  for (const std::size_t index : remaining) {
+    const auto& operation = operations[index];
     if (operation.invokedAt > earliest)
       continue;
     std::optional<typename Model::State> next = model.applyUnanswered(state, operation);
     if (operation.outcome == OperationOutcome::ok)
       next = model.apply(state, operation);
-    auto rest = left;
-    rest.erase(place);
-    if (next && someOrderHolds(model, operations, rest, *next))
+    auto rest = remaining;
+    rest.erase(index);
+    if (next && isLinearizableByEnumeration(model, operations, rest, *next))
       return true;
   }
   return false;
 }
 
 template <class Model>
-bool someOrderHolds(const Model& model, const std::vector<typename Model::Operation>& operations) {
+bool isLinearizableByEnumeration(const Model& model,
+                                 const std::vector<typename Model::Operation>& operations) {
   std::set<std::size_t> all;
-  for (std::size_t place = 0; place < operations.size(); ++place)
-    all.insert(place);
-  return someOrderHolds(model, operations, all, model.initial());
+  for (std::size_t index = 0; index < operations.size(); ++index)
+    all.insert(index);
+  return isLinearizableByEnumeration(model, operations, all, model.initial());
 }
 
 // The history as it stood when only the first of the prefix, that many, had returned.
 template <class Operations>
-Operations atReturn(Operations history, const std::vector<std::size_t>& prefix, std::size_t count) {
+Operations historyAtReturn(Operations history, const std::vector<std::size_t>& prefix,
+                           std::size_t count) {
   const std::set<std::size_t> returned(prefix.begin(), prefix.begin() + std::ptrdiff_t(count));
   const std::int64_t until = *history[prefix[count - 1]].returnedAt;
-  for (std::size_t place = 0; place < history.size(); ++place) {
-    if (!returned.count(place))
-      history[place].outcome = OperationOutcome::unknown;
+  for (std::size_t index = 0; index < history.size(); ++index) {
+    if (!returned.count(index))
+      history[index].outcome = OperationOutcome::unknown;
   }
   std::erase_if(history, [&](const auto& operation) { return operation.invokedAt > until; });
   return history;
 }
 
-struct Agreeing {
+struct ReferenceComparison {
   std::size_t passed = 0, failed = 0;
 
   template <class Model>
   void compare(const Model& model, const std::vector<typename Model::Operation>& history) {
     const auto violation = checkLinearizable(model, history);
-    CHECK_EQUAL(someOrderHolds(model, history), !violation.has_value());
+    CHECK_EQUAL(isLinearizableByEnumeration(model, history), !violation.has_value());
     ++(violation ? failed : passed);
     if (!violation)
       return;
     CHECK(violation->verdict == Verdict::notLinearizable);
     const auto& prefix = violation->prefix;
-    CHECK(!someOrderHolds(model, atReturn(history, prefix, prefix.size())));
+    CHECK(!isLinearizableByEnumeration(model, historyAtReturn(history, prefix, prefix.size())));
     if (prefix.size() > 1)
-      CHECK(someOrderHolds(model, atReturn(history, prefix, prefix.size() - 1)));
+      CHECK(
+          isLinearizableByEnumeration(model, historyAtReturn(history, prefix, prefix.size() - 1)));
   }
 };
 
-Configurations drawnConfigurations(Random& random) {
+Configurations randomConfigurations(Random& random) {
   Configurations history;
   const auto count = random.between(2, 7);
-  for (std::int64_t place = 0; place < count; ++place) {
+  for (std::int64_t index = 0; index < count; ++index) {
     const std::int64_t invokedAt = random.between(0, 30);
     const std::int64_t returnedAt = invokedAt + random.between(0, 14);
     const std::uint64_t version = std::uint64_t(random.between(0, 2));
     const std::string digest(1, char('a' + random.between(0, 1)));
     switch (random.between(0, 5)) {
       case 0:
-        history.push_back(lost(invokedAt, version, digest));
+        history.push_back(unansweredApply(invokedAt, version, digest));
         break;
       case 1:
-        history.push_back(refusal(invokedAt, returnedAt, version, digest));
+        history.push_back(rejectedApply(invokedAt, returnedAt, version, digest));
         break;
       case 2:
       case 3:
@@ -410,13 +417,13 @@
   return history;
 }
 
-Jobs drawnJobs(Random& random) {
+Jobs randomJobs(Random& random) {
   static constexpr JobPhase phases[] = {JobPhase::missing, JobPhase::pendingOrRunning,
                                         JobPhase::cancelling, JobPhase::cancelled,
                                         JobPhase::succeeded};
   Jobs history{submit(0, 3)};
   const auto count = random.between(2, 6);
-  for (std::int64_t place = 0; place < count; ++place) {
+  for (std::int64_t index = 0; index < count; ++index) {
     const std::int64_t invokedAt = random.between(0, 30);
     const std::int64_t returnedAt = invokedAt + random.between(0, 14);
     switch (random.between(0, 6)) {
@@ -446,18 +453,18 @@
 
 TEST(Linearizability, itAgreesWithTryingEveryOrderOfConfigurations) {
   Random random(11);
-  Agreeing agreeing;
+  ReferenceComparison comparison;
   for (int trial = 0; trial < 4000; ++trial)
-    agreeing.compare(ConfigurationModel(), drawnConfigurations(random));
-  CHECK(agreeing.passed > 200);
-  CHECK(agreeing.failed > 200);
+    comparison.compare(ConfigurationModel(), randomConfigurations(random));
+  CHECK(comparison.passed > 200);
+  CHECK(comparison.failed > 200);
 }
 
 TEST(Linearizability, itAgreesWithTryingEveryOrderOfJobs) {
   Random random(12);
-  Agreeing agreeing;
+  ReferenceComparison comparison;
   for (int trial = 0; trial < 4000; ++trial)
-    agreeing.compare(JobModel(), drawnJobs(random));
-  CHECK(agreeing.passed > 200);
-  CHECK(agreeing.failed > 200);
+    comparison.compare(JobModel(), randomJobs(random));
+  CHECK(comparison.passed > 200);
+  CHECK(comparison.failed > 200);
 }
--- a/tests/checker/model/model_check_tests.cpp
+++ b/tests/checker/model/model_check_tests.cpp
@@ -10,24 +10,24 @@
 
 constexpr std::uint64_t quickBound = 3000;
 
-std::string foundBy(const ModelCluster& start, std::uint64_t states = quickBound) {
+std::string searchFinding(const ModelCluster& start, std::uint64_t states = quickBound) {
   const auto report = searchBreadthFirst(start, {states, 1000});
   return report.counterexample ? print(start, *report.counterexample) : "nothing";
 }
 
-std::string ruleFound(const std::string& name, const SeededDefect& tamper,
-                      bool outcomesOnly = false, std::uint64_t states = 60'000) {
-  const auto start = prepare(scenario(name), tamper, outcomesOnly);
+std::string brokenRule(const std::string& name, const SeededDefect& defect,
+                       bool outcomesOnly = false, std::uint64_t states = 60'000) {
+  const auto start = prepare(scenario(name), defect, outcomesOnly);
   const auto report = searchBreadthFirst(start, {states, 1000});
   if (!report.counterexample)
     return "nothing";
   return report.counterexample->rule.substr(0, report.counterexample->rule.find(':'));
 }
 
-SeededDefect lyingDisk() {
-  SeededDefect tamper;
-  tamper.acknowledgesUnsyncedWrites = true;
-  return tamper;
+SeededDefect diskThatDropsWrites() {
+  SeededDefect defect;
+  defect.acknowledgesUnsyncedWrites = true;
+  return defect;
 }
 
 }  // namespace
@@ -38,19 +38,19 @@
   for (const auto& each : scenarios()) {
     if (each.name == "removal" || each.name == "lost disk")
       continue;  // the test below
-    STRCMP_EQUAL_TEXT("nothing", foundBy(prepare(each)).c_str(), each.name.c_str());
+    STRCMP_EQUAL_TEXT("nothing", searchFinding(prepare(each)).c_str(), each.name.c_str());
   }
 }
 
 // docs/design.md 3.5: a member is told that it is out by a committed change only.
 TEST(ModelCheckTests, aPendingRemovalRetiresNobody) {
   for (const std::string name : {"removal", "lost disk"})
-    STRCMP_EQUAL("nothing", foundBy(prepare(scenario(name))).c_str());
+    STRCMP_EQUAL("nothing", searchFinding(prepare(scenario(name))).c_str());
 }
 
 TEST(ModelCheckTests, walksOfEveryKindFindNothing) {
   for (const std::string name : {"election", "entry", "fork", "snapshot", "slow disk"}) {
-    const auto start = widenForWalks(prepare(scenario(name)));
+    const auto start = withWalkOptions(prepare(scenario(name)));
     const auto report = searchRandomly(start, {1, 40, 80});
     STRCMP_EQUAL("nothing",
                  report.counterexample ? print(start, *report.counterexample).c_str() : "nothing");
@@ -59,58 +59,59 @@
 }
 
 TEST(ModelCheckTests, aDiskThatLiesIsFound) {
-  STRCMP_EQUAL("a claim is behind its sync", ruleFound("entry", lyingDisk()).c_str());
-  STRCMP_EQUAL("a vote is behind its sync", ruleFound("election", lyingDisk()).c_str());
+  STRCMP_EQUAL("a claim is behind its sync", brokenRule("entry", diskThatDropsWrites()).c_str());
+  STRCMP_EQUAL("a vote is behind its sync", brokenRule("election", diskThatDropsWrites()).c_str());
 }
 
 TEST(ModelCheckTests, aDiskThatLiesIsFoundByItsOutcomeAlone) {
-  STRCMP_EQUAL("one leader a term", ruleFound("slow disk", lyingDisk(), true, 400'000).c_str());
+  STRCMP_EQUAL("one leader a term",
+               brokenRule("slow disk", diskThatDropsWrites(), true, 400'000).c_str());
 }
 
 TEST(ModelCheckTests, aRestartFromAnOlderDiskIsFound) {
-  SeededDefect tamper;
-  tamper.restartsFromOldDisk = true;
-  const auto start = prepare(scenario("restarts"), tamper, true);
+  SeededDefect defect;
+  defect.restartsFromOldDisk = true;
+  const auto start = prepare(scenario("restarts"), defect, true);
   const auto report = searchBreadthFirst(start, {100'000, 1000});
   CHECK(report.counterexample.has_value());
   STRCMP_CONTAINS("one vote a term", report.counterexample->rule.c_str());
 }
 
 TEST(ModelCheckTests, aClaimOfMoreThanItsDiskHoldsIsFound) {
-  SeededDefect tamper;
-  tamper.mutateMessage = [](PeerMessage& message) {
+  SeededDefect defect;
+  defect.mutateMessage = [](PeerMessage& message) {
     if (auto* reply = boost::get<AppendEntriesReply>(&message.body); reply && reply->success)
       reply->matchIndex = reply->lastLogIndex = LogIndex{3};
   };
-  STRCMP_EQUAL("committed is on a majority of disks", ruleFound("entry", tamper).c_str());
+  STRCMP_EQUAL("committed is on a majority of disks", brokenRule("entry", defect).c_str());
 }
 
 TEST(ModelCheckTests, aReadConfirmedByAnswersOfALaterTermIsFound) {
-  SeededDefect tamper;
-  tamper.mutateMessage = [](PeerMessage& message) {
+  SeededDefect defect;
+  defect.mutateMessage = [](PeerMessage& message) {
     auto* reply = boost::get<AppendEntriesReply>(&message.body);
     if (!reply)
       return;
     reply->term = Term{2};
     reply->round = RoundNumber{1000};
   };
-  STRCMP_EQUAL("no old read", ruleFound("read", tamper).c_str());
+  STRCMP_EQUAL("no old read", brokenRule("read", defect).c_str());
 }
 
 TEST(ModelCheckTests, votesThatNobodyGaveAreFound) {
-  SeededDefect tamper;
-  tamper.mutateMessage = [](PeerMessage& message) {
+  SeededDefect defect;
+  defect.mutateMessage = [](PeerMessage& message) {
     auto* reply = boost::get<RequestVoteReply>(&message.body);
     if (!reply || reply->voteGranted)
       return;
     reply->voteGranted = true;
     reply->term = reply->term.next();  // the one that was asked for
   };
-  STRCMP_EQUAL("leader completeness", ruleFound("behind", tamper, true).c_str());
+  STRCMP_EQUAL("leader completeness", brokenRule("behind", defect, true).c_str());
 }
 
 TEST(ModelCheckTests, theTraceOfABreadthFirstSearchIsTheShortest) {
-  const auto start = prepare(scenario("entry"), lyingDisk());
+  const auto start = prepare(scenario("entry"), diskThatDropsWrites());
   const auto report = searchBreadthFirst(start, {60'000, 1000});
   CHECK(report.counterexample.has_value());
   const auto rule = replay(start, report.counterexample->trace);
@@ -124,7 +125,7 @@
 }
 
 TEST(ModelCheckTests, aWalksTraceIsShortenedToTheSameRule) {
-  const auto start = widenForWalks(prepare(scenario("entry")), false, lyingDisk());
+  const auto start = withWalkOptions(prepare(scenario("entry")), false, diskThatDropsWrites());
   const auto report = searchRandomly(start, {1, 200, 120});
   CHECK(report.counterexample.has_value());
   CHECK(report.counterexample->trace.size() < 12);
@@ -158,10 +159,10 @@
 // What a restart finds is what the model's own fold of the synced records says.
 TEST(ModelCheckTests, aRestartFindsWhatWasSynced) {
   for (const auto& each : scenarios()) {
-    auto world = prepare(each);
-    for (std::size_t machine = 0; machine < world.machines(); ++machine) {
-      const DiskImage image = world.node(machine).diskImage;
-      auto after = world;
+    auto cluster = prepare(each);
+    for (std::size_t machine = 0; machine < cluster.machines(); ++machine) {
+      const DiskImage image = cluster.node(machine).diskImage;
+      auto after = cluster;
       after.setOptions(std::make_shared<ModelOptions>());
       CHECK(after.apply({ActionKind::restart, std::uint8_t(machine)}));
       const auto& raft = after.node(machine).raft;
--- a/tests/checker/starvation_checker_tests.cpp
+++ b/tests/checker/starvation_checker_tests.cpp
@@ -76,7 +76,7 @@
     std::size_t found = 0;
     for (const auto& event : history) {
       for (const auto& violation : checker.observe(event)) {
-        CHECK(violation.rule == Invariant::startsWhereRoomIs);
+        CHECK(violation.rule == Invariant::noStarvation);
         ++found;
       }
     }
