--- a/source/checker/config_order_checker.cpp
+++ b/source/checker/config_order_checker.cpp
@@ -1,3 +1,4 @@
+// Identifies each order by its digest and the version it is based on.
 #include "checker/config_order_checker.hpp"
 
 namespace aniseline {
--- a/source/checker/configuration_model.cpp
+++ b/source/checker/configuration_model.cpp
@@ -1,3 +1,4 @@
+// Applies orders and reads to the register, and describes them.
 #include "checker/configuration_model.hpp"
 #include "checker/hash_mix.hpp"
 
@@ -24,7 +25,7 @@
   return changed;
 }
 
-// Whether the answer names this version or none.
+// Reports whether the answer states this version or none.
 bool agreesOnVersion(const ConfigurationOutput& output, std::uint64_t version) {
   return !output.version || *output.version == version;
 }
@@ -51,7 +52,8 @@
          agreesOnVersion(output, state.version);
 }
 
-// The first that is read of a patched configuration tells its digest; later reads must agree.
+// The first read of a patched configuration determines its digest; later reads must return the
+// same.
 std::optional<State> stateIfShown(const State& state, const ConfigurationOutput& output) {
   if (!agreesOnVersion(output, state.version))
     return std::nullopt;
--- a/source/checker/history.cpp
+++ b/source/checker/history.cpp
@@ -1,3 +1,4 @@
+// Serializes history events as JSON lines and validates history files.
 #include "checker/history.hpp"
 #include "base/json.hpp"
 #include <picojson.h>
@@ -138,7 +139,8 @@
       continue;
     }
     tornLine = 0;
-    // A writer notes what it saw in the order in which it saw it; its clock may be set a little.
+    // A writer records events in the order in which it saw them. Its clock may be adjusted by up to
+    // a second.
     if (!history.empty() && event->timestamp + 1000 < history.back().timestamp)
       return HistoryError{file, number, "stands after a later line: the history is out of order"};
     history.push_back(std::move(*event));
--- a/source/checker/history.hpp
+++ b/source/checker/history.hpp
@@ -1,6 +1,6 @@
-// One event of a history: what a caller, a worker, an operator or the harness that runs a cluster
-// observed. Read by history_check and the checkers; written by the simulator and the test programs.
-// The JSON names of kinds and fields are in files that users keep: they never change.
+// Defines one event of a history: an observation by a client, a worker, an operator or the test
+// harness. The simulator and the test programs write histories; history_check and the checkers read
+// them. The JSON names of kinds and fields occur in files that users keep, so they never change.
 // docs/design.md 11.
 #ifndef ANISELINE_CHECKER_HISTORY_HPP
 #define ANISELINE_CHECKER_HISTORY_HPP
@@ -8,48 +8,49 @@
 
 namespace aniseline {
 
-// The detail of a configuration event whose order is a patch; its digest is configPatchDigest.
+// The `detail` of a configuration event whose order is a patch. The `digest` of such an event is
+// configPatchDigest.
 constexpr const char* configPatchDetail = "patch";
 
-// Times are milliseconds on one clock, which all observers of a cluster share.
+// Times are in milliseconds on one clock that all observers of a cluster share.
 struct HistoryEvent {
   enum class Kind : std::uint8_t {
-    // Callers.
+    // Observed by clients.
     submitted,
     accepted,
     rejected,
-    outcomeUnknown,  // the answer to a submission was lost, or names no outcome
-    stateObserved,   // a job is shown in another state than the last time
+    outcomeUnknown,  // the answer was lost or does not state the outcome
+    stateObserved,   // the job was returned in a different state than the last time
     cancelAcknowledged,
-    // Workers.
+    // Observed by workers.
     started,
     suspended,
     resumed,
     ended,
-    resultConfirmed,  // the worker knows that the leader has recorded the result
+    resultConfirmed,  // the worker learned that the leader has recorded the result
     draining,
     capacityReported,
-    // Operators and processes.
+    // Observed by operators and processes.
     configAcknowledged,
-    configObserved,  // a process acts on this version
-    // The harness.
-    clusterHealed,    // nothing is broken from now on
-    serviceRestored,  // a caller's job was served again
-    workerLost,       // a worker's process ended, with all that ran in it
+    configObserved,  // a process uses this version
+    // Recorded by the test harness.
+    clusterHealed,    // all faults have ended
+    serviceRestored,  // a job of a client was served again
+    workerLost,       // the process of a worker ended, together with all its runs
     drainCancelled,
-    waitExplained,  // the leader says why an open job waits
+    waitExplained,  // the leader explained why an unfinished job is waiting
     faultBegan,
     faultEnded,
-    quiescent,  // time enough has passed for every job to end
-    // Added later, so that the numbers of those before stay.
-    checkpointed,    // a worker made a checkpoint
-    stateUnchanged,  // a caller is shown a job in the same state as the last time
+    quiescent,  // enough time has passed for every job to end
+    // The kinds below were added later. They follow the others so that the values of those stay.
+    checkpointed,    // a worker saved a checkpoint
+    stateUnchanged,  // the job was returned in the same state as the last time
     cancelSubmitted,
-    cancelNotFound,  // there is no such job to cancel
+    cancelNotFound,  // the job to cancel does not exist
     configSubmitted,
     configRejected,
-    configReturned,  // an operator is shown the configuration
-    closed           // a writer's last line
+    configReturned,  // an operator read the configuration
+    closed           // the last line of a writer
   };
   Kind kind = Kind::submitted;
   std::int64_t timestamp = 0;  // ms
@@ -57,27 +58,29 @@
   std::uint32_t task = 0;
   std::string worker;
   std::string attempt;
-  // A state shown, the outcome of a run, the name of a fault or of a process. Of a capacity
-  // "leaseless", "called" or nothing.
+  // Depending on the kind: the state returned, the outcome of a run, or the name of a fault or a
+  // process. For a capacity report it is "leaseless", "called" or empty.
   std::string detail;
   std::uint64_t version = 0;
-  std::uint32_t cores = 0;   // thousandths
-  std::uint64_t memory = 0;  // MB
+  std::uint32_t cores = 0;   // in thousandths of a core
+  std::uint64_t memory = 0;  // in MB
   bool trial = false;
   bool enforcesCapacity = false;
-  // Of a start: its order was carried out seconds after the caller had given it up.
+  // For a start: the worker carried out the order seconds after the sender had given up on it.
   bool executedLate = false;
   std::uint32_t accelerators = 0;
-  std::string payload;     // of a start
-  std::string checkpoint;  // of a start the one it was given, of a checkpoint the one made
-  std::string pool;        // of a capacity
+  std::string payload;  // for a start
+  // For a start: the checkpoint it resumes from. For `checkpointed`: the one that was saved.
+  std::string checkpoint;
+  std::string pool;  // of a reported capacity
   std::vector<std::string> labels;
-  std::int64_t invokedAt = 0;     // of an answer: when it was asked for, in ms; 0: not recorded
-  std::uint64_t baseVersion = 0;  // of a configuration submitted: the version it is based on
-  std::string digest;             // of the content of a configuration or a submission
-  // As one line of a history file.
+  // For an answer: the time at which the request was sent, in ms; 0 if not recorded.
+  std::int64_t invokedAt = 0;
+  std::uint64_t baseVersion = 0;  // for a submitted configuration: the version it is based on
+  std::string digest;             // digest of the content of a configuration or a submission
+  // Returns the event as one line of a history file.
   std::string toJsonLine() const;
-  // Nothing if the line is no event.
+  // Returns nothing if the line does not hold an event.
   static std::optional<HistoryEvent> parseJsonLine(const std::string& line);
 };
 const char* name(HistoryEvent::Kind kind);
@@ -90,9 +93,10 @@
     return file + (line ? ":" + std::to_string(line) : "") + ": " + text;
   }
 };
-// Reads one writer's whole file. Empty, damaged, unordered or cut off: an error, never a shorter
-// history. A line may be torn only where a killed process left it: the next one then tells that the
-// process vanished. Of a writer that is still at work the end may be missing.
+// Parses the whole file of one writer. An empty, damaged, unordered or truncated file is an error
+// and never yields a shorter history. A line may be incomplete only where a killed process left it,
+// and the next line must then report that the process was lost. If `stillWriting` is set, the end
+// of the file may be missing.
 Result<std::vector<HistoryEvent>, HistoryError> readHistory(const std::string& file,
                                                             const std::string& text,
                                                             bool stillWriting = false);
--- a/source/checker/history_operations.cpp
+++ b/source/checker/history_operations.cpp
@@ -1,3 +1,4 @@
+// Pairs the calls of a history with their answers.
 #include "checker/history_operations.hpp"
 #include "state/occurrence.hpp"
 
@@ -9,24 +10,25 @@
 
 using Kind = HistoryEvent::Kind;
 
-// Of a call whose beginning was not noted: it may have begun at any time before its answer.
+// The invocation time of a call whose start was not recorded: it may have started at any time
+// before its answer.
 constexpr std::int64_t unknownInvocationTime = 0;
 
-// More than any call takes from its asking to its answer.
+// An upper bound on the time from the invocation of a call to its answer.
 constexpr std::int64_t maxCallDurationMs = 60'000;
 
-// The calls of one kind upon one key that were asked and are not answered yet.
+// Holds the unanswered calls of one kind on one key.
 class PendingCalls {
  public:
   void add(const HistoryEvent& event) { open.push_back(event); }
 
-  // Takes out the call that this answers: the one asked at the time the answer tells, else the
-  // first of all.
+  // Removes the call that this event answers: the one invoked at the time stated in the answer, or
+  // the oldest one if the answer states none.
   void removeAnswered(const HistoryEvent& event) {
     removeFirst(event, [](const HistoryEvent&) { return true; });
   }
-  // The same among the calls that bring this very configuration: others may be asked at the same
-  // time.
+  // Removes the answered call among those that submitted this same configuration, because other
+  // configurations may be submitted at the same time.
   void removeAnsweredOrder(const HistoryEvent& event) {
     removeFirst(event, [&](const HistoryEvent& asked) {
       return asked.digest == event.digest && asked.baseVersion == event.baseVersion;
@@ -62,7 +64,7 @@
   return found->second;
 }
 
-// Collects one history's operations.
+// Collects the operations of one history.
 class OperationCollector {
  public:
   explicit OperationCollector(const HistoryOperationsOptions& options) : options(options) {}
@@ -85,7 +87,7 @@
       case Kind::rejected:
         return onSubmissionAnswered(event, rejectionKind(event));
       case Kind::outcomeUnknown:
-        return;  // what was asked stays unanswered
+        return;  // the call stays unanswered
       case Kind::stateObserved:
       case Kind::stateUnchanged:
         return onShown(event);
@@ -155,7 +157,7 @@
     found.jobOperations.push_back(std::move(operation));
   }
 
-  // That a job exists is all a start tells, and it stays true: the first one is enough.
+  // A start only shows that the job exists, which stays true. The first start is therefore enough.
   void onStarted(const HistoryEvent& event) {
     const std::string job = OccurrenceId::submittedIdOf(JobId{event.job}).value;
     if (!startedJobs.insert(job).second)
@@ -179,7 +181,8 @@
     return operation;
   }
 
-  // Histories of before orders were noted whole hold their acknowledgements alone.
+  // Older histories record only the acknowledgements of orders, without their digests. Those are
+  // ignored.
   void onOrderAnswered(const HistoryEvent& event, ConfigurationOutput::Kind answer) {
     if (event.digest.empty())
       return;
--- a/source/checker/invariant_checker.hpp
+++ b/source/checker/invariant_checker.hpp
@@ -1,5 +1,5 @@
-// The checker of invariants, which plays a history through: what it keeps, and its rules by
-// subject. Its parts stand in invariants_*.cpp. docs/design.md 11.
+// Replays a history and checks the rules of invariants.hpp. The rules are grouped by subject, with
+// one invariants_*.cpp file per group. docs/design.md 11.
 #ifndef ANISELINE_CHECKER_INVARIANT_CHECKER_HPP
 #define ANISELINE_CHECKER_INVARIANT_CHECKER_HPP
 #include "checker/config_order_checker.hpp"
@@ -8,14 +8,14 @@
 
 namespace aniseline {
 
-// One run of a task on one worker, as its worker observed it.
+// One run of a task on one worker, as observed by that worker.
 struct ObservedRun {
   std::string worker, attempt;
   std::int64_t startedAt = 0;
   std::optional<std::int64_t> endedAt;
-  bool active = false;  // neither held nor ended
-  std::vector<std::pair<std::int64_t, std::int64_t>>
-      activeIntervals;  // in which it ran, the last one open while it runs
+  bool active = false;  // neither suspended nor ended
+  // The intervals in which it was active. The last one is unbounded while the run is active.
+  std::vector<std::pair<std::int64_t, std::int64_t>> activeIntervals;
   void pause(std::int64_t at) {
     if (active)
       activeIntervals.back().second = at;
@@ -39,17 +39,18 @@
   }
   std::string outcome;
   bool trial = false;
-  bool onCalledWorker = false,
-       executedLate = false;  // on a worker that is called; begun by an order carried out late
-  std::optional<std::int64_t>
-      confirmedAt;  // its ending was taken note of, with no lapse before that
+  // `executedLate`: started by an order that was carried out late.
+  bool onCalledWorker = false, executedLate = false;
+  // When the leader recorded its result, with no lease expired before that.
+  std::optional<std::int64_t> confirmedAt;
   std::uint32_t cores = 0, accelerators = 0;
   std::uint64_t memory = 0;
 };
 struct TaskHistory {
   std::vector<ObservedRun> runs;
-  std::optional<std::int64_t> succeededAt;  // the work ended well
-  std::optional<std::int64_t> confirmedAt;  // and its worker knows that the centre knows
+  std::optional<std::int64_t> succeededAt;  // the task finished successfully
+  // Its worker learned that the leader recorded the success.
+  std::optional<std::int64_t> confirmedAt;
 };
 struct JobHistory {
   std::optional<std::int64_t> acceptedAt, cancelledAt;
@@ -67,21 +68,22 @@
   CheckReport check();
 
  private:
-  using TaskPosition = std::pair<std::uint32_t, std::uint32_t>;  // a step, and a task within it
-  // ms in which a cancel reaches every worker, and a worker stops what is cancelled.
+  // The index of a step, and of a task within it.
+  using TaskPosition = std::pair<std::uint32_t, std::uint32_t>;
+  // The time in ms for a cancel to reach every worker and for the worker to stop the task.
   static constexpr std::int64_t cancelGraceMs = 3400;
   static constexpr std::int64_t cancelAnswerMs = 4000;
-  // The longest hold, an order on its way, and the stop itself.
+  // The longest lease, plus an order in transit and the stop itself.
   static constexpr std::int64_t longestLeaseMs = 12'000;
 
   void reportViolation(Invariant rule, std::int64_t at, std::string text);
   void reportUnavoidableViolation(Invariant rule, std::int64_t at, std::string text);
 
-  // --- the history, line by line: invariants.cpp ---
+  // --- replay of the history: invariants.cpp ---
   void findFaultIntervals();
   void observe(const HistoryEvent& event);
 
-  // --- what is known so far: invariants_lookups.cpp ---
+  // --- lookups in the current state: invariants_lookups.cpp ---
   bool hadFaultWithin(std::int64_t from, std::int64_t to) const;
   bool ignoresLeases(const std::string& worker) const;
   bool isCalled(const std::string& worker) const;
@@ -91,16 +93,17 @@
   static std::string describeTask(const std::string& job, std::uint32_t task);
   static TaskPosition positionOf(const JobSubmission& job, std::uint32_t task);
   static std::uint32_t firstTaskOfStep(const JobSubmission& job, std::uint32_t step);
-  // The tasks whose runs share one fate with this one's: its gang's, else it alone; first and past
-  // the last.
+  // Returns the range of tasks that succeed and fail together with this task, as first and
+  // past-the-last index: its gang, or only the task itself.
   static std::pair<std::uint32_t, std::uint32_t> gangRangeOf(const JobSubmission& submission,
                                                              std::uint32_t task);
-  // Of a gang that assembles itself one member's ending counts for all of its run.
+  // Calls `use` for the runs of all members of the gang in this attempt. In a gang whose members
+  // wait for each other, the result of one member applies to all.
   void forEachGangMember(const std::string& id, JobHistory& job, std::uint32_t task,
                          const std::string& attempt,
                          const std::function<void(TaskHistory&, ObservedRun&)>& use);
 
-  // --- jobs as callers see them, rules 2 to 5: invariants_jobs.cpp ---
+  // --- jobs as clients see them, rules 2 to 5 and 21: invariants_jobs.cpp ---
   void onAccepted(const HistoryEvent& event);
   void onCancelSubmitted(const HistoryEvent& event);
   void onCancelAcknowledged(const HistoryEvent& event);
@@ -145,7 +148,7 @@
   void checkGangRunsTogether(const std::string& id, JobHistory& job,
                              const JobSubmission& submission, std::uint32_t step, std::int64_t end);
 
-  // --- workers that are called, rules 13 to 18: invariants_called.cpp, invariants_failures.cpp ---
+  // --- called workers, rules 13 to 18: invariants_called.cpp, invariants_failures.cpp ---
   void checkStartOnCalledWorker(const HistoryEvent& event, JobHistory& job,
                                 const std::string& taskText);
   void checkPlacement(const HistoryEvent& event, JobHistory& job, const JobSubmission& submission,
@@ -170,7 +173,7 @@
   static std::size_t maxFailures(const JobHistory& job, const JobSubmission& submission);
   bool fitsKnownWorkers(const JobSubmission& submission, const StepRequest& step) const;
 
-  // --- configs and service, rules 11, 12 and 19: invariants_service.cpp ---
+  // --- configurations and service, rules 11, 12 and 19: invariants_service.cpp ---
   void checkConfigOrder(const HistoryEvent& event);
   void onConfigAcknowledged(const HistoryEvent& event);
   void onConfigObserved(const HistoryEvent& event);
@@ -184,16 +187,16 @@
   std::map<std::string, JobHistory> jobs;
   std::map<std::string, std::int64_t> drainingSince;
   std::map<std::string, HistoryEvent> capacities;
-  std::map<std::string, std::string>
-      checkpointOwners;  // by checkpoint: the task or gang it belongs to
-  std::map<std::pair<std::string, std::string>, std::string>
-      gangCheckpoints;  // by gang and run: the checkpoint its members bring
+  // By checkpoint: the task or gang that owns it.
+  std::map<std::string, std::string> checkpointOwners;
+  // By gang and attempt: the checkpoint that its members resume from.
+  std::map<std::pair<std::string, std::string>, std::string> gangCheckpoints;
   std::vector<std::pair<std::int64_t, std::uint64_t>> acknowledgedConfigs;
   std::map<std::string, std::uint64_t> observedConfigs;
   ConfigOrderChecker configOrders;
   StarvationChecker starvation;
   std::optional<std::int64_t> healedAt, quiescentAt;
-  std::map<std::string, std::int64_t> unansweredCancels;  // by job: when it was first asked for, ms
+  std::map<std::string, std::int64_t> unansweredCancels;  // by job: time of the first request, ms
   std::map<std::string, std::int64_t> workersLostAt;
   std::vector<std::pair<std::int64_t, std::int64_t>> faultIntervals;
   CheckReport report;
--- a/source/checker/invariants.cpp
+++ b/source/checker/invariants.cpp
@@ -1,11 +1,11 @@
-// A history played through, line by line. docs/design.md 11.
+// Replays the history event by event. docs/design.md 11.
 #include "checker/invariant_checker.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// ms of a fault's consequences: lease, margin and a change of leader.
+// The time in ms for which a fault has effects after its end: lease, margin and a change of leader.
 constexpr std::int64_t faultEffectMs = 6000;
 
 }  // namespace
@@ -63,7 +63,7 @@
     faultIntervals.emplace_back(begun, std::numeric_limits<std::int64_t>::max());
 }
 
-// Every kind of line is listed, so that the compiler tells of a new one.
+// Every kind is listed so that the compiler warns if a new one is missing.
 void InvariantChecker::observe(const HistoryEvent& event) {
   using Kind = HistoryEvent::Kind;
   switch (event.kind) {
@@ -116,7 +116,7 @@
       return onServiceRestored(event);
     case Kind::quiescent:
       return void(quiescentAt = event.timestamp);
-    // What only findDisturbances and the search for an order of operations look at.
+    // These kinds are used only by findFaultIntervals and the linearizability check.
     case Kind::outcomeUnknown:
     case Kind::faultBegan:
     case Kind::faultEnded:
--- a/source/checker/invariants_called.cpp
+++ b/source/checker/invariants_called.cpp
@@ -1,9 +1,9 @@
-// Starts on workers that are called: rules 1, 13, 15 and 17. docs/design.md 11.
+// Checks starts on called workers: rules 1, 13, 15 and 17. docs/design.md 11.
 #include "checker/invariant_checker.hpp"
 
 namespace aniseline {
 
-// Of a start on a worker that is called: where it is, what it was given, when.
+// Checks the placement, the payload, the checkpoint and the time of a start on a called worker.
 void InvariantChecker::checkStartOnCalledWorker(const HistoryEvent& event, JobHistory& job,
                                                 const std::string& taskText) {
   const std::string startText = taskText + " starts on " + event.worker;
--- a/source/checker/invariants_failures.cpp
+++ b/source/checker/invariants_failures.cpp
@@ -1,4 +1,5 @@
-// Endings on workers that are called, and tries: rules 1, 14 and 18. docs/design.md 11.
+// Checks the results of runs on called workers, and failed attempts: rules 1, 14 and 18.
+// docs/design.md 11.
 #include "checker/invariant_checker.hpp"
 #include "checker/worker_eligibility.hpp"
 #include "state/occurrence.hpp"
@@ -8,11 +9,11 @@
 namespace {
 
 constexpr std::int64_t resultPropagationMs =
-    1000;  // ms until an ending that was noted stops new starts
+    1000;  // The time in ms until a recorded result prevents new starts.
 
 }  // namespace
 
-// What only later lines decide: whether an ending was ever taken note of.
+// Runs at the end of the history, because only later events show whether a result was recorded.
 void InvariantChecker::checkOutcomes(const std::string& id, JobHistory& job) {
   for (auto& [taskIndex, task] : job.tasks) {
     const auto* step = findStep(id, taskIndex);
@@ -76,7 +77,7 @@
   }
 }
 
-// Attempts whose failure the leader knew of when a run was started.
+// Counts the attempts whose failure the leader knew of when the run was started.
 std::size_t InvariantChecker::countFailuresBefore(const JobHistory& job, std::uint32_t first,
                                                   std::uint32_t after, const ObservedRun& run,
                                                   bool redundant) const {
@@ -98,7 +99,8 @@
   return failed.size();
 }
 
-// A job with tries fails by these, or because no worker that was ever there could hold it.
+// A job in a queue with an attempt limit may fail because it reached the limit, or because no
+// worker that ever existed could fit it.
 void InvariantChecker::checkShownFailed(const HistoryEvent& event,
                                         const JobSubmission& submission) {
   const auto maxAttempts = options.maxAttemptsByQueue.find(submission.queue.value);
@@ -116,10 +118,10 @@
                   "job " + event.job + " is shown as failed with no cause");
 }
 
-// The failed attempts of the gang or task that has most of them.
+// Returns the highest number of failed attempts of any gang or task of the job.
 std::size_t InvariantChecker::maxFailures(const JobHistory& job, const JobSubmission& submission) {
   std::map<std::pair<std::uint32_t, bool>, std::set<std::string>>
-      failed;  // by step of a gang, else by task
+      failed;  // by step for a gang, otherwise by task
   for (const auto& [taskIndex, task] : job.tasks) {
     const auto step = positionOf(submission, taskIndex).first;
     if (step >= submission.steps.size())
@@ -137,7 +139,7 @@
 
 bool InvariantChecker::fitsKnownWorkers(const JobSubmission& submission,
                                         const StepRequest& step) const {
-  if (step.gang) {  // together they may not fit though one by one they do
+  if (step.gang) {  // the members may not fit together even if each one fits alone
     std::uint64_t requestedCores = 0, known = 0;
     for (const auto& task : step.tasks)
       requestedCores += task.cores;
--- a/source/checker/invariants_gangs.cpp
+++ b/source/checker/invariants_gangs.cpp
@@ -1,12 +1,12 @@
-// Gangs, whose parts run together: rule 8. docs/design.md 11.
+// Checks that the members of a gang run together: rule 8. docs/design.md 11.
 #include "checker/invariant_checker.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// Without a fault a gang's parts begin within little more than a round of syncs, with one within
-// lease, margin and a round trip; ms.
+// The time in ms within which all members of a gang start: without a fault a little more than one
+// sync round; with a fault a lease, a margin and a round trip.
 constexpr std::int64_t gangStartMs = 700, gangStartDuringFaultMs = 5000;
 
 }  // namespace
@@ -20,7 +20,8 @@
       checkGangRunsTogether(id, job, *submission, step, end);
 }
 
-// A part that ran on while another of its gang neither ran nor was done.
+// Reports a member that kept running while another member of its gang neither ran nor had
+// succeeded.
 void InvariantChecker::checkGangRunsTogether(const std::string& id, JobHistory& job,
                                              const JobSubmission& submission, std::uint32_t step,
                                              std::int64_t end) {
--- a/source/checker/invariants_jobs.cpp
+++ b/source/checker/invariants_jobs.cpp
@@ -1,4 +1,4 @@
-// Jobs as callers see them: rules 2 to 5. docs/design.md 11.
+// Checks jobs as clients see them: rules 2 to 5 and 21. docs/design.md 11.
 #include "checker/invariant_checker.hpp"
 #include "state/occurrence.hpp"
 
@@ -19,7 +19,8 @@
   unansweredCancels.erase(event.job);
 }
 
-// Callers send a cancel again after silence and after an error, to the next gateway.
+// Clients resend a cancel to the next gateway after a timeout or an error, so an answer is due even
+// if one gateway fails.
 void InvariantChecker::checkCancelsAnsweredBy(std::int64_t at) {
   std::erase_if(unansweredCancels, [&](const auto& entry) {
     const auto& [job, submittedAt] = entry;
@@ -93,12 +94,12 @@
     return;
   const std::string text =
       taskText + " kept running " + std::to_string(at - *job.cancelledAt) + " ms after its cancel";
-  // With a fault about, the hold of a worker that is called ends it: docs/design.md 5.8.
+  // During a fault, the expiry of its lease stops a task on a called worker: docs/design.md 5.8.
   if (run.onCalledWorker && hadFaultWithin(*job.cancelledAt, at) &&
       at <= *job.cancelledAt + longestLeaseMs + options.clockSlackMs)
     return;
-  // A cut-off worker that honours no leases can't be told and does not hold:
-  // docs/operations.md 8.
+  // A disconnected worker that does not honour leases cannot be told of the cancel and does not
+  // suspend the task: docs/operations.md 8.
   if (ignoresLeases(run.worker) &&
       hadFaultWithin(*job.cancelledAt, *job.cancelledAt + cancelGraceMs))
     reportUnavoidableViolation(Invariant::cancelledJobsStop, at,
@@ -107,7 +108,7 @@
     reportViolation(Invariant::cancelledJobsStop, at, text);
 }
 
-// What no later line can show of a job: things that never came.
+// Checks for events of a job that are missing at the end of the history.
 void InvariantChecker::checkJobAtEnd(const std::string& id, JobHistory& job, std::int64_t end) {
   if (job.submissions > 0 && job.rejections == job.submissions && !job.tasks.empty() &&
       !job.tasks.begin()->second.runs.empty())
--- a/source/checker/invariants_lookups.cpp
+++ b/source/checker/invariants_lookups.cpp
@@ -1,4 +1,4 @@
-// What the checker of invariants knows so far of jobs, steps and workers. docs/design.md 11.
+// Looks up what the invariant checker knows about jobs, steps and workers. docs/design.md 11.
 #include "checker/invariant_checker.hpp"
 #include "state/occurrence.hpp"
 
--- a/source/checker/invariants_runs.cpp
+++ b/source/checker/invariants_runs.cpp
@@ -1,4 +1,4 @@
-// Runs on workers: rules 1, 5 to 7, 9, 10 and 16. docs/design.md 11.
+// Checks runs on workers: rules 1, 5 to 7, 9, 10 and 16. docs/design.md 11.
 #include "checker/invariant_checker.hpp"
 #include "state/occurrence.hpp"
 
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr std::int64_t cancelPropagationMs = 3000;  // ms until no start follows a cancel
-constexpr std::int64_t drainPropagationMs = 2000;   // ms until no start follows a leaving
+constexpr std::int64_t cancelPropagationMs = 3000;  // ms after which no start may follow a cancel
+constexpr std::int64_t drainPropagationMs = 2000;   // ms after which no start may follow a drain
 
 ObservedRun makeObservedRun(const HistoryEvent& event, bool onCalledWorker) {
   ObservedRun run;
@@ -34,7 +34,7 @@
   if (onCalledWorker)
     checkStartOnCalledWorker(event, job, taskText);
   checkNoConcurrentRuns(event, task, taskText);
-  if (!onCalledWorker)  // of others it is judged when all is known: judgeEndings
+  if (!onCalledWorker)  // called workers are checked at the end of the history by checkOutcomes
     checkNoRerunAfterSuccess(event, task, taskText);
   if (job.cancelledAt &&
       event.timestamp > *job.cancelledAt + cancelPropagationMs + options.clockSlackMs &&
@@ -193,7 +193,8 @@
   if (run.active)
     checkStoppedAfterCancel(job, taskText, run, event.timestamp);
   run.end(event.timestamp, event.detail);
-  // A gang's member that is alone waits for nothing: the others were not started, or not in time.
+  // A gang member with the outcome "alone" waited in vain: the other members were not started, or
+  // not in time.
   if (run.onCalledWorker && event.detail == "alone" && !job.cancelledAt &&
       !hadFaultWithin(run.startedAt - 1000, event.timestamp))
     reportViolation(Invariant::gangsAssemble, event.timestamp,
@@ -201,8 +202,8 @@
                         " for the rest of its gang, with no fault about");
 }
 
-// docs/design.md 5.5: an ending is final once the worker has its confirmation; before that nobody
-// else can know of it.
+// A result is final once the worker has received its confirmation. Before that nobody else may know
+// of it. docs/design.md 5.5.
 void InvariantChecker::onResultConfirmed(const HistoryEvent& event) {
   auto& task = jobs[event.job].tasks[event.task];
   if (event.detail == "finished" && !task.confirmedAt)
--- a/source/checker/invariants_service.cpp
+++ b/source/checker/invariants_service.cpp
@@ -1,4 +1,5 @@
-// Configs, service, and operations in one order: rules 11, 12 and 19. docs/design.md 11.
+// Checks configurations, service recovery and linearizability: rules 11, 12 and 19.
+// docs/design.md 11.
 #include "checker/history_operations.hpp"
 #include "checker/invariant_checker.hpp"
 
@@ -6,8 +7,10 @@
 
 namespace {
 
-constexpr std::int64_t configPropagationMs = 2000;  // ms until a config is in force everywhere
-constexpr std::int64_t serviceRecoveryMs = 12'000;  // ms from being whole to the first answer
+// The time in ms until a configuration is in force in every process.
+constexpr std::int64_t configPropagationMs = 2000;
+// The time in ms from the end of all faults to the first answer.
+constexpr std::int64_t serviceRecoveryMs = 12'000;
 
 }  // namespace
 
@@ -21,7 +24,8 @@
   acknowledgedConfigs.emplace_back(event.timestamp, event.version);
 }
 
-// A process that is cut off can't know; what the leader answers is judged always.
+// A disconnected process cannot know the newest version, so it is not checked during a fault. What
+// the leader answers is always checked.
 void InvariantChecker::onConfigObserved(const HistoryEvent& event) {
   const bool judged = event.detail == "the leader" ||
                       !hadFaultWithin(event.timestamp - configPropagationMs, event.timestamp);
@@ -47,7 +51,7 @@
   healedAt.reset();
 }
 
-// What no later line can show: things that never came.
+// Checks for events that are missing at the end of the history.
 void InvariantChecker::checkAtEndOfHistory(std::int64_t end) {
   if (healedAt)
     reportViolation(Invariant::serviceRecovery, end,
@@ -60,8 +64,8 @@
   }
 }
 
-// Whether all that was answered fits one order of taking effect. One that was not decided is no
-// pass.
+// Checks whether one order of the operations explains all answers. An undecided search counts as a
+// violation.
 void InvariantChecker::checkLinearizability() {
   HistoryOperationsOptions operationsOptions;
   operationsOptions.clockSlackMs = options.clockSlackMs;
--- a/source/checker/job_model.cpp
+++ b/source/checker/job_model.cpp
@@ -1,3 +1,4 @@
+// Implements the phase transitions of the job model.
 #include "checker/job_model.hpp"
 #include "checker/hash_mix.hpp"
 
@@ -11,7 +12,8 @@
   return phase == JobPhase::pending || phase == JobPhase::running;
 }
 
-// Whether a job whose earliest possible phase is `earliest` can be answered to be in `answered`.
+// Reports whether a job whose earliest possible phase is `earliest` can be reported in phase
+// `answered`.
 bool isPossibleAnswer(JobPhase earliest, JobPhase answered) {
   const bool open = isPendingOrRunning(earliest);
   const bool cancelledOrEnded = earliest == JobPhase::cancellingOrEnded;
@@ -35,15 +37,16 @@
   return false;
 }
 
-// The earliest phase of the job once one was answered; nothing if it can't be in that one.
+// Returns the earliest possible phase after an answer, or nothing if the job cannot be in the
+// answered phase.
 std::optional<JobPhase> phaseAfterAnswer(JobPhase earliest, JobPhase answered) {
   if (!isPossibleAnswer(earliest, answered))
     return std::nullopt;
   return answered == JobPhase::pendingOrRunning ? earliest : answered;
 }
 
-// A cancel of a job that has ended changes nothing; any other is cancelled, or had ended already
-// without anyone having seen it.
+// A cancel of an ended job changes nothing. Any other job is cancelled, or had already ended
+// without an observer having seen it.
 JobPhase phaseAfterCancel(JobPhase earliest) {
   return isPendingOrRunning(earliest) ? JobPhase::cancellingOrEnded : earliest;
 }
--- a/source/checker/job_model.hpp
+++ b/source/checker/job_model.hpp
@@ -1,24 +1,24 @@
-// The sequential model of one job with its cancel, as callers see it. The linearizability checker
-// asks it which answers were possible. docs/design.md 4.2, 11.
+// The sequential model of one job and its cancellation, as clients see them. The linearizability
+// checker uses it to decide which answers were possible. docs/design.md 4.2, 11.
 #ifndef ANISELINE_CHECKER_JOB_MODEL_HPP
 #define ANISELINE_CHECKER_JOB_MODEL_HPP
 #include "checker/operation.hpp"
 
 namespace aniseline {
 
-// What may be answered of a job, and what a history allows it to be.
+// The phases that an answer can state and that a model state can have.
 enum class JobPhase : std::uint8_t {
-  missing,            // never accepted, as far as the cluster answers
-  pending,            // accepted, nothing of it has begun
-  running,            // some of it has begun
-  pendingOrRunning,   // the answer does not say which
-  cancelling,         // its cancel is under way
-  cancellingOrEnded,  // a cancel was acknowledged without naming the phase
+  missing,            // the cluster answers that the job does not exist
+  pending,            // accepted, no task has started
+  running,            // some task has started
+  pendingOrRunning,   // the answer does not distinguish the two
+  cancelling,         // its cancellation is in progress
+  cancellingOrEnded,  // a cancel was acknowledged without stating the phase
   succeeded,
   failed,
   cancelled
 };
-// As it is printed in the description of a violation.
+// Returns the name used in the description of a violation.
 const char* name(JobPhase phase);
 
 struct JobInput {
@@ -26,20 +26,20 @@
     submit,
     show,
     cancel,
-    run  // a worker's report that some of the job began there
+    run  // a worker's report that a task of the job started there
   };
   Kind kind = Kind::show;
-  std::string digest;  // of the content submitted
+  std::string digest;  // digest of the submitted content
 };
 
 struct JobOutput {
   enum class Kind : std::uint8_t {
     accepted,
-    rejected,    // for good: this submission never runs
-    overloaded,  // this call was not taken; it says nothing of the job
-    shown,       // `phase` holds the answer
-    // The answer to a cancel. `phase` holds what the job is then, or cancellingOrEnded if the
-    // answer did not name it.
+    rejected,    // permanently: this submission never runs
+    overloaded,  // this call was not processed; the answer implies nothing about the job
+    shown,       // `phase` is the state that was returned
+    // The answer to a cancel. `phase` is the state of the job after it, or cancellingOrEnded if the
+    // answer did not state one.
     acknowledged,
     ran
   };
@@ -47,10 +47,11 @@
   JobPhase phase = JobPhase::missing;
 };
 
-// The work itself, which the caller can't see, may move the phase on at any moment between two
-// operations; so the state is the earliest phase that the job may still be in. Phases only go
-// forward: pending, running, an end. Only a cancel leads to cancelling and cancelled; once one is
-// acknowledged, the job can succeed or fail only if it had before.
+// Progress of the work is invisible to the client and may change the phase at any time between two
+// operations. The state is therefore the earliest phase that the job may still be in. Phases only
+// advance: pending, running, then an end state. Only a cancel leads to cancelling and cancelled.
+// After a cancel was acknowledged, the job can have succeeded or failed only if it had ended
+// before.
 class JobModel {
  public:
   using Operation = aniseline::Operation<JobInput, JobOutput>;
@@ -62,13 +63,13 @@
   };
 
   State initial() const { return {}; }
-  // The state after an operation that was answered; nothing if no job in this state could have been
-  // answered so.
+  // Returns the state after an answered operation, or nothing if a job in this state could not have
+  // been answered that way.
   std::optional<State> apply(const State& state, const Operation& operation) const;
-  // The state after an operation of which no answer is known.
+  // Returns the state after an unanswered operation that took effect.
   State applyUnanswered(const State& state, const Operation& operation) const;
   std::size_t hash(const State& state) const;
-  // One line for people.
+  // Describes the operation in one line for a violation report.
   std::string describe(const Operation& operation) const;
 };
 
--- a/source/checker/linearizability.cpp
+++ b/source/checker/linearizability.cpp
@@ -1,3 +1,4 @@
+// Runs the search for every key and reports the shortest prefix that fails.
 #include "checker/linearizability.hpp"
 #include "checker/linearization_search.hpp"
 
@@ -5,10 +6,10 @@
 
 namespace {
 
-// A description names this many operations at the end of a prefix; what comes before is counted.
+// A description lists this many operations at the end of a prefix and only counts the earlier ones.
 constexpr std::size_t describedOperations = 12;
 
-// Checks one key's operations, and finds the fewest of them that can't be linearised.
+// Checks the operations of one key and finds the shortest prefix that is not linearizable.
 template <class Model>
 class KeyCheck {
  public:
@@ -42,8 +43,8 @@
   std::size_t exploredConfigurations() const { return configurations; }
 
  private:
-  // Whether the history can be linearised as it stood when that many operations had returned. What
-  // was invoked by then and returned later counts as unanswered.
+  // Checks the history as it was when the first `returned` operations had returned. Operations
+  // invoked by then that return later count as unanswered.
   Result search(std::size_t returned) {
     const bool all = returned == answered.size();
     const std::int64_t until = all ? neverReturned : *operations[answered[returned - 1]].returnedAt;
@@ -64,9 +65,9 @@
     return result;
   }
 
-  // A longer history of a key that is not linearizable isn't either, so halving finds the shortest.
-  // One that is not decided on the way counts as linearizable: the prefix is then longer than need
-  // be, and no less a violation.
+  // Finds the shortest refuted prefix by bisection, because every extension of a non-linearizable
+  // history is not linearizable either. An undecided prefix counts as linearizable: the result may
+  // then be longer than necessary but is still a violation.
   std::size_t shortestRefutedPrefix() {
     std::size_t linearizable = 0;
     std::size_t refuted = answered.size();
@@ -114,7 +115,7 @@
     return text + "] " + model.describe(operation);
   }
 
-  // The operations that may have taken effect by then, though no answer shows it.
+  // Describes the operations that may have taken effect by then although no answer shows it.
   std::string describeUnanswered(const LinearizabilityViolation& violation) const {
     std::vector<std::size_t> rest(answered.begin() + std::ptrdiff_t(violation.prefix.size()),
                                   answered.end());
@@ -130,10 +131,10 @@
 
   const Model& model;
   const std::vector<Operation>& operations;
-  std::vector<std::size_t> answered;  // by return
+  std::vector<std::size_t> answered;  // ordered by return time
   std::vector<std::size_t> unanswered;
   SearchLimits limits;
-  std::size_t configurations = 0;  // explored by all searches
+  std::size_t configurations = 0;  // explored by all searches of this key
 };
 
 template <class Model>
--- a/source/checker/linearizability.hpp
+++ b/source/checker/linearizability.hpp
@@ -1,7 +1,7 @@
-// Checks whether a history of operations is linearizable: whether each operation can be given one
-// instant between its invocation and its return so that a sequential model answers all of them as
-// they were answered. Each key is searched by itself. A pure library: no files, sockets, clocks or
-// threads. Called by history_operations.cpp and the tests. docs/design.md 11.
+// Checks whether a history of operations is linearizable: whether each operation can be assigned
+// one point in time between its invocation and its return such that a sequential model gives all
+// the recorded answers. Each key is checked separately. A pure library without files, sockets,
+// clocks or threads. Called by history_operations.cpp and the tests. docs/design.md 11.
 #ifndef ANISELINE_CHECKER_LINEARIZABILITY_HPP
 #define ANISELINE_CHECKER_LINEARIZABILITY_HPP
 #include "checker/configuration_model.hpp"
@@ -9,36 +9,37 @@
 
 namespace aniseline {
 
-// How much a search may do for one key.
+// Limits the search for one key.
 struct SearchLimits {
   std::size_t configurations = 1'000'000;
 };
-// What the searches for all keys did.
+// Totals over the searches for all keys.
 struct SearchStatistics {
   std::size_t keys = 0;
   std::size_t operations = 0;
   std::size_t configurations = 0;
 };
 
-// A key whose history was not shown to be linearizable.
+// A key whose history was not proven linearizable.
 struct LinearizabilityViolation {
   enum class Verdict : std::uint8_t {
     notLinearizable,
-    // The search met its limit. This is neither shown nor refuted, and never counts as a pass.
+    // The search reached its limit, so the history is neither proven nor refuted. This never counts
+    // as a pass.
     undecided
   };
   Verdict verdict = Verdict::notLinearizable;
   std::string key;
-  // The fewest operations, in the order of their returns, that can't be linearised, as indices into
-  // what was given; the last one is what can't be explained. Of an undecided key all that were
-  // answered.
+  // The shortest prefix of operations, in the order of their returns, that is not linearizable, as
+  // indices into the input. The last operation is the one that cannot be explained. For an
+  // undecided key, the prefix holds all answered operations.
   std::vector<std::size_t> prefix;
   std::string description;
-  std::int64_t timestamp = 0;  // when the last operation of the prefix returned
+  std::int64_t timestamp = 0;  // time at which the last operation of the prefix returned
 };
 
-// Every key that is not linearizable or was not decided, in the order of the keys. Adds what the
-// search did to the statistics, if given.
+// Returns every key that is not linearizable or was not decided, ordered by key. Adds the totals of
+// the search to `statistics` if given.
 std::vector<LinearizabilityViolation> findViolations(
     const ConfigurationModel& model, const std::vector<ConfigurationModel::Operation>& operations,
     SearchLimits limits = {}, SearchStatistics* statistics = nullptr);
@@ -46,8 +47,8 @@
     const JobModel& model, const std::vector<JobModel::Operation>& operations,
     SearchLimits limits = {}, SearchStatistics* statistics = nullptr);
 
-// The first key that is not linearizable, or else the first that was not decided; nothing if all
-// are linearizable.
+// Returns the first key that is not linearizable, else the first undecided key, or nothing if all
+// keys are linearizable.
 template <class Model>
 std::optional<LinearizabilityViolation> checkLinearizable(
     const Model& model, const std::vector<typename Model::Operation>& operations,
--- a/source/checker/linearization_search.hpp
+++ b/source/checker/linearization_search.hpp
@@ -1,6 +1,7 @@
-// The search for one order in which the operations of one key can have taken effect: Wing and
-// Gong's, with Lowe's memory of the configurations already tried, that is of the set of operations
-// that took effect and the model's state after them. Used by linearizability.cpp alone.
+// Searches for one order in which the operations of a key can have taken effect. Uses the algorithm
+// of Wing and Gong with the optimization of Lowe, which stores the configurations already tried. A
+// configuration is the set of operations that took effect together with the resulting model state.
+// Used only by linearizability.cpp.
 #ifndef ANISELINE_CHECKER_LINEARIZATION_SEARCH_HPP
 #define ANISELINE_CHECKER_LINEARIZATION_SEARCH_HPP
 #include "checker/hash_mix.hpp"
@@ -9,11 +10,11 @@
 
 namespace aniseline {
 
-// The return time of an operation that need not take effect: later than any other.
+// The return time of an operation that may never take effect: later than any other.
 constexpr std::int64_t neverReturned = std::numeric_limits<std::int64_t>::max();
 
-// Searches once. `Model` gives the state before all operations, the state after one, and a hash of
-// a state, as ConfigurationModel does.
+// Runs a single search. `Model` provides the initial state, the state after an operation and a hash
+// of a state, as ConfigurationModel does.
 template <class Model>
 class LinearizationSearch {
  public:
@@ -24,11 +25,12 @@
 
   struct Step {
     const Operation* operation;
-    std::int64_t returnedAt;  // neverReturned: it need not take effect
+    std::int64_t returnedAt;  // neverReturned if it need not take effect
     bool answered() const { return returnedAt != neverReturned; }
   };
 
-  // The model and the operations outlive the search. At most `maxConfigurations` are tried.
+  // The model and the operations must outlive the search, which explores at most
+  // `maxConfigurations`.
   LinearizationSearch(const Model& model, std::vector<Step> given, std::size_t maxConfigurations)
       : model(model), maxConfigurations(maxConfigurations), steps(std::move(given)) {
     std::stable_sort(steps.begin(), steps.end(), [](const Step& left, const Step& right) {
@@ -57,7 +59,8 @@
   std::size_t exploredConfigurations() const { return seen.size(); }
 
  private:
-  // The steps before `next` took effect but for the `skipped` ones; none from `next` on did.
+  // All steps before `next` took effect except the `skipped` ones. No step from `next` on took
+  // effect.
   struct Configuration {
     std::size_t next = 0;
     std::vector<std::size_t> skipped;
@@ -77,7 +80,7 @@
     }
   };
 
-  // Each configuration is expanded once.
+  // Adds the configuration to the frontier unless it was seen before.
   void enter(Configuration configuration) {
     const auto [entered, isNew] = seen.insert(std::move(configuration));
     if (isNew)
@@ -92,8 +95,9 @@
     return earliest;
   }
 
-  // The steps that may take effect next: none that has not yet taken effect returned before their
-  // invocation. Earlier returns come last, since what is entered last is expanded first.
+  // Returns the steps that may take effect next: those that were invoked no later than the earliest
+  // return among the remaining steps. Steps that return early come last, because the frontier is a
+  // stack.
   std::vector<std::size_t> candidates(const Configuration& configuration,
                                       std::int64_t earliest) const {
     std::vector<std::size_t> found;
@@ -112,7 +116,7 @@
     return found;
   }
 
-  // Enters what may follow; true if every answered operation has taken effect.
+  // Adds all successors to the frontier. Returns true if every answered operation has taken effect.
   bool expand(const Configuration& current) {
     const std::int64_t earliest = earliestReturn(current);
     if (earliest == neverReturned)
@@ -127,8 +131,9 @@
     return false;
   }
 
-  // A step that is answered as the model allows and changes nothing may as well take effect at
-  // once: any order that has it later holds with it here. True if there was one.
+  // An answered step that the model allows and that leaves the state unchanged can take effect
+  // immediately: any valid order in which it comes later stays valid. Returns true if such a step
+  // exists.
   bool enterUnchanged(const Configuration& current, const std::vector<std::size_t>& next) {
     for (const std::size_t index : next) {
       if (!steps[index].answered())
@@ -142,7 +147,8 @@
     return false;
   }
 
-  // An unanswered operation that would change nothing may as well never take effect.
+  // Returns the state after a step. An unanswered operation that would change nothing is skipped,
+  // which is equivalent to never taking effect.
   std::optional<State> stateAfter(const State& state, std::size_t index) const {
     const Step& step = steps[index];
     if (step.answered())
@@ -169,10 +175,10 @@
 
   const Model& model;
   std::size_t maxConfigurations;
-  std::vector<Step> steps;  // by invocation
+  std::vector<Step> steps;  // ordered by invocation time
   std::vector<std::int64_t> earliestReturnFrom;
   std::unordered_set<Configuration, Hash> seen{16, Hash{&model}};
-  // Points into `seen`, whose elements never move.
+  // Points into `seen`, whose elements keep their addresses.
   std::vector<const Configuration*> frontier;
 };
 
--- a/source/checker/starvation_checker.cpp
+++ b/source/checker/starvation_checker.cpp
@@ -1,3 +1,4 @@
+// Tracks the usage of each worker and how long each job could have started.
 #include "checker/starvation_checker.hpp"
 #include "checker/worker_eligibility.hpp"
 #include "state/occurrence.hpp"
@@ -6,11 +7,13 @@
 
 namespace {
 
-constexpr std::int64_t starvedAfterMs = 3000;      // of continuous room
-constexpr std::int64_t faultFreeBeforeMs = 4000;   // without a fault, before these
-constexpr std::int64_t restartAllowanceMs = 6000;  // of a long-running task, from its last run
+constexpr std::int64_t starvedAfterMs = 3000;     // while there is room continuously
+constexpr std::int64_t faultFreeBeforeMs = 4000;  // without a fault before the start of the wait
+// For a long-running task, counted from its last run.
+constexpr std::int64_t restartAllowanceMs = 6000;
 constexpr std::int64_t requiredCopies = 2;
-// A worker with so many failures within this time is no room: docs/design.md 5.6.
+// A worker with this number of failures within this time is not counted as room:
+// docs/design.md 5.6.
 constexpr std::size_t repeatedFailures = 2;
 constexpr std::int64_t repeatedFailureWindowMs = 60'000;
 
@@ -31,7 +34,7 @@
   }
 }
 
-// Is this the job of that id, or an occurrence of it?
+// Reports whether `id` is the submitted job itself or an occurrence of it.
 bool isPartOf(const std::string& id, const std::string& submittedId) {
   return id == submittedId || id.starts_with(submittedId + OccurrenceId::separator);
 }
@@ -41,7 +44,7 @@
          failuresAt[failuresAt.size() - repeatedFailures] > at - repeatedFailureWindowMs;
 }
 
-// How many of these requests the free resources hold.
+// Returns how many of these requests fit into the free resources.
 std::int64_t slotsIn(std::int64_t free, std::int64_t requested) {
   return requested > 0 ? std::max<std::int64_t>(0, free) / requested
                        : std::numeric_limits<std::int64_t>::max();
@@ -133,7 +136,8 @@
   return &found->second.tasks[taskIndex];
 }
 
-// A timetable is one job to its caller, who cancels or sees the end of all its occurrences.
+// Clients treat a job with a timetable as one job: a cancel or an end applies to all its
+// occurrences.
 void StarvationChecker::removeJob(const std::string& submittedId) {
   closedJobs.insert(submittedId);
   std::erase_if(openJobs, [&](const auto& entry) { return isPartOf(entry.first, submittedId); });
@@ -188,7 +192,7 @@
     recordSuccess(event);
 }
 
-// One success counts for a whole gang.
+// The success of one member counts for the whole gang.
 void StarvationChecker::recordSuccess(const HistoryEvent& event) {
   JobProgress& job = openJobs.at(event.job);
   forEachStep(*job.submission, [&](const StepRequest& step, std::size_t first) {
@@ -238,7 +242,7 @@
   updateLongRunningStarvation(job, at);
 }
 
-// Is a start due while nothing of the job runs?
+// Reports whether a start is due while no task of the job runs.
 bool StarvationChecker::isStartDue(const JobProgress& job, std::int64_t at) const {
   if (!job.acceptedAt || at < job.dueAt || !tenantHasRoom(job))
     return false;
@@ -315,7 +319,8 @@
   return succeeded;
 }
 
-// By the limits of its queue; what has used them up is about to be shown as failed.
+// Reports whether the limits of its queue allow another start. A task that reached the limit will
+// be shown as failed.
 bool StarvationChecker::mayStillStart(const JobProgress& job, const TaskProgress& task) const {
   const std::string& queue = job.submission->queue.value;
   if (const auto limit = options.maxAttemptsByQueue.find(queue);
@@ -325,7 +330,7 @@
   return retries == options.retriesByQueue.end() || task.starts < 1 + retries->second;
 }
 
-// Of a gang all members, as if each were as large as this one.
+// For a gang, all members must fit twice, assuming that each is as large as this one.
 bool StarvationChecker::hasRoomForTwoCopies(const JobProgress& job, const StepRequest& step,
                                             const TaskRequest& request, std::int64_t at) const {
   const std::int64_t limit = step.requirements.maxPerWorker;
--- a/source/checker/starvation_checker.hpp
+++ b/source/checker/starvation_checker.hpp
@@ -1,9 +1,9 @@
-// Rule 20: work does not wait where there is room for it. For three calm seconds a job has nothing
-// running although the turn of a task has come and its workers have room for two of them; of
-// long-running tasks the same holds for each by itself, from six seconds after its last run.
-// Judged on workers that are called, and that have not failed work over and over lately: a
-// scheduler may keep its distance from these. Owned by InvariantChecker, which passes in each event
-// of the history in order. docs/design.md 11, docs/paper.md 5.
+// Checks rule 20: no task waits while there is room for it. A job starves if for three seconds
+// without a fault nothing of it runs although a task of it could start and its eligible workers
+// have room for two copies of that task. For long-running tasks the same applies to each task
+// separately, from six seconds after its last run. Only called workers without repeated recent
+// failures count, because a scheduler may avoid the others. Owned by InvariantChecker, which passes
+// each event of the history in order. docs/design.md 11, docs/paper.md 5.
 #ifndef ANISELINE_CHECKER_STARVATION_CHECKER_HPP
 #define ANISELINE_CHECKER_STARVATION_CHECKER_HPP
 #include "checker/invariants.hpp"
@@ -13,7 +13,7 @@
 
 class StarvationChecker {
  public:
-  /// No fault in that span of the history, in ms?
+  /// Reports whether no fault was active from `from` to `to`, in ms of the history.
   using FaultFreeQuery = std::function<bool(std::int64_t from, std::int64_t to)>;
 
   /// The submissions and the options must outlive the checker.
@@ -21,11 +21,11 @@
                     const InvariantOptions& options, FaultFreeQuery isFaultFree)
       : submissions(submissions), options(options), isFaultFree(std::move(isFaultFree)) {}
 
-  /// Takes the next event and returns what it shows to have waited in vain. Each wait is told once.
+  /// Processes the next event and returns the starvation it shows. Each job is reported once.
   std::vector<InvariantViolation> observe(const HistoryEvent& event);
 
  private:
-  // What a worker has, and what its open runs take of it.
+  // The capacity of a worker, and how much of it its open runs use.
   struct WorkerUsage {
     HistoryEvent capacity;
     std::int64_t cores = 0;   // thousandths
@@ -34,7 +34,8 @@
     bool draining = false;
     std::vector<std::int64_t> failuresAt;  // ms, ascending
   };
-  // Names one run, also of a job that is no longer judged: its room stays taken.
+  // Identifies a run. Runs of jobs that are no longer checked are kept, because they still use
+  // capacity.
   struct RunKey {
     std::string worker, job;
     std::uint32_t task = 0;
@@ -47,15 +48,17 @@
     bool succeeded = false;
     std::size_t starts = 0;
     std::size_t failures = 0;
-    std::int64_t eligibleSince = 0;  // ms; of a long-running task six seconds after its last run
+    // In ms; for a long-running task six seconds after its last run.
+    std::int64_t eligibleSince = 0;
   };
   struct JobProgress {
     const JobSubmission* submission = nullptr;
-    std::int64_t dueAt = 0;                  // ms
-    std::optional<std::int64_t> acceptedAt;  // ms; its first task may start before that is seen
+    std::int64_t dueAt = 0;  // ms
+    // In ms; its first task may start before the acceptance is observed.
+    std::optional<std::int64_t> acceptedAt;
     std::vector<TaskProgress> tasks;
     std::optional<std::int64_t> starvedSince;
-    std::map<std::uint32_t, std::int64_t> starvedTasksSince;  // long-running ones, by index
+    std::map<std::uint32_t, std::int64_t> starvedTasksSince;  // long-running tasks by index
     bool reported = false;
   };
 
@@ -68,7 +71,7 @@
   void recordSuccess(const HistoryEvent& event);
   OpenRuns::iterator closeRun(OpenRuns::iterator run, std::int64_t at);
   void addUsage(const std::string& worker, const TaskRequest& request, std::int64_t sign);
-  // Null for a job that is not judged.
+  // Returns null for a job that is not checked.
   TaskProgress* findTask(const std::string& job, std::uint32_t taskIndex);
   void addJob(const std::string& id, const JobSubmission& submission, std::int64_t dueAt);
   void removeJob(const std::string& submittedId);
@@ -78,7 +81,7 @@
   void updateStarvation(JobProgress& job, std::int64_t at) const;
   void updateLongRunningStarvation(JobProgress& job, std::int64_t at) const;
   bool isStartDue(const JobProgress& job, std::int64_t at) const;
-  // Does its tenant hold less than half of its cap?
+  // Reports whether the tenant of the job uses less than half of its cap.
   bool tenantHasRoom(const JobProgress& job) const;
   bool dependenciesSucceeded(const JobProgress& job, const StepRequest& step) const;
   bool mayStillStart(const JobProgress& job, const TaskProgress& task) const;
@@ -90,8 +93,8 @@
   FaultFreeQuery isFaultFree;
   std::map<std::string, WorkerUsage> workers;
   OpenRuns openRuns;
-  std::map<std::string, JobProgress> openJobs;  // occurrences by their own ids
-  std::set<std::string> closedJobs;             // ended or cancelled, by the ids of submissions
+  std::map<std::string, JobProgress> openJobs;  // occurrences are stored under their own ids
+  std::set<std::string> closedJobs;             // ended or cancelled, by id of the submission
 };
 
 }  // namespace aniseline
--- a/source/checker/tenant_checker.cpp
+++ b/source/checker/tenant_checker.cpp
@@ -1,3 +1,4 @@
+// Compares key checks and starts with the configurations that were possibly in force.
 #include "checker/tenant_checker.hpp"
 #include "state/occurrence.hpp"
 
@@ -5,9 +6,10 @@
 
 namespace {
 
-// For so long after a lower cap was acknowledged a start may still arrive that was ordered before.
+// The time after the acknowledgement of a lower cap during which a start may still arrive that was
+// ordered before.
 constexpr std::int64_t orderArrivesWithinMs = 2500;
-// The same of an order that a worker carried out late.
+// The same for an order that a worker carried out late.
 constexpr std::int64_t lateOrderArrivesWithinMs = 15'000;
 
 std::string describe(const char* resource, std::int64_t used, std::int64_t cap) {
--- a/source/checker/worker_eligibility.hpp
+++ b/source/checker/worker_eligibility.hpp
@@ -1,13 +1,14 @@
-// Which workers a step may run on at all, by pool and label. Shared by the checkers of placement
-// and of starvation. docs/design.md 11.
+// Decides by pool and label which workers a step may run on. Shared by the checks of placement and
+// starvation. docs/design.md 11.
 #ifndef ANISELINE_CHECKER_WORKER_ELIGIBILITY_HPP
 #define ANISELINE_CHECKER_WORKER_ELIGIBILITY_HPP
 #include "checker/invariants.hpp"
 
 namespace aniseline {
 
-/// Is the worker that reported this capacity in a pool that some configuration sent the queue to,
-/// and does it have the label that the step requires? A queue without known pools runs anywhere.
+/// Reports whether the worker with this capacity is in a pool to which some configuration assigned
+/// the queue, and whether it has the label that the step requires. A queue without known pools may
+/// run on any worker.
 inline bool isEligible(const InvariantOptions& options, const JobSubmission& submission,
                        const StepRequest& step, const HistoryEvent& capacity) {
   const auto pools = options.poolsByQueue.find(submission.queue.value);
