--- a/source/checker/config_order_checker.cpp
+++ b/source/checker/config_order_checker.cpp
@@ -42,7 +42,7 @@
   const std::string version = std::to_string(event.version);
   newestVersion = std::max(newestVersion, event.version);
   if (order.rejected)
-    return identity + " was acknowledged after it was refused";
+    return identity + " was acknowledged after it was rejected";
   if (order.version && order.version != event.version)
     return identity + " was acknowledged as " + std::to_string(order.version) + " and as " +
            version;
@@ -54,7 +54,7 @@
   if (baseOwner->second != identity)
     return baseOwner->second + " and " + identity + " were both acknowledged";
   if (event.version <= order.newestWhenFirstSent)
-    return identity + " was acknowledged as " + version + " though it was first sent after " +
+    return identity + " was acknowledged as " + version + " although it was first sent after " +
            std::to_string(order.newestWhenFirstSent) + " was acknowledged";
   return std::nullopt;
 }
@@ -62,7 +62,7 @@
 std::optional<std::string> ConfigOrderChecker::onRejected(const HistoryEvent& event, Order& order) {
   order.rejected = true;
   if (order.version)
-    return identityOf(event) + " was refused after it was acknowledged as " +
+    return identityOf(event) + " was rejected after it was acknowledged as " +
            std::to_string(order.version);
   return std::nullopt;
 }
--- a/source/checker/configuration_model.cpp
+++ b/source/checker/configuration_model.cpp
@@ -76,14 +76,14 @@
 std::string describeApply(const ConfigurationModel::Operation& operation,
                           const std::string& version) {
   const ConfigurationOrder& order = operation.input.order;
-  std::string text =
-      (order.isPatch ? "patch " : "apply ") + order.digest + " upon " + std::to_string(order.base);
+  std::string text = (order.isPatch ? "patch " : "apply ") + order.digest + " based on " +
+                     std::to_string(order.base);
   if (order.version)
     text += " as " + std::to_string(order.version);
   if (operation.outcome == OperationOutcome::unknown)
     return text;
   const bool applied = operation.output.kind == ConfigurationOutput::Kind::applied;
-  return text + (applied ? " -> applied" : " -> refused") + version;
+  return text + (applied ? " -> applied" : " -> rejected") + version;
 }
 
 }  // namespace
--- a/source/checker/history.cpp
+++ b/source/checker/history.cpp
@@ -142,7 +142,8 @@
     // A writer records events in the order in which it saw them. Its clock may be adjusted by up to
     // a second.
     if (!history.empty() && event->timestamp + 1000 < history.back().timestamp)
-      return HistoryError{file, number, "stands after a later line: the history is out of order"};
+      return HistoryError{file, number,
+                          "is older than the line before it: the history is out of order"};
     history.push_back(std::move(*event));
   }
   if (tornLine && !stillWriting)
--- a/source/checker/invariants_called.cpp
+++ b/source/checker/invariants_called.cpp
@@ -10,12 +10,12 @@
   const auto* submission = findSubmission(event.job);
   if (!submission)
     return reportViolation(Invariant::startsAsRequested, event.timestamp,
-                           startText + ", yet nobody asked for that job");
+                           startText + ", but no client submitted that job");
   const auto [step, within] = positionOf(*submission, event.task);
   const bool isOccurrence = event.job != submission->id.value;
   if (step >= submission->steps.size() || isOccurrence != submission->hasTimetable())
     return reportViolation(Invariant::startsAsRequested, event.timestamp,
-                           startText + ", yet nobody asked for that task");
+                           startText + ", but no client submitted that task");
   checkPlacement(event, job, *submission, step, taskText);
   const auto& request = submission->steps[step];
   const auto& taskPayload = request.tasks[within].payload;
@@ -36,7 +36,7 @@
   if (pools != options.poolsByQueue.end() && !pools->second.count(capacity.pool))
     reportViolation(Invariant::placementConstraints, event.timestamp,
                     taskText + " starts on " + event.worker + " of pool " + capacity.pool +
-                        ", to which no config sends its queue");
+                        ", which no configuration assigns to its queue");
   if (!needs.requiredLabel.empty() &&
       !std::count(capacity.labels.begin(), capacity.labels.end(), needs.requiredLabel))
     reportViolation(
@@ -52,8 +52,9 @@
         tasksOnWorker += !run.endedAt && run.worker == event.worker;
   if (tasksOnWorker > needs.maxPerWorker)
     reportViolation(Invariant::placementConstraints, event.timestamp,
-                    taskText + " is the " + std::to_string(tasksOnWorker) + "th of its step on " +
-                        event.worker + ", of at most " + std::to_string(needs.maxPerWorker));
+                    taskText + " is the " + std::to_string(tasksOnWorker) +
+                        "th task of its step on " + event.worker + ", which allows at most " +
+                        std::to_string(needs.maxPerWorker));
 }
 
 void InvariantChecker::checkCheckpoint(const HistoryEvent& event, const std::string& owner,
@@ -82,10 +83,10 @@
     reportViolation(Invariant::noStartAfterDrainAcknowledged, event.timestamp,
                     taskText + " starts on " + event.worker + " " +
                         std::to_string(event.timestamp - drain->second) +
-                        " ms after its leaving was acknowledged");
+                        " ms after its drain was acknowledged");
   if (job.finishedShownAt && event.timestamp > *job.finishedShownAt + 1000 + options.clockSlackMs)
     reportViolation(Invariant::atMostOneRun, event.timestamp,
-                    taskText + " starts though its job was shown as finished");
+                    taskText + " starts although its job was shown as finished");
 }
 
 std::string InvariantChecker::checkpointOwnerOf(const std::string& job, std::uint32_t task,
--- a/source/checker/invariants_failures.cpp
+++ b/source/checker/invariants_failures.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr std::int64_t resultPropagationMs =
-    1000;  // The time in ms until a recorded result prevents new starts.
+// The time in ms until a recorded result prevents new starts.
+constexpr std::int64_t resultPropagationMs = 1000;
 
 }  // namespace
 
@@ -48,14 +48,16 @@
   for (const auto& run : task.runs) {
     if (&run == &finishedRun || run.startedAt < *finishedRun.endedAt)
       continue;
-    const std::string text = taskText + " starts on " + run.worker + " though its run " +
-                             finishedRun.attempt + " had ended well on " + finishedRun.worker;
+    const std::string text = taskText + " starts on " + run.worker + " although its run " +
+                             finishedRun.attempt + " had finished successfully on " +
+                             finishedRun.worker;
     if (!redundant)
       reportViolation(Invariant::atMostOneRun, run.startedAt, text);
     else if (!run.executedLate &&
              run.startedAt > recordedAt + resultPropagationMs + options.clockSlackMs &&
              !hadFaultWithin(recordedAt, run.startedAt))
-      reportViolation(Invariant::atMostOneRun, run.startedAt, text + ", which was long known");
+      reportViolation(Invariant::atMostOneRun, run.startedAt,
+                      text + ", which the leader already knew");
   }
 }
 
@@ -72,8 +74,8 @@
     if (failed >= maxAttempts->second)
       reportViolation(Invariant::attemptLimit, run.startedAt,
                       describeTask(id, index) + " starts after " + std::to_string(failed) +
-                          " runs that failed, with " + std::to_string(maxAttempts->second) +
-                          " tries");
+                          " failed attempts, with a limit of " +
+                          std::to_string(maxAttempts->second) + " attempts");
   }
 }
 
@@ -120,8 +122,8 @@
 
 // Returns the highest number of failed attempts of any gang or task of the job.
 std::size_t InvariantChecker::maxFailures(const JobHistory& job, const JobSubmission& submission) {
-  std::map<std::pair<std::uint32_t, bool>, std::set<std::string>>
-      failed;  // by step for a gang, otherwise by task
+  // By step for a gang, otherwise by task.
+  std::map<std::pair<std::uint32_t, bool>, std::set<std::string>> failed;
   for (const auto& [taskIndex, task] : job.tasks) {
     const auto step = positionOf(submission, taskIndex).first;
     if (step >= submission.steps.size())
--- a/source/checker/invariants_gangs.cpp
+++ b/source/checker/invariants_gangs.cpp
@@ -43,8 +43,8 @@
           continue;
         reportViolation(Invariant::gangsRunTogether, run.startedAt,
                         describeTask(id, member) + " ran for " + std::to_string(aloneMs) +
-                            " ms while " + describeTask(id, other) + " did not begin" +
-                            (noFault ? ", with no fault about" : ""));
+                            " ms while " + describeTask(id, other) + " did not start" +
+                            (noFault ? ", and there was no fault" : ""));
         break;
       }
 }
--- a/source/checker/invariants_jobs.cpp
+++ b/source/checker/invariants_jobs.cpp
@@ -76,7 +76,7 @@
         *known->second.succeededAt > event.timestamp + options.clockSlackMs)
       return reportViolation(Invariant::finishedOnlyWhenDone, event.timestamp,
                              "job " + event.job + " is shown as finished while " +
-                                 describeTask(id, task) + " is open");
+                                 describeTask(id, task) + " is unfinished");
     for (const auto& run : known->second.runs)
       if (!run.endedAt && run.active &&
           !(run.onCalledWorker &&
@@ -114,10 +114,11 @@
       !job.tasks.begin()->second.runs.empty())
     reportViolation(Invariant::rejectedJobsNeverRun,
                     job.tasks.begin()->second.runs.front().startedAt,
-                    "job " + id + " was rejected on every try, yet ran");
+                    "job " + id + " was rejected on every submission but ran");
   if (quiescentAt && job.acceptedAt && !job.ended && !job.waitExplained)
-    reportViolation(Invariant::acceptedJobsKept, *quiescentAt,
-                    "job " + id + " was accepted and is neither over nor explained");
+    reportViolation(
+        Invariant::acceptedJobsKept, *quiescentAt,
+        "job " + id + " was accepted, and it has neither ended nor had its wait explained");
   for (auto& [taskIndex, task] : job.tasks)
     for (auto& run : task.runs)
       if (!run.endedAt && run.active)
--- a/source/checker/invariants_runs.cpp
+++ b/source/checker/invariants_runs.cpp
@@ -46,11 +46,11 @@
       drain != drainingSince.end() && !onCalledWorker &&
       event.timestamp > drain->second + drainPropagationMs + options.clockSlackMs)
     reportViolation(Invariant::noStartWhileDraining, event.timestamp,
-                    taskText + " starts on " + event.worker + ", which is leaving");
+                    taskText + " starts on " + event.worker + ", which is draining");
   if (const auto* submission = findSubmission(event.job)) {
     if (positionOf(*submission, event.task).first >= submission->steps.size())
       return reportViolation(Invariant::rejectedJobsNeverRun, event.timestamp,
-                             taskText + " is none of the job's tasks");
+                             taskText + " is not a task of the job");
     checkDependencies(event, job, *submission, taskText);
     if (submission->hasTimetable())
       checkTimetable(event, *submission, taskText);
@@ -75,7 +75,7 @@
                                                 const std::string& taskText) {
   if (task.confirmedAt)
     reportViolation(Invariant::atMostOneRun, event.timestamp,
-                    taskText + " starts again after finishing well");
+                    taskText + " starts again after finishing successfully");
   else if (task.succeededAt)
     checkRerunBeforeConfirmation(event, task, taskText);
 }
@@ -145,7 +145,7 @@
     reportUnavoidableViolation(Invariant::atMostOneRun, event.timestamp,
                                text + done->worker + " could not tell in time");
   else
-    reportViolation(Invariant::atMostOneRun, event.timestamp, text + "and nothing was in the way");
+    reportViolation(Invariant::atMostOneRun, event.timestamp, text + "there was no fault");
 }
 
 void InvariantChecker::onSuspended(const HistoryEvent& event) {
@@ -163,8 +163,9 @@
                       describeTask(event.job, event.task) + " is resumed on " + event.worker +
                           " while it runs on " + other.worker);
   if (jobs[event.job].tasks[event.task].confirmedAt)
-    reportViolation(Invariant::atMostOneRun, event.timestamp,
-                    describeTask(event.job, event.task) + " is resumed after finishing well");
+    reportViolation(
+        Invariant::atMostOneRun, event.timestamp,
+        describeTask(event.job, event.task) + " is resumed after finishing successfully");
   run->resume(event.timestamp);
   checkCapacity(event);
 }
@@ -199,7 +200,7 @@
       !hadFaultWithin(run.startedAt - 1000, event.timestamp))
     reportViolation(Invariant::gangsAssemble, event.timestamp,
                     taskText + " waited alone on " + run.worker +
-                        " for the rest of its gang, with no fault about");
+                        " for the rest of its gang, and there was no fault");
 }
 
 // A result is final once the worker has received its confirmation. Before that nobody else may know
@@ -245,8 +246,8 @@
   if (cores > capacity->second.cores || memory > capacity->second.memory ||
       accelerators > capacity->second.accelerators)
     reportViolation(Invariant::workerCapacity, event.timestamp,
-                    event.worker + " was given " + std::to_string(cores) + " cores and " +
-                        std::to_string(memory) + " MB, more than it holds");
+                    event.worker + " was assigned " + std::to_string(cores) + " cores and " +
+                        std::to_string(memory) + " MB, more than its capacity");
 }
 
 }  // namespace aniseline
--- a/source/checker/invariants_service.cpp
+++ b/source/checker/invariants_service.cpp
@@ -39,15 +39,15 @@
   auto& seen = observedConfigs[event.detail];
   if (event.version < seen)
     reportViolation(Invariant::configurationOrder, event.timestamp,
-                    "config slipped back at " + event.detail);
+                    "the config version went back at " + event.detail);
   seen = event.version;
 }
 
 void InvariantChecker::onServiceRestored(const HistoryEvent& event) {
   if (healedAt && event.timestamp - *healedAt > serviceRecoveryMs + options.clockSlackMs)
     reportViolation(Invariant::serviceRecovery, event.timestamp,
-                    "service returned only after " + std::to_string(event.timestamp - *healedAt) +
-                        " ms of being whole");
+                    "service resumed only " + std::to_string(event.timestamp - *healedAt) +
+                        " ms after all faults had ended");
   healedAt.reset();
 }
 
@@ -55,8 +55,8 @@
 void InvariantChecker::checkAtEndOfHistory(std::int64_t end) {
   if (healedAt)
     reportViolation(Invariant::serviceRecovery, end,
-                    "service was never seen again after all was whole, " +
-                        std::to_string(end - *healedAt) + " ms before the history ends");
+                    "service was never observed again after all faults had ended, " +
+                        std::to_string(end - *healedAt) + " ms before the end of the history");
   for (auto& [id, job] : jobs) {
     checkJobAtEnd(id, job, end);
     checkOutcomes(id, job);
--- a/source/checker/job_model.cpp
+++ b/source/checker/job_model.cpp
@@ -132,7 +132,7 @@
 
 std::string JobModel::describe(const Operation& operation) const {
   static constexpr const char* asked[] = {"submit", "show", "cancel", "run"};
-  static constexpr const char* answered[] = {"accepted", "turned away",   "overloaded",
+  static constexpr const char* answered[] = {"accepted", "rejected",      "overloaded",
                                              "",         "acknowledged ", ""};
   std::string text = asked[std::size_t(operation.input.kind)];
   if (operation.input.kind == JobInput::Kind::submit)
--- a/source/checker/linearizability.cpp
+++ b/source/checker/linearizability.cpp
@@ -96,7 +96,7 @@
     }
     const auto& prefix = violation.prefix;
     std::string text = violation.key + ": the first " + std::to_string(prefix.size()) +
-                       " operations can't be linearised:";
+                       " operations cannot be linearized:";
     const std::size_t first =
         prefix.size() > describedOperations ? prefix.size() - describedOperations : 0;
     if (first > 0)
--- a/source/checker/model/describe.cpp
+++ b/source/checker/model/describe.cpp
@@ -1,3 +1,4 @@
+// Formats each kind of Raft message and log entry.
 #include "checker/model/describe.hpp"
 
 namespace aniseline::model {
@@ -58,7 +59,7 @@
   std::string operator()(const InstallSnapshot& body) const {
     return summarize("InstallSnapshot", body);
   }
-  // Kinds of message that came later.
+  // Covers all other kinds of message.
   template <class Body>
   std::string operator()(const Body& body) const {
     return summarize("message", body);
--- a/source/checker/model/describe.hpp
+++ b/source/checker/model/describe.hpp
@@ -1,4 +1,4 @@
-// Messages and steps in words, for traces.
+// Describes messages, actions and nodes as text, for the traces of counterexamples.
 #ifndef ANISELINE_CHECKER_MODEL_DESCRIBE_HPP
 #define ANISELINE_CHECKER_MODEL_DESCRIBE_HPP
 #include "checker/model/model_cluster.hpp"
@@ -6,7 +6,7 @@
 namespace aniseline::model {
 
 std::string describe(const PeerMessage& message);
-// A node in a line: role, term, log, commit, disk.
+// Describes a node in one line: role, term, commit index, log and disk.
 std::string describe(const ModelNode& node);
 
 }  // namespace aniseline::model
--- a/source/checker/model/fingerprint.cpp
+++ b/source/checker/model/fingerprint.cpp
@@ -1,10 +1,11 @@
+// Archives the fields of a RaftNode, its peers and its write queue.
 #include "checker/model/fingerprint.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// An age beyond the cap is no different from the cap.
+// Returns the age in ms, capped because the node treats all ages above the cap alike.
 std::int64_t age(MonotonicTime then, MonotonicTime now, Duration cap) {
   return std::min((now - then).milliseconds, cap.milliseconds);
 }
--- a/source/checker/model/fingerprint.hpp
+++ b/source/checker/model/fingerprint.hpp
@@ -1,17 +1,17 @@
-// What of a RaftNode decides its further behaviour, as canonical bytes for the model checker.
-// docs/design.md 3.
+// Encodes the part of the state of a RaftNode that determines its behaviour, as canonical bytes for
+// the model checker. docs/design.md 3.
 #ifndef ANISELINE_CHECKER_MODEL_FINGERPRINT_HPP
 #define ANISELINE_CHECKER_MODEL_FINGERPRINT_HPP
 #include "raft/node.hpp"
 
 namespace aniseline {
 
-// The one reader of the private state of a RaftNode and of its parts. A field that is added to one
-// of them and changes what it does must be added here: left out, the search takes two different
-// states for one.
+// The only reader of the private state of a RaftNode and its parts. Every field added to them that
+// affects behaviour must be added here; otherwise the search treats two different states as one.
 struct RaftNodeFingerprint {
-  // Times are ages on the node's own clock, cut off where the node tells them apart no more; draws
-  // of the election timer, calendar clocks and version numbers are left out.
+  // Returns the encoding. Times are encoded as ages on the clock of the node, capped where the node
+  // no longer distinguishes them. Random values of the election timer, wall clock times and version
+  // numbers are left out.
   static std::string of(const RaftNode& node, MonotonicTime now);
 
  private:
@@ -23,7 +23,7 @@
 
 namespace model {
 
-// A hash of 64 bits that is the same on every machine.
+// Returns a 64-bit hash that is the same on every machine.
 std::uint64_t hashOf(std::string_view bytes);
 std::uint64_t combineHashes(std::uint64_t left, std::uint64_t right);
 
--- a/source/checker/model/history_variables.cpp
+++ b/source/checker/model/history_variables.cpp
@@ -1,3 +1,4 @@
+// Maintains the digests of the committed log.
 #include "checker/model/history_variables.hpp"
 
 namespace aniseline::model {
--- a/source/checker/model/history_variables.hpp
+++ b/source/checker/model/history_variables.hpp
@@ -1,5 +1,6 @@
-// What an onlooker who sees everything remembers, so that each step can be judged against the
-// past. Part of a state: two worlds that differ here may be judged differently later.
+// Holds the history variables of the model: facts about past steps that the invariants of later
+// steps need. They are part of a model state, because two states that differ only in them may be
+// judged differently later.
 #ifndef ANISELINE_CHECKER_MODEL_HISTORY_VARIABLES_HPP
 #define ANISELINE_CHECKER_MODEL_HISTORY_VARIABLES_HPP
 #include "checker/model/model_node.hpp"
@@ -11,7 +12,7 @@
   bool isMembership = false;
   std::string payload;
   Term committedInTerm;  // the term of the leader that committed it
-  std::uint64_t digest;  // of the log up to here
+  std::uint64_t digest;  // digest of the log up to and including this entry
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& term& isMembership& payload& committedInTerm;
@@ -22,8 +23,8 @@
   ControllerId reader;
   Term term;
   RoundNumber round;
-  LogIndex lastIndexAtStart;  // the reader's last entry when it began
-  LogIndex committedAtStart;  // what was committed anywhere when it began
+  LogIndex lastIndexAtStart;  // the last log index of the reader when the read started
+  LogIndex committedAtStart;  // the highest index committed on any node when the read started
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& reader& term& round& lastIndexAtStart& committedAtStart;
@@ -31,17 +32,17 @@
 };
 
 struct HistoryVariables {
-  std::vector<CommittedEntry> committed;  // from index 1
+  std::vector<CommittedEntry> committed;  // the entry with index 1 is first
   std::map<Term, ControllerId> leaders;
   std::map<std::pair<ControllerId, Term>, ControllerId> votes;
   std::vector<PendingRead> pendingReads;
-  std::map<ControllerId, DiskImage> lostDisks;  // as they were when their machines lost them
+  std::map<ControllerId, DiskImage> lostDisks;  // the contents at the time of the loss
 
   LogIndex lastIndex() const { return LogIndex{committed.size()}; }
   const CommittedEntry& entryAt(LogIndex index) const { return committed[index.value - 1]; }
   void commit(const LogEntry& entry, Term in);
   std::uint64_t digestAt(LogIndex index) const;
-  // The newest committed membership, of all or up to an index.
+  // Returns the newest committed membership, in the whole log or up to an index.
   Membership committedMembers() const { return committedMembersAt(lastIndex()); }
   Membership committedMembersAt(LogIndex index) const;
   std::uint64_t hash() const;
--- a/source/checker/model/model_cluster.cpp
+++ b/source/checker/model/model_cluster.cpp
@@ -1,3 +1,4 @@
+// Implements the actions of the model and when each is enabled.
 #include "checker/model/model_cluster.hpp"
 
 #include "checker/model/describe.hpp"
@@ -7,8 +8,9 @@
 
 namespace {
 
-// Five of the longest election times: past it a leader stops waiting for late readings, a candidate
-// asks again, and a learner asks whether it is still one (2 s).
+// Five of the longest election timeouts. After this time a leader that was paused no longer waits
+// for unread messages, a candidate requests votes again, and a learner asks whether it is still a
+// member (2 s).
 Duration beyondAllTimeouts(const RaftOptions& options) {
   return Duration{5 * options.electionTimeoutMax.milliseconds + 1};
 }
@@ -39,7 +41,7 @@
 RaftOptions ModelOptions::discreteRaftOptions() {
   RaftOptions options;
   options.electionTimeoutMin = options.electionTimeoutMax = Duration{500};
-  options.retainedEntries = 1;  // so that a compacted log is soon behind a follower's
+  options.retainedEntries = 1;  // so that a follower soon needs entries that were compacted
   options.maxRetainedBytes = 0;
   return options;
 }
@@ -108,7 +110,7 @@
   std::uint64_t lastSeen = 0;
   for (const auto& packet : packets) {
     if (packet->hash == lastSeen)
-      continue;  // two of a kind: either is the same step
+      continue;  // identical messages lead to the same state
     lastSeen = packet->hash;
     for (const auto kind : {ActionKind::deliver, ActionKind::duplicate, ActionKind::drop})
       if (withinBudget(kind))
@@ -145,7 +147,8 @@
     if (isEnabled(action))
       actions.push_back(action);
   }
-  // Members by the machine that holds or held them; one whose identity is lost is named by it too.
+  // Members are addressed by their index, because an identity that was lost has no machine any
+  // more.
   for (const auto kind : {ActionKind::removeMember, ActionKind::promote})
     for (std::size_t index = 0; index < node(machine).raft.membership().size(); ++index) {
       const Action action{kind, std::uint8_t(machine), std::uint8_t(index)};
@@ -190,7 +193,7 @@
     return false;
   if (action.kind == ActionKind::heartbeat)
     return true;
-  // Whether a change of members may be proposed is for the core to say.
+  // RaftNode decides whether a membership change may be proposed.
   if (action.kind != ActionKind::removeMember && action.kind != ActionKind::promote)
     return raft.canServe();
   if (action.target >= raft.membership().size())
@@ -198,11 +201,11 @@
   const Member& member = raft.membership()[action.target];
   if (action.kind == ActionKind::promote)
     return !member.voter;
-  return member.id != raft.self().id;  // the controller never puts itself out
+  return member.id != raft.self().id;  // a controller never removes itself
 }
 
-// No more voters than a membership's quorum can spare, in each membership that is in force
-// somewhere.
+// Reports whether this node may lose its disk: in each membership that is in force somewhere, the
+// number of lost voters must stay within what its quorum tolerates.
 bool ModelCluster::mayLoseDisk(const ControllerId& id) const {
   std::vector<Membership> inForce{currentHistory->committedMembers()};
   for (const auto& slot : nodes)
@@ -225,7 +228,7 @@
     return false;
   ++actionCounts[std::size_t(action.kind)];
   if (!options->budget.count(action.kind))
-    actionCounts[std::size_t(action.kind)] = 0;  // what has no bound is not counted
+    actionCounts[std::size_t(action.kind)] = 0;  // actions without a limit are not counted
   if (action.kind == ActionKind::drop) {
     removePacket(action.packetHash);
     return true;
@@ -317,7 +320,7 @@
     default:
       return;
   }
-  node.tick();  // what was proposed leaves at once
+  node.tick();  // sends the proposed entries immediately
 }
 
 void ModelCluster::beginRead(ModelNode& node, HistoryVariables& historyVariables) const {
@@ -381,8 +384,8 @@
 
 void ModelCluster::send(PeerMessage message) {
   if (!recipientOf(message))
-    return;  // nobody has this identity any more
-  // Calendar clocks are no part of this model.
+    return;  // no machine has this identity any more
+  // Wall clocks are not part of this model.
   if (auto* reply = boost::get<AppendEntriesReply>(&message.body))
     reply->wallTime = WallTime{};
   if (auto* reply = boost::get<InstallSnapshotReply>(&message.body))
@@ -413,7 +416,8 @@
   std::string text = name(action.kind);
   if (action.packetHash) {
     const auto* packet = findPacket(action.packetHash);
-    return text + " " + (packet ? model::describe(packet->message) : "what is not there");
+    return text + " " +
+           (packet ? model::describe(packet->message) : "a message that is not in flight");
   }
   const ModelNode& own = node(action.machine);
   text += " " + own.self.id.value;
--- a/source/checker/model/model_cluster.hpp
+++ b/source/checker/model/model_cluster.hpp
@@ -1,5 +1,6 @@
-// The model: some RaftNodes, their disks and clocks, a network that is a multiset of messages, and
-// the steps that it may take. A world is a value; it shares with its copies what did not change.
+// The model of a cluster: several RaftNodes with their disks and clocks, a network that is a
+// multiset of messages, and the actions that can happen. A cluster state is a value type whose
+// copies share their unchanged parts.
 #ifndef ANISELINE_CHECKER_MODEL_MODEL_CLUSTER_HPP
 #define ANISELINE_CHECKER_MODEL_MODEL_CLUSTER_HPP
 #include "checker/model/history_variables.hpp"
@@ -7,22 +8,29 @@
 namespace aniseline::model {
 
 enum class ActionKind : std::uint8_t {
-  deliver,          // a message arrives; any may, in any order. One never delivered is one lost
-  duplicate,        // a message arrives, and will once more
-  drop,             // a message never arrives: keeps the network small in long walks
-  startWrite,       // only where writes are not started at once
-  completeWrite,    // the write under way is synced
-  heartbeat,        // a leader's clock goes on by one heartbeat
-  electionTimeout,  // a clock passes every time-out: an election, a leader's end, a learner's
-                    // question
-  leaderSilence,  // a clock passes the shortest election time, with no tick: its leader is old news
-  restart,        // a process ends and starts from what was synced
-  restartKeepingWrite,  // the same; the write under way reached the disk, nobody was told
-  loseDisk,             // within tolerance; the machine comes back as a new identity
-  rejoinAsNewMember,    // one that was told to be out puts its state aside and begins anew
-  join,                 // a blank one asks a leader to learn
+  // A message arrives. Messages may arrive in any order; a lost message is one that is never
+  // delivered.
+  deliver,
+  duplicate,      // a message arrives and stays in flight
+  drop,           // a message is lost; keeps the network small in long random walks
+  startWrite,     // only if `writeImmediately` is not set
+  completeWrite,  // the write in progress is synced
+  heartbeat,      // the clock of a leader advances by one heartbeat interval
+  // A clock advances beyond every timeout: a node starts an election, a leader steps down, or a
+  // learner asks whether it is still a member.
+  electionTimeout,
+  // A clock advances by the shortest election timeout without a tick, so that the node no longer
+  // assumes a live leader.
+  leaderSilence,
+  restart,  // a process ends and restarts from the synced data
+  // The same, but the write in progress reached the disk without an acknowledgement to the node.
+  restartKeepingWrite,
+  // Only within the fault tolerance of the cluster; the machine returns with a new identity.
+  loseDisk,
+  rejoinAsNewMember,  // a removed node sets its state aside and starts with a new identity
+  join,               // a node without state asks a leader to become a learner
   propose,
-  read,  // a leader begins a read, to be confirmed by a round
+  read,  // a leader starts a read, which a round of heartbeats confirms
   removeMember,
   promote,
   transferLeadership,
@@ -31,36 +39,38 @@
 constexpr std::size_t actionKindCount = std::size_t(ActionKind::compact) + 1;
 const char* name(ActionKind kind);
 
-// Means the same in every world, so that a trace can be shortened by leaving actions out.
+// One step of the model. An action has the same meaning in every state, so a trace can be shortened
+// by omitting actions.
 struct Action {
   ActionKind kind;
   std::uint8_t machine = 0;      // the machine that acts
-  std::uint8_t target = 0;       // the machine of the member concerned
-  std::uint64_t packetHash = 0;  // the message concerned, by its hash
+  std::uint8_t target = 0;       // the other machine or member index concerned
+  std::uint64_t packetHash = 0;  // the hash of the message concerned
 };
 
-// How often a run may take a step of this kind; no figure is no bound.
+// How often each kind of action may occur in a run; a kind that is not listed is unlimited.
 using Budget = std::map<ActionKind, std::uint8_t>;
 
-// A fault of the product planted from outside, to show that the checker finds it.
+// A defect injected into the model to prove that the checker finds it.
 struct SeededDefect {
-  std::function<void(PeerMessage&)> mutateMessage;      // changes what leaves a node
-  std::function<void(RaftNode&)> mutateNode;            // acts on a node after each of its steps
-  std::function<void(WriteAheadRecord&)> mutateRecord;  // changes what a restart finds
-  bool acknowledgesUnsyncedWrites = false;              // says synced, keeps nothing
-  bool restartsFromOldDisk = false;                     // a restart finds the version before
+  std::function<void(PeerMessage&)> mutateMessage;      // changes each message sent by a node
+  std::function<void(RaftNode&)> mutateNode;            // changes a node after each of its steps
+  std::function<void(WriteAheadRecord&)> mutateRecord;  // changes the records that a restart reads
+  bool acknowledgesUnsyncedWrites = false;              // writes are acknowledged but lost
+  bool restartsFromOldDisk = false;                     // a restart reads the previous version
 };
 
 struct ModelOptions {
   std::size_t machines = 3;
-  std::size_t voters = 3;  // the first machines; the others are blank
+  std::size_t voters = 3;  // the first machines are voters; the others have no state
   RaftOptions raft = discreteRaftOptions();
   Budget budget;
-  bool syncImmediately = false;  // every write is synced in the step that asks for it
-  bool writeImmediately =
-      true;  // a record is handed to the disk as soon as the one before is synced
-  // Only what a caller or an operator could see in the end, not the rules that the code keeps on
-  // the way (claims behind the sync, votes behind the sync, majorities of disks).
+  bool syncImmediately = false;  // every write is synced in the step that requests it
+  // A record is passed to the disk as soon as the previous one is synced.
+  bool writeImmediately = true;
+  // Checks only invariants that a client or operator could observe, not the intermediate rules of
+  // the implementation: acknowledgements and votes only after a sync, and commits on a majority of
+  // disks.
   bool outcomesOnly = false;
   SeededDefect seededDefect;
   static RaftOptions discreteRaftOptions();
@@ -73,13 +83,14 @@
 
 class ModelCluster {
  public:
-  // All voters hold the founding entry, committed; nobody leads.
+  // Creates the initial state: all voters hold the committed bootstrap entry, and there is no
+  // leader.
   explicit ModelCluster(std::shared_ptr<const ModelOptions> options);
 
   std::vector<Action> enabledActions() const;
-  // Takes one step; false, and nothing changed, if it can't be taken here.
+  // Performs one action. Returns false and changes nothing if the action is not enabled.
   bool apply(const Action& action);
-  // The rule that the last step broke, if any.
+  // The invariant that the last action violated, if any.
   const std::optional<std::string>& violation() const { return brokenRule; }
   std::uint64_t hash() const;
   std::string describe(const Action& action) const;
@@ -89,14 +100,15 @@
   const std::vector<std::shared_ptr<const Packet>>& network() const { return packets; }
   const HistoryVariables& history() const { return *currentHistory; }
   std::optional<std::size_t> machineOf(const ControllerId& id) const;
-  // Scripts begin a search from a world with all of the budget left.
+  // Replaces the options and resets the action counts, so that a search after a script has the
+  // whole budget.
   void setOptions(std::shared_ptr<const ModelOptions> from);
 
  private:
   struct Slot {
     std::shared_ptr<const ModelNode> node;
     std::uint64_t hash = 0;
-    std::uint8_t incarnation = 1;  // which identity of the machine
+    std::uint8_t incarnation = 1;  // number of the current identity of the machine
   };
   friend class StepInvariantChecker;
   bool withinBudget(ActionKind kind) const;
@@ -122,7 +134,7 @@
 
   std::shared_ptr<const ModelOptions> options;
   std::vector<Slot> nodes;
-  std::vector<std::shared_ptr<const Packet>> packets;  // by hash
+  std::vector<std::shared_ptr<const Packet>> packets;  // ordered by hash
   std::shared_ptr<const HistoryVariables> currentHistory;
   std::uint64_t historyHash = 0;
   std::array<std::uint8_t, actionKindCount> actionCounts{};
--- a/source/checker/model/model_node.cpp
+++ b/source/checker/model/model_node.cpp
@@ -1,10 +1,11 @@
+// Simulates the disk of a node and its restarts.
 #include "checker/model/model_node.hpp"
 
 namespace aniseline::model {
 
 namespace {
 
-// The timers' draws decide nothing here: the shortest and the longest election time are the same.
+// The seed is irrelevant: the shortest and the longest election timeout are equal.
 constexpr std::uint64_t timerSeed = 1;
 
 }  // namespace
@@ -50,7 +51,7 @@
 
 void ModelNode::appendToDisk(const WriteAheadRecord& record) {
   if (record.holdsSnapshot)
-    disk.clear();  // older versions are removed once a whole one is synced
+    disk.clear();  // older records are removed once a record with a snapshot is synced
   disk.push_back(record);
   diskImage.append(record);
 }
@@ -103,7 +104,7 @@
   archive << diskImage << openedTerm << restarts << inFlight.has_value();
   if (inFlight) {
     auto record = *inFlight;
-    record.version = DiskVersion{};  // how many there were before changes nothing
+    record.version = DiskVersion{};  // the number of earlier writes does not affect behaviour
     archive << record;
   }
   return combineHashes(hashOf(RaftNodeFingerprint::of(raft, clock)), hashOf(archive.bytes));
--- a/source/checker/model/model_node.hpp
+++ b/source/checker/model/model_node.hpp
@@ -5,7 +5,8 @@
 
 namespace aniseline::model {
 
-// What a controller would find on its disk: the model's own fold of the synced records.
+// The data that a controller would read from its disk, computed by the model from the synced
+// records.
 struct DiskImage {
   Term term;
   ControllerId vote;
@@ -13,7 +14,8 @@
   std::vector<LogEntry> entries;  // after the snapshot
   void append(const WriteAheadRecord& record);
   LogIndex lastIndex() const { return LogIndex{snapshot.lastIncludedIndex.value + entries.size()}; }
-  // Whether the entry of this index and term is on the disk, itself or folded into the snapshot.
+  // Reports whether the entry with this index and term is on the disk, either in the log or covered
+  // by the snapshot.
   bool contains(LogIndex index, Term term) const;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
@@ -21,8 +23,8 @@
   }
 };
 
-// A machine's present identity. A copy is taken before each action, so that worlds share what an
-// action leaves as it was.
+// The current identity of a machine. It is copied before each action, so that states share the
+// nodes that an action does not change.
 class ModelNode {
  public:
   ModelNode(const Member& self, const RaftOptions& options, std::vector<WriteAheadRecord> disk);
@@ -30,19 +32,19 @@
   MonotonicTime now() const { return clock; }
   void advanceClock(Duration span) { clock = clock + span; }
   void tick() { raft.tick(clock, WallTime{}); }
-  // Hands a write to the disk, if there is any and none is under way.
+  // Passes a write to the disk. Returns false if there is none or one is already in progress.
   bool startWrite();
   bool writing() const { return inFlight.has_value(); }
   const WriteAheadRecord& writeInFlight() const { return *inFlight; }
-  // The write under way is on the disk, and the node is told.
+  // Puts the write in progress on the disk and notifies the node.
   void completeWrite();
-  // The node is told so, and the disk loses it: only a disk that lies does this.
+  // Notifies the node without storing the write, as a disk does that acknowledges unsynced writes.
   void acknowledgeWithoutWriting();
-  // Ends the process and starts it from the disk; the write under way is kept or lost.
+  // Restarts the process from the disk; the write in progress is kept or lost.
   void restart(const RaftOptions& options, bool keepsWrite, bool forgetsLastRecord = false);
-  // The owner of a new leader proposes its opening entry at once, as Controller does.
+  // Makes a new leader propose its first entry immediately, as Controller does.
   void proposeOpeningEntry();
-  // No two lives of a node propose the same payload.
+  // Returns a payload that no other run of this node proposes.
   std::string uniquePayload(const std::string& what) const;
   std::uint64_t hash() const;
 
--- a/source/checker/model/scenarios.cpp
+++ b/source/checker/model/scenarios.cpp
@@ -7,8 +7,8 @@
 using Kind = ActionKind;
 constexpr std::size_t a = 0, b = 1, c = 2, d = 3, e = 4;
 
-// Of a breadth-first search. A message that is never delivered is a lost one, so that losing it is
-// no step of its own.
+// The default budget of a breadth-first search. Losing a message is not an action here, because a
+// message that is never delivered is a lost message.
 Budget budgetWith(const Budget& more) {
   Budget budget{{Kind::duplicate, 0},
                 {Kind::drop, 0},
@@ -45,13 +45,13 @@
   return append && !append->entries.empty();
 }
 
-// a leads, its opening entry is committed everywhere.
+// Node a is the leader, and its first entry is committed everywhere.
 void electedLeader(Script& script) {
   script.elect(a);
   script.replicate(a);
 }
 
-// a was granted every pre-vote; its vote for itself is still being written.
+// Node a received all pre-votes; its vote for itself is still being written.
 void unsyncedCandidate(Script& script) {
   script.step(Kind::electionTimeout, a);
   script.deliverAllUnsynced();
@@ -62,7 +62,7 @@
   script.step(Kind::propose, a);
 }
 
-// a still takes itself for the leader; b was elected by b and c, and committed an entry.
+// Node a still considers itself the leader; b was elected by b and c and committed an entry.
 void twoLeaders(Script& script) {
   electedLeader(script);
   script.elect(b, {b, c});
@@ -70,7 +70,8 @@
   script.deliverAll({b, c});
 }
 
-// a led with an entry that nobody else has; b was elected and has one of its own at the same index.
+// Node a was the leader and holds an entry that no other node has; b was elected and has its own
+// entry at the same index.
 void forkedLogs(Script& script) {
   electedLeader(script);
   script.step(Kind::propose, a);
@@ -80,7 +81,8 @@
   script.completeWrites({b});
 }
 
-// a holds two entries that nobody else has; b and c committed others there, which come one by one.
+// Node a holds two entries that no other node has; b and c committed others at these indices, which
+// a receives one by one.
 void twoForkedEntries(Script& script) {
   electedLeader(script);
   script.step(Kind::propose, a);
@@ -94,7 +96,7 @@
   script.step(Kind::heartbeat, b);
 }
 
-// As the first fork, and the old leader's entry is still under way to c, the new one's too.
+// Like forkedLogs, but the entries of the old and of the new leader are both in flight to c.
 void staleLeader(Script& script) {
   electedLeader(script);
   script.step(Kind::propose, a);
@@ -105,8 +107,8 @@
   script.step(Kind::heartbeat, b);
 }
 
-// b and c answered a in an earlier leadership of a's, which it has not read. a was elected again,
-// then b, which committed an entry.
+// Nodes b and c replied to a in an earlier leadership of a, and a has not received the replies.
+// Then a was elected again, and after it b, which committed an entry.
 void staleReplies(Script& script) {
   electedLeader(script);
   script.replicate(a);
@@ -123,15 +125,15 @@
   script.deliverAll({b, c});
 }
 
-// a and b committed an entry that c has not.
+// Nodes a and b committed an entry that c does not have.
 void laggingFollower(Script& script) {
   electedLeader(script);
   script.step(Kind::propose, a);
   script.deliverAll({a, b});
 }
 
-// a holds entries of its own that nobody else has, also on its disk; b was elected, went on and
-// dropped the log that a needs: the snapshot is on its way.
+// Node a holds entries, also on its disk, that no other node has. Node b was elected, committed
+// entries and compacted the log that a needs; the snapshot is in flight.
 void forkedSnapshot(Script& script) {
   electedLeader(script);
   for (int entry = 0; entry < 3; ++entry) {
@@ -151,14 +153,14 @@
   script.applyToMessage(Kind::deliver, a, b, isReply);
 }
 
-// a proposes to remove b, cut off from c and d.
+// Node a proposes to remove b while it cannot reach c and d.
 void pendingRemoval(Script& script) {
   electedLeader(script);
   script.step(Kind::removeMember, a, b);
   script.dropAllMessages();
 }
 
-// d has learnt all; its promotion is proposed and not sent.
+// Learner d is up to date; its promotion is proposed but not sent.
 void pendingPromotion(Script& script) {
   electedLeader(script);
   script.step(Kind::join, d, a);
@@ -167,7 +169,8 @@
   script.step(Kind::promote, a, script.findMemberIndex(a, d));
 }
 
-// c slept while a and b went on and dropped the log that c needs; the snapshot is on its way.
+// Node c missed entries of a and b, which then compacted the log that c needs; the snapshot is in
+// flight.
 void snapshotInFlight(Script& script) {
   electedLeader(script);
   for (int entry = 0; entry < 3; ++entry) {
@@ -181,8 +184,8 @@
   script.step(Kind::heartbeat, a);
 }
 
-// c has none of the newest entries; the messages that hold them and a snapshot that ends before the
-// last of them are all under way to it.
+// Node c has none of the newest entries. The messages with these entries and a snapshot that ends
+// before the last of them are all in flight to it.
 void lateSnapshot(Script& script) {
   const auto isLastEntry = [](const PeerMessage& message) {
     const auto* append = boost::get<AppendEntries>(&message.body);
@@ -201,7 +204,7 @@
   script.applyToMessage(Kind::deliver, c, a, isReply);
 }
 
-// b's disk is lost; it is back as a new identity and asks to learn.
+// Node b lost its disk and has rejoined as a learner with a new identity.
 void lostDisk(Script& script) {
   electedLeader(script);
   script.step(Kind::loseDisk, b);
@@ -210,7 +213,7 @@
   script.replicate(a);
 }
 
-// d took the place of b, whose removal is committed by a, c and d; b has not heard.
+// Node d replaced b, and a, c and d committed the removal of b; b does not know it.
 void replacedVoter(Script& script) {
   pendingPromotion(script);
   script.deliverAll();
@@ -220,8 +223,8 @@
   script.replicate(a, {a, c, d});
 }
 
-// The Raft paper's figure 8: an entry of term 2 on a and b, one of term 3 on e alone; a leads
-// again.
+// Figure 8 of the Raft paper: an entry of term 2 is on a and b, one of term 3 only on e, and a is
+// the leader again.
 void entryOfOlderTerm(Script& script) {
   electedLeader(script);
   script.step(Kind::propose, a);
@@ -229,7 +232,7 @@
   script.electAndDropMessages(e, {c, d, e});
   script.completeWrites({e});
   script.electAndDropMessages(a, {a, b, c, d});
-  // e steps down, then learns of the term that a leads: its next election would be a later one.
+  // Node e steps down and then learns the term of a, so that its next election has a higher term.
   script.step(Kind::electionTimeout, e);
   script.step(Kind::electionTimeout, e);
   script.deliverAll({b, c, d, e});
@@ -240,51 +243,51 @@
 
 const std::vector<Scenario>& scenarios() {
   static const std::vector<Scenario> all{
-      {"election", "three voters, nobody leads", 3, 3,
+      {"election", "three voters without a leader", 3, 3,
        budgetWith(
            {{Kind::electionTimeout, 2}, {Kind::leaderSilence, 0}, {Kind::restartKeepingWrite, 1}}),
        [](Script&) {
        }},
-      {"restarts", "the same with quick disks, for the sake of depth", 3, 3,
+      {"restarts", "the same with immediate syncs, which allows a deeper search", 3, 3,
        budgetWith({{Kind::electionTimeout, 2}, {Kind::leaderSilence, 0}, {Kind::heartbeat, 0}}),
        [](Script&) {}, true},
       {"slow disk", "a candidate whose vote for itself is not yet synced", 3, 3,
        budgetWith({{Kind::heartbeat, 0}, {Kind::leaderSilence, 0}}), unsyncedCandidate},
-      {"entry", "a leader with an entry not yet sent", 3, 3,
+      {"entry", "a leader with an entry that is not sent yet", 3, 3,
        budgetWith({{Kind::propose, 1}, {Kind::duplicate, 1}}), oneEntryUnsent},
-      {"read", "a leader that another has replaced is read from", 3, 3,
+      {"read", "a read from a leader that has been replaced", 3, 3,
        budgetWith({{Kind::read, 1}, {Kind::electionTimeout, 0}}), twoLeaders},
-      {"fork", "two logs that differ at one index; the stale leader is back", 3, 3,
+      {"fork", "two logs that differ at one index; the stale leader is reachable again", 3, 3,
        budgetWith({{Kind::duplicate, 1}, {Kind::heartbeat, 2}}), forkedLogs},
-      {"fork of two", "a committed log comes entry by entry to a stale leader", 3, 3,
+      {"fork of two", "a stale leader receives the committed log one entry at a time", 3, 3,
        budgetWith({{Kind::heartbeat, 1}}), twoForkedEntries, true, true},
-      {"stale leader", "entries of an old and of a new leader under way to one follower", 3, 3,
+      {"stale leader", "entries of an old and a new leader in flight to the same follower", 3, 3,
        budgetWith({{Kind::heartbeat, 0}, {Kind::electionTimeout, 0}, {Kind::removeMember, 1}}),
        staleLeader, true},
-      {"stale reply", "a read by a leader that others replaced, old answers under way to it", 3, 3,
+      {"stale reply", "a read by a replaced leader while old replies to it are in flight", 3, 3,
        budgetWith({{Kind::read, 1}, {Kind::heartbeat, 0}}), staleReplies, true},
-      {"behind", "one that lacks what is committed asks for votes", 3, 3,
+      {"behind", "a node that lacks a committed entry requests votes", 3, 3,
        budgetWith({{Kind::heartbeat, 0}, {Kind::restart, 0}}), laggingFollower, true},
-      {"forked snapshot", "a snapshot under way to one whose disk holds another log", 3, 3,
+      {"forked snapshot", "a snapshot in flight to a node with a diverging log on disk", 3, 3,
        budgetWith({{Kind::heartbeat, 2}, {Kind::electionTimeout, 0}}), forkedSnapshot},
-      {"removal", "the removal of a voter, cut off from half of the voters", 4, 4,
+      {"removal", "the removal of a voter by a leader that cannot reach half of the voters", 4, 4,
        budgetWith({{Kind::electionTimeout, 2}, {Kind::leaderSilence, 1}}), pendingRemoval, true},
-      {"promotion", "a learner's promotion not yet sent", 4, 3,
+      {"promotion", "the promotion of a learner that is not sent yet", 4, 3,
        budgetWith({{Kind::removeMember, 1}}), pendingPromotion},
-      {"snapshot", "a follower far behind, the snapshot under way", 3, 3,
+      {"snapshot", "a follower far behind with a snapshot in flight to it", 3, 3,
        budgetWith({{Kind::heartbeat, 2}, {Kind::restartKeepingWrite, 1}, {Kind::propose, 1}}),
        snapshotInFlight},
       {"late snapshot", "entries and a snapshot that ends before the last of them, in any order", 3,
        3, budgetWith({{Kind::electionTimeout, 0}, {Kind::leaderSilence, 0}}), lateSnapshot, true},
-      {"lost disk", "a voter's disk is lost, its machine learns anew", 3, 3,
+      {"lost disk", "a voter loses its disk and its machine rejoins as a learner", 3, 3,
        budgetWith({{Kind::promote, 1}, {Kind::removeMember, 1}, {Kind::join, 1}}), lostDisk},
-      {"replaced", "a voter is replaced and has not heard of it", 4, 3,
+      {"replaced", "a voter is replaced and does not know it yet", 4, 3,
        budgetWith({{Kind::electionTimeout, 2}, {Kind::loseDisk, 1}, {Kind::duplicate, 1}}),
        replacedVoter},
-      {"older term", "an entry of an older term on a minority, its leader is elected again", 5, 5,
-       budgetWith({{Kind::heartbeat, 0}, {Kind::leaderSilence, 1}, {Kind::restart, 0}}),
+      {"older term", "an entry of an older term on a minority, and its leader is elected again", 5,
+       5, budgetWith({{Kind::heartbeat, 0}, {Kind::leaderSilence, 1}, {Kind::restart, 0}}),
        entryOfOlderTerm, true, true},
-      {"transfer", "a leader that hands over", 3, 3,
+      {"transfer", "a leader that transfers its leadership", 3, 3,
        budgetWith({{Kind::transferLeadership, 1}, {Kind::propose, 1}}), electedLeader},
   };
   return all;
@@ -341,7 +344,7 @@
   const bool taken = cluster.apply(action);
   if (!taken || cluster.violation())
     throw std::logic_error("script: " + cluster.describe(action) + ": " +
-                           cluster.violation().value_or("can't be taken"));
+                           cluster.violation().value_or("is not enabled"));
 }
 
 void Script::completeWrites(const std::set<std::size_t>& machines) {
@@ -363,7 +366,7 @@
     if (!withheldPackets.count(packet->hash) && cluster.machineOf(packet->message.from) == from &&
         cluster.machineOf(packet->message.to) == to && fits(packet->message))
       return packet.get();
-  throw std::logic_error("script: no such message under way");
+  throw std::logic_error("script: no such message in flight");
 }
 
 void Script::deliverWithinAndDropRest(const std::set<std::size_t>& machines) {
@@ -430,7 +433,8 @@
 
 void Script::runUntilLeads(std::size_t machine, const std::set<std::size_t>& among,
                            const std::function<void()>& deliver) {
-  constexpr int tries = 3;  // an old leader steps down first; one behind is told by how far
+  // An old leader first steps down; a node with a lower term learns the current one.
+  constexpr int tries = 3;
   for (int attempt = 0; attempt == 0 || !cluster.node(machine).raft.isLeader(); ++attempt) {
     if (attempt == tries)
       throw std::logic_error("script: not elected");
@@ -453,7 +457,7 @@
 }
 
 void Script::replicate(std::size_t leader, const std::set<std::size_t>& among) {
-  constexpr int rounds = 3;  // the entries, the commit index, and a round more for a late joiner
+  constexpr int rounds = 3;  // the entries, the commit index, and one more round for a late joiner
   for (int round = 0; round < rounds; ++round) {
     step(Kind::heartbeat, leader);
     deliverAll(among);
--- a/source/checker/model/scenarios.hpp
+++ b/source/checker/model/scenarios.hpp
@@ -1,4 +1,5 @@
-// Worlds to begin a search from: what a search from nothing would reach too late.
+// Defines the states from which the model checker searches. Each is prepared by a script, because a
+// search from the initial state would reach it too late.
 #ifndef ANISELINE_CHECKER_MODEL_SCENARIOS_HPP
 #define ANISELINE_CHECKER_MODEL_SCENARIOS_HPP
 #include "checker/model/search.hpp"
@@ -10,50 +11,53 @@
   std::string purpose;
   std::size_t machines;
   std::size_t voters;
-  Budget budget;  // of the search, from where the script ends
+  Budget budget;  // for the search, counted from the end of the script
   std::function<void(class Script&)> prepare;
-  bool syncImmediately = false;     // disks are no part of it: deeper in the same number of states
-  bool oneEntryPerMessage = false;  // a message holds one entry
+  // Writes need no separate action, which allows a deeper search in the same number of states.
+  bool syncImmediately = false;
+  bool oneEntryPerMessage = false;  // limits each message to one entry
 };
 
 const std::vector<Scenario>& scenarios();
 const Scenario& scenario(const std::string& name);
-// Runs the scenario's script and gives the search its budget. The tamper is in force from the
-// search on.
+// Runs the script of the scenario and sets the budget of the search. The defect is active only
+// after the script.
 ModelCluster prepare(const Scenario& scenario, const SeededDefect& defect = {},
                      bool outcomesOnly = false);
-// The same world with more of everything, writes taken late and messages lost: for long walks.
+// Returns the same state with larger budgets, delayed writes and message loss, for long random
+// walks.
 ModelCluster withWalkOptions(ModelCluster cluster, bool outcomesOnly = false,
                              const SeededDefect& defect = {});
 
-// Drives a world along one path.
+// Drives a cluster along one path of actions.
 class Script {
  public:
   explicit Script(ModelCluster& cluster) : cluster(cluster) {}
+  // Performs one action. Throws std::logic_error if it is not enabled or violates an invariant.
   void step(ActionKind kind, std::size_t machine, std::size_t other = 0);
-  // Syncs and delivers until nothing is left to do; only among these machines, if any are named:
-  // what goes elsewhere is lost.
+  // Syncs and delivers until no message is in flight. If machines are named, only they take part
+  // and all other messages are lost.
   void deliverAll(const std::set<std::size_t>& among = {});
-  // The same, but what goes elsewhere stays under way.
+  // The same, but all other messages stay in flight.
   void deliverAllWithin(const std::set<std::size_t>& among);
-  // Delivers until nothing is under way; what waits for a disk stays.
+  // Delivers until no message is in flight; writes stay unsynced.
   void deliverAllUnsynced();
-  // Delivers, or loses, the first message under way between these machines that fits.
+  // Delivers or loses the first matching message in flight between these machines.
   void applyToMessage(ActionKind kind, std::size_t from, std::size_t to,
                       const std::function<bool(const PeerMessage&)>& fits);
-  // Keeps a message under way, whatever else is delivered or lost.
+  // Keeps a matching message in flight while others are delivered or lost.
   void withhold(std::size_t from, std::size_t to,
                 const std::function<bool(const PeerMessage&)>& fits);
-  // Syncs what is under way on these machines.
+  // Syncs the writes in progress on these machines.
   void completeWrites(const std::set<std::size_t>& machines);
   void dropAllMessages();
-  // Makes a machine the leader of those named.
+  // Makes a machine the leader with the votes of the machines named, or of all.
   void elect(std::size_t machine, const std::set<std::size_t>& among = {});
-  // The same, but all that the new leader sends is lost.
+  // The same, but all messages sent by the new leader are lost.
   void electAndDropMessages(std::size_t machine, const std::set<std::size_t>& among);
-  // Heartbeats until these have seen all that is committed.
+  // Sends heartbeats until these machines know all committed entries.
   void replicate(std::size_t leader, const std::set<std::size_t>& among = {});
-  // The place of a machine's present identity among the leader's members.
+  // Returns the index of the current identity of a machine in the membership of the leader.
   std::size_t findMemberIndex(std::size_t leader, std::size_t machine) const;
 
  private:
--- a/source/checker/model/search.cpp
+++ b/source/checker/model/search.cpp
@@ -1,3 +1,4 @@
+// Implements the breadth-first search, the random walks and the shortening of traces.
 #include "checker/model/search.hpp"
 
 #include "checker/model/describe.hpp"
@@ -17,7 +18,7 @@
   std::chrono::steady_clock::time_point began = std::chrono::steady_clock::now();
 };
 
-// The name of a rule, without what it was broken by.
+// Returns the name of an invariant without the details of the violation.
 std::string ruleName(const std::string& rule) {
   return rule.substr(0, rule.find(':'));
 }
@@ -48,12 +49,12 @@
  private:
   struct FrontierState {
     ModelCluster cluster;
-    std::size_t place;  // in `reached`
+    std::size_t index;  // in `reached`
     std::size_t depth;
   };
-  struct Reached {
-    std::size_t from;
-    Action by;
+  struct ReachedState {
+    std::size_t parent;
+    Action action;
   };
 
   void expand(const FrontierState& current) {
@@ -63,11 +64,11 @@
         continue;
       ++report.transitions;
       if (next.violation()) {
-        report.counterexample = Counterexample{*next.violation(), traceTo(current.place)};
+        report.counterexample = Counterexample{*next.violation(), traceTo(current.index)};
         report.counterexample->trace.push_back(action);
         return;
       }
-      visit(std::move(next), current.place, action, current.depth + 1);
+      visit(std::move(next), current.index, action, current.depth + 1);
       if (reached.size() >= bounds.states) {
         limitReached = true;
         return;
@@ -75,18 +76,18 @@
     }
   }
 
-  void visit(ModelCluster cluster, std::size_t from, const Action& by, std::size_t depth) {
+  void visit(ModelCluster cluster, std::size_t parent, const Action& action, std::size_t depth) {
     if (!seen.insert(cluster.hash()).second)
       return;
-    reached.push_back({from, by});
+    reached.push_back({parent, action});
     report.depth = std::max(report.depth, depth);
     frontier.push_back({std::move(cluster), reached.size() - 1, depth});
   }
 
   Trace traceTo(std::size_t index) const {
     Trace trace;
-    for (; index != 0; index = reached[index].from)
-      trace.push_back(reached[index].by);
+    for (; index != 0; index = reached[index].parent)
+      trace.push_back(reached[index].action);
     std::reverse(trace.begin(), trace.end());
     return trace;
   }
@@ -95,12 +96,12 @@
   SearchReport report;
   bool limitReached = false;
   std::unordered_set<std::uint64_t> seen;
-  std::vector<Reached> reached;
+  std::vector<ReachedState> reached;
   std::deque<FrontierState> frontier;
 };
 
-// How much more often than the rest a kind of step is drawn: without these most walks are
-// elections that no message outlives.
+// The relative probability of each kind of action. With equal weights, most walks would consist of
+// elections during which no message is delivered.
 unsigned weight(ActionKind kind) {
   switch (kind) {
     case ActionKind::deliver:
--- a/source/checker/model/step_invariants.cpp
+++ b/source/checker/model/step_invariants.cpp
@@ -1,3 +1,4 @@
+// Implements the Raft invariants: elections, log matching, durability, membership and reads.
 #include "checker/model/step_invariants.hpp"
 
 namespace aniseline::model {
@@ -39,7 +40,7 @@
     checkVote(message.to, *reply);
 }
 
-// A follower claims no more than its disk holds.
+// A follower acknowledges no more than its disk holds.
 void StepInvariantChecker::checkMatchClaim(const AppendEntriesReply& reply) {
   if (outcomesOnly || !reply.success)
     return;
@@ -62,19 +63,21 @@
                                                         ", its disk holds another term's");
 }
 
-// One vote a term and identity, over every restart; on the disk before it is told.
+// A node grants one vote per term and identity, across all restarts, and the vote is on its disk
+// before it is sent.
 void StepInvariantChecker::checkVote(const ControllerId& candidate, const RequestVoteReply& reply) {
   if (reply.preVote || !reply.voteGranted)
     return;
   const auto& [vote, isNew] = history.votes.try_emplace({after.self.id, reply.term}, candidate);
   if (vote->second != candidate)
-    reportViolation("one vote a term", after.self.id.value + " gave its vote of term " +
+    reportViolation("one vote a term", after.self.id.value + " granted its vote of term " +
                                            std::to_string(reply.term.value) + " to " +
                                            vote->second.value + " and to " + candidate.value);
   const bool onDisk = after.diskImage.term > reply.term ||
                       (after.diskImage.term == reply.term && after.diskImage.vote == candidate);
   if (!outcomesOnly && !onDisk)
-    reportViolation("a vote is behind its sync", after.self.id.value + " tells " + candidate.value);
+    reportViolation("a vote is behind its sync",
+                    after.self.id.value + " grants its vote to " + candidate.value);
 }
 
 void StepInvariantChecker::checkState() {
@@ -110,10 +113,10 @@
   const bool onDisk =
       after.diskImage.term == after.raft.term() && after.diskImage.vote == after.self.id;
   if (!outcomesOnly && !onDisk)
-    reportViolation("a vote is behind its sync", after.self.id.value + " leads by its own");
+    reportViolation("a vote is behind its sync", after.self.id.value + " leads by its own vote");
 }
 
-// A leader holds all that leaders of earlier terms committed.
+// A leader holds all entries that leaders of earlier terms committed.
 void StepInvariantChecker::checkLeaderCompleteness() {
   if (!after.raft.isLeader())
     return;
@@ -175,7 +178,7 @@
         at(index) + " is on " + std::to_string(holders) + " of " + std::to_string(voters.size()));
 }
 
-// A disk that holds a committed entry goes on holding it: a majority was counted on it.
+// A disk never loses a committed entry, because the commit counted on it.
 void StepInvariantChecker::checkDurability() {
   if (outcomesOnly || after.self.id != before.self.id)
     return;
@@ -196,7 +199,7 @@
   return lost == history.lostDisks.end() ? nullptr : &lost->second;
 }
 
-// Any majority of one meets any majority of the next.
+// Any majority of one membership must overlap any majority of the next.
 void StepInvariantChecker::checkMembershipChange(const Membership& earlier,
                                                  const Membership& later) {
   const auto oldVoters = votersOf(earlier), newVoters = votersOf(later);
@@ -209,7 +212,7 @@
     reportViolation("majorities overlap", "of successive committed memberships");
 }
 
-// The same index and term: the same entry, and the same before it.
+// If two logs hold an entry with the same index and term, the entry and all earlier ones are equal.
 void StepInvariantChecker::checkLogMatching(const ModelNode& other) {
   const auto low = std::max(after.raft.logBaseIndex(), other.raft.logBaseIndex());
   bool agrees = false;
@@ -244,13 +247,13 @@
                       after.self.id.value);
 }
 
-// A confirmed read shows at least what was committed anywhere when it began.
+// A confirmed read returns at least what was committed on any node when it started.
 void StepInvariantChecker::checkReads() {
   std::erase_if(history.pendingReads, [&](const PendingRead& read) {
     if (read.reader != after.self.id)
       return false;
     if (!after.raft.isLeader() || after.raft.term() != read.term)
-      return true;  // never answered
+      return true;  // this read is never answered
     if (read.lastIndexAtStart > after.raft.commitIndex() ||
         read.round > after.raft.confirmedRound())
       return false;
@@ -262,14 +265,15 @@
   });
 }
 
-// Who is told to be out is no voter of the newest committed membership.
+// A node that considers itself removed is not a voter of the newest committed membership.
 void StepInvariantChecker::checkRemoval() {
   if (!after.raft.removedFromCluster() || before.raft.removedFromCluster())
     return;
   if (votersOf(history.committedMembers()).count(after.self.id))
     reportViolation(
         "removed by a committed change only",
-        after.self.id.value + " takes itself for removed, the committed members count it");
+        after.self.id.value +
+            " considers itself removed, but the committed membership contains it as a voter");
 }
 
 void StepInvariantChecker::checkInstalledSnapshot() {
--- a/source/checker/model/step_invariants.hpp
+++ b/source/checker/model/step_invariants.hpp
@@ -1,11 +1,11 @@
-// The invariants, judged after each step of one node.
+// Checks the invariants of the model after each step of a node.
 #ifndef ANISELINE_CHECKER_MODEL_STEP_INVARIANTS_HPP
 #define ANISELINE_CHECKER_MODEL_STEP_INVARIANTS_HPP
 #include "checker/model/model_cluster.hpp"
 
 namespace aniseline::model {
 
-// Judges what a node's step did and writes the ghost's part of it. The first broken rule is kept.
+// Checks one step of one node and updates the history variables. Keeps the first violation.
 class StepInvariantChecker {
  public:
   StepInvariantChecker(const ModelCluster& cluster, const ModelNode& before, const ModelNode& after,
@@ -17,9 +17,9 @@
         outcomesOnly(outcomesOnly),
         restarted(restarted) {}
 
-  // What leaves the node, as it leaves it.
+  // Checks a message as the node sends it.
   void checkSentMessage(const PeerMessage& message);
-  // What the node's state says after the step.
+  // Checks the state of the node after the step.
   void checkState();
   const std::optional<std::string>& violation() const { return brokenRule; }
 
@@ -46,7 +46,7 @@
   const ModelNode& after;
   HistoryVariables& history;
   bool outcomesOnly;
-  bool restarted;  // the step began another life, which knows only what its disk held
+  bool restarted;  // the step restarted the process, which knows only what was on its disk
   std::optional<std::string> brokenRule;
 };
 
--- a/source/checker/starvation_checker.cpp
+++ b/source/checker/starvation_checker.cpp
@@ -224,7 +224,7 @@
     job.reported = true;
     violations.push_back({Invariant::noStarvation, at,
                           what + " of " + id + " has waited since " + std::to_string(since) +
-                              " though there is room for it twice over"});
+                              " although there is room for it twice"});
   };
   if (job.starvedSince && isStarved(*job.starvedSince))
     return report("every task", *job.starvedSince);
--- a/source/checker/tenant_checker.cpp
+++ b/source/checker/tenant_checker.cpp
@@ -13,7 +13,7 @@
 constexpr std::int64_t lateOrderArrivesWithinMs = 15'000;
 
 std::string describe(const char* resource, std::int64_t used, std::int64_t cap) {
-  return std::string(resource) + " " + std::to_string(used) + " where it may have " +
+  return std::string(resource) + " " + std::to_string(used) + " above its cap of " +
          std::to_string(cap);
 }
 
@@ -49,13 +49,15 @@
       mayBeUnknown = mayBeUnknown || !known;
     }
     if (use.accepted && !mayBeKnown)
-      violations.push_back({Invariant::apiKeysInForce, use.answeredAt,
-                            "a submission of " + std::to_string(use.sentAt) +
-                                " was accepted with a key that no configuration in force held"});
+      violations.push_back(
+          {Invariant::apiKeysInForce, use.answeredAt,
+           "a submission sent at " + std::to_string(use.sentAt) +
+               " was accepted with a key that no configuration in force contained"});
     if (!use.accepted && !mayBeUnknown)
-      violations.push_back({Invariant::apiKeysInForce, use.answeredAt,
-                            "a submission of " + std::to_string(use.sentAt) +
-                                " was refused though every configuration in force held its key"});
+      violations.push_back(
+          {Invariant::apiKeysInForce, use.answeredAt,
+           "a submission sent at " + std::to_string(use.sentAt) +
+               " was rejected although every configuration in force contained its key"});
   }
   return violations;
 }
@@ -122,9 +124,9 @@
       if (isAbsent(tenant) || !open.emplace(key, Run{tenant, event}).second)
         continue;
       if (auto exceeded = describeExceededCap(tenant, usage[tenant], event))
-        violations.push_back(
-            {Invariant::tenantCaps, event.timestamp,
-             "a start of " + event.job + " finds tenant " + tenant.value + " with " + *exceeded});
+        violations.push_back({Invariant::tenantCaps, event.timestamp,
+                              "a task of " + event.job + " starts while tenant " + tenant.value +
+                                  " uses " + *exceeded});
       usage[tenant].add(event, 1);
     } else if (event.kind == HistoryEvent::Kind::ended) {
       if (const auto run = open.find(key); run != open.end())
--- a/tests/checker/called_worker_invariants_tests.cpp
+++ b/tests/checker/called_worker_invariants_tests.cpp
@@ -1,4 +1,4 @@
-// The rules that judge histories of workers that are called. docs/design.md 11, 12.4.
+// Tests the rules for called workers. docs/design.md 11, 12.4.
 #include "checker/invariants.hpp"
 #include <CppUTest/TestHarness.h>
 
@@ -30,7 +30,7 @@
   event.labels = {"fine", "shelf1"};
   return event;
 }
-// One task in a queue of two tries; `change` says what is special.
+// Returns a job of one task in a queue with two attempts; `change` adapts it.
 JobSubmission makeJob(std::function<void(JobSubmission&)> change = {}) {
   JobSubmission job;
   job.id = JobId{"a"};
@@ -73,18 +73,18 @@
 
 TEST_GROUP(CalledInvariantTests){};
 
-TEST(CalledInvariantTests, aGoodRunBreaksNothing) {
+TEST(CalledInvariantTests, acceptsACorrectHistory) {
   auto history =
       concatenate(runOn("v", 10, 20, "1", "failed", 25), runOn("w", 30, 40, "2", "finished", 45));
   history.push_back(line(K::stateObserved, 50, "a", 0, "", "", "finished"));
   CHECK(violationsByRule(history).empty());
 }
-TEST(CalledInvariantTests, twice) {
+TEST(CalledInvariantTests, findsConcurrentAndRepeatedRuns) {
   CHECK(
       violationsByRule({line(K::started, 10, "a", 0, "v"), line(K::started, 11, "a", 0, "w", "2")})
           .count(1));
-  // After an ending that was taken note of, be it later; one that was void by a lapse is never
-  // taken note of.
+  // A run after a recorded success is a violation, also if the success was recorded only later. A
+  // result voided by an expired lease is never recorded.
   CHECK(violationsByRule(concatenate(runOn("v", 10, 20, "1", "finished", 25),
                                      runOn("w", 30, 40, "2", "finished")))
             .count(1));
@@ -106,7 +106,7 @@
                                      runOn("w", 1030, 1040, "2", "finished")),
                          redundant)
             .count(1));
-  // Of a gang one member's ending is all members'.
+  // In a gang the result of one member applies to all.
   const auto gang = makeJob([](auto& job) {
     job.steps[0].gang = true;
     job.steps[0].tasks.resize(2, job.steps[0].tasks[0]);
@@ -117,7 +117,7 @@
                          gang)
             .count(1));
 }
-TEST(CalledInvariantTests, placement) {
+TEST(CalledInvariantTests, findsWrongPlacement) {
   const auto start = {line(K::started, 10, "a", 0, "v")};
   CHECK(violationsByRule(
             start, makeJob([](auto& job) { job.steps[0].requirements.requiredLabel = "plain"; }))
@@ -141,7 +141,7 @@
                          apart)
             .empty());
 }
-TEST(CalledInvariantTests, tries) {
+TEST(CalledInvariantTests, findsStartsBeyondTheAttemptLimit) {
   const auto twoFailed =
       concatenate(runOn("v", 10, 20, "1", "failed", 25), runOn("w", 30, 40, "2", "failed", 55));
   CHECK(violationsByRule(twoFailed).empty());
@@ -154,7 +154,7 @@
                          makeJob([](auto& job) { job.steps[0].requirements.longRunning = true; }))
             .empty());
 }
-TEST(CalledInvariantTests, unasked) {
+TEST(CalledInvariantTests, findsStartsThatWereNotRequested) {
   CHECK(violationsByRule({line(K::started, 10, "b", 0, "v")}).count(15));
   CHECK(violationsByRule({line(K::started, 10, "a", 7, "v")}).count(15));
   CHECK(violationsByRule({line(K::started, 10, "a@1", 0, "v")}).count(15));
@@ -171,7 +171,7 @@
   made.task = 1;
   const auto two = makeJob([](auto& job) { job.steps[0].tasks.resize(2, job.steps[0].tasks[0]); });
   CHECK(violationsByRule({first, made, end, from}, two).count(15));
-  // A gang may go on from any member's, but all from the same.
+  // A gang may resume from the checkpoint of any member, but all members must use the same one.
   auto gang = two;
   gang.steps[0].gang = true;
   auto beside = line(K::started, 31, "a", 1, "v", "2");
@@ -180,7 +180,7 @@
   beside.checkpoint.clear();
   CHECK(violationsByRule({first, made, end, from, beside}, gang).count(15));
 }
-TEST(CalledInvariantTests, gangAlone) {
+TEST(CalledInvariantTests, findsGangMemberThatWaitsInVain) {
   const auto gang = makeJob([](auto& job) {
     job.steps[0].gang = true;
     job.steps[0].tasks.resize(2, job.steps[0].tasks[0]);
@@ -192,14 +192,15 @@
           .empty());
   CHECK(violationsByRule(concatenate({line(K::cancelAcknowledged, 8, "a")}, alone), gang).empty());
 }
-TEST(CalledInvariantTests, leaving) {
+TEST(CalledInvariantTests, findsStartAfterDrainAcknowledged) {
   const auto leaving = line(K::draining, 5, "", 0, "v");
   auto start = line(K::started, 10, "a", 0, "v");
   CHECK(violationsByRule({leaving, start}).count(17));
-  start.executedLate = true;  // an order from before, carried out seconds after it was given up
+  // The order was sent before the drain and carried out seconds after its sender gave up on it.
+  start.executedLate = true;
   CHECK(violationsByRule({leaving, start}).empty());
 }
-TEST(CalledInvariantTests, shownFinishedOrFailedTooSoon) {
+TEST(CalledInvariantTests, findsJobsShownFinishedOrFailedTooEarly) {
   const auto shown = line(K::stateObserved, 50, "a", 0, "", "", "finished"),
              failed = line(K::stateObserved, 50, "a", 0, "", "", "failed");
   CHECK(violationsByRule(concatenate(runOn("v", 10, 20, "1", "lapsed", 25), {shown})).count(4));
@@ -224,7 +225,7 @@
   CHECK(violationsByRule({failed}, makeJob([](auto& job) { job.steps[0].tasks[0].cores = 9; }))
             .empty());
 }
-TEST(CalledInvariantTests, room) {
+TEST(CalledInvariantTests, findsExceededCapacity) {
   const auto three =
       makeJob([](auto& job) { job.steps[0].tasks.resize(3, job.steps[0].tasks[0]); });
   std::vector<HistoryEvent> starts;
--- a/tests/checker/config_order_checker_tests.cpp
+++ b/tests/checker/config_order_checker_tests.cpp
@@ -1,3 +1,4 @@
+// Tests the checker of configuration orders.
 #include "checker/config_order_checker.hpp"
 
 #include <CppUTest/TestHarness.h>
@@ -24,22 +25,22 @@
 
 TEST_GROUP(ConfigOrderCheckerTests){};
 
-TEST(ConfigOrderCheckerTests, aTakenOrderMayBeAcknowledgedAgainLater) {
+TEST(ConfigOrderCheckerTests, anAppliedOrderMayBeAcknowledgedAgain) {
   CHECK(holds({event(Kind::configSubmitted, 5, "a"), event(Kind::configSubmitted, 5, "b"),
                event(Kind::configAcknowledged, 5, "a", 7), event(Kind::configRejected, 5, "b"),
                event(Kind::configAcknowledged, 7, "c", 9),
                event(Kind::configAcknowledged, 5, "a", 7), event(Kind::configRejected, 5, "b")}));
 }
 
-// Its first answer may have been lost, and another have been taken by then.
-TEST(ConfigOrderCheckerTests, theFirstAcknowledgementMayComeLate) {
+// The first answer may have been lost, and another order may have been acknowledged since.
+TEST(ConfigOrderCheckerTests, theFirstAcknowledgementMayBeDelayed) {
   CHECK(holds({event(Kind::configSubmitted, 5, "a"), event(Kind::configAcknowledged, 7, "c", 9),
                event(Kind::configAcknowledged, 5, "a", 7)}));
   CHECK(!holds({event(Kind::configAcknowledged, 7, "c", 9), event(Kind::configSubmitted, 5, "a"),
                 event(Kind::configAcknowledged, 5, "a", 7)}));
 }
 
-TEST(ConfigOrderCheckerTests, ofDifferentOrdersOneIsConfirmed) {
+TEST(ConfigOrderCheckerTests, onlyOneOfConflictingOrdersIsAcknowledged) {
   CHECK(!holds(
       {event(Kind::configAcknowledged, 5, "a", 7), event(Kind::configAcknowledged, 6, "b", 7)}));
   CHECK(!holds({event(Kind::configSubmitted, 5, "b"), event(Kind::configAcknowledged, 5, "a", 7),
@@ -48,14 +49,14 @@
       {event(Kind::configAcknowledged, 5, "a", 7), event(Kind::configAcknowledged, 5, "a", 8)}));
 }
 
-TEST(ConfigOrderCheckerTests, takenAndRefusedExcludeEachOther) {
+TEST(ConfigOrderCheckerTests, anOrderIsNotBothAcknowledgedAndRejected) {
   CHECK(!holds({event(Kind::configAcknowledged, 5, "a", 7),
                 event(Kind::configAcknowledged, 7, "c", 9), event(Kind::configRejected, 5, "a")}));
   CHECK(!holds({event(Kind::configRejected, 5, "a"), event(Kind::configAcknowledged, 5, "a", 7)}));
 }
 
-// Writers of histories that don't note the order: there versions must rise.
-TEST(ConfigOrderCheckerTests, withoutAnIdentityVersionsRise) {
+// Older writers do not record the identity of an order. For them versions must increase.
+TEST(ConfigOrderCheckerTests, versionsIncreaseWithoutOrderIdentity) {
   CHECK(holds(
       {event(Kind::configAcknowledged, 0, "", 1), event(Kind::configAcknowledged, 0, "", 2)}));
   CHECK(!holds(
--- a/tests/checker/history_operations_tests.cpp
+++ b/tests/checker/history_operations_tests.cpp
@@ -1,4 +1,5 @@
-// From what was witnessed to operations, and the faults planted into whole histories.
+// Tests the conversion of a history into operations, and the detection of violations planted into
+// whole histories.
 #include <CppUTest/TestHarness.h>
 
 #include "checker/history_operations.hpp"
@@ -41,14 +42,14 @@
     FAIL(violation.description.c_str());
 }
 
-// The one violation's last operation returned then.
+// Checks that there is exactly one violation, whose last operation returned at `at`.
 void failsAt(std::int64_t at, const std::vector<HistoryEvent>& history) {
   const auto violations = violationsOf(history);
   LONGS_EQUAL(1, violations.size());
   LONGS_EQUAL(at, violations.front().timestamp);
 }
 
-// A good life of a job, asked for at 10.
+// A correct history of a job that is submitted at time 10.
 std::vector<HistoryEvent> jobHistory() {
   return {makeEvent(Kind::submitted, 10), makeEvent(Kind::accepted, 20, "202", 10),
           makeEvent(Kind::started, 30), makeEvent(Kind::stateObserved, 50, "open", 40),
@@ -60,7 +61,7 @@
   return history;
 }
 
-// Two operators one after the other, the second's first try refused.
+// Two operators in sequence; the first order of the second one is rejected.
 std::vector<HistoryEvent> configHistory() {
   return {makeConfigEvent(Kind::configSubmitted, 10, 0, "x"),
           makeConfigEvent(Kind::configAcknowledged, 20, 0, "x", 10, 1),
@@ -75,13 +76,13 @@
 
 TEST_GROUP(HistoryOperations){};
 
-TEST(HistoryOperations, goodHistoriesPass) {
+TEST(HistoryOperations, correctHistoriesPass) {
   passes({});
   passes(jobHistory());
   passes(configHistory());
 }
 
-TEST(HistoryOperations, eachAnswerIsACallFromItsAsking) {
+TEST(HistoryOperations, eachAnswerBecomesACallFromItsInvocation) {
   const auto operations = extractOperations(jobHistory(), {}).jobOperations;
   LONGS_EQUAL(4, operations.size());
   LONGS_EQUAL(10, operations[0].invokedAt);
@@ -93,7 +94,7 @@
   LONGS_EQUAL(4, extractOperations(configHistory(), {}).configurationOperations.size());
 }
 
-TEST(HistoryOperations, whatWasNeverAnsweredIsUnknown) {
+TEST(HistoryOperations, unansweredCallsHaveUnknownOutcome) {
   const std::vector<HistoryEvent> history{
       makeEvent(Kind::submitted, 10),       makeEvent(Kind::outcomeUnknown, 20, "0", 10),
       makeEvent(Kind::submitted, 30),       makeEvent(Kind::accepted, 40, "202", 30),
@@ -106,39 +107,39 @@
   CHECK(operations.jobOperations[2].outcome == OperationOutcome::unknown);
   LONGS_EQUAL(1, operations.configurationOperations.size());
   CHECK(operations.configurationOperations[0].outcome == OperationOutcome::unknown);
-  // The cancel may have reached the cluster, or not.
+  // The cancel may or may not have reached the cluster.
   passes(with(history, makeEvent(Kind::stateObserved, 80, "cancelled", 70)));
   passes(with(history, makeEvent(Kind::stateObserved, 80, "open", 70)));
 }
 
-TEST(HistoryOperations, aStaleReadIsFound) {
+TEST(HistoryOperations, findsAStaleRead) {
   failsAt(100, with(configHistory(), makeConfigEvent(Kind::configReturned, 100, 0, "x", 90, 1)));
   failsAt(100, with(jobHistory(), makeEvent(Kind::stateObserved, 100, "open", 90)));
-  // One that was asked for before the later answer came is none.
+  // A read that was invoked before the later answer may still return the older state.
   passes(with(jobHistory(), makeEvent(Kind::stateObserved, 100, "open", 75)));
 }
 
-TEST(HistoryOperations, twoConfirmedConfigurationsUponOneBaseAreFound) {
+TEST(HistoryOperations, findsTwoAppliedOrdersWithTheSameBase) {
   failsAt(100,
           with(configHistory(), makeConfigEvent(Kind::configAcknowledged, 100, 1, "z", 90, 2)));
 }
 
-TEST(HistoryOperations, aTakenOrderRefusedOnResendIsFound) {
+TEST(HistoryOperations, findsAnAppliedOrderRejectedOnResend) {
   failsAt(100, with(configHistory(), makeConfigEvent(Kind::configRejected, 100, 0, "x", 90, 2)));
   passes(with(configHistory(), makeConfigEvent(Kind::configAcknowledged, 100, 0, "x", 90, 1)));
   failsAt(100, with(jobHistory(), makeEvent(Kind::rejected, 100, "409", 90)));
   passes(with(jobHistory(), makeEvent(Kind::rejected, 100, "429", 90)));
 }
 
-// Two orders of one moment: the answer to the second is not taken for one to the first, which was
-// applied without an answer.
-TEST(HistoryOperations, ordersOfOneMomentAreToldApart) {
+// Two orders are sent at the same time, and the first is applied without an answer. The answer to
+// the second must not be paired with the first.
+TEST(HistoryOperations, distinguishesOrdersSentAtTheSameTime) {
   passes({makeConfigEvent(Kind::configSubmitted, 10, 0, "x"),
           makeConfigEvent(Kind::configSubmitted, 10, 0, "y"),
           makeConfigEvent(Kind::configRejected, 20, 0, "y", 10, 1)});
 }
 
-// What a patch makes of its base is known from the first read of it.
+// The first read of a patched configuration determines its digest; later reads must agree with it.
 TEST(HistoryOperations, readsOfAPatchedConfigurationAgree) {
   HistoryEvent patch = makeConfigEvent(Kind::configSubmitted, 110, 2, "p");
   patch.detail = configPatchDetail;
@@ -153,15 +154,15 @@
   failsAt(180, with(history, makeConfigEvent(Kind::configReturned, 180, 0, "x", 170, 1)));
 }
 
-TEST(HistoryOperations, aForgottenJobIsFound) {
+TEST(HistoryOperations, findsALostJob) {
   failsAt(100, with(jobHistory(), makeEvent(Kind::stateObserved, 100, "missing", 90)));
   failsAt(100, with(jobHistory(), makeEvent(Kind::cancelNotFound, 100, "", 90)));
-  // After an hour it may be.
+  // After the retention time of an hour the job may be gone.
   const std::int64_t later = 3'700'000;
   passes(with(jobHistory(), makeEvent(Kind::stateObserved, later, "missing", later - 10)));
 }
 
-TEST(HistoryOperations, aTurnedAwayJobThatRanIsFound) {
+TEST(HistoryOperations, findsARejectedJobThatRan) {
   failsAt(30, {makeEvent(Kind::submitted, 10), makeEvent(Kind::rejected, 20, "400", 10),
                makeEvent(Kind::started, 30)});
   failsAt(30, {makeEvent(Kind::submitted, 10), makeEvent(Kind::rejected, 20, "429", 10),
@@ -171,7 +172,7 @@
           makeEvent(Kind::started, 30)});
 }
 
-TEST(HistoryOperations, aJobThatGoesOnAfterItsCancelIsFound) {
+TEST(HistoryOperations, findsAJobThatContinuesAfterItsCancel) {
   std::vector<HistoryEvent> history{makeEvent(Kind::submitted, 10),
                                     makeEvent(Kind::accepted, 20, "202", 10),
                                     makeEvent(Kind::cancelSubmitted, 30),
@@ -181,15 +182,16 @@
   failsAt(60, with(history, makeEvent(Kind::stateObserved, 60, "finished", 50)));
 }
 
-TEST(HistoryOperations, anOccurrenceIsOfItsJob) {
+TEST(HistoryOperations, anOccurrenceBelongsToItsJob) {
   HistoryEvent started = makeEvent(Kind::started, 30);
   started.job = "a@2";
   passes({makeEvent(Kind::submitted, 10), makeEvent(Kind::accepted, 20, "202", 10), started});
   failsAt(30, {makeEvent(Kind::submitted, 10), makeEvent(Kind::rejected, 20, "400", 10), started});
 }
 
-// Histories of before calls were noted whole: an answer may have been asked for at any time before.
-TEST(HistoryOperations, aCallWithoutItsBeginningIsNoOrder) {
+// Older histories do not record when a call was invoked, so it may have been invoked at any time
+// before its answer.
+TEST(HistoryOperations, callsWithoutInvocationTimeAreUnordered) {
   passes({makeEvent(Kind::started, 5), makeEvent(Kind::submitted, 20),
           makeEvent(Kind::accepted, 20, "202"), makeEvent(Kind::stateObserved, 40, "finished"),
           makeEvent(Kind::stateObserved, 41, "open")});
@@ -197,7 +199,7 @@
   CHECK(extractOperations({acknowledged}, {}).configurationOperations.empty());
 }
 
-TEST(HistoryOperations, theInvariantsTellOfIt) {
+TEST(HistoryOperations, checkInvariantsReportsLinearizability) {
   const auto history = with(jobHistory(), makeEvent(Kind::stateObserved, 100, "open", 90));
   const auto findings = checkInvariants(history, {}, InvariantOptions{});
   CHECK(std::any_of(findings.violations.begin(), findings.violations.end(),
--- a/tests/checker/history_tests.cpp
+++ b/tests/checker/history_tests.cpp
@@ -1,3 +1,4 @@
+// Tests reading and writing of history files.
 #include "checker/history.hpp"
 #include <picojson.h>
 
@@ -6,7 +7,7 @@
 
 TEST_GROUP(HistoryTests){};
 
-TEST(HistoryTests, aLineSurvivesItsWriting) {
+TEST(HistoryTests, eventsSurviveARoundTrip) {
   HistoryEvent given;
   given.kind = HistoryEvent::Kind::started;
   given.timestamp = 20;
@@ -24,7 +25,7 @@
   CHECK(!HistoryEvent::parseJsonLine("{\"at\":1,\"kind\":\"sung\"}"));
 }
 
-TEST(HistoryTests, whatIsNoWholeHistoryIsAnErrorByLine) {
+TEST(HistoryTests, incompleteHistoriesAreReportedWithTheirLine) {
   auto at = [](std::int64_t time, HistoryEvent::Kind kind) {
     HistoryEvent given;
     given.timestamp = time;
@@ -41,7 +42,7 @@
                fault(at(1, K::submitted)).c_str());
   STRCMP_EQUAL("f:2: is no witness' line",
                fault(at(1, K::submitted) + "{\"at\":\n" + at(2, K::closed)).c_str());
-  STRCMP_EQUAL("f:2: stands after a later line: the history is out of order",
+  STRCMP_EQUAL("f:2: is older than the line before it: the history is out of order",
                fault(at(5000, K::submitted) + at(1, K::closed)).c_str());
   STRCMP_EQUAL(
       "good",
--- a/tests/checker/invariants_tests.cpp
+++ b/tests/checker/invariants_tests.cpp
@@ -1,3 +1,4 @@
+// Tests that the invariant checker accepts a correct history and finds violations of each rule.
 #include "checker/invariants.hpp"
 
 #include <CppUTest/TestHarness.h>
@@ -27,7 +28,7 @@
   return event;
 }
 using K = HistoryEvent::Kind;
-// A run with nothing wrong: both parts of the gang, then the second step.
+// A correct run: both members of the gang, then the second step.
 std::vector<HistoryEvent> goodRun() {
   auto capacity = line(K::capacityReported, 1);
   capacity.cores = 4;
@@ -70,30 +71,30 @@
 
 TEST_GROUP(InvariantTests){};
 
-TEST(InvariantTests, aGoodRunBreaksNothing) {
+TEST(InvariantTests, acceptsACorrectHistory) {
   CHECK(rulesBroken(goodRun()).empty());
 }
 
-// Each rule catches a planted violation, docs/design.md 11.
-TEST(InvariantTests, eachRuleCatchesAPlantedViolation) {
-  CHECK(rulesBroken(with({line(K::started, 50, 0, "n", "9")})).count(1));  // twice at once
+// Checks that each rule finds a planted violation. docs/design.md 11.
+TEST(InvariantTests, eachRuleFindsAPlantedViolation) {
+  // Two runs at the same time.
+  CHECK(rulesBroken(with({line(K::started, 50, 0, "n", "9")})).count(1));
   CHECK(rulesBroken(with({line(K::started, 500, 0, "n", "9")}))
-            .count(1));  // again after finishing well
-  CHECK(rulesBroken(with({line(K::stateObserved, 4000, 0, "", "", "missing")}))
-            .count(2));  // forgotten
+            .count(1));  // a run after a confirmed success
+  CHECK(rulesBroken(with({line(K::stateObserved, 4000, 0, "", "", "missing")})).count(2));  // lost
   CHECK(rulesBroken({line(K::submitted, 1), line(K::rejected, 2), line(K::started, 3)}).count(3));
   CHECK(rulesBroken(with({line(K::stateObserved, 150, 0, "", "", "finished")}))
-            .count(4));  // shown finished too early
+            .count(4));  // shown as finished too early
   CHECK(rulesBroken({line(K::submitted, 1), line(K::accepted, 2), line(K::cancelAcknowledged, 3),
                      line(K::started, 4000)})
             .count(5));
   CHECK(rulesBroken({line(K::started, 1), line(K::cancelAcknowledged, 3),
                      line(K::ended, 5000, 0, "m", "1", "finished")})
             .count(5));
-  CHECK(rulesBroken({line(K::started, 30, 2)}).count(6));  // before its step may
+  CHECK(rulesBroken({line(K::started, 30, 2)}).count(6));  // before the step it depends on
   auto timed = twoSteps();
   timed.timetable.firstStart = ClusterTime{1000};
-  CHECK(rulesBroken({line(K::started, 900)}, timed).count(6));  // early
+  CHECK(rulesBroken({line(K::started, 900)}, timed).count(6));  // before its scheduled time
   CHECK(rulesBroken({line(K::started, 1), line(K::ended, 2, 0, "m", "1", "failed"),
                      line(K::started, 3, 0, "m", "2")})
             .count(7));
@@ -116,14 +117,14 @@
   CHECK(rulesBroken({line(K::clusterHealed, 1), line(K::serviceRestored, 12'100)}).count(12));
 }
 
-// What no line says is found all the same: things that never came.
-TEST(InvariantTests, silencePassesForNothing) {
+// Checks that missing events at the end of the history are reported as violations.
+TEST(InvariantTests, findsMissingEvents) {
   const auto late = line(K::stateObserved, 9000, 0, "", "", "open");
-  CHECK(rulesBroken({line(K::clusterHealed, 1), late}).count(12));  // service never returned
+  CHECK(rulesBroken({line(K::clusterHealed, 1), late}).count(12));  // service never resumed
   CHECK(rulesBroken({line(K::started, 1), line(K::cancelAcknowledged, 3), late})
-            .count(5));  // never ended after its cancel
+            .count(5));  // never stopped after its cancel
   CHECK(rulesBroken({line(K::started, 1), line(K::ended, 4000, 0, "m", "1", "finished")})
-            .count(8));  // ran to its end, alone
+            .count(8));  // ran to its end without the other member
   CHECK(!rulesBroken({line(K::started, 1), line(K::ended, 600, 0, "m", "1", "stopped")}).count(8));
   CHECK(rulesBroken({line(K::submitted, 1), line(K::accepted, 2), line(K::quiescent, 60'000)})
             .count(2));
@@ -131,8 +132,8 @@
                       line(K::quiescent, 60'000)})
              .count(2));
   CHECK(rulesBroken(with({line(K::started, 111, 1, "n", "9")}))
-            .count(1));  // ended well, nothing in the way, yet again
-  // A part may run alone longer while a fault is about, but not for ever.
+            .count(1));  // ran again after a success although there was no fault
+  // During a fault a member may run alone for longer, but only for a limited time.
   const auto fault = line(K::faultBegan, 1);
   CHECK(!rulesBroken({fault, line(K::started, 10), line(K::ended, 4000, 0, "m", "1", "stopped")})
              .count(8));
@@ -140,8 +141,8 @@
             .count(8));
 }
 
-// What nobody can lift is told apart, with its cause, and only where the cause is there.
-TEST(InvariantTests, limitsAreCountedByThemselves) {
+// Checks that unavoidable violations are reported separately, and only if their cause was observed.
+TEST(InvariantTests, reportsUnavoidableViolationsSeparately) {
   const std::vector<HistoryEvent> unaware{
       line(K::started, 20), line(K::ended, 100, 0, "m", "1", "finished"), line(K::workerLost, 101),
       line(K::started, 5000, 0, "n", "2")};
@@ -160,12 +161,12 @@
   CHECK(rulesBroken(calm).count(5));
 }
 
-TEST(InvariantTests, cancelWithoutAnAnswerIsTold) {
+TEST(InvariantTests, findsUnansweredCancel) {
   CHECK(rulesBroken(with({line(K::cancelSubmitted, 1000), line(K::quiescent, 5000)})).count(21));
   CHECK(!rulesBroken(with({line(K::cancelSubmitted, 1000), line(K::quiescent, 4999)})).count(21));
 }
 
-TEST(InvariantTests, cancelThatIsAnsweredOrMetAFaultIsNot) {
+TEST(InvariantTests, acceptsAnsweredCancelsAndCancelsDuringFaults) {
   for (const K answer : {K::cancelAcknowledged, K::cancelNotFound})
     CHECK(!rulesBroken(
                with({line(K::cancelSubmitted, 1000), line(answer, 4000), line(K::quiescent, 9000)}))
--- a/tests/checker/linearizability_tests.cpp
+++ b/tests/checker/linearizability_tests.cpp
@@ -1,5 +1,5 @@
-// The linearizability checker: what it must find, what it must let pass, and that it agrees
-// with trying every order.
+// Tests the linearizability checker: the violations it must find, the histories it must accept, and
+// that it agrees with an exhaustive search over all orders.
 #include "checker/linearizability.hpp"
 
 #include <CppUTest/TestHarness.h>
@@ -105,8 +105,8 @@
     FAIL(violation->description.c_str());
 }
 
-// The history is refuted, and the last operation of the smallest prefix is the one at that
-// place.
+// Checks that the history is not linearizable and that the last operation of the shortest prefix
+// has this index.
 template <class Operations>
 void failsAt(std::size_t index, const Operations& operations) {
   const auto violation = check(operations);
@@ -124,52 +124,53 @@
   passes(Jobs{});
 }
 
-TEST(Linearizability, configurationsTakenOneAfterTheOtherPass) {
+TEST(Linearizability, sequentialConfigurationsPass) {
   passes(Configurations{read(0, 1, 0, ""), apply(2, 3, 0, "a"), read(4, 5, 1, "a"),
                         apply(6, 7, 1, "b"), read(8, 9, 2, "b")});
 }
 
-TEST(Linearizability, whatOverlapsMayTakeEffectInEitherOrder) {
+TEST(Linearizability, concurrentOperationsMayTakeEffectInEitherOrder) {
   passes(Configurations{apply(0, 10, 0, "a"), read(1, 2, 0, ""), read(3, 4, 1, "a")});
   passes(Configurations{apply(0, 10, 0, "a"), read(0, 10, 1, "a"), read(0, 10, 0, "")});
-  // The invocation of one at the very time of the other's return is no order.
+  // An operation invoked at the very time at which another returns is concurrent with it.
   passes(Configurations{apply(0, 5, 0, "a"), read(5, 6, 0, "")});
 }
 
-TEST(Linearizability, aStaleReadIsFound) {
+TEST(Linearizability, findsAStaleRead) {
   failsAt(1, Configurations{apply(0, 1, 0, "a"), read(2, 3, 0, "")});
   failsAt(2, Configurations{apply(0, 10, 0, "a"), read(1, 2, 1, "a"), read(3, 4, 0, "")});
   failsAt(1, Configurations{apply(0, 1, 0, "a"), read(2, 3, 1, "b")});
 }
 
-TEST(Linearizability, twoConfirmedConfigurationsUponOneBaseAreFound) {
+TEST(Linearizability, findsTwoAppliedOrdersWithTheSameBase) {
   failsAt(1, Configurations{apply(0, 1, 0, "a"), apply(2, 3, 0, "b")});
   failsAt(1, Configurations{apply(0, 3, 0, "a"), apply(0, 4, 0, "b")});
 }
 
-TEST(Linearizability, aTakenOrderIsAppliedOnEveryResend) {
+TEST(Linearizability, anAppliedOrderIsAcknowledgedOnEveryResend) {
   passes(Configurations{apply(0, 1, 0, "a"), apply(2, 3, 0, "a")});
-  // Also when others were taken since.
+  // This holds also if other orders were applied since.
   passes(Configurations{apply(0, 1, 0, "a"), apply(2, 3, 1, "b"), apply(4, 5, 0, "a"),
                         read(6, 7, 2, "b")});
   passes(Configurations{unansweredApply(0, 0, "a"), apply(2, 3, 1, "b"), apply(4, 5, 0, "a")});
 }
 
-TEST(Linearizability, aTakenOrderRefusedOnResendIsFound) {
+TEST(Linearizability, findsAnAppliedOrderRejectedOnResend) {
   failsAt(1, Configurations{apply(0, 1, 0, "a"), rejectedApply(2, 3, 0, "a")});
-  // The answer was lost, but a later reading shows that it was taken.
+  // The answer was lost, but a later read shows that the order was applied.
   failsAt(2, Configurations{unansweredApply(0, 0, "a"), read(2, 3, 1, "a"),
                             rejectedApply(4, 5, 0, "a")});
   failsAt(2, Configurations{apply(0, 1, 0, "a"), apply(2, 3, 1, "b"), rejectedApply(4, 5, 0, "a")});
-  // What only the refusal contradicts: nobody else could have made the base of the second.
+  // Only the rejection contradicts this history: no other order can have created the base of the
+  // second one.
   failsAt(2, Configurations{unansweredApply(0, 0, "a"), apply(2, 3, 1, "b"),
                             rejectedApply(4, 5, 0, "a")});
 }
 
-TEST(Linearizability, aRefusalNeedsItsCause) {
+TEST(Linearizability, findsARejectionWithoutCause) {
   passes(Configurations{apply(0, 1, 0, "a"), rejectedApply(2, 3, 0, "b")});
   failsAt(0, Configurations{rejectedApply(0, 1, 0, "a")});
-  // A version that is not above the one in force.
+  // A version that is not higher than the current one is rejected.
   passes(Configurations{apply(0, 1, 0, "a", ConfigurationOutput::Kind::applied, 7),
                         rejectedApply(2, 3, 7, "b", 7)});
   failsAt(1, Configurations{apply(0, 1, 0, "a", ConfigurationOutput::Kind::applied, 7),
@@ -178,7 +179,7 @@
                             apply(2, 3, 7, "b", ConfigurationOutput::Kind::applied, 7)});
 }
 
-TEST(Linearizability, theVersionTheAnswerTellsIsHeldAgainstTheModel) {
+TEST(Linearizability, checksTheVersionStatedInTheAnswer) {
   auto told = apply(0, 1, 0, "a");
   told.output.version = 1;
   passes(Configurations{told});
@@ -191,17 +192,17 @@
   failsAt(1, Configurations{apply(0, 1, 0, "a"), refused});
 }
 
-TEST(Linearizability, whatWasNotAnsweredMayTakeEffectLateOrNever) {
+TEST(Linearizability, unansweredOperationsMayTakeEffectLateOrNever) {
   passes(Configurations{unansweredApply(0, 0, "a"), read(2, 3, 0, ""), read(100, 101, 1, "a")});
   passes(Configurations{unansweredApply(0, 0, "a"), read(2, 3, 0, ""), apply(4, 5, 0, "b"),
                         read(6, 7, 1, "b")});
-  // But not twice, nor before it was asked for.
+  // It cannot take effect twice, or before it was invoked.
   failsAt(3, Configurations{unansweredApply(0, 0, "a"), read(2, 3, 1, "a"), apply(4, 5, 1, "b"),
                             read(6, 7, 1, "a")});
   failsAt(0, Configurations{read(0, 1, 1, "a"), unansweredApply(2, 0, "a")});
 }
 
-TEST(Linearizability, theSmallestPrefixEndsWhereNoOrderIsLeft) {
+TEST(Linearizability, reportsTheShortestRefutedPrefix) {
   const Configurations history{apply(0, 1, 0, "a"), read(2, 3, 1, "a"), read(4, 5, 0, ""),
                                read(6, 7, 1, "a"), apply(8, 9, 1, "b")};
   const auto violation = check(history);
@@ -210,13 +211,13 @@
   LONGS_EQUAL(2, violation->prefix.back());
   LONGS_EQUAL(5, violation->timestamp);
   STRCMP_EQUAL(
-      "configuration: the first 3 operations can't be linearised: [0, 1] apply a upon 0 -> "
+      "configuration: the first 3 operations cannot be linearized: [0, 1] apply a based on 0 -> "
       "applied; [2, 3] read -> 1 a; "
       "[4, 5] read -> 0 ",
       violation->description.c_str());
 }
 
-TEST(Linearizability, eachKeyIsSearchedByItself) {
+TEST(Linearizability, checksEachKeySeparately) {
   Configurations history{apply(0, 1, 0, "a"), read(2, 3, 0, "")};
   history[1].key = "another";
   passes(history);
@@ -227,7 +228,7 @@
   STRCMP_EQUAL("another", violation->key.c_str());
 }
 
-TEST(Linearizability, aSearchThatMeetsItsLimitIsUndecidedAndNoPass) {
+TEST(Linearizability, aSearchThatReachesItsLimitIsUndecidedAndFails) {
   Configurations history;
   for (int index = 0; index < 12; ++index)
     history.push_back(unansweredApply(0, std::uint64_t(index % 4), "d" + std::to_string(index)));
@@ -238,7 +239,7 @@
   const auto undecided = checkLinearizable(ConfigurationModel(), history, SearchLimits{20});
   CHECK(undecided.has_value());
   CHECK(undecided->verdict == Verdict::undecided);
-  // What is refuted goes before what was not decided.
+  // A refuted key is reported before an undecided one.
   Configurations both = history;
   both.push_back(rejectedApply(0, 1, 0, "z"));
   both.back().key = "later key";
@@ -247,7 +248,7 @@
   STRCMP_EQUAL("later key", first->key.c_str());
 }
 
-TEST(Linearizability, aJobsWholeLifePasses) {
+TEST(Linearizability, aCompleteJobHistoryPasses) {
   passes(Jobs{show(0, 1, JobPhase::missing), submit(2, 3), show(4, 5, JobPhase::pending), ran(6),
               show(7, 8, JobPhase::pendingOrRunning), show(9, 10, JobPhase::running),
               show(11, 12, JobPhase::succeeded), show(13, 14, JobPhase::succeeded),
@@ -255,30 +256,30 @@
   passes(Jobs{submit(0, 1), show(2, 3, JobPhase::failed)});
 }
 
-TEST(Linearizability, aForgottenJobIsFound) {
+TEST(Linearizability, findsALostJob) {
   failsAt(1, Jobs{submit(0, 1), show(2, 3, JobPhase::missing)});
   failsAt(2, Jobs{submit(0, std::nullopt), ran(5), show(6, 7, JobPhase::missing)});
   failsAt(1, Jobs{submit(0, 1), cancel(2, 3, JobPhase::missing)});
   failsAt(1, Jobs{submit(0, 1), submit(2, 3, JobOutput::Kind::accepted, "other content")});
 }
 
-TEST(Linearizability, aTurnedAwayJobThatRanIsFound) {
+TEST(Linearizability, findsARejectedJobThatRan) {
   failsAt(1, Jobs{submit(0, 1, JobOutput::Kind::rejected), ran(2)});
   failsAt(1, Jobs{submit(0, 1, JobOutput::Kind::overloaded), ran(2)});
   failsAt(1, Jobs{submit(0, 1, JobOutput::Kind::rejected), show(2, 3, JobPhase::pendingOrRunning)});
   failsAt(0, Jobs{ran(2)});
-  // Its answer may have been lost on another try.
+  // An earlier submission without an answer may have been accepted.
   passes(Jobs{submit(0, std::nullopt), submit(1, 2, JobOutput::Kind::rejected), ran(3)});
   passes(Jobs{submit(0, 1, JobOutput::Kind::overloaded), submit(2, 3), ran(4)});
 }
 
-TEST(Linearizability, aTakenJobTurnedAwayOnResendIsFound) {
+TEST(Linearizability, findsAnAcceptedJobRejectedOnResend) {
   failsAt(1, Jobs{submit(0, 1), submit(2, 3, JobOutput::Kind::rejected)});
   passes(Jobs{submit(0, 1), submit(2, 3, JobOutput::Kind::rejected, "other content")});
   passes(Jobs{submit(0, 1), submit(2, 3, JobOutput::Kind::overloaded)});
 }
 
-TEST(Linearizability, aPhaseThatGoesBackIsFound) {
+TEST(Linearizability, findsAPhaseThatGoesBackwards) {
   failsAt(2, Jobs{submit(0, 1), show(2, 3, JobPhase::succeeded),
                   show(4, 5, JobPhase::pendingOrRunning)});
   failsAt(2, Jobs{submit(0, 1), show(2, 3, JobPhase::succeeded), show(4, 5, JobPhase::failed)});
@@ -288,7 +289,7 @@
       Jobs{submit(0, 1), show(2, 5, JobPhase::succeeded), show(4, 6, JobPhase::pendingOrRunning)});
 }
 
-TEST(Linearizability, afterACancelNothingButItsEndIsShown) {
+TEST(Linearizability, onlyEndPhasesFollowACancel) {
   for (const JobPhase phase :
        {JobPhase::cancelling, JobPhase::cancelled, JobPhase::succeeded, JobPhase::failed})
     passes(Jobs{submit(0, 1), cancel(2, 3), show(4, 5, phase)});
@@ -300,7 +301,7 @@
               show(6, 7, JobPhase::succeeded)});
   failsAt(3, Jobs{submit(0, 1), show(2, 3, JobPhase::succeeded), cancel(4, 5),
                   show(6, 7, JobPhase::cancelled)});
-  // Told as cancelling, it had not ended before.
+  // A job reported as cancelling had not ended before.
   failsAt(2,
           Jobs{submit(0, 1), cancel(2, 3, JobPhase::cancelling), show(4, 5, JobPhase::succeeded)});
   failsAt(3, Jobs{submit(0, 1), cancel(2, 3), show(4, 5, JobPhase::cancelling),
@@ -308,7 +309,7 @@
   passes(Jobs{submit(0, 1), cancel(2, 3, JobPhase::succeeded), show(4, 5, JobPhase::succeeded)});
 }
 
-TEST(Linearizability, nothingIsCancelledWithoutACancel) {
+TEST(Linearizability, findsACancelledJobWithoutACancel) {
   failsAt(1, Jobs{submit(0, 1), show(2, 3, JobPhase::cancelled)});
   failsAt(1, Jobs{submit(0, 1), show(2, 3, JobPhase::cancelling)});
   passes(Jobs{submit(0, 1), cancel(2, std::nullopt), show(4, 5, JobPhase::pendingOrRunning),
@@ -318,7 +319,7 @@
 
 namespace {
 
-// Every order of the operations that took effect, tried one by one: slow, and plainly right.
+// Tries every order of the operations: slow but obviously correct.
 template <class Model>
 bool isLinearizableByEnumeration(const Model& model,
                                  const std::vector<typename Model::Operation>& operations,
@@ -358,7 +359,7 @@
   return isLinearizableByEnumeration(model, operations, all, model.initial());
 }
 
-// The history as it stood when only the first of the prefix, that many, had returned.
+// Returns the history as it was when only the first `count` operations of the prefix had returned.
 template <class Operations>
 Operations historyAtReturn(Operations history, const std::vector<std::size_t>& prefix,
                            std::size_t count) {
@@ -451,7 +452,7 @@
 
 }  // namespace
 
-TEST(Linearizability, itAgreesWithTryingEveryOrderOfConfigurations) {
+TEST(Linearizability, agreesWithExhaustiveSearchForConfigurations) {
   Random random(11);
   ReferenceComparison comparison;
   for (int trial = 0; trial < 4000; ++trial)
@@ -460,7 +461,7 @@
   CHECK(comparison.failed > 200);
 }
 
-TEST(Linearizability, itAgreesWithTryingEveryOrderOfJobs) {
+TEST(Linearizability, agreesWithExhaustiveSearchForJobs) {
   Random random(12);
   ReferenceComparison comparison;
   for (int trial = 0; trial < 4000; ++trial)
--- a/tests/checker/model/model_check_tests.cpp
+++ b/tests/checker/model/model_check_tests.cpp
@@ -1,4 +1,5 @@
-// The model checker: it finds nothing where the core is right, and it finds what is planted.
+// Tests that the model checker finds no violation in the Raft implementation and finds every
+// injected defect.
 #include "checker/model/describe.hpp"
 #include "checker/model/scenarios.hpp"
 
@@ -34,21 +35,21 @@
 
 TEST_GROUP(ModelCheckTests){};
 
-TEST(ModelCheckTests, nothingIsFoundFromAnyScenario) {
+TEST(ModelCheckTests, noScenarioViolatesAnInvariant) {
   for (const auto& each : scenarios()) {
     if (each.name == "removal" || each.name == "lost disk")
-      continue;  // the test below
+      continue;  // covered by the next test
     STRCMP_EQUAL_TEXT("nothing", searchFinding(prepare(each)).c_str(), each.name.c_str());
   }
 }
 
-// docs/design.md 3.5: a member is told that it is out by a committed change only.
-TEST(ModelCheckTests, aPendingRemovalRetiresNobody) {
+// A member is told that it was removed only by a committed membership change. docs/design.md 3.5.
+TEST(ModelCheckTests, aPendingRemovalRemovesNoMember) {
   for (const std::string name : {"removal", "lost disk"})
     STRCMP_EQUAL("nothing", searchFinding(prepare(scenario(name))).c_str());
 }
 
-TEST(ModelCheckTests, walksOfEveryKindFindNothing) {
+TEST(ModelCheckTests, randomWalksFindNoViolation) {
   for (const std::string name : {"election", "entry", "fork", "snapshot", "slow disk"}) {
     const auto start = withWalkOptions(prepare(scenario(name)));
     const auto report = searchRandomly(start, {1, 40, 80});
@@ -58,17 +59,17 @@
   }
 }
 
-TEST(ModelCheckTests, aDiskThatLiesIsFound) {
+TEST(ModelCheckTests, findsUnsyncedWriteAcknowledgements) {
   STRCMP_EQUAL("a claim is behind its sync", brokenRule("entry", diskThatDropsWrites()).c_str());
   STRCMP_EQUAL("a vote is behind its sync", brokenRule("election", diskThatDropsWrites()).c_str());
 }
 
-TEST(ModelCheckTests, aDiskThatLiesIsFoundByItsOutcomeAlone) {
+TEST(ModelCheckTests, findsUnsyncedWriteAcknowledgementsByOutcomesOnly) {
   STRCMP_EQUAL("one leader a term",
                brokenRule("slow disk", diskThatDropsWrites(), true, 400'000).c_str());
 }
 
-TEST(ModelCheckTests, aRestartFromAnOlderDiskIsFound) {
+TEST(ModelCheckTests, findsARestartFromAnOlderDisk) {
   SeededDefect defect;
   defect.restartsFromOldDisk = true;
   const auto start = prepare(scenario("restarts"), defect, true);
@@ -77,7 +78,7 @@
   STRCMP_CONTAINS("one vote a term", report.counterexample->rule.c_str());
 }
 
-TEST(ModelCheckTests, aClaimOfMoreThanItsDiskHoldsIsFound) {
+TEST(ModelCheckTests, findsAnAcknowledgementBeyondTheDisk) {
   SeededDefect defect;
   defect.mutateMessage = [](PeerMessage& message) {
     if (auto* reply = boost::get<AppendEntriesReply>(&message.body); reply && reply->success)
@@ -86,7 +87,7 @@
   STRCMP_EQUAL("committed is on a majority of disks", brokenRule("entry", defect).c_str());
 }
 
-TEST(ModelCheckTests, aReadConfirmedByAnswersOfALaterTermIsFound) {
+TEST(ModelCheckTests, findsAReadConfirmedByRepliesOfALaterTerm) {
   SeededDefect defect;
   defect.mutateMessage = [](PeerMessage& message) {
     auto* reply = boost::get<AppendEntriesReply>(&message.body);
@@ -98,19 +99,19 @@
   STRCMP_EQUAL("no old read", brokenRule("read", defect).c_str());
 }
 
-TEST(ModelCheckTests, votesThatNobodyGaveAreFound) {
+TEST(ModelCheckTests, findsForgedVotes) {
   SeededDefect defect;
   defect.mutateMessage = [](PeerMessage& message) {
     auto* reply = boost::get<RequestVoteReply>(&message.body);
     if (!reply || reply->voteGranted)
       return;
     reply->voteGranted = true;
-    reply->term = reply->term.next();  // the one that was asked for
+    reply->term = reply->term.next();  // the term for which the vote was requested
   };
   STRCMP_EQUAL("leader completeness", brokenRule("behind", defect, true).c_str());
 }
 
-TEST(ModelCheckTests, theTraceOfABreadthFirstSearchIsTheShortest) {
+TEST(ModelCheckTests, breadthFirstSearchFindsAShortestTrace) {
   const auto start = prepare(scenario("entry"), diskThatDropsWrites());
   const auto report = searchBreadthFirst(start, {60'000, 1000});
   CHECK(report.counterexample.has_value());
@@ -124,7 +125,7 @@
   }
 }
 
-TEST(ModelCheckTests, aWalksTraceIsShortenedToTheSameRule) {
+TEST(ModelCheckTests, shortenedWalksViolateTheSameInvariant) {
   const auto start = withWalkOptions(prepare(scenario("entry")), false, diskThatDropsWrites());
   const auto report = searchRandomly(start, {1, 200, 120});
   CHECK(report.counterexample.has_value());
@@ -133,7 +134,7 @@
                replay(start, report.counterexample->trace)->c_str());
 }
 
-TEST(ModelCheckTests, theSameSearchSeesTheSameStates) {
+TEST(ModelCheckTests, searchIsDeterministic) {
   const auto start = prepare(scenario("fork"));
   const auto first = searchBreadthFirst(start, {quickBound, 1000});
   const auto second = searchBreadthFirst(start, {quickBound, 1000});
@@ -141,8 +142,8 @@
   LONGS_EQUAL(first.depth, second.depth);
 }
 
-// Steps of different nodes commute: both orders lead to one state.
-TEST(ModelCheckTests, ordersThatMakeNoDifferenceAreOneState) {
+// Actions of different nodes commute: both orders lead to the same state.
+TEST(ModelCheckTests, commutingActionsLeadToOneState) {
   const auto start = prepare(scenario("entry"));
   Trace arrivals;
   for (const auto& action : start.enabledActions())
@@ -156,8 +157,8 @@
   CHECK(forward.hash() != start.hash());
 }
 
-// What a restart finds is what the model's own fold of the synced records says.
-TEST(ModelCheckTests, aRestartFindsWhatWasSynced) {
+// A restarted node has the state that the model computes from the synced records.
+TEST(ModelCheckTests, restartsReadTheSyncedState) {
   for (const auto& each : scenarios()) {
     auto cluster = prepare(each);
     for (std::size_t machine = 0; machine < cluster.machines(); ++machine) {
--- a/tests/checker/starvation_checker_tests.cpp
+++ b/tests/checker/starvation_checker_tests.cpp
@@ -1,4 +1,5 @@
-// Rule 20 on planted histories: work waits though there is room for it. docs/design.md 11.
+// Tests rule 20 on constructed histories: a task waits although there is room for it.
+// docs/design.md 11.
 #include "checker/starvation_checker.hpp"
 #include <CppUTest/TestHarness.h>
 
@@ -65,7 +66,7 @@
     event.detail = outcome;
     history.push_back(event);
   }
-  // Times at which the checker tells of a violation, up to that time.
+  // Returns the number of violations reported up to the time `end`.
   std::size_t violationsBy(std::int64_t end) {
     history.push_back(eventAt(end, Kind::quiescent, ""));
     StarvationChecker checker(submissions, options, [this](std::int64_t from, std::int64_t to) {
@@ -84,29 +85,29 @@
   }
 };
 
-TEST(StarvationCheckerTests, threeSecondsWithRoomTwiceOverAreTold) {
+TEST(StarvationCheckerTests, reportsThreeSecondsWithRoomForTwoCopies) {
   accept(10'000);
   LONGS_EQUAL(1, violationsBy(13'000));
 }
 
-TEST(StarvationCheckerTests, lessThanThreeSecondsAreNot) {
+TEST(StarvationCheckerTests, acceptsLessThanThreeSeconds) {
   accept(10'000);
   LONGS_EQUAL(0, violationsBy(12'999));
 }
 
-TEST(StarvationCheckerTests, oneWaitIsToldOnce) {
+TEST(StarvationCheckerTests, reportsAWaitOnce) {
   accept(10'000);
   history.push_back(eventAt(14'000, Kind::stateUnchanged));
   LONGS_EQUAL(1, violationsBy(20'000));
 }
 
-TEST(StarvationCheckerTests, roomForOnlyOneIsNoRoom) {
+TEST(StarvationCheckerTests, acceptsAWaitWithRoomForOneCopyOnly) {
   run(Kind::started, 9000, "other", 0, 3000);
   accept(10'000);
   LONGS_EQUAL(0, violationsBy(20'000));
 }
 
-TEST(StarvationCheckerTests, roomMustLastForAllOfTheTime) {
+TEST(StarvationCheckerTests, roomMustBeContinuous) {
   accept(10'000);
   run(Kind::started, 11'000, "other", 0, 3000);
   run(Kind::ended, 11'500, "other", 0, 0, "finished");
@@ -115,40 +116,40 @@
   LONGS_EQUAL(1, violationsBy(14'500));
 }
 
-TEST(StarvationCheckerTests, faultWithinTheFourSecondsBeforeExcuses) {
+TEST(StarvationCheckerTests, acceptsAWaitWithinFourSecondsAfterAFault) {
   faults = {{5000, 6500}};
   accept(10'000);
   LONGS_EQUAL(0, violationsBy(20'000));
 }
 
-TEST(StarvationCheckerTests, earlierFaultDoesNot) {
+TEST(StarvationCheckerTests, reportsAWaitAfterAnEarlierFault) {
   faults = {{5000, 5999}};
   accept(10'000);
   LONGS_EQUAL(1, violationsBy(20'000));
 }
 
-TEST(StarvationCheckerTests, jobOfWhichATaskRunsDoesNotWait) {
+TEST(StarvationCheckerTests, jobWithARunningTaskDoesNotStarve) {
   addJob("job", 2, 1000);
   accept(10'000);
   run(Kind::started, 10'100, "job", 0, 1000);
   LONGS_EQUAL(0, violationsBy(20'000));
 }
 
-TEST(StarvationCheckerTests, startThatIsSeenBeforeTheAcceptanceCounts) {
+TEST(StarvationCheckerTests, countsAStartObservedBeforeTheAcceptance) {
   history.push_back(eventAt(9990, Kind::submitted));
   run(Kind::started, 9995, "job", 0, 1000);
   history.push_back(eventAt(10'000, Kind::accepted));
   LONGS_EQUAL(0, violationsBy(20'000));
 }
 
-TEST(StarvationCheckerTests, taskOfAStepWhoseTurnHasNotComeDoesNotWait) {
+TEST(StarvationCheckerTests, taskWithUnfinishedDependenciesDoesNotStarve) {
   JobSubmission& job = addJob("job", 1, 3000);
   job.steps.push_back({"after", {"only"}, false, {TaskRequest{1000, 100, Duration{1000}, ""}}});
   accept(10'000);
-  LONGS_EQUAL(0, violationsBy(20'000));  // the first step fits once only
+  LONGS_EQUAL(0, violationsBy(20'000));  // there is room for only one copy of the first step
 }
 
-TEST(StarvationCheckerTests, taskWhoseTurnHasComeWaits) {
+TEST(StarvationCheckerTests, taskWithFinishedDependenciesStarves) {
   JobSubmission& job = addJob("job", 1, 3000);
   job.steps.push_back({"after", {"only"}, false, {TaskRequest{1000, 100, Duration{1000}, ""}}});
   accept(10'000);
@@ -157,7 +158,7 @@
   LONGS_EQUAL(1, violationsBy(14'000));
 }
 
-TEST(StarvationCheckerTests, gangNeedsRoomForTwiceAllItsMembers) {
+TEST(StarvationCheckerTests, gangNeedsRoomForTwoCopiesOfAllMembers) {
   addJob("job", 2, 1000).steps[0].gang = true;
   run(Kind::started, 9000, "other", 0, 1000);
   accept(10'000);
@@ -167,14 +168,14 @@
   LONGS_EQUAL(1, violationsBy(16'100));
 }
 
-TEST(StarvationCheckerTests, longRunningTaskWaitsByItself) {
+TEST(StarvationCheckerTests, longRunningTasksAreCheckedSeparately) {
   addJob("job", 2, 1000).steps[0].requirements.longRunning = true;
   accept(10'000);
   run(Kind::started, 10'100, "job", 0, 1000);
   LONGS_EQUAL(1, violationsBy(13'000));
 }
 
-TEST(StarvationCheckerTests, longRunningTaskHasSixSecondsAfterItsLastRun) {
+TEST(StarvationCheckerTests, longRunningTaskMayWaitSixSecondsAfterItsLastRun) {
   addJob("job", 2, 500).steps[0].requirements.longRunning = true;
   accept(10'000);
   run(Kind::started, 10'100, "job", 0, 500);
@@ -186,7 +187,7 @@
   LONGS_EQUAL(1, violationsBy(21'000));
 }
 
-TEST(StarvationCheckerTests, occurrenceWaitsFromItsTimeOn) {
+TEST(StarvationCheckerTests, occurrenceStarvesOnlyFromItsScheduledTime) {
   JobSubmission& job = addJob("job", 1, 1000);
   job.timetable.firstStart = ClusterTime{15'000};
   job.timetable.interval = Duration{60'000};
@@ -198,13 +199,13 @@
   LONGS_EQUAL(1, violationsBy(18'000));
 }
 
-TEST(StarvationCheckerTests, cancelledJobDoesNotWait) {
+TEST(StarvationCheckerTests, cancelledJobDoesNotStarve) {
   accept(10'000);
   history.push_back(eventAt(11'000, Kind::cancelSubmitted));
   LONGS_EQUAL(0, violationsBy(20'000));
 }
 
-TEST(StarvationCheckerTests, roomOfAForgottenJobStaysTaken) {
+TEST(StarvationCheckerTests, runsOfACancelledJobStillUseCapacity) {
   addJob("other", 1, 3000);
   accept(8000, "other");
   run(Kind::started, 8100, "other", 0, 3000);
@@ -213,7 +214,7 @@
   LONGS_EQUAL(0, violationsBy(20'000));
 }
 
-TEST(StarvationCheckerTests, drainingWorkersAndOtherPoolsHaveNoRoom) {
+TEST(StarvationCheckerTests, ignoresDrainingWorkersAndOtherPools) {
   HistoryEvent draining = eventAt(9000, Kind::draining, "");
   draining.worker = "w";
   history.push_back(draining);
@@ -223,7 +224,7 @@
   LONGS_EQUAL(0, violationsBy(20'000));
 }
 
-TEST(StarvationCheckerTests, lostWorkerGivesItsRunsUp) {
+TEST(StarvationCheckerTests, runsOnALostWorkerEnd) {
   addWorker("spare", 4000);
   accept(10'000);
   run(Kind::started, 10'100, "job", 0, 1000);
@@ -233,7 +234,7 @@
   LONGS_EQUAL(1, violationsBy(15'000));
 }
 
-TEST(StarvationCheckerTests, taskThatHasUsedUpItsAttemptsDoesNotWait) {
+TEST(StarvationCheckerTests, taskWithoutRemainingAttemptsDoesNotStarve) {
   options.maxAttemptsByQueue["q"] = 1;
   accept(10'000);
   run(Kind::started, 10'100, "job", 0, 1000);
@@ -241,7 +242,7 @@
   LONGS_EQUAL(0, violationsBy(20'000));
 }
 
-TEST(StarvationCheckerTests, jobThatIsSubmittedAgainAfterItsEndDoesNotWait) {
+TEST(StarvationCheckerTests, endedJobThatIsSubmittedAgainDoesNotStarve) {
   accept(8000);
   run(Kind::started, 8100, "job", 0, 1000);
   run(Kind::ended, 9000, "job", 0, 0, "finished");
@@ -252,7 +253,7 @@
   LONGS_EQUAL(0, violationsBy(20'000));
 }
 
-TEST(StarvationCheckerTests, workerThatFailedOverAndOverLatelyIsNoRoom) {
+TEST(StarvationCheckerTests, ignoresWorkersWithRepeatedRecentFailures) {
   run(Kind::started, 1000, "other", 0, 1000);
   run(Kind::ended, 2000, "other", 0, 0, "failed");
   accept(10'000);
--- a/tests/checker/tenant_checker_tests.cpp
+++ b/tests/checker/tenant_checker_tests.cpp
@@ -1,5 +1,5 @@
-// The checker of keys and caps finds what breaks rules 22 and 23, and nothing else.
-// docs/design.md 11.
+// Tests that the checker of API keys and tenant caps finds violations of rules 22 and 23 and
+// nothing else. docs/design.md 11.
 #include "checker/tenant_checker.hpp"
 #include <CppUTest/TestHarness.h>
 
@@ -40,7 +40,7 @@
 }  // namespace
 
 TEST_GROUP(TenantCheckerTests) {
-  // The key changes from "old" to "new", and the cap from four cores to two.
+  // The API key changes from "old" to "new", and the cap from four cores to two.
   std::vector<ObservedTenantConfig> configs{config(1000, firstAcknowledged, "old", 4000),
                                             config(secondSent, secondAcknowledged, "new", 2000)};
   std::vector<HistoryEvent> history;
@@ -61,28 +61,28 @@
   }
 };
 
-TEST(TenantCheckerTests, aRevokedKeyThatIsGoodIsFound) {
+TEST(TenantCheckerTests, findsAnAcceptedRevokedKey) {
   LONGS_EQUAL(1, keyViolations("old", secondAcknowledged + 1, secondAcknowledged + 20, true));
   LONGS_EQUAL(0, keyViolations("old", secondAcknowledged + 1, secondAcknowledged + 20, false));
   LONGS_EQUAL(1, keyViolations("never", 1500, 1520, true));
 }
 
-TEST(TenantCheckerTests, aGoodKeyThatIsRefusedIsFound) {
+TEST(TenantCheckerTests, findsARejectedValidKey) {
   LONGS_EQUAL(1, keyViolations("new", secondAcknowledged + 1, secondAcknowledged + 20, false));
   LONGS_EQUAL(0, keyViolations("new", secondAcknowledged + 1, secondAcknowledged + 20, true));
   LONGS_EQUAL(1, keyViolations("old", 1500, 1900, false));
 }
 
-TEST(TenantCheckerTests, besideAChangeEitherAnswerFits) {
+TEST(TenantCheckerTests, acceptsEitherAnswerDuringAChange) {
   for (const bool accepted : {true, false}) {
     LONGS_EQUAL(0, keyViolations("old", 1990, 2050, accepted));
     LONGS_EQUAL(0, keyViolations("new", 1990, 2050, accepted));
   }
-  // Not yet sent when the answer came.
+  // The new configuration was not sent yet when the answer came.
   LONGS_EQUAL(1, keyViolations("new", 1500, 1900, true));
 }
 
-TEST(TenantCheckerTests, aChangeWithoutAnAnswerMayBeInForceOrNot) {
+TEST(TenantCheckerTests, anUnacknowledgedChangeMayBeInForceOrNot) {
   configs.back().acknowledgedAt.reset();
   for (const bool accepted : {true, false}) {
     LONGS_EQUAL(0, keyViolations("old", longAfter, longAfter + 20, accepted));
@@ -90,15 +90,15 @@
   }
 }
 
-TEST(TenantCheckerTests, aStartThatFindsItsTenantAboveTheCapIsFound) {
+TEST(TenantCheckerTests, findsAStartAboveTheCap) {
   start(1200, "one", 3000);
-  start(1210, "two", 1500);  // above it by part of one task
+  start(1210, "two", 1500);  // exceeds the cap by part of one task, which is allowed
   LONGS_EQUAL(0, capViolations());
   start(1220, "three", 100);
   LONGS_EQUAL(1, capViolations());
 }
 
-TEST(TenantCheckerTests, whatHasEndedIsNotCounted) {
+TEST(TenantCheckerTests, endedRunsAreNotCounted) {
   start(1200, "one", 4500);
   history.push_back(event(HistoryEvent::Kind::ended, 1300, "one"));
   start(1310, "two");
@@ -110,7 +110,7 @@
   LONGS_EQUAL(0, capViolations());
 }
 
-TEST(TenantCheckerTests, aLowerCapCountsOnceOrdersOnTheirWayHaveArrived) {
+TEST(TenantCheckerTests, aLowerCapAppliesAfterOrdersInTransitArrived) {
   start(1200, "one", 3000);
   start(secondAcknowledged + 2000, "two");
   LONGS_EQUAL(0, capViolations());
@@ -118,8 +118,8 @@
   LONGS_EQUAL(1, capViolations());
 }
 
-// It keeps its cap while jobs of it are open.
-TEST(TenantCheckerTests, aTenantThatIsNotNamedHasTheCapItHadBefore) {
+// The tenant keeps its cap while it has open jobs.
+TEST(TenantCheckerTests, anUnlistedTenantKeepsItsPreviousCap) {
   configs.push_back(ObservedTenantConfig{{}, 3000, 3100});
   start(1200, "one", 2500);
   start(9000, "two");
@@ -127,11 +127,11 @@
   configs.push_back(config(9500, 9600, "old", 1000));
   history.clear();
   start(4000, "three", 1500);
-  start(9700, "four");  // ordered while two cores were allowed
+  start(9700, "four");  // ordered while the cap was two cores
   LONGS_EQUAL(0, capViolations());
 }
 
-TEST(TenantCheckerTests, anOrderCarriedOutLateIsJudgedByWhatWasInForceBefore) {
+TEST(TenantCheckerTests, lateOrdersAreCheckedAgainstThePreviousCap) {
   start(1200, "one", 3000);
   auto late = event(HistoryEvent::Kind::started, secondAcknowledged + 9000, "two");
   late.executedLate = true;
