--- a/source/checker/invariants.hpp
+++ b/source/checker/invariants.hpp
@@ -9,7 +9,8 @@
 namespace aniseline {
 
 // The rules that every history must satisfy. Programs print their numbers, which docs/design.md 11
-// lists. Rules 13 to 18 concern called workers.
+// lists. Rules 13 to 18 concern called workers: those that an agent calls, instead of workers that
+// sync with the leader directly.
 enum class Invariant : std::uint8_t {
   atMostOneRun = 1,      // no task runs twice at the same time, or again after a confirmed success
   acceptedJobsKept = 2,  // no accepted job is lost
--- a/source/checker/invariants_jobs.cpp
+++ b/source/checker/invariants_jobs.cpp
@@ -19,8 +19,8 @@
   unansweredCancels.erase(event.job);
 }
 
-// Clients resend a cancel to the next gateway after a timeout or an error, so an answer is due even
-// if one gateway fails.
+// Reports cancels that were not answered in time. Clients resend a cancel to the next gateway after
+// a timeout or an error.
 void InvariantChecker::checkCancelsAnsweredBy(std::int64_t at) {
   std::erase_if(unansweredCancels, [&](const auto& entry) {
     const auto& [job, submittedAt] = entry;
--- a/source/checker/invariants_runs.cpp
+++ b/source/checker/invariants_runs.cpp
@@ -6,8 +6,10 @@
 
 namespace {
 
-constexpr std::int64_t cancelPropagationMs = 3000;  // ms after which no start may follow a cancel
-constexpr std::int64_t drainPropagationMs = 2000;   // ms after which no start may follow a drain
+// The time in ms after which no start may follow a cancel.
+constexpr std::int64_t cancelPropagationMs = 3000;
+// The time in ms after which no start may follow a drain.
+constexpr std::int64_t drainPropagationMs = 2000;
 
 ObservedRun makeObservedRun(const HistoryEvent& event, bool onCalledWorker) {
   ObservedRun run;
@@ -127,23 +129,24 @@
                         std::to_string(allowed->second) + " retries allowed");
 }
 
-// The work had ended well, but its worker had no chance to tell, or no answer:
-// docs/design.md 5.5.
+// Checks a new start after a success that was not confirmed yet. It is unavoidable if the worker
+// was lost or if a fault kept the worker from reporting the result: docs/design.md 5.5.
 void InvariantChecker::checkRerunBeforeConfirmation(const HistoryEvent& event,
                                                     const TaskHistory& task,
                                                     const std::string& taskText) {
-  const auto done = std::find_if(task.runs.begin(), task.runs.end(),
-                                 [](const ObservedRun& run) { return run.outcome == "finished"; });
-  if (done == task.runs.end())
+  const auto finishedRun =
+      std::find_if(task.runs.begin(), task.runs.end(),
+                   [](const ObservedRun& run) { return run.outcome == "finished"; });
+  if (finishedRun == task.runs.end())
     return;
-  auto workerLost = workersLostAt.find(done->worker);
+  auto workerLost = workersLostAt.find(finishedRun->worker);
   const std::string text = taskText + " starts again after an ending that was not yet confirmed: ";
   if (workerLost != workersLostAt.end() && workerLost->second >= *task.succeededAt)
     reportUnavoidableViolation(Invariant::atMostOneRun, event.timestamp,
-                               text + done->worker + " vanished before it was");
+                               text + finishedRun->worker + " vanished before it was");
   else if (hadFaultWithin(*task.succeededAt, event.timestamp))
     reportUnavoidableViolation(Invariant::atMostOneRun, event.timestamp,
-                               text + done->worker + " could not tell in time");
+                               text + finishedRun->worker + " could not tell in time");
   else
     reportViolation(Invariant::atMostOneRun, event.timestamp, text + "there was no fault");
 }
--- a/source/checker/model/scenarios.cpp
+++ b/source/checker/model/scenarios.cpp
@@ -1,3 +1,4 @@
+// Implements the scripts that prepare the scenarios, and the list of all scenarios.
 #include "checker/model/scenarios.hpp"
 
 namespace aniseline::model {
--- a/source/checker/model/search.cpp
+++ b/source/checker/model/search.cpp
@@ -23,9 +23,9 @@
   return rule.substr(0, rule.find(':'));
 }
 
-class BreadthFirst {
+class BreadthFirstSearch {
  public:
-  BreadthFirst(const ModelCluster& start, const SearchBounds& bounds) : bounds(bounds) {
+  BreadthFirstSearch(const ModelCluster& start, const SearchBounds& bounds) : bounds(bounds) {
     visit(start, 0, Action{}, 0);
   }
 
@@ -127,9 +127,9 @@
   }
 }
 
-class Walk {
+class RandomWalk {
  public:
-  Walk(const ModelCluster& start, const WalkOptions& options, std::uint64_t seed)
+  RandomWalk(const ModelCluster& start, const WalkOptions& options, std::uint64_t seed)
       : cluster(start), options(options), random(seed) {}
 
   std::optional<Counterexample> run(std::unordered_set<std::uint64_t>& seen) {
@@ -178,7 +178,7 @@
 }  // namespace
 
 SearchReport searchBreadthFirst(const ModelCluster& start, const SearchBounds& bounds) {
-  return BreadthFirst(start, bounds).run();
+  return BreadthFirstSearch(start, bounds).run();
 }
 
 SearchReport searchRandomly(const ModelCluster& start, const WalkOptions& options) {
@@ -186,7 +186,7 @@
   SearchReport report;
   std::unordered_set<std::uint64_t> seen;
   for (std::uint64_t index = 0; index < options.walks && !report.counterexample; ++index) {
-    Walk walk(start, options, options.seed + index);
+    RandomWalk walk(start, options, options.seed + index);
     report.counterexample = walk.run(seen);
     report.transitions += walk.steps();
     report.depth = std::max(report.depth, walk.steps());
@@ -206,37 +206,38 @@
   return std::nullopt;
 }
 
-Counterexample minimize(const ModelCluster& start, Counterexample finding) {
-  const auto same = [&](const Trace& trace) {
+Counterexample minimize(const ModelCluster& start, Counterexample counterexample) {
+  const auto violatesSameInvariant = [&](const Trace& trace) {
     const auto rule = replay(start, trace);
-    return rule && ruleName(*rule) == ruleName(finding.rule);
+    return rule && ruleName(*rule) == ruleName(counterexample.rule);
   };
-  for (std::size_t length = std::max<std::size_t>(1, finding.trace.size() / 2); length > 0;) {
-    bool smaller = false;
-    for (std::size_t index = 0; index + length <= finding.trace.size();) {
-      Trace fewer = finding.trace;
-      const auto from = fewer.begin() + std::ptrdiff_t(index);
-      fewer.erase(from, from + std::ptrdiff_t(length));
-      if (same(fewer)) {
-        finding.trace = std::move(fewer);
-        smaller = true;
+  for (std::size_t length = std::max<std::size_t>(1, counterexample.trace.size() / 2);
+       length > 0;) {
+    bool shortened = false;
+    for (std::size_t index = 0; index + length <= counterexample.trace.size();) {
+      Trace shorterTrace = counterexample.trace;
+      const auto from = shorterTrace.begin() + std::ptrdiff_t(index);
+      shorterTrace.erase(from, from + std::ptrdiff_t(length));
+      if (violatesSameInvariant(shorterTrace)) {
+        counterexample.trace = std::move(shorterTrace);
+        shortened = true;
       } else
         ++index;
     }
-    if (!smaller || length > 1)
+    if (!shortened || length > 1)
       length /= 2;
   }
-  finding.rule = replay(start, finding.trace).value_or(finding.rule);
-  return finding;
+  counterexample.rule = replay(start, counterexample.trace).value_or(counterexample.rule);
+  return counterexample;
 }
 
-std::string print(const ModelCluster& start, const Counterexample& finding) {
-  std::string text = finding.rule + "\n";
+std::string print(const ModelCluster& start, const Counterexample& counterexample) {
+  std::string text = counterexample.rule + "\n";
   ModelCluster cluster = start;
   for (std::size_t machine = 0; machine < cluster.machines(); ++machine)
     text += "  start " + describe(cluster.node(machine)) + "\n";
   std::size_t step = 0;
-  for (const auto& action : finding.trace) {
+  for (const auto& action : counterexample.trace) {
     text += "  " + std::to_string(++step) + ". " + cluster.describe(action) + "\n";
     cluster.apply(action);
   }
--- a/source/checker/model/search.hpp
+++ b/source/checker/model/search.hpp
@@ -47,9 +47,9 @@
 // Returns the invariant that a trace violates, if any; actions that are not enabled are skipped.
 std::optional<std::string> replay(const ModelCluster& start, const Trace& trace);
 // Omits actions as long as the same invariant is violated.
-Counterexample minimize(const ModelCluster& start, Counterexample finding);
+Counterexample minimize(const ModelCluster& start, Counterexample counterexample);
 // Formats the trace with one action per line, between the initial and final states of the nodes.
-std::string print(const ModelCluster& start, const Counterexample& finding);
+std::string print(const ModelCluster& start, const Counterexample& counterexample);
 
 }  // namespace aniseline::model
 
--- a/source/checker/starvation_checker.cpp
+++ b/source/checker/starvation_checker.cpp
@@ -7,10 +7,13 @@
 
 namespace {
 
-constexpr std::int64_t starvedAfterMs = 3000;     // while there is room continuously
-constexpr std::int64_t faultFreeBeforeMs = 4000;  // without a fault before the start of the wait
-// For a long-running task, counted from its last run.
+// A job starves if it waits for this time in ms with continuous room.
+constexpr std::int64_t starvedAfterMs = 3000;
+// The time in ms before the start of the wait in which no fault may be active.
+constexpr std::int64_t faultFreeBeforeMs = 4000;
+// The time in ms that a long-running task may wait after its last run.
 constexpr std::int64_t restartAllowanceMs = 6000;
+// The number of copies of a task for which there must be room.
 constexpr std::int64_t requiredCopies = 2;
 // A worker with this number of failures within this time is not counted as room:
 // docs/design.md 5.6.
@@ -220,10 +223,10 @@
     return at - since >= starvedAfterMs + options.clockSlackMs &&
            isFaultFree(since - faultFreeBeforeMs, since + starvedAfterMs);
   };
-  const auto report = [&](const std::string& what, std::int64_t since) {
+  const auto report = [&](const std::string& subject, std::int64_t since) {
     job.reported = true;
     violations.push_back({Invariant::noStarvation, at,
-                          what + " of " + id + " has waited since " + std::to_string(since) +
+                          subject + " of " + id + " has waited since " + std::to_string(since) +
                               " although there is room for it twice"});
   };
   if (job.starvedSince && isStarved(*job.starvedSince))
--- a/tests/checker/history_tests.cpp
+++ b/tests/checker/history_tests.cpp
@@ -26,25 +26,25 @@
 }
 
 TEST(HistoryTests, incompleteHistoriesAreReportedWithTheirLine) {
-  auto at = [](std::int64_t time, HistoryEvent::Kind kind) {
+  auto makeLine = [](std::int64_t time, HistoryEvent::Kind kind) {
     HistoryEvent given;
     given.timestamp = time;
     given.kind = kind;
     return given.toJsonLine() + "\n";
   };
   using K = HistoryEvent::Kind;
-  auto fault = [](const std::string& text) {
+  auto errorOf = [](const std::string& text) {
     auto read = readHistory("f", text);
     return read ? std::string("good") : read.error().message();
   };
-  STRCMP_EQUAL("f: holds no history", fault("").c_str());
+  STRCMP_EQUAL("f: holds no history", errorOf("").c_str());
   STRCMP_EQUAL("f:1: is cut off: the writer's closing line is missing",
-               fault(at(1, K::submitted)).c_str());
+               errorOf(makeLine(1, K::submitted)).c_str());
   STRCMP_EQUAL("f:2: is no witness' line",
-               fault(at(1, K::submitted) + "{\"at\":\n" + at(2, K::closed)).c_str());
+               errorOf(makeLine(1, K::submitted) + "{\"at\":\n" + makeLine(2, K::closed)).c_str());
   STRCMP_EQUAL("f:2: is older than the line before it: the history is out of order",
-               fault(at(5000, K::submitted) + at(1, K::closed)).c_str());
-  STRCMP_EQUAL(
-      "good",
-      fault(at(1, K::started) + "{\"at\":\n" + at(2, K::workerLost) + at(3, K::closed)).c_str());
+               errorOf(makeLine(5000, K::submitted) + makeLine(1, K::closed)).c_str());
+  STRCMP_EQUAL("good", errorOf(makeLine(1, K::started) + "{\"at\":\n" + makeLine(2, K::workerLost) +
+                               makeLine(3, K::closed))
+                           .c_str());
 }
--- a/tests/checker/invariants_tests.cpp
+++ b/tests/checker/invariants_tests.cpp
@@ -105,10 +105,11 @@
             {line(K::started, 1), line(K::started, 900, 1, "m", "2"), line(K::ended, 2000, 0)})
             .count(8));
   CHECK(rulesBroken({line(K::draining, 1), line(K::started, 2100)}).count(9));
-  auto tight = line(K::capacityReported, 1);
-  tight.cores = 1;
-  tight.memory = 1;
-  CHECK(rulesBroken({tight, line(K::started, 2, 0), line(K::started, 3, 1, "m", "2")}).count(10));
+  auto smallCapacity = line(K::capacityReported, 1);
+  smallCapacity.cores = 1;
+  smallCapacity.memory = 1;
+  CHECK(rulesBroken({smallCapacity, line(K::started, 2, 0), line(K::started, 3, 1, "m", "2")})
+            .count(10));
   auto acknowledged = line(K::configAcknowledged, 1),
        seen = line(K::configObserved, 2500, 0, "", "", "gateway");
   acknowledged.version = 2;
@@ -143,22 +144,22 @@
 
 // Checks that unavoidable violations are reported separately, and only if their cause was observed.
 TEST(InvariantTests, reportsUnavoidableViolationsSeparately) {
-  const std::vector<HistoryEvent> unaware{
+  const std::vector<HistoryEvent> unconfirmedRerun{
       line(K::started, 20), line(K::ended, 100, 0, "m", "1", "finished"), line(K::workerLost, 101),
       line(K::started, 5000, 0, "n", "2")};
-  CHECK(rulesOf(reportOf(unaware).unavoidableViolations).count(1));
-  CHECK(!rulesBroken(unaware).count(1));
+  CHECK(rulesOf(reportOf(unconfirmedRerun).unavoidableViolations).count(1));
+  CHECK(!rulesBroken(unconfirmedRerun).count(1));
   auto capacity = line(K::capacityReported, 1);
   capacity.cores = capacity.memory = 9;
   capacity.detail = "leaseless";
-  const std::vector<HistoryEvent> unresponsive{
+  const std::vector<HistoryEvent> unreachableWorker{
       capacity, line(K::started, 2), line(K::faultBegan, 3), line(K::cancelAcknowledged, 4),
       line(K::ended, 9000, 0, "m", "1", "finished")};
-  CHECK(rulesOf(reportOf(unresponsive).unavoidableViolations).count(5));
-  CHECK(!rulesBroken(unresponsive).count(5));
-  auto calm = unresponsive;
-  calm.erase(calm.begin() + 2);
-  CHECK(rulesBroken(calm).count(5));
+  CHECK(rulesOf(reportOf(unreachableWorker).unavoidableViolations).count(5));
+  CHECK(!rulesBroken(unreachableWorker).count(5));
+  auto withoutFault = unreachableWorker;
+  withoutFault.erase(withoutFault.begin() + 2);
+  CHECK(rulesBroken(withoutFault).count(5));
 }
 
 TEST(InvariantTests, findsUnansweredCancel) {
