--- a/source/checker/history_operations.cpp
+++ b/source/checker/history_operations.cpp
@@ -20,7 +20,7 @@
 // Holds the unanswered calls of one kind on one key.
 class PendingCalls {
  public:
-  void add(const HistoryEvent& event) { open.push_back(event); }
+  void add(const HistoryEvent& event) { calls.push_back(event); }
 
   // Removes the call that this event answers: the one invoked at the time stated in the answer, or
   // the oldest one if the answer states none.
@@ -35,22 +35,22 @@
     });
   }
 
-  const std::vector<HistoryEvent>& unanswered() const { return open; }
+  const std::vector<HistoryEvent>& unanswered() const { return calls; }
 
  private:
   template <class Matches>
   void removeFirst(const HistoryEvent& event, Matches matches) {
-    auto call = std::find_if(open.begin(), open.end(), [&](const HistoryEvent& asked) {
+    auto call = std::find_if(calls.begin(), calls.end(), [&](const HistoryEvent& asked) {
       return matches(asked) && (event.invokedAt == 0 || asked.timestamp == event.invokedAt);
     });
-    if (call != open.end())
-      open.erase(call);
+    if (call != calls.end())
+      calls.erase(call);
   }
 
-  std::vector<HistoryEvent> open;
+  std::vector<HistoryEvent> calls;
 };
 
-std::optional<JobPhase> parsePhase(const std::string& word) {
+std::optional<JobPhase> parsePhase(const std::string& text) {
   static const std::map<std::string, JobPhase> phases = {
       {"missing", JobPhase::missing},       {"timed", JobPhase::pendingOrRunning},
       {"open", JobPhase::pendingOrRunning}, {"waiting", JobPhase::pending},
@@ -58,7 +58,7 @@
       {"finished", JobPhase::succeeded},    {"failed", JobPhase::failed},
       {"cancelled", JobPhase::cancelled},
   };
-  const auto found = phases.find(word);
+  const auto found = phases.find(text);
   if (found == phases.end())
     return std::nullopt;
   return found->second;
@@ -74,7 +74,7 @@
       observe(event);
     addUnansweredCalls();
     removeUndecidable();
-    return std::move(found);
+    return std::move(operations);
   }
 
  private:
@@ -122,13 +122,13 @@
     return overloaded ? JobOutput::Kind::overloaded : JobOutput::Kind::rejected;
   }
 
-  JobModel::Operation makeJobOperation(const HistoryEvent& event, JobInput::Kind asked) const {
+  JobModel::Operation makeJobOperation(const HistoryEvent& event, JobInput::Kind inputKind) const {
     JobModel::Operation operation;
     operation.key = event.job;
     operation.client = "caller";
     operation.invokedAt = event.invokedAt ? event.invokedAt : unknownInvocationTime;
     operation.returnedAt = event.timestamp;
-    operation.input.kind = asked;
+    operation.input.kind = inputKind;
     operation.input.digest = event.digest;
     return operation;
   }
@@ -137,7 +137,7 @@
     submissions[event.job].removeAnswered(event);
     JobModel::Operation operation = makeJobOperation(event, JobInput::Kind::submit);
     operation.output.kind = answer;
-    found.jobOperations.push_back(std::move(operation));
+    operations.jobOperations.push_back(std::move(operation));
   }
 
   void onShown(const HistoryEvent& event) {
@@ -146,7 +146,7 @@
       return;
     JobModel::Operation operation = makeJobOperation(event, JobInput::Kind::show);
     operation.output = JobOutput{JobOutput::Kind::shown, *phase};
-    found.jobOperations.push_back(std::move(operation));
+    operations.jobOperations.push_back(std::move(operation));
   }
 
   void onCancelAnswered(const HistoryEvent& event, JobPhase otherwise) {
@@ -154,7 +154,7 @@
     JobModel::Operation operation = makeJobOperation(event, JobInput::Kind::cancel);
     const JobPhase phase = parsePhase(event.detail).value_or(otherwise);
     operation.output = JobOutput{JobOutput::Kind::acknowledged, phase};
-    found.jobOperations.push_back(std::move(operation));
+    operations.jobOperations.push_back(std::move(operation));
   }
 
   // A start only shows that the job exists, which stays true. The first start is therefore enough.
@@ -168,7 +168,7 @@
     operation.invokedAt = event.timestamp - options.clockSlackMs;
     operation.returnedAt = event.timestamp + options.clockSlackMs;
     operation.output.kind = JobOutput::Kind::ran;
-    found.jobOperations.push_back(std::move(operation));
+    operations.jobOperations.push_back(std::move(operation));
   }
 
   static ConfigurationModel::Operation makeOrderOperation(const HistoryEvent& event) {
@@ -193,7 +193,7 @@
     operation.output.kind = answer;
     if (event.version)
       operation.output.version = event.version;
-    found.configurationOperations.push_back(std::move(operation));
+    operations.configurationOperations.push_back(std::move(operation));
     hasOrders = true;
   }
 
@@ -205,48 +205,51 @@
     operation.returnedAt = event.timestamp;
     operation.output =
         ConfigurationOutput{ConfigurationOutput::Kind::shown, event.version, event.digest};
-    found.configurationOperations.push_back(std::move(operation));
+    operations.configurationOperations.push_back(std::move(operation));
   }
 
   void addUnansweredCalls() {
-    for (const auto& [job, asked] : submissions)
-      addUnansweredJobCalls(asked, JobInput::Kind::submit);
-    for (const auto& [job, asked] : cancels)
-      addUnansweredJobCalls(asked, JobInput::Kind::cancel);
+    for (const auto& [job, calls] : submissions)
+      addUnansweredJobCalls(calls, JobInput::Kind::submit);
+    for (const auto& [job, calls] : cancels)
+      addUnansweredJobCalls(calls, JobInput::Kind::cancel);
     for (const HistoryEvent& event : orders.unanswered()) {
       ConfigurationModel::Operation operation = makeOrderOperation(event);
       operation.invokedAt = event.timestamp;
       operation.outcome = OperationOutcome::unknown;
-      found.configurationOperations.push_back(std::move(operation));
+      operations.configurationOperations.push_back(std::move(operation));
       hasOrders = true;
     }
   }
 
-  void addUnansweredJobCalls(const PendingCalls& asked, JobInput::Kind kind) {
-    for (const HistoryEvent& event : asked.unanswered()) {
-      JobModel::Operation operation = makeJobOperation(event, kind);
+  void addUnansweredJobCalls(const PendingCalls& calls, JobInput::Kind inputKind) {
+    for (const HistoryEvent& event : calls.unanswered()) {
+      JobModel::Operation operation = makeJobOperation(event, inputKind);
       operation.invokedAt = event.timestamp;
       operation.returnedAt.reset();
       operation.outcome = OperationOutcome::unknown;
-      found.jobOperations.push_back(std::move(operation));
+      operations.jobOperations.push_back(std::move(operation));
     }
   }
 
+  // Removes the operations that cannot be checked: those of jobs without an observed submission,
+  // those that may come after the end of the retention time, and reports of a missing job if jobs
+  // may have been removed early because there are too many.
   void removeUndecidable() {
     if (!hasOrders)
-      found.configurationOperations.clear();
+      operations.configurationOperations.clear();
     std::map<std::string, std::int64_t> firstTimes;
-    for (const auto& operation : found.jobOperations) {
+    for (const auto& operation : operations.jobOperations) {
       const auto [first, added] = firstTimes.emplace(operation.key, timeOf(operation));
       first->second = std::min(first->second, timeOf(operation));
     }
     const bool nothingEvicted = firstTimes.size() <= options.retainedJobsLimit;
-    std::erase_if(found.jobOperations, [&](const JobModel::Operation& operation) {
+    std::erase_if(operations.jobOperations, [&](const JobModel::Operation& operation) {
       if (!submittedJobs.count(operation.key))
         return true;
-      const std::int64_t judgedUntil =
+      const std::int64_t decidableUntil =
           firstTimes.at(operation.key) + options.finishedRetentionMs - maxCallDurationMs;
-      if (timeOf(operation) > judgedUntil)
+      if (timeOf(operation) > decidableUntil)
         return true;
       return !nothingEvicted && reportsMissingJob(operation);
     });
@@ -263,7 +266,7 @@
   }
 
   const HistoryOperationsOptions& options;
-  HistoryOperations found;
+  HistoryOperations operations;
   std::map<std::string, PendingCalls> submissions, cancels;  // by job
   PendingCalls orders;
   std::set<std::string> submittedJobs, startedJobs;
--- a/source/checker/invariant_checker.hpp
+++ b/source/checker/invariant_checker.hpp
@@ -164,7 +164,8 @@
   void checkSuccesses(const std::string& id, JobHistory& job, std::uint32_t index,
                       const StepRequest& step);
   void checkNoRunAfterSuccess(const std::string& taskText, const TaskHistory& task,
-                              const ObservedRun& done, std::int64_t noted, bool redundant);
+                              const ObservedRun& finishedRun, std::int64_t recordedAt,
+                              bool redundant);
   void checkAttemptLimit(const std::string& id, const JobHistory& job, std::uint32_t index,
                          const StepRequest& step);
   std::size_t countFailuresBefore(const JobHistory& job, std::uint32_t first, std::uint32_t after,
--- a/source/checker/job_model.cpp
+++ b/source/checker/job_model.cpp
@@ -131,15 +131,15 @@
 }
 
 std::string JobModel::describe(const Operation& operation) const {
-  static constexpr const char* asked[] = {"submit", "show", "cancel", "run"};
-  static constexpr const char* answered[] = {"accepted", "rejected",      "overloaded",
-                                             "",         "acknowledged ", ""};
-  std::string text = asked[std::size_t(operation.input.kind)];
+  static constexpr const char* inputNames[] = {"submit", "show", "cancel", "run"};
+  static constexpr const char* outputNames[] = {"accepted", "rejected",      "overloaded",
+                                                "",         "acknowledged ", ""};
+  std::string text = inputNames[std::size_t(operation.input.kind)];
   if (operation.input.kind == JobInput::Kind::submit)
     text += " " + operation.input.digest;
   if (operation.outcome == OperationOutcome::unknown || operation.input.kind == JobInput::Kind::run)
     return text;
-  text += std::string(" -> ") + answered[std::size_t(operation.output.kind)];
+  text += std::string(" -> ") + outputNames[std::size_t(operation.output.kind)];
   if (operation.input.kind != JobInput::Kind::submit)
     text += name(operation.output.phase);
   return text;
