--- a/source/checker/model/step_invariants.cpp
+++ b/source/checker/model/step_invariants.cpp
@@ -35,32 +35,33 @@
 
 void StepInvariantChecker::checkSentMessage(const PeerMessage& message) {
   if (const auto* reply = boost::get<AppendEntriesReply>(&message.body))
-    checkMatchClaim(*reply);
+    checkMatchIndex(*reply);
   if (const auto* reply = boost::get<RequestVoteReply>(&message.body))
     checkVote(message.to, *reply);
 }
 
 // A follower acknowledges no more than its disk holds.
-void StepInvariantChecker::checkMatchClaim(const AppendEntriesReply& reply) {
+void StepInvariantChecker::checkMatchIndex(const AppendEntriesReply& reply) {
   if (outcomesOnly || !reply.success)
     return;
   if (reply.matchIndex > after.diskImage.lastIndex())
     return reportViolation("a claim is behind its sync",
-                           after.self.id.value + " claims " + at(reply.matchIndex) +
-                               ", its disk ends at " +
+                           after.self.id.value + " acknowledges " + at(reply.matchIndex) +
+                               ", but its disk ends at " +
                                std::to_string(after.diskImage.lastIndex().value));
   for (LogIndex index{1}; index <= std::min(reply.matchIndex, history.lastIndex());
        index = index.next())
     if (!after.diskImage.contains(index, history.entryAt(index).term))
-      reportViolation("a claim is behind its sync", after.self.id.value + " claims the committed " +
-                                                        at(index) +
-                                                        ", its disk holds another term's");
+      reportViolation("a claim is behind its sync",
+                      after.self.id.value + " acknowledges the committed " + at(index) +
+                          ", but its disk holds an entry of another term");
   for (LogIndex index = after.raft.logBaseIndex().next(); index <= reply.matchIndex;
        index = index.next())
     if (index <= after.raft.lastIndex() &&
         !after.diskImage.contains(index, after.raft.entry(index).term))
-      reportViolation("a claim is behind its sync", after.self.id.value + " claims " + at(index) +
-                                                        ", its disk holds another term's");
+      reportViolation("a claim is behind its sync",
+                      after.self.id.value + " acknowledges " + at(index) +
+                          ", but its disk holds an entry of another term");
 }
 
 // A node grants one vote per term and identity, across all restarts, and the vote is on its disk
--- a/source/checker/model/step_invariants.hpp
+++ b/source/checker/model/step_invariants.hpp
@@ -25,7 +25,7 @@
 
  private:
   void reportViolation(const std::string& rule, const std::string& detail);
-  void checkMatchClaim(const AppendEntriesReply& reply);
+  void checkMatchIndex(const AppendEntriesReply& reply);
   void checkVote(const ControllerId& candidate, const RequestVoteReply& reply);
   void checkLeadership();
   void checkLeaderCompleteness();
--- a/tests/checker/called_worker_invariants_tests.cpp
+++ b/tests/checker/called_worker_invariants_tests.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 using K = HistoryEvent::Kind;
-HistoryEvent line(HistoryEvent::Kind kind, std::int64_t at, const std::string& job = "",
-                  std::uint32_t task = 0, const std::string& worker = "",
-                  const std::string& attempt = "1", const std::string& detail = "") {
+HistoryEvent makeEvent(HistoryEvent::Kind kind, std::int64_t at, const std::string& job = "",
+                       std::uint32_t task = 0, const std::string& worker = "",
+                       const std::string& attempt = "1", const std::string& detail = "") {
   HistoryEvent event;
   event.kind = kind;
   event.timestamp = at;
@@ -23,8 +23,8 @@
   event.cores = event.memory = kind == K::started ? 1 : 0;
   return event;
 }
-HistoryEvent worker(const std::string& workerId) {
-  auto event = line(K::capacityReported, 1, "", 0, workerId, "", "called");
+HistoryEvent makeCapacityEvent(const std::string& workerId) {
+  auto event = makeEvent(K::capacityReported, 1, "", 0, workerId, "", "called");
   event.cores = event.memory = 2;
   event.pool = "pool";
   event.labels = {"fine", "shelf1"};
@@ -43,7 +43,7 @@
 }
 std::map<int, std::string> violationsByRule(std::vector<HistoryEvent> history,
                                             const JobSubmission& job = makeJob()) {
-  history.insert(history.begin(), {worker("v"), worker("w")});
+  history.insert(history.begin(), {makeCapacityEvent("v"), makeCapacityEvent("w")});
   InvariantOptions options;
   options.clockSlackMs = 0;
   options.maxAttemptsByQueue["q"] = 2;
@@ -57,11 +57,12 @@
 std::vector<HistoryEvent> runOn(const std::string& workerId, std::int64_t from, std::int64_t to,
                                 const std::string& attempt, const std::string& outcome,
                                 std::int64_t confirmedAt = 0, std::uint32_t task = 0) {
-  std::vector<HistoryEvent> lines{line(K::started, from, "a", task, workerId, attempt),
-                                  line(K::ended, to, "a", task, workerId, attempt, outcome)};
+  std::vector<HistoryEvent> events{makeEvent(K::started, from, "a", task, workerId, attempt),
+                                   makeEvent(K::ended, to, "a", task, workerId, attempt, outcome)};
   if (confirmedAt)
-    lines.push_back(line(K::resultConfirmed, confirmedAt, "a", task, workerId, attempt, outcome));
-  return lines;
+    events.push_back(
+        makeEvent(K::resultConfirmed, confirmedAt, "a", task, workerId, attempt, outcome));
+  return events;
 }
 std::vector<HistoryEvent> concatenate(std::vector<HistoryEvent> first,
                                       const std::vector<HistoryEvent>& second) {
@@ -76,13 +77,13 @@
 TEST(CalledInvariantTests, acceptsACorrectHistory) {
   auto history =
       concatenate(runOn("v", 10, 20, "1", "failed", 25), runOn("w", 30, 40, "2", "finished", 45));
-  history.push_back(line(K::stateObserved, 50, "a", 0, "", "", "finished"));
+  history.push_back(makeEvent(K::stateObserved, 50, "a", 0, "", "", "finished"));
   CHECK(violationsByRule(history).empty());
 }
 TEST(CalledInvariantTests, findsConcurrentAndRepeatedRuns) {
-  CHECK(
-      violationsByRule({line(K::started, 10, "a", 0, "v"), line(K::started, 11, "a", 0, "w", "2")})
-          .count(1));
+  CHECK(violationsByRule(
+            {makeEvent(K::started, 10, "a", 0, "v"), makeEvent(K::started, 11, "a", 0, "w", "2")})
+            .count(1));
   // A run after a recorded success is a violation, also if the success was recorded only later. A
   // result voided by an expired lease is never recorded.
   CHECK(violationsByRule(concatenate(runOn("v", 10, 20, "1", "finished", 25),
@@ -96,7 +97,8 @@
              .count(1));
   const auto redundant = makeJob([](auto& job) { job.steps[0].requirements.redundant = true; });
   CHECK(violationsByRule(
-            {line(K::started, 10, "a", 0, "v"), line(K::started, 11, "a", 0, "w", "2")}, redundant)
+            {makeEvent(K::started, 10, "a", 0, "v"), makeEvent(K::started, 11, "a", 0, "w", "2")},
+            redundant)
             .empty());
   CHECK(!violationsByRule(concatenate(runOn("v", 10, 20, "1", "finished", 25),
                                       runOn("w", 30, 40, "2", "finished")),
@@ -118,7 +120,7 @@
             .count(1));
 }
 TEST(CalledInvariantTests, findsWrongPlacement) {
-  const auto start = {line(K::started, 10, "a", 0, "v")};
+  const auto start = {makeEvent(K::started, 10, "a", 0, "v")};
   CHECK(violationsByRule(
             start, makeJob([](auto& job) { job.steps[0].requirements.requiredLabel = "plain"; }))
             .count(13));
@@ -127,18 +129,19 @@
             .empty());
   InvariantOptions elsewhere;
   elsewhere.poolsByQueue["q"] = {"other"};
-  const auto placed = checkInvariants({worker("v"), line(K::started, 10, "a", 0, "v")},
-                                      {{"a", makeJob()}}, elsewhere);
+  const auto placed =
+      checkInvariants({makeCapacityEvent("v"), makeEvent(K::started, 10, "a", 0, "v")},
+                      {{"a", makeJob()}}, elsewhere);
   LONGS_EQUAL(13, number(placed.violations.at(0).rule));
   const auto apart = makeJob([](auto& job) {
     job.steps[0].requirements.maxPerWorker = 1;
     job.steps[0].tasks.resize(2, job.steps[0].tasks[0]);
   });
-  CHECK(violationsByRule({line(K::started, 10, "a", 0, "v"), line(K::started, 11, "a", 1, "v")},
-                         apart)
+  CHECK(violationsByRule(
+            {makeEvent(K::started, 10, "a", 0, "v"), makeEvent(K::started, 11, "a", 1, "v")}, apart)
             .count(13));
-  CHECK(violationsByRule({line(K::started, 10, "a", 0, "v"), line(K::started, 11, "a", 1, "w")},
-                         apart)
+  CHECK(violationsByRule(
+            {makeEvent(K::started, 10, "a", 0, "v"), makeEvent(K::started, 11, "a", 1, "w")}, apart)
             .empty());
 }
 TEST(CalledInvariantTests, findsStartsBeyondTheAttemptLimit) {
@@ -155,18 +158,18 @@
             .empty());
 }
 TEST(CalledInvariantTests, findsStartsThatWereNotRequested) {
-  CHECK(violationsByRule({line(K::started, 10, "b", 0, "v")}).count(15));
-  CHECK(violationsByRule({line(K::started, 10, "a", 7, "v")}).count(15));
-  CHECK(violationsByRule({line(K::started, 10, "a@1", 0, "v")}).count(15));
-  auto other = line(K::started, 10, "a", 0, "v");
+  CHECK(violationsByRule({makeEvent(K::started, 10, "b", 0, "v")}).count(15));
+  CHECK(violationsByRule({makeEvent(K::started, 10, "a", 7, "v")}).count(15));
+  CHECK(violationsByRule({makeEvent(K::started, 10, "a@1", 0, "v")}).count(15));
+  auto other = makeEvent(K::started, 10, "a", 0, "v");
   other.payload = "another";
   CHECK(violationsByRule({other}).count(15));
-  auto made = line(K::checkpointed, 15, "a", 0, "v");
+  auto made = makeEvent(K::checkpointed, 15, "a", 0, "v");
   made.checkpoint = "of task 0";
-  auto from = line(K::started, 30, "a", 0, "w", "2");
+  auto from = makeEvent(K::started, 30, "a", 0, "w", "2");
   from.checkpoint = made.checkpoint;
-  const auto first = line(K::started, 10, "a", 0, "v"),
-             end = line(K::ended, 20, "a", 0, "v", "1", "stopped");
+  const auto first = makeEvent(K::started, 10, "a", 0, "v"),
+             end = makeEvent(K::ended, 20, "a", 0, "v", "1", "stopped");
   CHECK(violationsByRule({first, made, end, from}).empty());
   made.task = 1;
   const auto two = makeJob([](auto& job) { job.steps[0].tasks.resize(2, job.steps[0].tasks[0]); });
@@ -174,7 +177,7 @@
   // A gang may resume from the checkpoint of any member, but all members must use the same one.
   auto gang = two;
   gang.steps[0].gang = true;
-  auto beside = line(K::started, 31, "a", 1, "v", "2");
+  auto beside = makeEvent(K::started, 31, "a", 1, "v", "2");
   beside.checkpoint = made.checkpoint;
   CHECK(violationsByRule({first, made, end, from, beside}, gang).empty());
   beside.checkpoint.clear();
@@ -187,22 +190,23 @@
   });
   const auto alone = runOn("v", 10, 3010, "1", "alone");
   CHECK(violationsByRule(alone, gang).count(16));
-  CHECK(
-      violationsByRule(concatenate({line(K::faultBegan, 5, "", 0, "", "", "a fault")}, alone), gang)
-          .empty());
-  CHECK(violationsByRule(concatenate({line(K::cancelAcknowledged, 8, "a")}, alone), gang).empty());
+  CHECK(violationsByRule(
+            concatenate({makeEvent(K::faultBegan, 5, "", 0, "", "", "a fault")}, alone), gang)
+            .empty());
+  CHECK(violationsByRule(concatenate({makeEvent(K::cancelAcknowledged, 8, "a")}, alone), gang)
+            .empty());
 }
 TEST(CalledInvariantTests, findsStartAfterDrainAcknowledged) {
-  const auto leaving = line(K::draining, 5, "", 0, "v");
-  auto start = line(K::started, 10, "a", 0, "v");
+  const auto leaving = makeEvent(K::draining, 5, "", 0, "v");
+  auto start = makeEvent(K::started, 10, "a", 0, "v");
   CHECK(violationsByRule({leaving, start}).count(17));
   // The order was sent before the drain and carried out seconds after its sender gave up on it.
   start.executedLate = true;
   CHECK(violationsByRule({leaving, start}).empty());
 }
 TEST(CalledInvariantTests, findsJobsShownFinishedOrFailedTooEarly) {
-  const auto shown = line(K::stateObserved, 50, "a", 0, "", "", "finished"),
-             failed = line(K::stateObserved, 50, "a", 0, "", "", "failed");
+  const auto shown = makeEvent(K::stateObserved, 50, "a", 0, "", "", "finished"),
+             failed = makeEvent(K::stateObserved, 50, "a", 0, "", "", "failed");
   CHECK(violationsByRule(concatenate(runOn("v", 10, 20, "1", "lapsed", 25), {shown})).count(4));
   const auto timed = makeJob([](auto& job) {
     job.timetable.firstStart = ClusterTime{5};
@@ -230,7 +234,7 @@
       makeJob([](auto& job) { job.steps[0].tasks.resize(3, job.steps[0].tasks[0]); });
   std::vector<HistoryEvent> starts;
   for (std::uint32_t task = 0; task < 3; ++task)
-    starts.push_back(line(K::started, 10, "a", task, "v"));
+    starts.push_back(makeEvent(K::started, 10, "a", task, "v"));
   CHECK(violationsByRule(starts, three).count(10));
   starts.pop_back();
   CHECK(violationsByRule(starts, three).empty());
