--- a/source/checker/config_order_checker.cpp
+++ b/source/checker/config_order_checker.cpp
@@ -1,3 +1,4 @@
+// Identifies each order by its digest and the version it is based on.
 #include "checker/config_order_checker.hpp"
 
 namespace aniseline {
@@ -12,14 +13,14 @@
   if (event.digest.empty())
     return observeUnidentified(event);
   const std::string identity = identityOf(event);
-  auto [place, isNew] = orders.try_emplace(identity);
+  auto [found, isNew] = orders.try_emplace(identity);
   if (isNew)
-    place->second.newestWhenFirstSent = newestVersion;
+    found->second.newestWhenFirstSent = newestVersion;
   switch (event.kind) {
     case HistoryEvent::Kind::configAcknowledged:
-      return onAcknowledged(event, place->second);
+      return onAcknowledged(event, found->second);
     case HistoryEvent::Kind::configRejected:
-      return onRejected(event, place->second);
+      return onRejected(event, found->second);
     default:
       return std::nullopt;
   }
@@ -41,19 +42,19 @@
   const std::string version = std::to_string(event.version);
   newestVersion = std::max(newestVersion, event.version);
   if (order.rejected)
-    return identity + " was acknowledged after it was refused";
+    return identity + " was acknowledged after it was rejected";
   if (order.version && order.version != event.version)
     return identity + " was acknowledged as " + std::to_string(order.version) + " and as " +
            version;
   order.version = event.version;
-  const auto ofVersion = orderByVersion.try_emplace(event.version, identity).first;
-  if (ofVersion->second != identity)
-    return ofVersion->second + " and " + identity + " were both acknowledged as " + version;
-  const auto ofBase = orderByBase.try_emplace(event.baseVersion, identity).first;
-  if (ofBase->second != identity)
-    return ofBase->second + " and " + identity + " were both acknowledged";
+  const auto versionOwner = orderByVersion.try_emplace(event.version, identity).first;
+  if (versionOwner->second != identity)
+    return versionOwner->second + " and " + identity + " were both acknowledged as " + version;
+  const auto baseOwner = orderByBase.try_emplace(event.baseVersion, identity).first;
+  if (baseOwner->second != identity)
+    return baseOwner->second + " and " + identity + " were both acknowledged";
   if (event.version <= order.newestWhenFirstSent)
-    return identity + " was acknowledged as " + version + " though it was first sent after " +
+    return identity + " was acknowledged as " + version + " although it was first sent after " +
            std::to_string(order.newestWhenFirstSent) + " was acknowledged";
   return std::nullopt;
 }
@@ -61,7 +62,7 @@
 std::optional<std::string> ConfigOrderChecker::onRejected(const HistoryEvent& event, Order& order) {
   order.rejected = true;
   if (order.version)
-    return identityOf(event) + " was refused after it was acknowledged as " +
+    return identityOf(event) + " was rejected after it was acknowledged as " +
            std::to_string(order.version);
   return std::nullopt;
 }
--- a/source/checker/invariants.cpp
+++ b/source/checker/invariants.cpp
@@ -1,12 +1,12 @@
-// A history played through, line by line. docs/design.md 11.
+// Replays the history event by event. docs/design.md 11.
 #include "checker/invariant_checker.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// ms of a fault's consequences: lease, margin and a change of leader.
-constexpr std::int64_t aftermath = 6000;
+// The time in ms for which a fault has effects after its end: lease, margin and a change of leader.
+constexpr std::int64_t faultEffectMs = 6000;
 
 }  // namespace
 
@@ -51,19 +51,19 @@
       open.emplace(event.detail, event.timestamp);
     else if (event.kind == HistoryEvent::Kind::faultEnded) {
       if (auto begun = open.find(event.detail); begun != open.end()) {
-        faultIntervals.emplace_back(begun->second, event.timestamp + aftermath);
+        faultIntervals.emplace_back(begun->second, event.timestamp + faultEffectMs);
         open.erase(begun);
       }
     } else if (event.kind == HistoryEvent::Kind::clusterHealed) {
       for (const auto& [name, begun] : open)
-        faultIntervals.emplace_back(begun, event.timestamp + aftermath);
+        faultIntervals.emplace_back(begun, event.timestamp + faultEffectMs);
       open.clear();
     }
   for (const auto& [name, begun] : open)
     faultIntervals.emplace_back(begun, std::numeric_limits<std::int64_t>::max());
 }
 
-// Every kind of line is listed, so that the compiler tells of a new one.
+// Every kind is listed so that the compiler warns if a new one is missing.
 void InvariantChecker::observe(const HistoryEvent& event) {
   using Kind = HistoryEvent::Kind;
   switch (event.kind) {
@@ -105,7 +105,7 @@
       return onCapacityReported(event);
     case Kind::configSubmitted:
     case Kind::configRejected:
-      return checkOrder(event);
+      return checkConfigOrder(event);
     case Kind::configAcknowledged:
       return onConfigAcknowledged(event);
     case Kind::configObserved:
@@ -116,7 +116,7 @@
       return onServiceRestored(event);
     case Kind::quiescent:
       return void(quiescentAt = event.timestamp);
-    // What only findDisturbances and the search for an order of operations look at.
+    // These kinds are used only by findFaultIntervals and the linearizability check.
     case Kind::outcomeUnknown:
     case Kind::faultBegan:
     case Kind::faultEnded:
--- a/source/checker/invariants_jobs.cpp
+++ b/source/checker/invariants_jobs.cpp
@@ -1,4 +1,4 @@
-// Jobs as callers see them: rules 2 to 5. docs/design.md 11.
+// Checks jobs as clients see them: rules 2 to 5 and 21. docs/design.md 11.
 #include "checker/invariant_checker.hpp"
 #include "state/occurrence.hpp"
 
@@ -19,16 +19,17 @@
   unansweredCancels.erase(event.job);
 }
 
-// Callers send a cancel again after silence and after an error, to the next gateway.
+// Reports cancels that were not answered in time. Clients resend a cancel to the next gateway after
+// a timeout or an error.
 void InvariantChecker::checkCancelsAnsweredBy(std::int64_t at) {
   std::erase_if(unansweredCancels, [&](const auto& entry) {
-    const auto& [job, askedAt] = entry;
-    if (at < askedAt + cancelAnswerMs + options.clockSlackMs)
+    const auto& [job, submittedAt] = entry;
+    if (at < submittedAt + cancelAnswerMs + options.clockSlackMs)
       return false;
-    if (!hadFaultWithin(askedAt, at))
+    if (!hadFaultWithin(submittedAt, at))
       reportViolation(Invariant::cancelsAcknowledged, at,
                       "the cancel of job " + job + " has no answer after " +
-                          std::to_string(at - askedAt) + " ms");
+                          std::to_string(at - submittedAt) + " ms");
     return true;
   });
 }
@@ -61,8 +62,8 @@
     return;
   if (!submission->hasTimetable())
     return checkAllTasksSucceeded(event, event.job, *submission);
-  for (std::uint32_t time = 0; time < submission->timetable.count; ++time)
-    checkAllTasksSucceeded(event, OccurrenceId::make(JobId{event.job}, time).value, *submission);
+  for (std::uint32_t number = 0; number < submission->timetable.count; ++number)
+    checkAllTasksSucceeded(event, OccurrenceId::make(JobId{event.job}, number).value, *submission);
 }
 
 void InvariantChecker::checkAllTasksSucceeded(const HistoryEvent& event, const std::string& id,
@@ -73,32 +74,32 @@
     auto known = job.tasks.find(task);
     if (known == job.tasks.end() || !known->second.succeededAt ||
         *known->second.succeededAt > event.timestamp + options.clockSlackMs)
-      return reportViolation(Invariant::shownFinishedWhenDone, event.timestamp,
+      return reportViolation(Invariant::finishedOnlyWhenDone, event.timestamp,
                              "job " + event.job + " is shown as finished while " +
-                                 describeTask(id, task) + " is open");
+                                 describeTask(id, task) + " is unfinished");
     for (const auto& run : known->second.runs)
       if (!run.endedAt && run.active &&
           !(run.onCalledWorker &&
             (hadFaultWithin(run.startedAt, event.timestamp) ||
              submission.steps[positionOf(submission, task).first].requirements.redundant)))
-        reportViolation(Invariant::shownFinishedWhenDone, event.timestamp,
+        reportViolation(Invariant::finishedOnlyWhenDone, event.timestamp,
                         "job " + event.job + " is shown as finished while " +
                             describeTask(id, task) + " still runs on " + run.worker);
   }
 }
 
-void InvariantChecker::checkStoppedAfterCancel(const JobHistory& job, const std::string& what,
+void InvariantChecker::checkStoppedAfterCancel(const JobHistory& job, const std::string& taskText,
                                                const ObservedRun& run, std::int64_t at) {
   if (!job.cancelledAt || at <= *job.cancelledAt + cancelGraceMs + options.clockSlackMs)
     return;
   const std::string text =
-      what + " kept running " + std::to_string(at - *job.cancelledAt) + " ms after its cancel";
-  // With a fault about, the hold of a worker that is called ends it: docs/design.md 5.8.
+      taskText + " kept running " + std::to_string(at - *job.cancelledAt) + " ms after its cancel";
+  // During a fault, the expiry of its lease stops a task on a called worker: docs/design.md 5.8.
   if (run.onCalledWorker && hadFaultWithin(*job.cancelledAt, at) &&
       at <= *job.cancelledAt + longestLeaseMs + options.clockSlackMs)
     return;
-  // A cut-off worker that honours no leases can't be told and does not hold:
-  // docs/operations.md 8.
+  // A disconnected worker that does not honour leases cannot be told of the cancel and does not
+  // suspend the task: docs/operations.md 8.
   if (ignoresLeases(run.worker) &&
       hadFaultWithin(*job.cancelledAt, *job.cancelledAt + cancelGraceMs))
     reportUnavoidableViolation(Invariant::cancelledJobsStop, at,
@@ -107,20 +108,21 @@
     reportViolation(Invariant::cancelledJobsStop, at, text);
 }
 
-// What no later line can show of a job: things that never came.
+// Checks for events of a job that are missing at the end of the history.
 void InvariantChecker::checkJobAtEnd(const std::string& id, JobHistory& job, std::int64_t end) {
   if (job.submissions > 0 && job.rejections == job.submissions && !job.tasks.empty() &&
       !job.tasks.begin()->second.runs.empty())
     reportViolation(Invariant::rejectedJobsNeverRun,
                     job.tasks.begin()->second.runs.front().startedAt,
-                    "job " + id + " was rejected on every try, yet ran");
+                    "job " + id + " was rejected on every submission but ran");
   if (quiescentAt && job.acceptedAt && !job.ended && !job.waitExplained)
-    reportViolation(Invariant::acceptedJobsKept, *quiescentAt,
-                    "job " + id + " was accepted and is neither over nor explained");
-  for (auto& [place, task] : job.tasks)
+    reportViolation(
+        Invariant::acceptedJobsKept, *quiescentAt,
+        "job " + id + " was accepted, and it has neither ended nor had its wait explained");
+  for (auto& [taskIndex, task] : job.tasks)
     for (auto& run : task.runs)
       if (!run.endedAt && run.active)
-        checkStoppedAfterCancel(job, describeTask(id, place), run, end);
+        checkStoppedAfterCancel(job, describeTask(id, taskIndex), run, end);
 }
 
 }  // namespace aniseline
--- a/source/checker/invariants_lookups.cpp
+++ b/source/checker/invariants_lookups.cpp
@@ -1,12 +1,13 @@
-// What the checker of invariants knows so far of jobs, steps and workers. docs/design.md 11.
+// Looks up what the invariant checker knows about jobs, steps and workers. docs/design.md 11.
 #include "checker/invariant_checker.hpp"
 #include "state/occurrence.hpp"
 
 namespace aniseline {
 
 bool InvariantChecker::hadFaultWithin(std::int64_t from, std::int64_t to) const {
-  return std::any_of(faultIntervals.begin(), faultIntervals.end(),
-                     [&](const auto& span) { return span.first <= to && from <= span.second; });
+  return std::any_of(faultIntervals.begin(), faultIntervals.end(), [&](const auto& interval) {
+    return interval.first <= to && from <= interval.second;
+  });
 }
 
 bool InvariantChecker::ignoresLeases(const std::string& worker) const {
--- a/source/checker/job_model.cpp
+++ b/source/checker/job_model.cpp
@@ -1,3 +1,4 @@
+// Implements the phase transitions of the job model.
 #include "checker/job_model.hpp"
 #include "checker/hash_mix.hpp"
 
@@ -11,10 +12,11 @@
   return phase == JobPhase::pending || phase == JobPhase::running;
 }
 
-// Whether a job whose earliest possible phase is `earliest` can be answered to be in `answered`.
-bool canBe(JobPhase earliest, JobPhase answered) {
+// Reports whether a job whose earliest possible phase is `earliest` can be reported in phase
+// `answered`.
+bool isPossibleAnswer(JobPhase earliest, JobPhase answered) {
   const bool open = isPendingOrRunning(earliest);
-  const bool unnamedEnd = earliest == JobPhase::cancellingOrEnded;
+  const bool cancelledOrEnded = earliest == JobPhase::cancellingOrEnded;
   switch (answered) {
     case JobPhase::missing:
     case JobPhase::pending:
@@ -25,25 +27,26 @@
     case JobPhase::cancellingOrEnded:
       return !open && earliest != JobPhase::missing;
     case JobPhase::cancelling:
-      return unnamedEnd || earliest == answered;
+      return cancelledOrEnded || earliest == answered;
     case JobPhase::cancelled:
-      return unnamedEnd || earliest == JobPhase::cancelling || earliest == answered;
+      return cancelledOrEnded || earliest == JobPhase::cancelling || earliest == answered;
     case JobPhase::succeeded:
     case JobPhase::failed:
-      return open || unnamedEnd || earliest == answered;
+      return open || cancelledOrEnded || earliest == answered;
   }
   return false;
 }
 
-// The earliest phase of the job once one was answered; nothing if it can't be in that one.
+// Returns the earliest possible phase after an answer, or nothing if the job cannot be in the
+// answered phase.
 std::optional<JobPhase> phaseAfterAnswer(JobPhase earliest, JobPhase answered) {
-  if (!canBe(earliest, answered))
+  if (!isPossibleAnswer(earliest, answered))
     return std::nullopt;
   return answered == JobPhase::pendingOrRunning ? earliest : answered;
 }
 
-// A cancel of a job that has ended changes nothing; any other is cancelled, or had ended already
-// without anyone having seen it.
+// A cancel of an ended job changes nothing. Any other job is cancelled, or had already ended
+// without an observer having seen it.
 JobPhase phaseAfterCancel(JobPhase earliest) {
   return isPendingOrRunning(earliest) ? JobPhase::cancellingOrEnded : earliest;
 }
@@ -128,15 +131,15 @@
 }
 
 std::string JobModel::describe(const Operation& operation) const {
-  static constexpr const char* asked[] = {"submit", "show", "cancel", "run"};
-  static constexpr const char* answered[] = {"accepted", "turned away",   "overloaded",
-                                             "",         "acknowledged ", ""};
-  std::string text = asked[std::size_t(operation.input.kind)];
+  static constexpr const char* inputNames[] = {"submit", "show", "cancel", "run"};
+  static constexpr const char* outputNames[] = {"accepted", "rejected",      "overloaded",
+                                                "",         "acknowledged ", ""};
+  std::string text = inputNames[std::size_t(operation.input.kind)];
   if (operation.input.kind == JobInput::Kind::submit)
     text += " " + operation.input.digest;
   if (operation.outcome == OperationOutcome::unknown || operation.input.kind == JobInput::Kind::run)
     return text;
-  text += std::string(" -> ") + answered[std::size_t(operation.output.kind)];
+  text += std::string(" -> ") + outputNames[std::size_t(operation.output.kind)];
   if (operation.input.kind != JobInput::Kind::submit)
     text += name(operation.output.phase);
   return text;
--- a/source/checker/model/model_cluster.cpp
+++ b/source/checker/model/model_cluster.cpp
@@ -1,3 +1,4 @@
+// Implements the actions of the model and when each is enabled.
 #include "checker/model/model_cluster.hpp"
 
 #include "checker/model/describe.hpp"
@@ -7,30 +8,31 @@
 
 namespace {
 
-// Five of the longest election times: past it a leader stops waiting for late readings, a candidate
-// asks again, and a learner asks whether it is still one (2 s).
-Duration pastEveryTimeOut(const RaftOptions& options) {
+// Five of the longest election timeouts. After this time a leader that was paused no longer waits
+// for unread messages, a candidate requests votes again, and a learner asks whether it is still a
+// member (2 s).
+Duration beyondAllTimeouts(const RaftOptions& options) {
   return Duration{5 * options.electionTimeoutMax.milliseconds + 1};
 }
 
-std::string letter(std::size_t machine) {
+std::string machineName(std::size_t machine) {
   return std::string(1, char('a' + machine));
 }
 
-const Member* memberIn(const Membership& members, const ControllerId& id) {
+const Member* findMemberById(const Membership& members, const ControllerId& id) {
   for (const auto& member : members)
     if (member.id == id)
       return &member;
   return nullptr;
 }
 
-bool beginsLife(ActionKind kind) {
+bool startsNewProcess(ActionKind kind) {
   return kind == ActionKind::restart || kind == ActionKind::restartKeepingWrite ||
          kind == ActionKind::loseDisk || kind == ActionKind::rejoinAsNewMember;
 }
 
 bool isVoter(const Membership& members, const ControllerId& id) {
-  const auto* member = memberIn(members, id);
+  const auto* member = findMemberById(members, id);
   return member && member->voter;
 }
 
@@ -39,13 +41,13 @@
 RaftOptions ModelOptions::discreteRaftOptions() {
   RaftOptions options;
   options.electionTimeoutMin = options.electionTimeoutMax = Duration{500};
-  options.retainedEntries = 1;  // so that a compacted log is soon behind a follower's
+  options.retainedEntries = 1;  // so that a follower soon needs entries that were compacted
   options.maxRetainedBytes = 0;
   return options;
 }
 
 Member ModelCluster::memberAt(std::size_t machine, unsigned instance) {
-  const auto name = letter(machine);
+  const auto name = machineName(machine);
   return Member{ControllerId{name + std::to_string(instance)}, Address{name + ":1"}, ZoneName{name},
                 false};
 }
@@ -56,18 +58,18 @@
     members.push_back(memberAt(machine, 1));
     members.back().voter = true;
   }
-  WriteAheadRecord founding;
-  founding.version = DiskVersion{1};
-  founding.holdsSnapshot = true;
-  founding.term = Term{1};
-  founding.firstIndex = LogIndex{1};
-  founding.entries.push_back(LogEntry{Term{1}, true, pack(members)});
+  WriteAheadRecord bootstrapRecord;
+  bootstrapRecord.version = DiskVersion{1};
+  bootstrapRecord.holdsSnapshot = true;
+  bootstrapRecord.term = Term{1};
+  bootstrapRecord.firstIndex = LogIndex{1};
+  bootstrapRecord.entries.push_back(LogEntry{Term{1}, true, pack(members)});
   auto history = std::make_shared<HistoryVariables>();
-  history->commit(founding.entries[0], Term{1});
+  history->commit(bootstrapRecord.entries[0], Term{1});
   for (std::size_t machine = 0; machine < options->machines; ++machine) {
     std::vector<WriteAheadRecord> disk;
     if (machine < options->voters)
-      disk.push_back(founding);
+      disk.push_back(bootstrapRecord);
     auto node = std::make_shared<ModelNode>(memberAt(machine, 1), options->raft, std::move(disk));
     nodes.push_back({node, node->hash()});
   }
@@ -108,7 +110,7 @@
   std::uint64_t lastSeen = 0;
   for (const auto& packet : packets) {
     if (packet->hash == lastSeen)
-      continue;  // two of a kind: either is the same step
+      continue;  // identical messages lead to the same state
     lastSeen = packet->hash;
     for (const auto kind : {ActionKind::deliver, ActionKind::duplicate, ActionKind::drop})
       if (withinBudget(kind))
@@ -145,7 +147,8 @@
     if (isEnabled(action))
       actions.push_back(action);
   }
-  // Members by the machine that holds or held them; one whose identity is lost is named by it too.
+  // Members are addressed by their index, because an identity that was lost has no machine any
+  // more.
   for (const auto kind : {ActionKind::removeMember, ActionKind::promote})
     for (std::size_t index = 0; index < node(machine).raft.membership().size(); ++index) {
       const Action action{kind, std::uint8_t(machine), std::uint8_t(index)};
@@ -190,7 +193,7 @@
     return false;
   if (action.kind == ActionKind::heartbeat)
     return true;
-  // Whether a change of members may be proposed is for the core to say.
+  // RaftNode decides whether a membership change may be proposed.
   if (action.kind != ActionKind::removeMember && action.kind != ActionKind::promote)
     return raft.canServe();
   if (action.target >= raft.membership().size())
@@ -198,11 +201,11 @@
   const Member& member = raft.membership()[action.target];
   if (action.kind == ActionKind::promote)
     return !member.voter;
-  return member.id != raft.self().id;  // the controller never puts itself out
+  return member.id != raft.self().id;  // a controller never removes itself
 }
 
-// No more voters than a membership's quorum can spare, in each membership that is in force
-// somewhere.
+// Reports whether this node may lose its disk: in each membership that is in force somewhere, the
+// number of lost voters must stay within what its quorum tolerates.
 bool ModelCluster::mayLoseDisk(const ControllerId& id) const {
   std::vector<Membership> inForce{currentHistory->committedMembers()};
   for (const auto& slot : nodes)
@@ -225,7 +228,7 @@
     return false;
   ++actionCounts[std::size_t(action.kind)];
   if (!options->budget.count(action.kind))
-    actionCounts[std::size_t(action.kind)] = 0;  // what has no bound is not counted
+    actionCounts[std::size_t(action.kind)] = 0;  // actions without a limit are not counted
   if (action.kind == ActionKind::drop) {
     removePacket(action.packetHash);
     return true;
@@ -235,20 +238,21 @@
     machine = *recipientOf(findPacket(action.packetHash)->message);
   const auto before = nodes[machine].node;
   auto after = std::make_shared<ModelNode>(*before);
-  auto ghost = std::make_shared<HistoryVariables>(*currentHistory);
+  auto historyVariables = std::make_shared<HistoryVariables>(*currentHistory);
   if (action.kind == ActionKind::loseDisk || action.kind == ActionKind::rejoinAsNewMember)
-    replaceIdentity(machine, *after, *ghost);
+    replaceIdentity(machine, *after, *historyVariables);
   else
-    performAction(action, *after, *ghost);
-  runEffects(*after, *ghost, *before, beginsLife(action.kind));
+    performAction(action, *after, *historyVariables);
+  runEffects(*after, *historyVariables, *before, startsNewProcess(action.kind));
   nodes[machine].hash = after->hash();
   nodes[machine].node = std::move(after);
-  historyHash = ghost->hash();
-  currentHistory = std::move(ghost);
+  historyHash = historyVariables->hash();
+  currentHistory = std::move(historyVariables);
   return true;
 }
 
-void ModelCluster::performAction(const Action& action, ModelNode& node, HistoryVariables& ghost) {
+void ModelCluster::performAction(const Action& action, ModelNode& node,
+                                 HistoryVariables& historyVariables) {
   const RaftOptions& raft = options->raft;
   switch (action.kind) {
     case ActionKind::deliver:
@@ -263,25 +267,25 @@
       node.advanceClock(raft.heartbeatInterval);
       return node.tick();
     case ActionKind::electionTimeout:
-      node.advanceClock(pastEveryTimeOut(raft));
+      node.advanceClock(beyondAllTimeouts(raft));
       return node.tick();
     case ActionKind::leaderSilence:
       return node.advanceClock(raft.electionTimeoutMin);
     case ActionKind::restart:
     case ActionKind::restartKeepingWrite:
-      std::erase_if(ghost.pendingReads,
+      std::erase_if(historyVariables.pendingReads,
                     [&](const auto& read) { return read.reader == node.self.id; });
       return node.restart(raft, action.kind == ActionKind::restartKeepingWrite,
                           options->seededDefect.restartsFromOldDisk);
     case ActionKind::compact:
       return node.raft.compact(node.raft.commitIndex(),
-                               std::to_string(ghost.digestAt(node.raft.commitIndex())));
+                               std::to_string(historyVariables.digestAt(node.raft.commitIndex())));
     case ActionKind::join:
       node.raft.setJoinAddress(this->node(action.target).self.address);
-      node.advanceClock(pastEveryTimeOut(raft));
+      node.advanceClock(beyondAllTimeouts(raft));
       return node.tick();
     default:
-      return performLeaderAction(action, node, ghost);
+      return performLeaderAction(action, node, historyVariables);
   }
 }
 
@@ -294,14 +298,14 @@
 }
 
 void ModelCluster::performLeaderAction(const Action& action, ModelNode& node,
-                                       HistoryVariables& ghost) {
+                                       HistoryVariables& historyVariables) {
   Membership members = node.raft.membership();
   switch (action.kind) {
     case ActionKind::propose:
       node.raft.propose(node.uniquePayload("value"), node.now());
       break;
     case ActionKind::read:
-      beginRead(node, ghost);
+      beginRead(node, historyVariables);
       break;
     case ActionKind::removeMember:
       members.erase(members.begin() + action.target);
@@ -316,17 +320,17 @@
     default:
       return;
   }
-  node.tick();  // what was proposed leaves at once
+  node.tick();  // sends the proposed entries immediately
 }
 
-void ModelCluster::beginRead(ModelNode& node, HistoryVariables& ghost) const {
+void ModelCluster::beginRead(ModelNode& node, HistoryVariables& historyVariables) const {
   PendingRead read;
   read.reader = node.self.id;
   read.term = node.raft.term();
   read.round = node.raft.startRound(node.now());
   read.lastIndexAtStart = node.raft.lastIndex();
-  read.committedAtStart = ghost.lastIndex();
-  ghost.pendingReads.push_back(read);
+  read.committedAtStart = historyVariables.lastIndex();
+  historyVariables.pendingReads.push_back(read);
 }
 
 void ModelCluster::deliver(const Action& action, ModelNode& node) {
@@ -336,17 +340,19 @@
   node.raft.receive(message, node.now());
 }
 
-void ModelCluster::replaceIdentity(std::size_t machine, ModelNode& node, HistoryVariables& ghost) {
+void ModelCluster::replaceIdentity(std::size_t machine, ModelNode& node,
+                                   HistoryVariables& historyVariables) {
   const ControllerId old = node.self.id;
-  ghost.lostDisks[old] = node.diskImage;
-  std::erase_if(ghost.pendingReads, [&](const auto& read) { return read.reader == old; });
+  historyVariables.lostDisks[old] = node.diskImage;
+  std::erase_if(historyVariables.pendingReads,
+                [&](const auto& read) { return read.reader == old; });
   std::erase_if(packets, [&](const auto& packet) { return packet->message.to == old; });
   ++nodes[machine].incarnation;
   node = ModelNode(memberAt(machine, nodes[machine].incarnation), options->raft, {});
 }
 
-void ModelCluster::runEffects(ModelNode& node, HistoryVariables& ghost, const ModelNode& before,
-                              bool restarted) {
+void ModelCluster::runEffects(ModelNode& node, HistoryVariables& historyVariables,
+                              const ModelNode& before, bool restarted) {
   node.proposeOpeningEntry();
   if (options->seededDefect.mutateNode)
     options->seededDefect.mutateNode(node.raft);
@@ -355,7 +361,8 @@
     node.startWrite();
   while (options->syncImmediately && (node.writing() || node.startWrite()))
     completeWrite(node);
-  StepInvariantChecker checker(*this, before, node, ghost, options->outcomesOnly, restarted);
+  StepInvariantChecker checker(*this, before, node, historyVariables, options->outcomesOnly,
+                               restarted);
   for (auto& message : node.raft.takeMessages()) {
     checker.checkSentMessage(message);
     if (options->seededDefect.mutateMessage)
@@ -377,8 +384,8 @@
 
 void ModelCluster::send(PeerMessage message) {
   if (!recipientOf(message))
-    return;  // nobody has this identity any more
-  // Calendar clocks are no part of this model.
+    return;  // no machine has this identity any more
+  // Wall clocks are not part of this model.
   if (auto* reply = boost::get<AppendEntriesReply>(&message.body))
     reply->wallTime = WallTime{};
   if (auto* reply = boost::get<InstallSnapshotReply>(&message.body))
@@ -409,7 +416,8 @@
   std::string text = name(action.kind);
   if (action.packetHash) {
     const auto* packet = findPacket(action.packetHash);
-    return text + " " + (packet ? model::describe(packet->message) : "what is not there");
+    return text + " " +
+           (packet ? model::describe(packet->message) : "a message that is not in flight");
   }
   const ModelNode& own = node(action.machine);
   text += " " + own.self.id.value;
--- a/source/checker/model/search.cpp
+++ b/source/checker/model/search.cpp
@@ -1,3 +1,4 @@
+// Implements the breadth-first search, the random walks and the shortening of traces.
 #include "checker/model/search.hpp"
 
 #include "checker/model/describe.hpp"
@@ -17,27 +18,27 @@
   std::chrono::steady_clock::time_point began = std::chrono::steady_clock::now();
 };
 
-// The name of a rule, without what it was broken by.
+// Returns the name of an invariant without the details of the violation.
 std::string ruleName(const std::string& rule) {
   return rule.substr(0, rule.find(':'));
 }
 
-class BreadthFirst {
+class BreadthFirstSearch {
  public:
-  BreadthFirst(const ModelCluster& start, const SearchBounds& bounds) : bounds(bounds) {
+  BreadthFirstSearch(const ModelCluster& start, const SearchBounds& bounds) : bounds(bounds) {
     visit(start, 0, Action{}, 0);
   }
 
   SearchReport run() {
     const Stopwatch watch;
-    while (!frontier.empty() && !report.counterexample && !full) {
-      const Open open = std::move(frontier.front());
+    while (!frontier.empty() && !report.counterexample && !limitReached) {
+      const FrontierState current = std::move(frontier.front());
       frontier.pop_front();
-      report.completeDepth = open.depth;
-      if (open.depth < bounds.depth)
-        expand(open);
+      report.completeDepth = current.depth;
+      if (current.depth < bounds.depth)
+        expand(current);
     }
-    report.exhausted = frontier.empty() && !report.counterexample && !full;
+    report.exhausted = frontier.empty() && !report.counterexample && !limitReached;
     if (report.exhausted)
       report.completeDepth = report.depth;
     report.states = reached.size();
@@ -46,61 +47,61 @@
   }
 
  private:
-  struct Open {
-    ModelCluster world;
-    std::size_t place;  // in `reached`
+  struct FrontierState {
+    ModelCluster cluster;
+    std::size_t index;  // in `reached`
     std::size_t depth;
   };
-  struct Reached {
-    std::size_t from;
-    Action by;
+  struct ReachedState {
+    std::size_t parent;
+    Action action;
   };
 
-  void expand(const Open& open) {
-    for (const auto& action : open.world.enabledActions()) {
-      ModelCluster next = open.world;
+  void expand(const FrontierState& current) {
+    for (const auto& action : current.cluster.enabledActions()) {
+      ModelCluster next = current.cluster;
       if (!next.apply(action))
         continue;
       ++report.transitions;
       if (next.violation()) {
-        report.counterexample = Counterexample{*next.violation(), traceTo(open.place)};
+        report.counterexample = Counterexample{*next.violation(), traceTo(current.index)};
         report.counterexample->trace.push_back(action);
         return;
       }
-      visit(std::move(next), open.place, action, open.depth + 1);
+      visit(std::move(next), current.index, action, current.depth + 1);
       if (reached.size() >= bounds.states) {
-        full = true;
+        limitReached = true;
         return;
       }
     }
   }
 
-  void visit(ModelCluster world, std::size_t from, const Action& by, std::size_t depth) {
-    if (!seen.insert(world.hash()).second)
+  void visit(ModelCluster cluster, std::size_t parent, const Action& action, std::size_t depth) {
+    if (!seen.insert(cluster.hash()).second)
       return;
-    reached.push_back({from, by});
+    reached.push_back({parent, action});
     report.depth = std::max(report.depth, depth);
-    frontier.push_back({std::move(world), reached.size() - 1, depth});
+    frontier.push_back({std::move(cluster), reached.size() - 1, depth});
   }
 
   Trace traceTo(std::size_t index) const {
     Trace trace;
-    for (; index != 0; index = reached[index].from)
-      trace.push_back(reached[index].by);
+    for (; index != 0; index = reached[index].parent)
+      trace.push_back(reached[index].action);
     std::reverse(trace.begin(), trace.end());
     return trace;
   }
 
   SearchBounds bounds;
   SearchReport report;
-  bool full = false;
+  bool limitReached = false;
   std::unordered_set<std::uint64_t> seen;
-  std::vector<Reached> reached;
-  std::deque<Open> frontier;
+  std::vector<ReachedState> reached;
+  std::deque<FrontierState> frontier;
 };
 
-// How much more often than the rest a kind of step is drawn: without these most walks are
-// elections that no message outlives.
+// The relative probability of each kind of action. With equal weights, most walks would consist of
+// elections during which no message is delivered.
 unsigned weight(ActionKind kind) {
   switch (kind) {
     case ActionKind::deliver:
@@ -126,21 +127,21 @@
   }
 }
 
-class Walk {
+class RandomWalk {
  public:
-  Walk(const ModelCluster& start, const WalkOptions& options, std::uint64_t seed)
-      : world(start), options(options), random(seed) {}
+  RandomWalk(const ModelCluster& start, const WalkOptions& options, std::uint64_t seed)
+      : cluster(start), options(options), random(seed) {}
 
   std::optional<Counterexample> run(std::unordered_set<std::uint64_t>& seen) {
     while (trace.size() < options.steps) {
       const auto action = draw();
       if (!action)
         return std::nullopt;
-      world.apply(*action);
+      cluster.apply(*action);
       trace.push_back(*action);
-      seen.insert(world.hash());
-      if (world.violation())
-        return Counterexample{*world.violation(), trace};
+      seen.insert(cluster.hash());
+      if (cluster.violation())
+        return Counterexample{*cluster.violation(), trace};
     }
     return std::nullopt;
   }
@@ -148,8 +149,8 @@
 
  private:
   std::optional<Action> draw() {
-    auto actions = world.enabledActions();
-    if (world.network().size() > options.maxPacketsInFlight) {
+    auto actions = cluster.enabledActions();
+    if (cluster.network().size() > options.maxPacketsInFlight) {
       std::erase_if(actions, [](const Action& action) {
         return action.kind != ActionKind::drop && action.kind != ActionKind::deliver;
       });
@@ -168,7 +169,7 @@
     return std::nullopt;
   }
 
-  ModelCluster world;
+  ModelCluster cluster;
   const WalkOptions& options;
   Random random;
   Trace trace;
@@ -177,7 +178,7 @@
 }  // namespace
 
 SearchReport searchBreadthFirst(const ModelCluster& start, const SearchBounds& bounds) {
-  return BreadthFirst(start, bounds).run();
+  return BreadthFirstSearch(start, bounds).run();
 }
 
 SearchReport searchRandomly(const ModelCluster& start, const WalkOptions& options) {
@@ -185,7 +186,7 @@
   SearchReport report;
   std::unordered_set<std::uint64_t> seen;
   for (std::uint64_t index = 0; index < options.walks && !report.counterexample; ++index) {
-    Walk walk(start, options, options.seed + index);
+    RandomWalk walk(start, options, options.seed + index);
     report.counterexample = walk.run(seen);
     report.transitions += walk.steps();
     report.depth = std::max(report.depth, walk.steps());
@@ -198,49 +199,50 @@
 }
 
 std::optional<std::string> replay(const ModelCluster& start, const Trace& trace) {
-  ModelCluster world = start;
+  ModelCluster cluster = start;
   for (const auto& action : trace)
-    if (world.apply(action) && world.violation())
-      return world.violation();
+    if (cluster.apply(action) && cluster.violation())
+      return cluster.violation();
   return std::nullopt;
 }
 
-Counterexample minimize(const ModelCluster& start, Counterexample finding) {
-  const auto same = [&](const Trace& trace) {
+Counterexample minimize(const ModelCluster& start, Counterexample counterexample) {
+  const auto violatesSameInvariant = [&](const Trace& trace) {
     const auto rule = replay(start, trace);
-    return rule && ruleName(*rule) == ruleName(finding.rule);
+    return rule && ruleName(*rule) == ruleName(counterexample.rule);
   };
-  for (std::size_t length = std::max<std::size_t>(1, finding.trace.size() / 2); length > 0;) {
-    bool smaller = false;
-    for (std::size_t index = 0; index + length <= finding.trace.size();) {
-      Trace fewer = finding.trace;
-      const auto from = fewer.begin() + std::ptrdiff_t(index);
-      fewer.erase(from, from + std::ptrdiff_t(length));
-      if (same(fewer)) {
-        finding.trace = std::move(fewer);
-        smaller = true;
+  for (std::size_t length = std::max<std::size_t>(1, counterexample.trace.size() / 2);
+       length > 0;) {
+    bool shortened = false;
+    for (std::size_t index = 0; index + length <= counterexample.trace.size();) {
+      Trace shorterTrace = counterexample.trace;
+      const auto from = shorterTrace.begin() + std::ptrdiff_t(index);
+      shorterTrace.erase(from, from + std::ptrdiff_t(length));
+      if (violatesSameInvariant(shorterTrace)) {
+        counterexample.trace = std::move(shorterTrace);
+        shortened = true;
       } else
         ++index;
     }
-    if (!smaller || length > 1)
+    if (!shortened || length > 1)
       length /= 2;
   }
-  finding.rule = replay(start, finding.trace).value_or(finding.rule);
-  return finding;
+  counterexample.rule = replay(start, counterexample.trace).value_or(counterexample.rule);
+  return counterexample;
 }
 
-std::string print(const ModelCluster& start, const Counterexample& finding) {
-  std::string text = finding.rule + "\n";
-  ModelCluster world = start;
-  for (std::size_t machine = 0; machine < world.machines(); ++machine)
-    text += "  start " + describe(world.node(machine)) + "\n";
+std::string print(const ModelCluster& start, const Counterexample& counterexample) {
+  std::string text = counterexample.rule + "\n";
+  ModelCluster cluster = start;
+  for (std::size_t machine = 0; machine < cluster.machines(); ++machine)
+    text += "  start " + describe(cluster.node(machine)) + "\n";
   std::size_t step = 0;
-  for (const auto& action : finding.trace) {
-    text += "  " + std::to_string(++step) + ". " + world.describe(action) + "\n";
-    world.apply(action);
+  for (const auto& action : counterexample.trace) {
+    text += "  " + std::to_string(++step) + ". " + cluster.describe(action) + "\n";
+    cluster.apply(action);
   }
-  for (std::size_t machine = 0; machine < world.machines(); ++machine)
-    text += "  end   " + describe(world.node(machine)) + "\n";
+  for (std::size_t machine = 0; machine < cluster.machines(); ++machine)
+    text += "  end   " + describe(cluster.node(machine)) + "\n";
   return text;
 }
 
--- a/tests/checker/history_tests.cpp
+++ b/tests/checker/history_tests.cpp
@@ -1,3 +1,4 @@
+// Tests reading and writing of history files.
 #include "checker/history.hpp"
 #include <picojson.h>
 
@@ -6,7 +7,7 @@
 
 TEST_GROUP(HistoryTests){};
 
-TEST(HistoryTests, aLineSurvivesItsWriting) {
+TEST(HistoryTests, eventsSurviveARoundTrip) {
   HistoryEvent given;
   given.kind = HistoryEvent::Kind::started;
   given.timestamp = 20;
@@ -24,26 +25,26 @@
   CHECK(!HistoryEvent::parseJsonLine("{\"at\":1,\"kind\":\"sung\"}"));
 }
 
-TEST(HistoryTests, whatIsNoWholeHistoryIsAnErrorByLine) {
-  auto at = [](std::int64_t time, HistoryEvent::Kind kind) {
+TEST(HistoryTests, incompleteHistoriesAreReportedWithTheirLine) {
+  auto makeLine = [](std::int64_t time, HistoryEvent::Kind kind) {
     HistoryEvent given;
     given.timestamp = time;
     given.kind = kind;
     return given.toJsonLine() + "\n";
   };
   using K = HistoryEvent::Kind;
-  auto fault = [](const std::string& text) {
+  auto errorOf = [](const std::string& text) {
     auto read = readHistory("f", text);
     return read ? std::string("good") : read.error().message();
   };
-  STRCMP_EQUAL("f: holds no history", fault("").c_str());
+  STRCMP_EQUAL("f: holds no history", errorOf("").c_str());
   STRCMP_EQUAL("f:1: is cut off: the writer's closing line is missing",
-               fault(at(1, K::submitted)).c_str());
+               errorOf(makeLine(1, K::submitted)).c_str());
   STRCMP_EQUAL("f:2: is no witness' line",
-               fault(at(1, K::submitted) + "{\"at\":\n" + at(2, K::closed)).c_str());
-  STRCMP_EQUAL("f:2: stands after a later line: the history is out of order",
-               fault(at(5000, K::submitted) + at(1, K::closed)).c_str());
-  STRCMP_EQUAL(
-      "good",
-      fault(at(1, K::started) + "{\"at\":\n" + at(2, K::workerLost) + at(3, K::closed)).c_str());
+               errorOf(makeLine(1, K::submitted) + "{\"at\":\n" + makeLine(2, K::closed)).c_str());
+  STRCMP_EQUAL("f:2: is older than the line before it: the history is out of order",
+               errorOf(makeLine(5000, K::submitted) + makeLine(1, K::closed)).c_str());
+  STRCMP_EQUAL("good", errorOf(makeLine(1, K::started) + "{\"at\":\n" + makeLine(2, K::workerLost) +
+                               makeLine(3, K::closed))
+                           .c_str());
 }
