--- a/programs/agent.cpp
+++ b/programs/agent.cpp
@@ -9,7 +9,7 @@
 using namespace aniseline;
 
 int main(int count, char** values) {
-  holdSignalsUntilHandled();
+  blockSignalsUntilHandled();
   AgentSettings settings;
   std::string from;
   std::int64_t longestHold = settings.options.maxWorkerLease.milliseconds;
--- a/programs/controller.cpp
+++ b/programs/controller.cpp
@@ -8,7 +8,7 @@
 using namespace aniseline;
 
 int main(int count, char** values) {
-  holdSignalsUntilHandled();
+  blockSignalsUntilHandled();
   ControllerSettings settings;
   std::string policiesLeftOut;
   OptionSet options("controller", "aniseline's control plane and state, on a machine with a disk");
--- a/programs/gateway.cpp
+++ b/programs/gateway.cpp
@@ -7,7 +7,7 @@
 using namespace aniseline;
 
 int main(int count, char** values) {
-  holdSignalsUntilHandled();
+  blockSignalsUntilHandled();
   GatewaySettings settings;
   OptionSet options("gateway",
                     "aniseline's data plane, on every machine that callers and workers reach");
--- a/source/net/contacts.cpp
+++ b/source/net/contacts.cpp
@@ -1,3 +1,4 @@
+// Encodes and decodes the contacts response.
 #include "net/contacts.hpp"
 #include "base/json.hpp"
 #include "net/http_status.hpp"
@@ -17,7 +18,7 @@
   return list;
 }
 
-// A list of the answer; empty if it is not there.
+// Returns a list in the response; empty if it is missing or invalid.
 picojson::array listIn(const HttpResponse& answer, const char* field) {
   picojson::value root;
   if (answer.status != http_status::ok || !parseJson(root, answer.body).empty() ||
@@ -30,14 +31,14 @@
 
 std::optional<ApiResponse> answerContactsRequest(const HttpRequest& request,
                                                  const LeaderRoute& route) {
-  static std::atomic<std::uint64_t> turn{0};
+  static std::atomic<std::uint64_t> rotation{0};
   if (request.method != "GET" || !request.target.starts_with(contactsPath))
     return std::nullopt;
   const std::string query = request.target.substr(contactsPath.size());
   if (!query.empty() && !query.starts_with(zoneQuery))
     return std::nullopt;
   const ZoneName zone{query.empty() ? "" : query.substr(zoneQuery.size())};
-  const auto gateways = orderedByZonePreference(route.gateways, zone, turn++);
+  const auto gateways = orderedByZonePreference(route.gateways, zone, rotation++);
   return ApiResponse::of(http_status::ok, {{"gateways", json(addressList(gateways))},
                                            {"controllers", json(addressList(route.controllers))},
                                            {"leader", json(route.leader.value)}});
--- a/source/net/data_folder.cpp
+++ b/source/net/data_folder.cpp
@@ -1,3 +1,4 @@
+// Implements the file format, atomic writes, recovery and quarantine of a data folder.
 #include "net/data_folder.hpp"
 #include <cerrno>
 #include <fcntl.h>
@@ -10,17 +11,17 @@
 
 using Code = DiskError::Code;
 
-// A file begins with the product's mark and the three digits of the format.
+// Every file begins with a product mark and the three digits of its format version.
 constexpr char formatMark[8] = {'A', 'N', 'I', 'S', 'E', '0', '0', '5'};
 constexpr std::size_t productMarkBytes = 5;
 constexpr std::size_t formatDigits = sizeof formatMark - productMarkBytes;
-// The mark, the size of the body in 8 bytes, and its checksum in 4.
+// The header: the mark, the size of the body in 8 bytes, and the body's checksum in 4 bytes.
 constexpr std::size_t headerBytes = sizeof formatMark + 8 + 4;
 
 constexpr const char* identityName = "identity";
 constexpr std::string_view snapshotPrefix = "snapshot-";
 constexpr std::string_view logPrefix = "log-";
-// Of a file that is still being written.
+// The suffix of a file that is still being written.
 constexpr std::string_view partialSuffix = ".partial";
 
 std::string fileNameOf(const WriteAheadRecord& record) {
@@ -29,13 +30,13 @@
   return std::string(record.holdsSnapshot ? snapshotPrefix : logPrefix) + version;
 }
 
-// What the name of a record's file says of it.
+// The attributes of a record that are encoded in its file name.
 struct RecordFile {
   std::uint64_t version = 0;
   bool holdsSnapshot = false;
 };
 
-// Nothing where the name is not that of a record's file.
+// Returns nothing if the name is not that of a record file.
 std::optional<RecordFile> parseRecordName(const std::string& name) {
   const bool isSnapshot = name.starts_with(snapshotPrefix);
   if ((!isSnapshot && !name.starts_with(logPrefix)) || name.ends_with(partialSuffix))
@@ -44,14 +45,15 @@
   return RecordFile{std::strtoull(name.c_str() + prefixLength, nullptr, 10), isSnapshot};
 }
 
-// The files that hold the newest state, by version.
+// The record files that hold the newest state.
 struct RecordFiles {
-  std::uint64_t snapshotVersion = 0;  // of the newest snapshot; 0 where there is none
-  std::map<std::uint64_t, std::string> paths;
+  std::uint64_t snapshotVersion = 0;           // the newest snapshot's version; 0 if there is none
+  std::map<std::uint64_t, std::string> paths;  // by version
 };
 
-// Older files are there where their removal was not durable. They are of no use: when the newest
-// snapshot can't be read, nothing tells whether they hold everything that was acknowledged.
+// Returns the files from the newest snapshot on. Older files may remain because their removal was
+// not durable. They are ignored even if the newest snapshot can't be read, because they may not
+// contain everything that was acknowledged.
 DiskResult<RecordFiles> newestRecords(const std::string& folder, FileSystem& fileSystem) {
   auto names = fileSystem.listNames(folder);
   if (!names)
@@ -63,7 +65,7 @@
       continue;
     const std::string path = folder + "/" + name;
     if (!files.paths.emplace(file->version, path).second)
-      return DiskError{Code::versionDuplicated, path, 0, "a version stands twice"};
+      return DiskError{Code::versionDuplicated, path, 0, "another file holds the same version"};
     if (file->holdsSnapshot)
       files.snapshotVersion = std::max(files.snapshotVersion, file->version);
   }
@@ -84,7 +86,7 @@
     return DiskError{Code::unreadableRecord, path, headerBytes, record.error().text()};
   if (record.value().version.value != version)
     return DiskError{Code::versionMismatch, path, headerBytes,
-                     "holds another version than its name says"};
+                     "holds a version that differs from its file name"};
   return std::move(record.value());
 }
 
@@ -93,38 +95,39 @@
 std::string DataFolder::frame(const std::string& body) {
   std::string framed(formatMark, sizeof formatMark);
   const std::uint64_t size = body.size();
-  const std::uint32_t sum = checksum(body);
+  const std::uint32_t bodyChecksum = checksum(body);
   framed.append(reinterpret_cast<const char*>(&size), sizeof size);
-  framed.append(reinterpret_cast<const char*>(&sum), sizeof sum);
+  framed.append(reinterpret_cast<const char*>(&bodyChecksum), sizeof bodyChecksum);
   return framed + body;
 }
 
 DiskResult<std::string> DataFolder::unframe(const std::string& file, const std::string& bytes) {
   if (bytes.size() < headerBytes)
-    return DiskError{Code::truncated, file, bytes.size(), "is torn: the head is not whole"};
+    return DiskError{Code::truncated, file, bytes.size(), "is truncated: the header is incomplete"};
   if (std::memcmp(bytes.data(), formatMark, productMarkBytes) != 0)
-    return DiskError{Code::foreignFile, file, 0, "is not a file of aniseline"};
+    return DiskError{Code::foreignFile, file, 0, "was not written by aniseline"};
   if (std::memcmp(bytes.data(), formatMark, sizeof formatMark) != 0) {
     const std::string format = bytes.substr(productMarkBytes, formatDigits);
     return DiskError{Code::unsupportedFormat, file, productMarkBytes,
-                     "is of format " + format + ", which this version does not read"};
+                     "has format " + format + ", which this version can't read"};
   }
   std::uint64_t size;
-  std::uint32_t sum;
+  std::uint32_t bodyChecksum;
   std::memcpy(&size, bytes.data() + sizeof formatMark, sizeof size);
-  std::memcpy(&sum, bytes.data() + sizeof formatMark + sizeof size, sizeof sum);
+  std::memcpy(&bodyChecksum, bytes.data() + sizeof formatMark + sizeof size, sizeof bodyChecksum);
   if (bytes.size() - headerBytes != size)
-    return DiskError{Code::truncated, file, bytes.size(),
-                     "is torn: " + std::to_string(size) + " bytes were written"};
+    return DiskError{
+        Code::truncated, file, bytes.size(),
+        "is truncated or too long: the body should have " + std::to_string(size) + " bytes"};
   std::string body = bytes.substr(headerBytes);
-  if (checksum(body) != sum)
+  if (checksum(body) != bodyChecksum)
     return DiskError{Code::checksumMismatch, file, headerBytes,
                      "is corrupt: the checksum does not match"};
   return body;
 }
 
-// The file is there completely or not at all: it gets its name only once its content is durable,
-// and counts as written only once the name is.
+// Writes a file completely or not at all: the file is renamed to its final name once its content is
+// durable, and the write succeeds only once the rename is durable.
 DiskResult<void> DataFolder::writeFileAtomically(const std::string& name,
                                                  const std::string& bytes) {
   const std::string target = pathOf(name);
@@ -147,7 +150,7 @@
     ::close(lock);
     return DiskError{Code::folderInUse, path, 0, "is in use by another process"};
   }
-  // The descriptor stays open, and with it the lock, until the process ends.
+  // The descriptor is never closed, so the lock is held until the process ends.
   return openLocked();
 }
 
@@ -171,7 +174,7 @@
   for (const auto& name : names.value()) {
     if (parseRecordName(name))
       return DiskError{Code::identityMissing, pathOf(identityName), 0,
-                       "is missing, but the folder holds state"};
+                       "is missing, although the folder holds state"};
   }
   std::random_device device;
   char identity[40];
@@ -191,8 +194,8 @@
     if (auto removed = fileSystem->remove(pathOf(name)); !removed)
       return removed.error();
   }
-  // A process that was killed may have left a version whose name is not durable yet. It is about to
-  // be claimed to others, so it is made durable first.
+  // A process that was killed may have left a version whose file name is not durable yet. This
+  // process is about to report that version to others, so it is made durable first.
   if (auto synced = fileSystem->syncFolder(path); !synced)
     return synced.error();
   return readRecords(path, *fileSystem);
@@ -221,14 +224,14 @@
 
 DiskResult<void> DataFolder::write(const WriteAheadRecord& record) {
   auto written = writeFileAtomically(fileNameOf(record), frame(pack(record)));
-  // Only now that the snapshot is durable, its name included. A file that is back after a loss of
-  // power lies below it and is not read.
+  // Older files are removed only now that the snapshot and its file name are durable. A removed
+  // file that reappears after a power loss has an older version than the snapshot and is not read.
   if (written && record.holdsSnapshot)
     removeVersionsBefore(record.version);
   return written;
 }
 
-// What can't be removed now is removed with the next snapshot.
+// Removes older record files. Files that can't be removed now are removed with the next snapshot.
 void DataFolder::removeVersionsBefore(DiskVersion version) {
   auto names = fileSystem->listNames(path);
   if (!names)
@@ -247,7 +250,7 @@
   const std::string target = pathOf("aside-" + std::to_string(number));
   if (auto made = fileSystem->makeFolder(target); !made)
     return made;
-  // The identity goes first: without it the rest is never taken for a voter's state.
+  // The identity is moved first: state without an identity is never used as the state of a voter.
   const std::string identityPath = pathOf(identityName);
   if (fileSystem->exists(identityPath)) {
     if (auto moved = fileSystem->rename(identityPath, target + "/" + identityName); !moved)
--- a/source/net/data_folder.hpp
+++ b/source/net/data_folder.hpp
@@ -1,6 +1,6 @@
-// A controller's data folder: its identity, and one file for each version of its durable state. The
-// controller daemon owns it, opens it on its own thread, and then writes on a thread that does
-// nothing else. docs/design.md 3.3.
+// Stores a controller's identity and its durable state, with one file per version of the state. The
+// controller daemon owns the folder, opens it on its main thread, and then writes on a dedicated
+// thread. docs/design.md 3.3.
 #ifndef ANISELINE_NET_DATA_FOLDER_HPP
 #define ANISELINE_NET_DATA_FOLDER_HPP
 #include "net/file_system.hpp"
@@ -13,30 +13,32 @@
   explicit DataFolder(std::string path, std::shared_ptr<FileSystem> fileSystem = posixFileSystem())
       : path(std::move(path)), fileSystem(std::move(fileSystem)) {}
 
-  // Locks the folder for the life of this process and reads the identity; an empty folder gets a
-  // new one. The identity may be sent to others only after `load`, which makes it durable.
+  // Locks the folder until this process ends and returns the identity; creates one in an empty
+  // folder. The identity may be sent to other processes only after `load`, which makes it durable.
   DiskResult<ControllerId> open();
-  // The same, where this process holds the lock already.
+  // Does the same without locking, for a process that already holds the lock.
   DiskResult<ControllerId> openLocked();
 
-  // The newest state, all of it durable: the newest record with a snapshot and those after it, in
-  // the order of their versions. Where one is missing or can't be read that is an error: an older
-  // state is never returned for the newest.
+  // Returns the newest state, all of it durable: the newest record with a snapshot and all records
+  // after it, in the order of their versions. A missing or unreadable record is an error: an older
+  // state is never returned in place of the newest.
   DiskResult<std::vector<WriteAheadRecord>> load();
-  // Makes a record durable. One with a snapshot replaces all older ones.
+  // Writes a record durably. A record with a snapshot replaces all older records.
   DiskResult<void> write(const WriteAheadRecord& record);
 
-  // Moves the identity and the state to a subfolder, where the identity may not vote any more; the
-  // next `openLocked` begins a new identity.
+  // Moves the identity and the state to a subfolder. This retires the identity, which must never
+  // vote again; the next `openLocked` creates a new one.
   DiskResult<void> quarantine();
 
-  // What `load` returns, but leaves the folder as it is, so that it may be in use.
+  // Returns the same records as `load` without modifying the folder, so the folder may be in use by
+  // another process.
   static DiskResult<std::vector<WriteAheadRecord>> readRecords(
       const std::string& path, FileSystem& fileSystem = *posixFileSystem());
 
-  // A file's content: a header with the format, the size and a checksum, and the body.
+  // Returns the content of a file with this body: a header with the format, the size and a
+  // checksum, followed by the body.
   static std::string frame(const std::string& body);
-  // The body of a file's content. \param file is its name, for errors.
+  // Returns the body in the content of a file. \param file is the file's name, for errors.
   static DiskResult<std::string> unframe(const std::string& file, const std::string& bytes);
 
  private:
--- a/source/net/event_loop.cpp
+++ b/source/net/event_loop.cpp
@@ -1,3 +1,4 @@
+// Parses endpoints and opens listening sockets.
 #include "net/event_loop.hpp"
 
 namespace aniseline {
@@ -6,7 +7,7 @@
   auto fail = [&] {
     return CoreError::at(
         CoreError::Kind::invalid, "",
-        "'" + address.value + "' is not an IP number and port such as 127.0.0.1:8000");
+        "'" + address.value + "' is not an IP address and port such as 127.0.0.1:8000");
   };
   const auto colon = address.value.rfind(':');
   if (colon == std::string::npos)
--- a/source/net/event_loop.hpp
+++ b/source/net/event_loop.hpp
@@ -1,4 +1,5 @@
-// One thread's fibers over one Asio context. docs/design.md 9.1.
+// Runs the fibers of one thread on one Asio context, and offers the basic operations of a fiber:
+// asynchronous I/O, sleeping, clocks and listening sockets. docs/design.md 9.1.
 #ifndef ANISELINE_NET_EVENT_LOOP_HPP
 #define ANISELINE_NET_EVENT_LOOP_HPP
 #include "base/types.hpp"
@@ -14,8 +15,8 @@
 using tcp = asio::ip::tcp;
 using IoError = boost::system::error_code;
 
-// When no fiber of the thread is ready the thread waits in the Asio context, whose handlers make
-// fibers ready.
+// Schedules the ready fibers of one thread in order of readiness. While no fiber is ready, the
+// thread runs the Asio context, whose completion handlers wake fibers up.
 class FiberScheduler : public boost::fibers::algo::algorithm {
  public:
   explicit FiberScheduler(asio::io_context& context) : context(context) {}
@@ -46,14 +47,16 @@
   boost::fibers::scheduler::ready_queue_type queue;
 };
 
+// Installs the fiber scheduler on the thread that constructs it and owns that thread's Asio
+// context.
 class EventLoop {
  public:
   EventLoop() : guard(asio::make_work_guard(context)) {
     boost::fibers::use_scheduling_algorithm<FiberScheduler>(context);
   }
   asio::io_context context;
-  // Opens a socket that connects from the given IP number, where a machine has several. Empty: the
-  // system chooses.
+  // Opens a socket for a connection to `target` and binds it to `sourceIp`. With an empty
+  // `sourceIp` the operating system chooses the source address.
   IoError openSocket(tcp::socket& socket, const tcp::endpoint& target) const {
     IoError error;
     socket.open(target.protocol(), error);
@@ -61,7 +64,9 @@
       socket.bind(tcp::endpoint(asio::ip::make_address(sourceIp, error), 0), error);
     return error;
   }
-  static inline std::string sourceIp;  // of the whole process, set once before anything connects
+  // The IP address from which all connections of this process are made; for machines that have
+  // several. Set once, before the first connection.
+  static inline std::string sourceIp;
 
  private:
   asio::executor_work_guard<asio::io_context::executor_type> guard;
@@ -72,8 +77,8 @@
   std::size_t bytes = 0;
 };
 
-// Starts an asynchronous operation of this thread's context and lets other fibers run until it is
-// done.
+// Starts an asynchronous operation on this thread's context and suspends the calling fiber until
+// the operation completes. `start` receives the completion handler.
 template <class Start>
 IoResult await(Start&& start) {
   boost::fibers::promise<IoResult> promise;
@@ -84,18 +89,20 @@
   return future.get();
 }
 
-// A fiber of this thread; whoever keeps it joins it.
+// Starts a fiber on this thread. The caller has to join it.
 template <class Work>
 boost::fibers::fiber startFiber(Work&& work) {
   return boost::fibers::fiber(boost::fibers::launch::post, std::allocator_arg,
                               boost::fibers::fixedsize_stack(256 * 1024), std::forward<Work>(work));
 }
 
+// Starts a detached fiber on this thread.
 template <class Work>
 void spawn(Work&& work) {
   startFiber(std::forward<Work>(work)).detach();
 }
 
+// Runs `work` in a detached fiber after a delay.
 template <class Work>
 void runAfter(Duration span, Work&& work) {
   spawn([span, work = std::forward<Work>(work)] {
@@ -118,6 +125,8 @@
   boost::this_fiber::sleep_for(std::chrono::milliseconds(span.milliseconds));
 }
 
+// Returns the IP address of a listen address, for `EventLoop::sourceIp`; empty for a wildcard
+// address.
 inline std::string sourceIpOf(const Address& address) {
   const auto colon = address.value.rfind(':');
   std::string ip = address.value.substr(0, colon);
@@ -126,14 +135,17 @@
   return ip == "0.0.0.0" || ip == "::" ? std::string() : ip;
 }
 
-// IP numbers only: 127.0.0.1:8000 or [::1]:8000.
+// Parses a numeric IP address with a port, such as 127.0.0.1:8000 or [::1]:8000. Host names are an
+// error.
 Result<tcp::endpoint> parseEndpoint(const Address& address);
 
-// How many connections may wait to be accepted: from our own processes, and from clients.
+// The lengths of the listen backlog for connections from other aniseline processes and from HTTP
+// clients.
 constexpr int peerBacklog = 256, clientBacklog = 1024;
-// Before the next connection is accepted after an error, as when no descriptor is free.
+// The delay before the next accept after a failed one, for example when no file descriptor is free.
 constexpr Duration acceptRetryDelay{10};
-// Has an acceptor listen. Shared: other acceptors may listen at the same endpoint.
+// Opens an acceptor and starts to listen. With `shared` (SO_REUSEPORT) other acceptors may listen
+// on the same endpoint.
 IoError listenOn(tcp::acceptor& acceptor, const tcp::endpoint& endpoint, int backlog,
                  bool shared = false);
 
--- a/source/net/file_system.cpp
+++ b/source/net/file_system.cpp
@@ -1,3 +1,4 @@
+// Implements FileSystem with POSIX system calls.
 #include "net/file_system.hpp"
 #include <cerrno>
 #include <fcntl.h>
@@ -11,7 +12,7 @@
 
 namespace {
 
-// The error of the system call that failed last.
+// Returns the error of the last failed system call, from errno.
 DiskError lastSystemError(const std::string& path, std::uint64_t offset = 0) {
   return DiskError{DiskError::Code::systemError, path, offset, std::strerror(errno)};
 }
@@ -57,7 +58,8 @@
       return lastSystemError(path);
     std::string bytes((std::istreambuf_iterator<char>(stream)), {});
     if (stream.bad())
-      return DiskError{DiskError::Code::readFailed, path, bytes.size(), "can't be read"};
+      return DiskError{DiskError::Code::readFailed, path, bytes.size(),
+                       "could not be read to its end"};
     return bytes;
   }
 
@@ -90,20 +92,20 @@
     return outcome::success();
   }
 
-  // The name of each new folder is made durable in the one above it.
+  // Syncs the parent of each new folder, which makes the new folder's name durable.
   DiskResult<void> makeFolder(const std::string& path) override {
     const fs::path folder = fs::absolute(path).lexically_normal();
     if (exists(folder))
       return outcome::success();
-    const fs::path above =
+    const fs::path parent =
         folder.has_filename() ? folder.parent_path() : folder.parent_path().parent_path();
-    if (auto made = makeFolder(above); !made)
+    if (auto made = makeFolder(parent); !made)
       return made;
     std::error_code error;
     fs::create_directory(folder, error);
     if (error)
       return systemError(path, error);
-    return syncFolder(above);
+    return syncFolder(parent);
   }
 
   DiskResult<void> syncFolder(const std::string& path) override {
--- a/source/net/gateway_client.cpp
+++ b/source/net/gateway_client.cpp
@@ -1,3 +1,4 @@
+// Decides which requests may be repeated, and retries them across gateways.
 #include "net/gateway_client.hpp"
 #include "base/json.hpp"
 #include "net/contacts.hpp"
@@ -9,21 +10,23 @@
 
 constexpr Duration refreshInterval{5000};
 constexpr Duration refreshTimeout{500};
-// A gateway that is silent for longer is left for the next.
+// A repeatable request moves on to the next gateway after this time without a response.
 constexpr Duration repeatableAttemptTimeout{1500};
 constexpr std::int64_t minRetryDelayMilliseconds = 50;
 constexpr std::int64_t maxRetryDelayMilliseconds = 500;
 
-// What has its own identity or changes nothing may be asked again after a loss: a job by its id and
-// content, a cancel by the job's, a config by its base and content. An order about a worker or a
-// controller has none: asked again it could undo what another operator said meanwhile, or declare
-// gone a worker that has come back.
+// Reports whether a request may be sent again after a lost connection. This holds for requests that
+// change nothing or are idempotent: a submission is identified by the job's id and content, a
+// cancellation by the job's id, a config by its base version and content. An operator's command
+// about a worker or a controller has no such identity: repeating it could undo what another
+// operator did in the meantime, or declare a worker gone that has come back.
 bool isRepeatable(const HttpRequest& request) {
   return !(request.method == "POST" && (request.target.starts_with("/v1/workers/") ||
                                         request.target.starts_with("/v1/controllers/")));
 }
 
-bool surelyNotApplied(const HttpResponse& answer) {
+// Reports whether the response says that the request was not applied.
+bool isKnownNotApplied(const HttpResponse& answer) {
   picojson::value root;
   return parseJson(root, answer.body).empty() && root.is<picojson::object>() &&
          root.get("error").to_str() == "not_taken";
@@ -56,8 +59,8 @@
   if (!zone || monotonicNow() - refreshedAt < refreshInterval)
     return;
   refreshedAt = monotonicNow();
-  // Of the addresses given some may be dead, some controllers, which serve no callers but know who
-  // does.
+  // Some of the configured addresses may be dead, others may be controllers, which do not serve
+  // callers but know the gateways.
   const std::size_t attempts = gateways.hasLearned() ? 1 : gateways.seedCount();
   for (std::size_t attempt = 0; attempt < attempts; ++attempt) {
     const auto answer =
@@ -75,30 +78,31 @@
                                                       Duration timeout) {
   const MonotonicTime deadline = monotonicNow() + timeout;
   const bool repeatable = isRepeatable(request);
-  ClientError last{ClientError::Kind::unknown, 0, "no gateway answers", Duration{0}};
+  ClientError lastError{ClientError::Kind::unknown, 0, "no gateway answered", Duration{0}};
   refreshGateways();
   while (monotonicNow() < deadline) {
-    // What can't be repeated has no other answer to wait for.
-    const Duration left = deadline - monotonicNow();
-    auto result = sendOnce(request, repeatable ? std::min(repeatableAttemptTimeout, left) : left);
+    // A request that must not be repeated gets all of the remaining time for its only attempt.
+    const Duration remaining = deadline - monotonicNow();
+    auto result =
+        sendOnce(request, repeatable ? std::min(repeatableAttemptTimeout, remaining) : remaining);
     if (result) {
       if (result.value().status < http_status::badRequest)
         return result.value();
-      last = errorFrom(result.value());
-      if (last.kind != ClientError::Kind::unknown)
-        return last;
-      if (!repeatable && !surelyNotApplied(result.value()))
-        return last;
+      lastError = errorFrom(result.value());
+      if (lastError.kind != ClientError::Kind::unknown)
+        return lastError;
+      if (!repeatable && !isKnownNotApplied(result.value()))
+        return lastError;
       gateways.markFailed(monotonicNow());
     } else {
-      last = ClientError{ClientError::Kind::unknown, 0, result.error().text, Duration{0}};
+      lastError = ClientError{ClientError::Kind::unknown, 0, result.error().text, Duration{0}};
       if (!repeatable && result.error().kind != HttpError::Kind::unreachable)
-        return last;
+        return lastError;
     }
-    sleepFor(Duration{std::clamp(last.retryAfter.milliseconds, minRetryDelayMilliseconds,
+    sleepFor(Duration{std::clamp(lastError.retryAfter.milliseconds, minRetryDelayMilliseconds,
                                  maxRetryDelayMilliseconds)});
   }
-  return last;
+  return lastError;
 }
 
 }  // namespace aniseline
--- a/source/net/gateway_client.hpp
+++ b/source/net/gateway_client.hpp
@@ -1,4 +1,5 @@
-// Calls of callers and operators to the cluster, through any of its gateways. docs/api.md 4.
+// Sends the requests of callers and operators to the cluster through any of its gateways.
+// docs/api.md 4.
 #ifndef ANISELINE_NET_GATEWAY_CLIENT_HPP
 #define ANISELINE_NET_GATEWAY_CLIENT_HPP
 #include "gateway/peer_directory.hpp"
@@ -8,29 +9,30 @@
 
 struct ClientError {
   enum class Kind {
-    rejected,  // surely not done
-    unknown,   // it may have been done
+    rejected,  // the request was not applied
+    unknown,   // the request may have been applied
     notFound
   } kind = Kind::unknown;
-  int status = 0;  // of HTTP; 0: no answer came
+  int status = 0;  // the HTTP status; 0 if there was no response
   std::string text;
   Duration retryAfter{0};
 };
 
-// Asks through any of several gateways; goes on to the next when one is silent or not able. For the
-// fibers of one thread, one call at a time.
+// Sends requests through one of several gateways and moves on to the next when a gateway does not
+// answer or is unavailable. Used by fibers of one thread, one call at a time.
 class GatewayClient {
  public:
-  // With a zone it learns the gateways in force, its own zone's first; the ones given may all be
-  // replaced meanwhile.
+  // With a zone, the client regularly fetches the current gateways, with those of its own zone
+  // first, so it keeps working when all of the given gateways have been replaced.
   GatewayClient(EventLoop& loop, std::vector<Address> gateways,
                 std::optional<ZoneName> zone = std::nullopt)
       : client(loop), gateways(std::move(gateways), 0), zone(std::move(zone)) {}
 
-  // One attempt at one gateway.
+  // Makes one attempt at one gateway.
   Result<HttpResponse, HttpError> sendOnce(const HttpRequest& request, Duration timeout);
-  // Tries until there is an answer other than `unknown`, or the time is over. What may not be
-  // repeated is sent again only while it surely was not taken; else it ends as unknown.
+  // Tries until there is an outcome other than `unknown` or the timeout expires. A request that
+  // must not be repeated is sent again only if it certainly was not applied; otherwise the call
+  // ends as unknown.
   Result<HttpResponse, ClientError> send(const HttpRequest& request, Duration timeout);
 
   Result<HttpResponse, ClientError> submitJob(const JobSubmission& job, Duration timeout) {
@@ -43,7 +45,7 @@
     return send({"GET", "/v1/jobs/" + job.value, ""}, timeout);
   }
 
-  // Called after every attempt, with what came of it; for histories.
+  // Called after every attempt with its result, so that the program can record a history.
   std::function<void(const HttpRequest&, const Result<HttpResponse, HttpError>&)> onAttempt;
 
  private:
@@ -52,7 +54,8 @@
   HttpClient client;
   PeerDirectory gateways;
   std::optional<ZoneName> zone;
-  MonotonicTime refreshedAt{-1'000'000};  // long before the clock's start
+  MonotonicTime refreshedAt{
+      -1'000'000};  // long before the clock's start, so that the first call refreshes
 };
 
 }  // namespace aniseline
--- a/source/net/history_file.cpp
+++ b/source/net/history_file.cpp
@@ -1,10 +1,12 @@
+// Reads all histories and submissions in a folder.
 #include "net/history_file.hpp"
 #include <filesystem>
 
 namespace aniseline {
 
-Result<FleetHistory, HistoryError> readHistoryFolder(const std::string& folder, bool atWork) {
-  FleetHistory found;
+Result<FleetHistory, HistoryError> readHistoryFolder(const std::string& folder,
+                                                     bool writersRunning) {
+  FleetHistory history;
   std::error_code error;
   for (const auto& entry : std::filesystem::directory_iterator(folder, error)) {
     const std::string name = entry.path();
@@ -13,10 +15,10 @@
     std::ifstream stream(name);
     const std::string text((std::istreambuf_iterator<char>(stream)), {});
     if (name.ends_with(".witness")) {
-      auto read = readHistory(name, text, atWork);
+      auto read = readHistory(name, text, writersRunning);
       if (!read)
         return read.error();
-      found.events.insert(found.events.end(), read.value().begin(), read.value().end());
+      history.events.insert(history.events.end(), read.value().begin(), read.value().end());
       continue;
     }
     std::istringstream lines(text);
@@ -25,18 +27,18 @@
       ++number;
       auto job = ApiRequest::parse("POST", "/v1/jobs", line);
       if (job)
-        found.submissions[job.value().job.id.value] = job.value().job;
-      else if (!atWork)
+        history.submissions[job.value().job.id.value] = job.value().job;
+      else if (!writersRunning)
         return HistoryError{name, number, job.error().text()};
     }
   }
   if (error)
     return HistoryError{folder, 0, error.message()};
-  if (found.events.empty())
+  if (history.events.empty())
     return HistoryError{folder, 0, "holds no history"};
-  if (found.submissions.empty())
+  if (history.submissions.empty())
     return HistoryError{folder, 0, "holds no submissions"};
-  return found;
+  return history;
 }
 
 }  // namespace aniseline
--- a/source/net/history_file.hpp
+++ b/source/net/history_file.hpp
@@ -1,5 +1,4 @@
-// Histories on disk: the file in which a program records events, line by line, and the reader of a
-// folder of them, for history_check.
+// Writes histories to files, one event per line, and reads a folder of them for history_check.
 // docs/design.md 11.
 #ifndef ANISELINE_NET_HISTORY_FILE_HPP
 #define ANISELINE_NET_HISTORY_FILE_HPP
@@ -10,20 +9,20 @@
 
 namespace aniseline {
 
-// Appends events to one file, each flushed at once. For one thread.
+// Appends events to one file and flushes each at once. Used by one thread.
 class HistoryFile {
  public:
-  // Writes nothing.
+  // Constructs a history that writes nothing.
   HistoryFile() = default;
-  // Begins with a new line, because an earlier process of the same name may have left half of one.
-  // An empty name: nothing is written.
+  // Opens a file for appending and begins with a line break, because an earlier process with the
+  // same file may have left an incomplete line. With an empty name nothing is written.
   explicit HistoryFile(const std::string& name) {
     if (name.empty())
       return;
     out.open(name, std::ios::app);
     out << "\n" << std::flush;
   }
-  // Adds the time where the event has none.
+  // Writes an event, with the current time if the event has none.
   void write(HistoryEvent event) {
     if (!out.is_open())
       return;
@@ -37,22 +36,22 @@
     event.detail = std::move(detail);
     write(std::move(event));
   }
-  // Records that nothing follows.
+  // Records that this process writes no more events.
   void close() { write(HistoryEvent::Kind::closed); }
 
  private:
   std::ofstream out;
 };
 
-// What all writers of a folder recorded (*.witness), and the jobs submitted (*.submissions).
+// The recorded events (*.witness) and submitted jobs (*.submissions) of all writers in a folder.
 struct FleetHistory {
   std::vector<HistoryEvent> events;
   std::map<std::string, JobSubmission> submissions;
 };
-// An error in any file is an error of the whole; of writers still at work a line may be half
-// written.
+// Reads the histories in a folder. An error in any file fails the whole call. If the writers are
+// still running, incomplete lines are accepted.
 Result<FleetHistory, HistoryError> readHistoryFolder(const std::string& folder,
-                                                     bool atWork = false);
+                                                     bool writersRunning = false);
 
 }  // namespace aniseline
 
--- a/source/net/http_authorization.cpp
+++ b/source/net/http_authorization.cpp
@@ -1,3 +1,4 @@
+// Extracts the bearer token from the Authorization header.
 #include "net/http_authorization.hpp"
 #include <boost/algorithm/string/predicate.hpp>
 #include <boost/algorithm/string/trim.hpp>
--- a/source/net/http_client.cpp
+++ b/source/net/http_client.cpp
@@ -1,3 +1,4 @@
+// Builds requests, matches responses to them by number, and reuses idle connections.
 #include "net/http_client.hpp"
 #include "net/http_request_number.hpp"
 #include "net/socket_state.hpp"
@@ -31,17 +32,18 @@
 }  // namespace
 
 struct HttpClient::Connection {
-  using Answer = http::response<http::string_body>;
+  using Response = http::response<http::string_body>;
 
   Connection(asio::io_context& context, Address address)
       : stream(context), address(std::move(address)) {}
-  // Nothing waits to be read: neither an answer that is nobody's nor the other side's end.
+  // Reports whether nothing is left to read: neither bytes of an unexpected response nor the end of
+  // the server's stream.
   bool isIdle() {
     return buffer.size() == 0 && receiveQueueOf(stream.socket()) == ReceiveQueue::empty;
   }
-  // Reads the answer to the request of this number. An interim answer, as 100, is followed by the
-  // one that counts; so is an earlier request's that came twice.
-  IoError readAnswer(std::uint64_t number, Answer& answer) {
+  // Reads the response to the request with this number. Skips interim responses, such as status
+  // 100, and repeated responses to earlier requests.
+  IoError readResponse(std::uint64_t number, Response& answer) {
     for (;;) {
       answer = {};
       const IoError error =
@@ -50,8 +52,8 @@
         return error;
       const bool interim =
           http::to_status_class(answer.result()) == http::status_class::informational;
-      const std::uint64_t answered = requestNumberOf(answer);
-      const bool earlier = answered && answered < number;
+      const std::uint64_t responseNumber = requestNumberOf(answer);
+      const bool earlier = responseNumber && responseNumber < number;
       if (!interim && !earlier)
         return {};
     }
@@ -60,14 +62,14 @@
   beast::tcp_stream stream;
   beast::flat_buffer buffer;
   Address address;
-  bool echoesRequestNumbers = false;  // the other side has repeated a request's number
+  bool echoesRequestNumbers = false;  // whether the server has echoed a request number
 };
 
 HttpClient::~HttpClient() = default;
 
 std::shared_ptr<HttpClient::Connection> HttpClient::takeIdleConnection(const Address& address) {
-  auto taken = std::exchange(idleConnection, nullptr);
-  return taken && taken->address == address && taken->isIdle() ? taken : nullptr;
+  auto candidate = std::exchange(idleConnection, nullptr);
+  return candidate && candidate->address == address && candidate->isIdle() ? candidate : nullptr;
 }
 
 Result<std::shared_ptr<HttpClient::Connection>, HttpError> HttpClient::connect(
@@ -75,21 +77,24 @@
   auto endpoint = parseEndpoint(address);
   if (!endpoint)
     return HttpError{HttpError::Kind::unreachable, endpoint.error().text()};
-  auto made = std::make_shared<Connection>(loop.context, address);
-  made->stream.expires_after(
+  auto newConnection = std::make_shared<Connection>(loop.context, address);
+  newConnection->stream.expires_after(
       std::chrono::milliseconds(std::min(timeout.milliseconds, maxConnectMilliseconds)));
-  IoError error = loop.openSocket(made->stream.socket(), endpoint.value());
+  IoError error = loop.openSocket(newConnection->stream.socket(), endpoint.value());
   if (!error)
-    error = await([&](auto done) { made->stream.async_connect(endpoint.value(), done); }).error;
+    error = await([&](auto done) {
+              newConnection->stream.async_connect(endpoint.value(), done);
+            }).error;
   if (error)
     return HttpError{HttpError::Kind::unreachable, error.message()};
   IoError ignored;
-  made->stream.socket().set_option(tcp::no_delay(true), ignored);
-  return made;
+  newConnection->stream.socket().set_option(tcp::no_delay(true), ignored);
+  return newConnection;
 }
 
-// One request and its answer. The connection is kept only after a whole answer: what comes late or
-// behind it would be read as the answer to the next request.
+// Sends one request and reads its response. The connection is kept only after a complete response
+// with no bytes after it: late or additional bytes would be read as the response to the next
+// request.
 Result<HttpResponse, HttpError> HttpClient::exchange(const std::shared_ptr<Connection>& connection,
                                                      const HttpRequest& request,
                                                      Deadline deadline) {
@@ -98,19 +103,19 @@
   connection->stream.expires_at(deadline);
   IoError error =
       await([&](auto done) { http::async_write(connection->stream, message, done); }).error;
-  Connection::Answer answer;
+  Connection::Response answer;
   if (!error)
-    error = connection->readAnswer(number, answer);
+    error = connection->readResponse(number, answer);
   if (error == beast::error::timeout)
-    return HttpError{HttpError::Kind::timedOut, "no answer in time"};
+    return HttpError{HttpError::Kind::timedOut, "the request timed out"};
   if (error)
     return HttpError{HttpError::Kind::connectionLost, error.message()};
-  // A server that repeats numbers repeats every one: an answer without one is to no request of
-  // ours.
+  // A server that echoes request numbers does so in every response, so a response without a number
+  // belongs to no request of this client.
   connection->echoesRequestNumbers =
       connection->echoesRequestNumbers || answer.count(requestNumberHeader) > 0;
   if (connection->echoesRequestNumbers && requestNumberOf(answer) != number)
-    return HttpError{HttpError::Kind::connectionLost, "the answer is another request's"};
+    return HttpError{HttpError::Kind::connectionLost, "the response belongs to another request"};
   if (answer.keep_alive() && connection->buffer.size() == 0)
     idleConnection = connection;
   HttpResponse response;
@@ -125,17 +130,17 @@
                                                  Duration timeout) {
   const Deadline deadline =
       std::chrono::steady_clock::now() + std::chrono::milliseconds(timeout.milliseconds);
-  if (auto used = takeIdleConnection(address)) {
-    auto answer = exchange(used, request, deadline);
-    // A kept connection may end as the request leaves. Whether that was taken can't be known: only
-    // what changes nothing is asked again.
+  if (auto reusedConnection = takeIdleConnection(address)) {
+    auto answer = exchange(reusedConnection, request, deadline);
+    // The server may close a reused connection while the request is being sent. It is unknown
+    // whether the server received the request, so only a GET, which changes nothing, is sent again.
     if (answer || answer.error().kind != HttpError::Kind::connectionLost || request.method != "GET")
       return answer;
   }
-  auto made = connect(address, timeout);
-  if (!made)
-    return made.error();
-  return exchange(made.value(), request, deadline);
+  auto newConnection = connect(address, timeout);
+  if (!newConnection)
+    return newConnection.error();
+  return exchange(newConnection.value(), request, deadline);
 }
 
 }  // namespace aniseline
--- a/source/net/http_client.hpp
+++ b/source/net/http_client.hpp
@@ -1,4 +1,4 @@
-// Asks over HTTP/1.1, by Boost.Beast on fibers. docs/design.md 9.4.
+// Sends HTTP/1.1 requests with Boost.Beast on fibers. docs/design.md 9.4.
 #ifndef ANISELINE_NET_HTTP_CLIENT_HPP
 #define ANISELINE_NET_HTTP_CLIENT_HPP
 #include "net/event_loop.hpp"
@@ -6,15 +6,18 @@
 
 namespace aniseline {
 
-// Asks one address at a time and keeps the connection for the next call. What ties an answer to its
-// request: the connection is used by one call at a time, is kept only after a whole answer with
-// nothing behind it, and our own servers repeat the request's number. For the fibers of one thread,
-// one call at a time.
+// Sends one request at a time and keeps the connection open for the next request to the same
+// address.
+//
+// A response is never attributed to another request: a connection serves one request at a time, it
+// is reused only after a complete response with no bytes after it, and aniseline's own servers echo
+// the request number. All calls must come from fibers of one thread, one call at a time.
 class HttpClient {
  public:
   explicit HttpClient(EventLoop& loop) : loop(loop) {}
   ~HttpClient();
-  // An error of kind `unreachable` means that nothing was sent. Only a GET is ever sent twice.
+  // Sends a request and waits for the response. An error of kind `unreachable` means that nothing
+  // was sent. Only a GET request may be sent twice.
   Result<HttpResponse, HttpError> send(const Address& address, const HttpRequest& request,
                                        Duration timeout);
 
--- a/source/net/http_connection.cpp
+++ b/source/net/http_connection.cpp
@@ -1,3 +1,4 @@
+// Converts between Beast messages and the project's HTTP types, and implements graceful closing.
 #include "net/http_connection.hpp"
 #include "net/http_request_number.hpp"
 #include "net/http_status.hpp"
@@ -14,27 +15,30 @@
 
 constexpr std::uint32_t maxHeaderBytes = 16 * 1024;
 constexpr std::size_t readStepBytes = 4096;
-// A client that was told of the close ends its side at once; one that has vanished never does.
+// How long a closing connection waits for the client's end. A client that received "Connection:
+// close" ends its side at once; a client that has disappeared never does.
 constexpr Duration lingerTimeout{1000};
 
-// Whether the error is Beast's judgement of what came, rather than a loss of the connection.
+// Reports whether Beast rejected the received bytes as invalid HTTP, as opposed to a lost
+// connection.
 bool isProtocolError(const IoError& error) {
   static const auto& httpCategory = http::make_error_code(http::error::bad_method).category();
   return error.category() == httpCategory && error != http::error::end_of_stream &&
          error != http::error::partial_message;
 }
 
-// The answer to a request that could not be read; nothing if the connection is lost.
+// Returns the response to a request that could not be read, or nothing if the connection is lost.
 std::optional<ApiResponse> answerUnreadable(const IoError& error, const HttpLimits& limits) {
   if (error == http::error::body_limit)
     return ApiResponse::error(
         http_status::contentTooLarge, "invalid",
-        "the body is larger than " + std::to_string(limits.maxBodyBytes) + " bytes");
+        "the request body is larger than " + std::to_string(limits.maxBodyBytes) + " bytes");
   if (error == http::error::header_limit)
-    return ApiResponse::error(http_status::headersTooLarge, "invalid", "the header is too large");
+    return ApiResponse::error(http_status::headersTooLarge, "invalid",
+                              "the request header is too large");
   if (isProtocolError(error))
     return ApiResponse::error(http_status::badRequest, "invalid",
-                              "this is no HTTP/1.1 request: " + error.message());
+                              "not a valid HTTP/1.1 request: " + error.message());
   return std::nullopt;
 }
 
@@ -53,13 +57,13 @@
   return request;
 }
 
-// Whatever a body makes a reader throw ends the request, never the process.
+// An exception that a handler throws while it parses a body fails the request, never the process.
 ApiResponse answerBy(const HttpServer::Handler& handler, const HttpRequest& request) {
   try {
     return handler(request);
   } catch (const std::exception& error) {
     return ApiResponse::error(http_status::badRequest, "invalid",
-                              std::string("the request can't be read: ") + error.what());
+                              std::string("the request could not be processed: ") + error.what());
   }
 }
 
@@ -71,7 +75,7 @@
     message.set(http::field::retry_after, std::to_string((milliseconds + 999) / 1000));
     message.set(retryAfterMillisecondsHeader, std::to_string(milliseconds));
   }
-  // RFC 9110, 15.5.2: such a response names the scheme that is wanted.
+  // RFC 9110, 15.5.2: a 401 response has to name the expected authentication scheme.
   if (answer.status == http_status::unauthorized)
     message.set(http::field::www_authenticate, "Bearer");
   if (requestNumber)
@@ -96,7 +100,7 @@
   closeGracefully();
 }
 
-// An idle connection is told from one that a request is under way on by its first byte.
+// The first byte of a request ends the idle phase of the connection.
 bool HttpConnection::awaitRequest() {
   idleSince = monotonicNow();
   while (buffer.size() == 0) {
@@ -105,17 +109,17 @@
     const IoResult read =
         await([&](auto done) { stream.async_read_some(buffer.prepare(readStepBytes), done); });
     buffer.commit(read.bytes);
-    // The wait was ended from here, but a request had come already.
-    const bool overtaken =
+    // closeIfIdle cancelled the read, but a request had already arrived.
+    const bool requestArrived =
         read.error == asio::error::operation_aborted && hasUnreadBytes(stream.socket());
-    if (read.error && !overtaken)
+    if (read.error && !requestArrived)
       return false;
   }
   phase = Phase::reading;
   return true;
 }
 
-// False: the close was announced, or the connection is lost.
+// Returns false if the close was announced or the connection is lost.
 bool HttpConnection::serveRequest() {
   Parser parser;
   parser.body_limit(limits.maxBodyBytes);
@@ -129,8 +133,8 @@
       write(messageFrom(std::move(*answer), 0, false));
     return false;
   }
-  // A client numbers its requests upwards: one that stands twice on its connection was asked once,
-  // and its answer is on its way.
+  // A client numbers its requests in increasing order. A repeated number is a duplicate of a
+  // request that has already been answered, so it is skipped.
   const std::uint64_t number = requestNumberOf(parser.get());
   if (number && number <= lastNumber)
     return true;
@@ -146,12 +150,13 @@
   return !await([&](auto done) { http::async_write(stream, message, done); }).error;
 }
 
-// Requests that have come behind this one are answered first, as long as the server can wait.
+// Pipelined requests that have already arrived are answered before the close is announced, unless
+// the server is in its last shutdown stage.
 bool HttpConnection::mustAnnounceClose() {
   if (stage == HttpServer::Stage::serving)
     return false;
-  const bool moreHasCome = buffer.size() > 0 || hasUnreadBytes(stream.socket());
-  return stage == HttpServer::Stage::closing || !moreHasCome;
+  const bool moreRequestsArrived = buffer.size() > 0 || hasUnreadBytes(stream.socket());
+  return stage == HttpServer::Stage::closing || !moreRequestsArrived;
 }
 
 void HttpConnection::closeIfIdle(Duration minIdleTime) {
@@ -159,8 +164,8 @@
     stream.cancel();
 }
 
-// A socket that is closed with unread bytes, or that gets some afterwards, resets the connection,
-// which discards what the client has not received yet.
+// Closing a socket with unread bytes, or receiving bytes after the close, resets the connection and
+// discards data that the client has not received yet.
 void HttpConnection::closeGracefully() {
   phase = Phase::lingering;
   IoError failed;
--- a/source/net/http_connection.hpp
+++ b/source/net/http_connection.hpp
@@ -1,12 +1,12 @@
-// One connection of an HTTP server, from its first byte to its end: reads requests, has them
-// answered in order, and ends so that nothing it has promised is lost. docs/design.md 9.4.
+// Serves one connection of an HTTP server: reads requests, answers them in order, and closes the
+// connection without losing a request or a response. docs/design.md 9.4.
 //
-// What is kept: a connection whose last answer did not announce its close is read from until its
-// idle time-out or until the server closes it while it is idle; an answer that was written arrives,
-// because the socket is closed only after the client's own end, or after `lingerTimeout`.
+// Guarantees: unless its last response had "Connection: close", a connection is read until its idle
+// timeout or until the server closes it while it is idle. A response that was written reaches the
+// client, because the socket is closed only after the client has ended its side, or after
+// `lingerTimeout`.
 //
-// Made and driven by HttpServer, on the thread of its event loop; `serve` runs in a fiber of its
-// own.
+// Created by HttpServer on the thread of its event loop; `serve` runs in its own fiber.
 #ifndef ANISELINE_NET_HTTP_CONNECTION_HPP
 #define ANISELINE_NET_HTTP_CONNECTION_HPP
 #include "net/http_server.hpp"
@@ -20,18 +20,18 @@
 
 class HttpConnection {
  public:
-  // `stage` is the server's and may change while the connection is served.
+  // `stage` belongs to the server and may change while the connection is served.
   HttpConnection(tcp::socket socket, const HttpLimits& limits, const HttpServer::Handler& handler,
                  const HttpServer::Stage& stage)
       : stream(std::move(socket)), limits(limits), handler(handler), stage(stage) {}
-  // Until the connection has ended.
+  // Serves requests until the connection has ended.
   void serve();
-  // Waits for the first byte of a request.
+  // Reports whether the connection is waiting for the first byte of a request.
   bool isIdle() const { return phase == Phase::idle; }
-  // A whole request was read and its answer is not written yet.
+  // Reports whether a complete request was read and its response is not written yet.
   bool isAnswering() const { return phase == Phase::answering; }
-  // Ends a connection that has been idle so long; a request of which a byte has come by now is
-  // answered first.
+  // Closes the connection if it has been idle for at least this long. If a byte of a request has
+  // arrived by then, that request is answered first.
   void closeIfIdle(Duration minIdleTime);
 
  private:
@@ -39,12 +39,14 @@
   using Parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
   using Message = boost::beast::http::response<boost::beast::http::string_body>;
 
-  // False: the connection is to end.
+  // Waits for the first byte of a request. Returns false if the connection has to end.
   bool awaitRequest();
+  // Reads and answers one request. Returns false if the connection has to end.
   bool serveRequest();
   bool write(const Message& message);
+  // Reports whether the next response must carry "Connection: close".
   bool mustAnnounceClose();
-  // Ends our side of the stream and discards what still comes until the client ends its own.
+  // Shuts down sending and discards incoming bytes until the client ends its side.
   void closeGracefully();
 
   boost::beast::tcp_stream stream;
@@ -52,7 +54,7 @@
   const HttpLimits& limits;
   const HttpServer::Handler& handler;
   const HttpServer::Stage& stage;
-  std::uint64_t lastNumber = 0;  // of the requests that were read
+  std::uint64_t lastNumber = 0;  // the highest request number read so far
   Phase phase = Phase::idle;
   MonotonicTime idleSince = monotonicNow();
 };
--- a/source/net/http_message.hpp
+++ b/source/net/http_message.hpp
@@ -1,4 +1,4 @@
-// Requests, answers and errors of HTTP, as our servers and clients hand them out.
+// HTTP requests, responses and errors as aniseline's own servers and clients represent them.
 // docs/design.md 9.4.
 #ifndef ANISELINE_NET_HTTP_MESSAGE_HPP
 #define ANISELINE_NET_HTTP_MESSAGE_HPP
@@ -9,12 +9,12 @@
 struct HttpError {
   enum class Kind {
     unreachable,     // nothing was sent
-    connectionLost,  // it was sent, or a part of it; no answer will come
-    timedOut         // no answer in time
+    connectionLost,  // the request was sent at least in part; no response will arrive
+    timedOut         // no response arrived in time
   } kind = Kind::unreachable;
   std::string text;
 };
-// The error's code in logs, in snake_case.
+// Returns the error's code for logs, in snake_case.
 inline const char* name(HttpError::Kind kind) {
   switch (kind) {
     case HttpError::Kind::unreachable:
@@ -31,8 +31,8 @@
   std::string method;
   std::string target;  // path and query
   std::string body;
-  std::vector<std::pair<std::string, std::string>> headers{};  // names in small letters
-  // The first header of that name; empty if there is none.
+  std::vector<std::pair<std::string, std::string>> headers{};  // names in lower case
+  // Returns the value of the first header with this name, or an empty string if there is none.
   std::string header(const std::string& name) const {
     for (const auto& [known, value] : headers) {
       if (known == name)
@@ -45,12 +45,12 @@
 struct HttpResponse {
   int status = 0;
   std::string body;
-  Duration retryAfter{0};  // 0: the answer does not say
+  Duration retryAfter{0};  // 0 if the response does not specify it
 };
 
-// Carries a request's number on its connection; the answer repeats it. docs/design.md 9.3.
+// Carries the number of a request on its connection; the response echoes it. docs/design.md 9.3.
 constexpr const char* requestNumberHeader = "Request-Number";
-// Beside Retry-After, whose unit is a second.
+// The retry delay in milliseconds; sent in addition to Retry-After, which is in whole seconds.
 constexpr const char* retryAfterMillisecondsHeader = "Retry-After-Ms";
 
 }  // namespace aniseline
--- a/source/net/http_request_number.hpp
+++ b/source/net/http_request_number.hpp
@@ -1,4 +1,4 @@
-// Reads the number of a request from a message of Beast. docs/design.md 9.3.
+// Reads the request number from the header of a Beast message. docs/design.md 9.3.
 #ifndef ANISELINE_NET_HTTP_REQUEST_NUMBER_HPP
 #define ANISELINE_NET_HTTP_REQUEST_NUMBER_HPP
 #include "net/http_message.hpp"
@@ -6,7 +6,7 @@
 
 namespace aniseline {
 
-// 0: the message has none.
+// Returns 0 if the message has no request number.
 template <class Message>
 std::uint64_t requestNumberOf(const Message& message) {
   return std::strtoull(std::string(message[requestNumberHeader]).c_str(), nullptr, 10);
--- a/source/net/http_server.cpp
+++ b/source/net/http_server.cpp
@@ -1,3 +1,4 @@
+// Accepts connections, rejects them when there are too many, and runs the shutdown stages.
 #include "net/http_server.hpp"
 #include "net/http_connection.hpp"
 #include "net/http_status.hpp"
@@ -6,13 +7,13 @@
 
 namespace {
 
-// Beyond the limit of connections: for those that are told so.
+// The number of connections beyond the limit that still get a response with status 503.
 constexpr std::size_t rejectionReserve = 32;
 constexpr Duration overloadedRetryDelay{1000};
 
 ApiResponse rejectOverloaded(const HttpRequest&) {
   return ApiResponse::error(http_status::serviceUnavailable, "overloaded",
-                            "this server has too many connections; nothing was taken",
+                            "this server has too many connections; the request was not processed",
                             overloadedRetryDelay);
 }
 
@@ -46,7 +47,8 @@
   }
 }
 
-// Connections that the kernel has made are reset when their listener is closed.
+// The kernel resets established connections in the backlog when the listening socket is closed, so
+// they are accepted first.
 void HttpServer::acceptBacklog() {
   IoError error;
   acceptor->non_blocking(true, error);
@@ -59,14 +61,14 @@
 }
 
 void HttpServer::startConnection(tcp::socket socket) {
-  static const Handler rejecting = rejectOverloaded;
-  static const Stage answersOnce = Stage::closing;
+  static const Handler rejectingHandler = rejectOverloaded;
+  static const Stage closingStage = Stage::closing;
   if (connections.size() >= limits.maxConnections + rejectionReserve)
     return;
   const bool overloaded = connections.size() >= limits.maxConnections;
-  auto connection =
-      std::make_shared<HttpConnection>(std::move(socket), limits, overloaded ? rejecting : handler,
-                                       overloaded ? answersOnce : stage);
+  auto connection = std::make_shared<HttpConnection>(std::move(socket), limits,
+                                                     overloaded ? rejectingHandler : handler,
+                                                     overloaded ? closingStage : stage);
   connections.insert(connection.get());
   spawn([this, connection] {
     connection->serve();
--- a/source/net/http_server.hpp
+++ b/source/net/http_server.hpp
@@ -1,7 +1,7 @@
-// Serves HTTP/1.1 with JSON bodies, by Boost.Beast on fibers. docs/design.md 9.4.
+// Serves HTTP/1.1 with JSON bodies, using Boost.Beast on fibers. docs/design.md 9.4.
 //
-// Responsible for the listening socket and for the stages of a shutdown; each connection is served
-// by an HttpConnection. Called by the daemons.
+// Owns the listening socket and the stages of a graceful shutdown; each connection is served by an
+// HttpConnection. Called by the daemons.
 #ifndef ANISELINE_NET_HTTP_SERVER_HPP
 #define ANISELINE_NET_HTTP_SERVER_HPP
 #include "net/event_loop.hpp"
@@ -13,10 +13,10 @@
 
 struct HttpLimits {
   std::size_t maxBodyBytes = 1024 * 1024;
-  std::size_t maxConnections = 2000;  // further ones are rejected with status 503
-  Duration idleTimeout{30'000};       // of a connection between requests
-  Duration requestTimeout{10'000};    // to write one answer
-  bool keepHeaders = false;           // hand the request's headers to the handler
+  std::size_t maxConnections = 2000;  // additional connections get status 503
+  Duration idleTimeout{30'000};       // limit for waiting for a request, and for reading it
+  Duration requestTimeout{10'000};    // limit for writing one response
+  bool keepHeaders = false;           // pass the request headers to the handler
 };
 
 struct ListenError {
@@ -25,11 +25,11 @@
   std::string text() const { return "can't listen on " + address.value + ": " + code.message(); }
 };
 
-// Open connections by what they wait for.
+// The number of open connections by state.
 struct ConnectionCounts {
-  std::size_t idle = 0;       // the first byte of a request
-  std::size_t answering = 0;  // a whole request was read, its answer is not written yet
-  std::size_t other = 0;      // the rest of a request, or the client's end
+  std::size_t idle = 0;       // waiting for the first byte of a request
+  std::size_t answering = 0;  // a request was read and its response is not written yet
+  std::size_t other = 0;      // reading the rest of a request, or waiting for the client to close
   std::size_t all() const { return idle + answering + other; }
   ConnectionCounts& operator+=(const ConnectionCounts& more) {
     idle += more.idle;
@@ -39,33 +39,35 @@
   }
 };
 
-// One fiber accepts and one serves each connection, all on the thread that calls `listen`;
-// everything is called there. The server has to outlive its connections: they have ended before it
-// is destroyed; or it ends with the process.
+// Uses one fiber to accept connections and one fiber per connection, all on the thread that calls
+// `listen`; all members must be called on that thread. The server must outlive its connections:
+// destroy it only after they have ended, or keep it until the process exits.
 class HttpServer {
  public:
-  // A shutdown goes from one stage to the next; none breaks a promise of the one before.
+  // The stages of a shutdown, in order. A connection that a response has left open is still served
+  // in the later stages, until it is closed by `closeIdleConnections` or its idle timeout.
   enum class Stage : std::uint8_t {
     serving,
-    draining,  // answers announce the close, unless further requests have come on their connection
-    stopped,   // and no new connections are taken
-    closing    // every answer announces the close
+    draining,  // a response announces the close unless more requests have arrived on the connection
+    stopped,   // like draining, and no new connections are accepted
+    closing    // every response announces the close
   };
-  // Answers one request; what it throws is answered with status 400.
+  // Answers one request. An exception results in a response with status 400.
   using Handler = std::function<ApiResponse(const HttpRequest&)>;
   HttpServer(EventLoop& loop, HttpLimits limits, Handler handler)
       : loop(loop), limits(limits), handler(std::move(handler)) {}
-  // Stops, and waits for the fiber that accepts.
+  // Stops listening and waits for the accepting fiber to end.
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
-  // `shared`: other threads' servers listen at the same address.
+  // Starts to listen. With `shared` the servers of other threads may listen on the same address.
   std::optional<ListenError> listen(const Address& address, bool shared = false);
+  // Enters the stage `draining`.
   void drain();
-  // What waits in the listener's backlog is taken first.
+  // Accepts the connections in the listen backlog, then stops listening.
   void stop();
-  // Ends the connections on which no byte of a request has come for so long; the others end after
-  // the request that they are at.
+  // Closes the connections that have been idle for at least this long; the others end after their
+  // current request.
   void closeIdleConnections(Duration minIdleTime);
   std::size_t connectionCount() const { return connections.size(); }
   ConnectionCounts counts() const;
@@ -80,7 +82,7 @@
   Handler handler;
   std::shared_ptr<tcp::acceptor> acceptor;
   boost::fibers::fiber acceptFiber;
-  std::set<HttpConnection*> connections;  // each owned by its fiber
+  std::set<HttpConnection*> connections;  // each is owned by its fiber
   Stage stage = Stage::serving;
 };
 
--- a/source/net/http_status.hpp
+++ b/source/net/http_status.hpp
@@ -1,4 +1,4 @@
-// The statuses of HTTP that our interfaces give and read. RFC 9110; docs/api.md.
+// The HTTP status codes that aniseline's interfaces send and interpret. RFC 9110; docs/api.md.
 #ifndef ANISELINE_NET_HTTP_STATUS_HPP
 #define ANISELINE_NET_HTTP_STATUS_HPP
 
--- a/source/net/json_field_reader.cpp
+++ b/source/net/json_field_reader.cpp
@@ -1,12 +1,13 @@
+// Checks the type and range of each field.
 #include "net/json_field_reader.hpp"
 #include <cmath>
 
 namespace aniseline {
 
 namespace {
-constexpr double maxWholeNumber = 9007199254740992.0;  // 2^53: doubles hold every one up to here
+constexpr double maxWholeNumber = 9007199254740992.0;  // 2^53; doubles are exact up to here
 constexpr std::uint64_t maxWhole32 = 0xffffffffU;
-constexpr double maxBeforeThousandths = 4e6;  // so that its thousandths fit into 32 bits
+constexpr double maxBeforeThousandths = 4e6;  // the value in thousandths has to fit into 32 bits
 }  // namespace
 
 void JsonFieldReader::reject(const std::string& field, const char* text) {
@@ -41,7 +42,7 @@
   if (number >= 0 && number <= maxWholeNumber && number == std::floor(number))
     return std::uint64_t(number);
   if (presence == Presence::required || !value.is<picojson::null>())
-    reject(field, "must be a whole number from 0 on");
+    reject(field, "must be a whole number of at least 0");
   return 0;
 }
 
@@ -57,7 +58,7 @@
   const auto number = std::strtoull(given.c_str(), nullptr, 10);
   if (given.find_first_not_of("0123456789") == std::string::npos && errno == 0)
     return number;
-  reject(field, "must be a number of 64 bits written as a string of digits");
+  reject(field, "must be a 64-bit number written as a string of digits");
   return 0;
 }
 
@@ -66,7 +67,7 @@
   const double number = value.is<double>() ? value.get<double>() : -1;
   if (number >= 0 && number <= maxBeforeThousandths)
     return std::uint32_t(std::llround(number * 1000));
-  reject(field, "must be a number from 0 on");
+  reject(field, "must be a number from 0 to 4000000");
   return 0;
 }
 
--- a/source/net/json_field_reader.hpp
+++ b/source/net/json_field_reader.hpp
@@ -1,34 +1,36 @@
-// Reads typed fields of a JSON object that came from outside and keeps the first error. The
-// caller reads all fields and asks for the error once. docs/design.md 9.4.
+// Reads typed fields of an untrusted JSON object and records the first error. The caller reads all
+// fields and then checks for an error once. docs/design.md 9.4.
 #ifndef ANISELINE_NET_JSON_FIELD_READER_HPP
 #define ANISELINE_NET_JSON_FIELD_READER_HPP
 #include "base/json.hpp"
 
 namespace aniseline {
 
-// Refers to the object, which has to outlive it. A value that is no object has no fields. A field
-// that is missing reads as 0, false or empty; that is an error only where it is required.
+// Holds a reference to the object, which must outlive the reader. A value that is not an object has
+// no fields. A missing field reads as 0, false or empty, and is an error only if it is required.
 class JsonFieldReader {
  public:
   enum class Presence : std::uint8_t { optional, required };
 
   explicit JsonFieldReader(const picojson::value& object) : object(object) {}
 
-  // The field's value; null if there is none.
+  // Returns the field's value; null if the field is missing.
   picojson::value find(const std::string& field) const;
-  // A string; a required one must not be empty.
+  // Reads a string; a required string must not be empty.
   std::string text(const std::string& field, Presence presence = Presence::optional);
+  // Reads a Boolean.
   bool flag(const std::string& field);
-  // A whole number from 0 to 2^53.
+  // Reads a whole number from 0 to 2^53.
   std::uint64_t whole(const std::string& field, Presence presence = Presence::optional);
-  // The same, cut off at the largest value of 32 bits.
+  // Reads a whole number and limits it to the largest 32-bit value.
   std::uint32_t whole32(const std::string& field, Presence presence = Presence::optional);
-  // A number of 64 bits, which stands as a string of digits because JSON's numbers hold 53.
+  // Reads a 64-bit number, which is written as a string of digits because JSON numbers are exact
+  // only up to 53 bits.
   std::uint64_t digits(const std::string& field, Presence presence = Presence::optional);
-  // A required number from 0 on, in thousandths, rounded.
+  // Reads a required non-negative number and returns it in thousandths, rounded.
   std::uint32_t thousandths(const std::string& field);
 
-  // The first field that was not of its type, by its path in the object.
+  // Returns the error of the first invalid field, with its path in the object.
   const std::optional<ErrorDetail>& error() const { return firstError; }
 
  private:
--- a/source/net/json_worker_protocol.cpp
+++ b/source/net/json_worker_protocol.cpp
@@ -1,3 +1,4 @@
+// Implements the messages of the JSON worker protocol, grouped into calls, replies and notices.
 #include "net/json_worker_protocol.hpp"
 #include "net/http_status.hpp"
 #include "net/json_field_reader.hpp"
@@ -13,7 +14,7 @@
 constexpr std::pair<CallKind, const char*> callTargets[] = {{CallKind::start, "/v1/run/start"},
                                                             {CallKind::stop, "/v1/run/stop"},
                                                             {CallKind::poll, "/v1/run/look"}};
-// Why a worker turns a call down, in the field `reason` beside status 409.
+// The reasons for which a worker rejects a call, as sent in the field `reason` with status 409.
 constexpr std::pair<ReplyStatus, const char*> rejectionReasons[] = {
     {ReplyStatus::fenced, "fence"},
     {ReplyStatus::staleRun, "old"},
@@ -21,7 +22,7 @@
     {ReplyStatus::insufficientCapacity, "room"}};
 constexpr const char* registrationTarget = "/v1/account";
 constexpr const char* shutdownTarget = "/v1/leave";
-// A worker keeps a poll open for no longer, whatever it is asked for.
+// The longest time that a worker keeps a poll open, even if the call asks for more.
 constexpr std::int64_t maxLongPollMilliseconds = 10'000;
 
 std::optional<picojson::value> parseObject(const std::string& body) {
@@ -58,7 +59,7 @@
 void encodeStart(const WorkerCall& call, picojson::object& body) {
   const Order& order = call.order;
   body["attempt"] = json(std::to_string(order.attempt.value));
-  body["job"] = json(order.job.value);  // the occurrence's own id, where it is one of a timetable
+  body["job"] = json(order.job.value);  // for an occurrence of a timetable, the occurrence's own id
   body["task"] = json(order.taskIndex);
   body["cores"] = json(order.cores / 1000.0);
   body["memory_mb"] = json(order.memory);
@@ -108,8 +109,8 @@
 
 // --- replies ---
 
-// Hands each row of a list to `decodeRow`, which says whether the row is valid. False: there is no
-// such list, or a row of it is not valid.
+// Passes each row of a list to `decodeRow`, which reports whether the row is valid. Returns false
+// if there is no such list or a row is invalid.
 template <class DecodeRow>
 bool decodeRows(const picojson::value& root, const char* field, DecodeRow&& decodeRow) {
   const auto& list = root.get(field);
@@ -126,8 +127,8 @@
   return valid;
 }
 
-// What a poll's answer says of the worker's runs; an answer that is not valid as a whole counts as
-// none.
+// Reads the running tasks and the results in the response to a poll. If any part is invalid, the
+// whole response counts as missing.
 void decodePollAnswer(const picojson::value& root, WorkerReply& reply) {
   const bool runningValid =
       decodeRows(root, "active", [&](JsonFieldReader& reader, const TaskRunId& runId) {
@@ -200,7 +201,7 @@
   capacity.rack = reader.text("rack");
   capacity.pool = reader.text("pool");
   capacity.enforcesCapacity = reader.flag("guards_room");
-  // What runs on a worker that is called ends by itself when its lease does.
+  // A worker of this protocol ends its runs by itself when their lease expires.
   capacity.honoursLeases = true;
   capacity.killsOnLeaseExpiry = true;
   capacity.supportsSuspend = false;
@@ -260,7 +261,7 @@
                          "there is no " + request.method + " " + request.target);
   const auto root = parseObject(request.body);
   if (!root)
-    return invalid("", "the body must be an object in JSON");
+    return invalid("", "the body must be a JSON object");
   WorkerCall call;
   call.kind = found->first;
   JsonFieldReader reader(*root);
@@ -304,17 +305,19 @@
     if (reply.status != status)
       continue;
     body["reason"] = json(reason);
-    return reject(http_status::conflict, "conflict", std::string("turned away: ") + reason);
+    return reject(http_status::conflict, "conflict",
+                  std::string("the call was rejected; reason: ") + reason);
   }
   switch (reply.status) {
     case ReplyStatus::ok:
       return ApiResponse::of(http_status::ok, body);
     case ReplyStatus::instanceMismatch:
-      return reject(http_status::gone, "gone", "this is another life of the worker");
+      return reject(http_status::gone, "gone", "the call is for another instance of the worker");
     case ReplyStatus::invalidRequest:
-      return reject(http_status::badRequest, "invalid", "can't be carried out");
+      return reject(http_status::badRequest, "invalid", "the worker can't carry out this call");
     default:
-      return reject(http_status::serviceUnavailable, "not_taken", "not now");
+      return reject(http_status::serviceUnavailable, "not_taken",
+                    "the worker can't accept calls at the moment");
   }
 }
 
--- a/source/net/leader_forwarder.cpp
+++ b/source/net/leader_forwarder.cpp
@@ -1,3 +1,4 @@
+// Runs the steps of a LeaderCall over the RPC clients.
 #include "net/leader_forwarder.hpp"
 #include "gateway/leader_call.hpp"
 
@@ -38,8 +39,8 @@
   return true;
 }
 
-// Once another is known to lead, one that is silent is not waited for: it may be frozen.
-// docs/design.md 9.2.
+// Calls one controller. The call is abandoned once another controller is known to lead, because a
+// target that does not answer may be frozen. docs/design.md 9.2.
 Result<WireMessage, WireError> LeaderForwarder::callTarget(const Address& target,
                                                            const ApiRequest& request,
                                                            Duration timeout) {
@@ -54,8 +55,8 @@
 }
 
 ApiResponse LeaderForwarder::forward(const ApiRequest& request) {
-  LeaderCall course(request, route, seeds, monotonicNow());
-  Step step = course.begin(monotonicNow());
+  LeaderCall leaderCall(request, route, seeds, monotonicNow());
+  Step step = leaderCall.begin(monotonicNow());
   for (;;) {
     if (step.kind == Step::Kind::complete)
       return step.response;
@@ -63,12 +64,12 @@
       return ApiResponse::notApplied("this gateway is stopping");
     if (step.kind == Step::Kind::backOff) {
       sleepFor(step.timeout);
-      step = course.onBackoffElapsed(monotonicNow());
+      step = leaderCall.onBackoffElapsed(monotonicNow());
       continue;
     }
     const auto answer = callTarget(step.target, request, step.timeout);
-    step = answer ? course.onResponse(responseIn(answer.value()), monotonicNow())
-                  : course.onFailure(failureOf(answer.error()), monotonicNow());
+    step = answer ? leaderCall.onResponse(responseIn(answer.value()), monotonicNow())
+                  : leaderCall.onFailure(failureOf(answer.error()), monotonicNow());
   }
 }
 
--- a/source/net/leader_forwarder.hpp
+++ b/source/net/leader_forwarder.hpp
@@ -1,7 +1,7 @@
-// How a process that is not the leader has a request served by it: finds the leader, forwards, and
-// follows it when it changes. docs/design.md 9.2.
+// Forwards requests from a process that is not the leader: finds the leader, sends it the request,
+// and follows changes of leadership. docs/design.md 9.2.
 //
-// For the fibers of one thread.
+// Used by fibers of one thread.
 #ifndef ANISELINE_NET_LEADER_FORWARDER_HPP
 #define ANISELINE_NET_LEADER_FORWARDER_HPP
 #include "net/http_server.hpp"
@@ -9,26 +9,26 @@
 
 namespace aniseline {
 
-// Has a request served by the leader, wherever that is.
+// Has a request answered by the current leader.
 using ForwardRequest = std::function<ApiResponse(const ApiRequest&)>;
 
-// The addresses for first contact as they stand now, where they can change while a process runs.
+// Returns the current seed addresses, for deployments in which they change while a process runs.
 using SeedSource = std::function<std::vector<Address>()>;
-// Replaces the seeds by what the source gives. False, and no change, where there is no source or it
-// gives none.
+// Replaces the seeds with those of the source. Returns false and changes nothing if there is no
+// source or it returns no addresses.
 bool refreshSeeds(const SeedSource& source, std::vector<Address>& seeds);
 
-// An interface that an adapter gives a daemon beside the product's own. docs/design.md 9.6.
+// An HTTP interface that an adapter adds to a daemon's own interfaces. docs/design.md 9.6.
 struct ExternalInterface {
   Address address;
   HttpLimits limits;
-  std::function<ApiResponse(const HttpRequest&, const ForwardRequest&)> handle;  // empty: none
+  std::function<ApiResponse(const HttpRequest&, const ForwardRequest&)> handle;  // empty if unused
 };
 
 class LeaderForwarder {
  public:
-  // `route` is asked for the newest known route at every step. `shuttingDown`: this process ends,
-  // and what is under way gets its last answer now.
+  // `route` is called for the newest known route at every step. `shuttingDown` reports that this
+  // process is ending; requests in progress are then answered at once.
   LeaderForwarder(EventLoop& loop, std::function<LeaderRoute()> route, std::vector<Address> seeds,
                   std::function<bool()> shuttingDown)
       : clients(loop),
@@ -36,8 +36,8 @@
         seeds(std::move(seeds)),
         shuttingDown(std::move(shuttingDown)) {}
 
-  // Waits for the leader's answer, for as long as the request gives. An answer "not applied" means
-  // that the request surely was not; "unknown" that it may have been.
+  // Waits for the leader's response, up to the timeout of the request. The response "not applied"
+  // means that the request certainly was not applied; "unknown" means that it may have been.
   ApiResponse forward(const ApiRequest& apiRequest);
   void setSeeds(std::vector<Address> given) { seeds = std::move(given); }
 
--- a/source/net/link_proxy.cpp
+++ b/source/net/link_proxy.cpp
@@ -1,46 +1,52 @@
+// Copies bytes in both directions of each connection and holds them back during a partition.
 #include "net/link_proxy.hpp"
 #include <boost/asio/write.hpp>
 
 namespace aniseline {
 
-Result<bool> LinkProxy::open(const Address& at, const Address& target, std::string zone) {
-  auto endpoint = parseEndpoint(at), behind = parseEndpoint(target);
+Result<bool> LinkProxy::open(const Address& listenAddress, const Address& target,
+                             std::string zone) {
+  auto endpoint = parseEndpoint(listenAddress), targetEndpoint = parseEndpoint(target);
   if (!endpoint)
     return endpoint.error();
-  if (!behind)
-    return behind.error();
+  if (!targetEndpoint)
+    return targetEndpoint.error();
   auto acceptor = std::make_shared<tcp::acceptor>(loop.context);
   if (const IoError error = listenOn(*acceptor, endpoint.value(), peerBacklog))
-    return CoreError::at(CoreError::Kind::invalid, at.value, "can't listen: " + error.message());
-  spawn([this, acceptor, behind = behind.value(), zone = std::move(zone)] {
+    return CoreError::at(CoreError::Kind::invalid, listenAddress.value,
+                         "can't listen: " + error.message());
+  spawn([this, acceptor, targetEndpoint = targetEndpoint.value(), zone = std::move(zone)] {
     for (;;) {
-      auto near = std::make_shared<tcp::socket>(loop.context);
-      if (await([&](auto done) { acceptor->async_accept(*near, done); }).error) {
+      auto clientSocket = std::make_shared<tcp::socket>(loop.context);
+      if (await([&](auto done) { acceptor->async_accept(*clientSocket, done); }).error) {
         sleepFor(Duration{10});
         continue;
       }
-      spawn([this, near, behind, zone] {
+      spawn([this, clientSocket, targetEndpoint, zone] {
         IoError ignored;
-        const std::string from = zoneLookup(near->remote_endpoint(ignored).address().to_string());
+        const std::string from =
+            zoneLookup(clientSocket->remote_endpoint(ignored).address().to_string());
         while (blocked(from, zone))
           sleepFor(Duration{20});
-        auto far = std::make_shared<tcp::socket>(loop.context);
-        if (await([&](auto done) { far->async_connect(behind, done); }).error) {
-          near->close(ignored);
+        auto targetSocket = std::make_shared<tcp::socket>(loop.context);
+        if (await([&](auto done) { targetSocket->async_connect(targetEndpoint, done); }).error) {
+          clientSocket->close(ignored);
           return;
         }
-        near->set_option(tcp::no_delay(true), ignored);
-        far->set_option(tcp::no_delay(true), ignored);
-        spawn([this, near, far, from, zone] { forward(near, far, from, zone); });
-        forward(far, near, zone, from);
+        clientSocket->set_option(tcp::no_delay(true), ignored);
+        targetSocket->set_option(tcp::no_delay(true), ignored);
+        spawn([this, clientSocket, targetSocket, from, zone] {
+          forward(clientSocket, targetSocket, from, zone);
+        });
+        forward(targetSocket, clientSocket, zone, from);
       });
     }
   });
   return true;
 }
 
-void LinkProxy::setPartitioned(const std::string& zone, bool cut) {
-  if (cut)
+void LinkProxy::setPartitioned(const std::string& zone, bool partitioned) {
+  if (partitioned)
     partitionedZones.insert(zone);
   else
     partitionedZones.erase(zone);
--- a/source/net/link_proxy.hpp
+++ b/source/net/link_proxy.hpp
@@ -1,23 +1,24 @@
-// Forwards connections between the processes of a fleet on one machine, so that a zone can be
-// partitioned from the others.
-// docs/operations.md 6.
+// Forwards connections between processes on one machine so that tests can partition a zone from the
+// others. docs/operations.md 6.
 #ifndef ANISELINE_NET_LINK_PROXY_HPP
 #define ANISELINE_NET_LINK_PROXY_HPP
 #include "net/event_loop.hpp"
 
 namespace aniseline {
 
-// For the fibers of one thread; open connections end with the process.
+// Used by fibers of one thread; connections stay open until the process ends.
 class LinkProxy {
  public:
-  // The zone of whoever connects from an IP number; empty: from outside of all zones, never cut.
+  // Returns the zone of a client with this IP address; empty for a client outside of all zones,
+  // whose connections are never partitioned.
   using ZoneLookup = std::function<std::string(const std::string& ip)>;
   LinkProxy(EventLoop& loop, ZoneLookup zoneLookup)
       : loop(loop), zoneLookup(std::move(zoneLookup)) {}
-  // Takes connections at one address and passes them on to another, in the zone named.
-  Result<bool> open(const Address& at, const Address& target, std::string zone);
-  // Nothing passes to or from a partitioned zone; what was under way waits, as on a real wire.
-  void setPartitioned(const std::string& zone, bool cut);
+  // Accepts connections on `at` and forwards them to `target`, which is in the given zone.
+  Result<bool> open(const Address& listenAddress, const Address& target, std::string zone);
+  // Starts or ends the partition of a zone. While it lasts, no data passes to or from the zone;
+  // data in transit is delayed until the partition ends, as on a real network.
+  void setPartitioned(const std::string& zone, bool partitioned);
 
  private:
   bool blocked(const std::string& from, const std::string& to) const;
--- a/source/net/log.cpp
+++ b/source/net/log.cpp
@@ -1,3 +1,4 @@
+// Writes log lines with Easylogging++.
 #include "net/log.hpp"
 #include <date/date.h>
 #include <easylogging++.h>
--- a/source/net/log.hpp
+++ b/source/net/log.hpp
@@ -1,4 +1,4 @@
-// Logs of the processes: one JSON object a line on standard output. docs/operations.md 5.
+// Writes log lines to standard output, one JSON object per line. docs/operations.md 5.
 #ifndef ANISELINE_NET_LOG_HPP
 #define ANISELINE_NET_LOG_HPP
 #include "net/event_loop.hpp"
@@ -10,14 +10,14 @@
 
 enum class LogLevel { debug, info, warning, error };
 
-// Called once, before the first line. `instance` tells processes of one program apart; `quiet`
-// writes nothing.
+// Must be called once, before the first log line. `instance` distinguishes processes of the same
+// program; with `quiet` nothing is written.
 void startLog(const std::string& program, const std::string& instance, bool quiet = false);
-// Writes one line, from any thread. `event` is a name in snake_case; a failure gives its error code
-// in the field `code` and its text in `error`.
+// Writes one line; may be called on any thread. `event` is a name in snake_case. For a failure, the
+// field `code` holds the error code and `error` its text.
 void log(LogLevel level, std::string_view event, picojson::object fields = {});
 
-// The system's error as a code in logs, as "system:98".
+// Returns the code of a system error for logs, such as "system:98".
 std::string codeOf(const IoError& error);
 
 }  // namespace aniseline
--- a/source/net/log_events.hpp
+++ b/source/net/log_events.hpp
@@ -1,17 +1,17 @@
-// The names of the log events of daemons and programs; docs/operations.md 5 lists each with what it
-// means. The core's own events have their names in the controller's modules.
+// The names of the log events of daemons and programs; docs/operations.md 5 lists each with its
+// meaning. The names of the controller's own events are in the modules of the controller.
 #ifndef ANISELINE_NET_LOG_EVENTS_HPP
 #define ANISELINE_NET_LOG_EVENTS_HPP
 
 namespace aniseline::log_events {
 
-// Of every daemon.
+// Logged by every daemon.
 constexpr const char* started = "started";
 constexpr const char* stopping = "stopping";
 constexpr const char* stopped = "stopped";
 constexpr const char* listenFailed = "listen_failed";
 
-// Of a controller.
+// Logged by a controller.
 constexpr const char* dataFolderOpenFailed = "data_folder_open_failed";
 constexpr const char* dataFolderQuarantineFailed = "data_folder_quarantine_failed";
 constexpr const char* diskWriteFailed = "disk_write_failed";
@@ -22,16 +22,16 @@
 constexpr const char* peerMessageRejected = "peer_message_rejected";
 constexpr const char* configurationAnswered = "configuration_answered";
 
-// Of a gateway.
+// Logged by a gateway.
 constexpr const char* leaderChanged = "leader_changed";
 
-// Of an agent.
+// Logged by an agent.
 constexpr const char* workerRegistered = "worker_registered";
 constexpr const char* workerDraining = "worker_draining";
 constexpr const char* settingNotSupported = "setting_not_supported";
 constexpr const char* workerDeclaredGone = "worker_declared_gone";
 
-// Of a stand-in worker.
+// Logged by the worker stub.
 constexpr const char* draining = "draining";
 constexpr const char* workerRejected = "worker_rejected";
 constexpr const char* shutdownNoticeFailed = "shutdown_notice_failed";
--- a/source/net/options.cpp
+++ b/source/net/options.cpp
@@ -1,3 +1,4 @@
+// Parses options from each source and prints help, version and errors.
 #include "net/options.hpp"
 #include "net/event_loop.hpp"
 #include <fstream>
@@ -12,12 +13,12 @@
 constexpr const char* version = "0.1.0";
 constexpr int usageErrorStatus = 2;
 
-std::optional<std::string> errorOfAddress(const std::string& given) {
+std::optional<std::string> addressError(const std::string& given) {
   auto endpoint = parseEndpoint(Address{given});
   return endpoint ? std::nullopt : std::optional(endpoint.error().text());
 }
 
-// Ends the process: nothing of the program has been set up yet.
+// Exits at once, which is safe because the program has not started anything yet.
 [[noreturn]] void exitProcess(int status) {
   std::cout.flush();
   std::exit(status);
@@ -25,14 +26,14 @@
 
 }  // namespace
 
-// The arguments by which TCLAP reads the command line.
+// The TCLAP arguments for the entries of an OptionSet.
 struct OptionSet::CommandLine {
   CommandLine(const std::string& purpose, bool ownHelp)
       : line(purpose, ' ', version, !ownHelp),
-        file("", "options", "a JSON file of these options, by their names; a flag wins", false, "",
-             "file", line) {}
+        file("", "options", "a JSON file with these options by name; flags take precedence", false,
+             "", "file", line) {}
 
-  // Makes the entry's argument; the values it was given can be asked for after the line was parsed.
+  // Adds the TCLAP argument of an entry; its values can be read after the command line was parsed.
   void add(Entry& entry) {
     switch (entry.kind) {
       case Entry::Kind::flag: {
@@ -58,8 +59,9 @@
     }
   }
   void addHelpAndVersion() {
-    help = std::make_unique<TCLAP::SwitchArg>("h", "help", "this text", line);
-    showVersion = std::make_unique<TCLAP::SwitchArg>("", "version", "which version this is", line);
+    help = std::make_unique<TCLAP::SwitchArg>("h", "help", "print this help and exit", line);
+    showVersion =
+        std::make_unique<TCLAP::SwitchArg>("", "version", "print the version and exit", line);
   }
   void addPositionals(const std::string& text) {
     positionals = std::make_unique<TCLAP::UnlabeledMultiArg<std::string>>("words", text, false,
@@ -100,7 +102,7 @@
 void OptionSet::addAddress(const std::string& name, Address& target, const std::string& help,
                            Presence presence) {
   addEntry(name, help, Entry::Kind::single, presence, [&target](const std::string& given) {
-    auto error = errorOfAddress(given);
+    auto error = addressError(given);
     if (!error)
       target = Address{given};
     return error;
@@ -110,7 +112,7 @@
 void OptionSet::addAddresses(const std::string& name, std::vector<Address>& target,
                              const std::string& help, Presence presence) {
   addEntry(name, help, Entry::Kind::list, presence, [&target](const std::string& given) {
-    auto error = errorOfAddress(given);
+    auto error = addressError(given);
     if (!error)
       target.push_back(Address{given});
     return error;
@@ -251,11 +253,11 @@
   std::ifstream stream(file);
   const std::string bytes((std::istreambuf_iterator<char>(stream)), {});
   picojson::value root;
-  const std::string error = stream.is_open() ? parseJson(root, bytes) : "can't be read";
+  const std::string error = stream.is_open() ? parseJson(root, bytes) : "could not be read";
   if (!error.empty())
     return errors.push_back(file + ": " + error);
   if (!root.is<picojson::object>())
-    return errors.push_back(file + ": must be an object");
+    return errors.push_back(file + ": must contain a JSON object");
   for (const auto& [name, value] : root.get<picojson::object>()) {
     std::string where = file;
     where.append(": ").append(name);
@@ -277,7 +279,7 @@
   if (!value.is<picojson::array>())
     return assign(entry, textOf(value), where);
   if (entry.kind != Entry::Kind::list)
-    return errors.push_back(where + ": must not be a list");
+    return errors.push_back(where + ": accepts only one value, not a list");
   for (const auto& item : value.get<picojson::array>())
     assign(entry, textOf(item), where);
 }
--- a/source/net/options.hpp
+++ b/source/net/options.hpp
@@ -1,55 +1,59 @@
-// Options of the programs: flags of the command line (by TCLAP), over variables of the environment,
-// over a JSON file of options. Every error is named by its flag, variable or file and field.
-// docs/operations.md 2.
+// Reads the options of a program from the command line (with TCLAP), a JSON options file and
+// environment variables, in this order of precedence. Every error names the flag, the variable, or
+// the file and field. docs/operations.md 2.
 #ifndef ANISELINE_NET_OPTIONS_HPP
 #define ANISELINE_NET_OPTIONS_HPP
 #include "base/json.hpp"
 
 namespace aniseline {
 
-// A program's options: each has a name that is a flag and a field of the options file; a flag wins.
-// The program adds its options, each with the variable that takes its value, and calls `read` once.
+// The options of a program. The name of an option is its flag on the command line and its field in
+// the options file; the flag takes precedence. The program adds its options, each with a variable
+// to store the value in, and calls `read` once.
 class OptionSet {
  public:
   enum class Presence : std::uint8_t { optional, required };
 
   OptionSet(std::string program, std::string purpose);
 
-  // A text that is not empty.
+  // Adds an option with a non-empty text.
   void addText(const std::string& name, std::string& target, const std::string& help,
                Presence presence = Presence::optional);
-  // An IP number and port.
+  // Adds an option with an IP address and port.
   void addAddress(const std::string& name, Address& target, const std::string& help,
                   Presence presence = Presence::optional);
-  // May be given several times.
+  // Adds an option with an IP address and port that may be given several times.
   void addAddresses(const std::string& name, std::vector<Address>& target, const std::string& help,
                     Presence presence = Presence::optional);
-  // A whole number from `low` to `high`; the help shows the target's value as the default, unless
-  // that is below `low`.
+  // Adds an option with a whole number from `low` to `high`. The help shows the target's value as
+  // the default, unless it is below `low`.
   void addInteger(const std::string& name, std::int64_t& target, const std::string& help,
                   std::int64_t low, std::int64_t high);
+  // Adds an option with a number from `low` to `high`.
   void addReal(const std::string& name, double& target, const std::string& help, double low,
                double high);
-  // False unless it is given.
+  // Adds a flag, which is true if it is given.
   void addFlag(const std::string& name, bool& target, const std::string& help);
-  // Takes the words that are no flags.
+  // Stores the positional arguments of the command line in `target`.
   void addPositionals(std::vector<std::string>& target, const std::string& help);
-  // An option not given as a flag or in the file is taken from this variable of the environment; a
-  // list's values are parted by commas or blanks.
+  // Sets the environment variable for an option; it is used if the option is given neither as a
+  // flag nor in the options file. The values of a list are separated by commas or spaces.
   void bindEnvironment(const std::string& name, const std::string& variable);
-  // Takes the place of the help that TCLAP would print: it is handed the words, prints and returns,
-  // and the process ends.
+  // Replaces the help that TCLAP would print. `show` receives the positional arguments and prints
+  // the help; the process exits when it returns.
   void setHelp(std::function<void(const std::vector<std::string>& words)> show);
 
-  // An aligned line for each of these options; of all if none is named.
+  // Returns one aligned line of help for each of these options, or for all options if `names` is
+  // empty.
   std::string describe(const std::vector<std::string>& names = {}) const;
-  // The options that were flags of the command line.
+  // Returns the names of the options that were given on the command line.
   std::vector<std::string> givenOnCommandLine() const;
-  // Reads all; ends the process with status 2 and a line on standard error for each error.
+  // Reads all options. If there are errors, prints one line to standard error for each and exits
+  // with status 2.
   void read(int count, char** values);
 
  private:
-  // Takes one value; the error's text, or nothing.
+  // Parses and stores one value; returns the text of an error, or nothing.
   using Parser = std::function<std::optional<std::string>(const std::string&)>;
   struct Entry {
     enum class Kind : std::uint8_t { single, list, flag };
@@ -67,9 +71,9 @@
   void addEntry(const std::string& name, const std::string& help, Entry::Kind kind,
                 Presence presence, Parser parse);
   Entry* findEntry(const std::string& name);
-  // Takes a value for an entry; an error is kept under `where`.
+  // Sets the value of an entry; an error is recorded with the prefix `where`.
   void assign(Entry& entry, const std::string& value, const std::string& where);
-  // The name of the options file; empty if none is given.
+  // Reads the command line and returns the name of the options file; empty if none is given.
   std::string readCommandLine(int count, char** values);
   void showHelpOrVersion(const CommandLine& line) const;
   void readOptionsFile(const std::string& file);
--- a/source/net/rpc_client.cpp
+++ b/source/net/rpc_client.cpp
@@ -1,26 +1,27 @@
+// Connects with a deadline, matches replies to pending calls, and retires unresponsive connections.
 #include "net/rpc_client.hpp"
 
 namespace aniseline {
 
 namespace {
 
-// How often a connection that is being made is checked: a small part of an election, after which
-// another leads and this one is not waited for.
+// How often a connection attempt is checked for abandonment. A small fraction of an election: once
+// another controller leads, the attempt to reach the former leader is given up.
 constexpr Duration connectCheckInterval{25};
-// A connection takes a round trip, or a second and more when its first packet is lost.
+// Connecting takes one round trip, or a second and more if the first packet is lost.
 constexpr Duration maxConnectTime{1000};
-// While another fiber connects.
+// How often a fiber checks whether the connection attempt of another fiber has ended.
 constexpr Duration connectingPollInterval{5};
 constexpr Duration reconnectDelay{50};
 constexpr Duration oneWayConnectTimeout{500};
-// How often a waiting call asks whether it was abandoned.
+// How often a waiting call checks whether it was abandoned.
 constexpr Duration abandonedPollInterval{50};
 
 bool isAbandoned(const std::function<bool()>& abandoned) {
   return abandoned && abandoned();
 }
 
-// Closes a socket that connects once its time is over or its caller has abandoned the call.
+// Closes a connecting socket when the deadline passes or the caller abandons the call.
 class ConnectWatchdog : public std::enable_shared_from_this<ConnectWatchdog> {
  public:
   ConnectWatchdog(EventLoop& loop, std::shared_ptr<tcp::socket> socket, MonotonicTime deadline,
@@ -83,13 +84,14 @@
     current->writer->close();
 }
 
-void RpcClient::retireIfUnresponsive(const std::shared_ptr<Connection>& link) {
-  if (link->unansweredSince && monotonicNow() - *link->unansweredSince >= unresponsiveAfter) {
-    link->retired = true;
-    if (current == link)
+void RpcClient::retireIfUnresponsive(const std::shared_ptr<Connection>& activeConnection) {
+  if (activeConnection->unansweredSince &&
+      monotonicNow() - *activeConnection->unansweredSince >= unresponsiveAfter) {
+    activeConnection->retired = true;
+    if (current == activeConnection)
       current.reset();
   }
-  link->closeIfDrained();
+  activeConnection->closeIfDrained();
 }
 
 std::shared_ptr<RpcClient::Connection> RpcClient::connection(
@@ -115,13 +117,16 @@
   if (!endpoint)
     return nullptr;
   connecting = true;
-  auto made = std::make_shared<Connection>();
-  made->socket = std::make_shared<tcp::socket>(loop.context);
-  IoError error = loop.openSocket(*made->socket, endpoint.value());
-  auto watchdog = std::make_shared<ConnectWatchdog>(loop, made->socket, deadline, abandoned);
+  auto newConnection = std::make_shared<Connection>();
+  newConnection->socket = std::make_shared<tcp::socket>(loop.context);
+  IoError error = loop.openSocket(*newConnection->socket, endpoint.value());
+  auto watchdog =
+      std::make_shared<ConnectWatchdog>(loop, newConnection->socket, deadline, abandoned);
   if (!error) {
     watchdog->start();
-    error = await([&](auto done) { made->socket->async_connect(endpoint.value(), done); }).error;
+    error = await([&](auto done) {
+              newConnection->socket->async_connect(endpoint.value(), done);
+            }).error;
   }
   watchdog->stop();
   connecting = false;
@@ -129,43 +134,44 @@
     reconnectNotBefore = monotonicNow() + reconnectDelay;
     return nullptr;
   }
-  startFibers(made);
-  current = made;
-  return made;
+  startFibers(newConnection);
+  current = newConnection;
+  return newConnection;
 }
 
-void RpcClient::startFibers(const std::shared_ptr<Connection>& made) {
+void RpcClient::startFibers(const std::shared_ptr<Connection>& newConnection) {
   IoError ignored;
-  made->socket->set_option(tcp::no_delay(true), ignored);
-  made->writer = std::make_shared<WireWriter>(made->socket);
-  spawn([writer = made->writer] { writer->run(); });
-  spawn([made] {
+  newConnection->socket->set_option(tcp::no_delay(true), ignored);
+  newConnection->writer = std::make_shared<WireWriter>(newConnection->socket);
+  spawn([writer = newConnection->writer] { writer->run(); });
+  spawn([newConnection] {
     for (;;) {
-      auto message = readMessage(*made->socket);
+      auto message = readMessage(*newConnection->socket);
       if (!message)
-        return made->failAll(message.error());
-      made->complete(std::move(message.value()));
+        return newConnection->failAll(message.error());
+      newConnection->complete(std::move(message.value()));
     }
   });
 }
 
 Result<WireMessage, WireError> RpcClient::call(WireBody body, Duration timeout,
                                                const std::function<bool()>& abandoned) {
-  auto link = connection(timeout, abandoned);
-  if (!link)
-    return WireError{WireError::Kind::unreachable, address.value + " can't be reached"};
+  auto activeConnection = connection(timeout, abandoned);
+  if (!activeConnection)
+    return WireError{WireError::Kind::unreachable, address.value + " could not be reached"};
   const std::uint64_t correlationId = nextCorrelationId++;
   auto pending = std::make_shared<PendingCall>();
   auto future = pending->promise.get_future();
-  link->pendingCalls[correlationId] = pending;
-  if (!link->writer->send(encode(WireMessage{correlationId, std::move(body)}))) {
-    link->pendingCalls.erase(correlationId);
-    return WireError{WireError::Kind::unreachable, "the link to " + address.value + " is full"};
+  activeConnection->pendingCalls[correlationId] = pending;
+  if (!activeConnection->writer->send(encode(WireMessage{correlationId, std::move(body)}))) {
+    activeConnection->pendingCalls.erase(correlationId);
+    return WireError{WireError::Kind::unreachable,
+                     "the send queue to " + address.value + " is full"};
   }
   const MonotonicTime sentAt = monotonicNow();
   const MonotonicTime deadline = sentAt + timeout;
-  if (!link->unansweredSince)
-    link->unansweredSince = sentAt;
+  if (!activeConnection->unansweredSince)
+    activeConnection->unansweredSince = sentAt;
   while (monotonicNow() < deadline && !isAbandoned(abandoned)) {
     const Duration interval = abandoned ? abandonedPollInterval : timeout;
     const Duration slice = std::min(interval, deadline - monotonicNow());
@@ -173,14 +179,14 @@
         boost::fibers::future_status::ready)
       return future.get();
   }
-  link->pendingCalls.erase(correlationId);
-  retireIfUnresponsive(link);
+  activeConnection->pendingCalls.erase(correlationId);
+  retireIfUnresponsive(activeConnection);
   return WireError{WireError::Kind::timedOut, address.value + " did not answer in time"};
 }
 
 bool RpcClient::sendOneWay(const WireMessage& message) {
-  auto link = connection(oneWayConnectTimeout, {});
-  return link && link->writer->send(encode(message));
+  auto activeConnection = connection(oneWayConnectTimeout, {});
+  return activeConnection && activeConnection->writer->send(encode(message));
 }
 
 std::shared_ptr<RpcClient> RpcClientPool::clientFor(const Address& address) {
--- a/source/net/rpc_client.hpp
+++ b/source/net/rpc_client.hpp
@@ -1,18 +1,18 @@
-// Calls to another process of ours: requests and their answers on one connection, matched by
-// correlation id. docs/design.md 9.2, 9.3.
+// Makes calls to other aniseline processes. Requests and replies share one connection and are
+// matched by correlation id. docs/design.md 9.2, 9.3.
 //
-// For the fibers of one thread.
+// Used by fibers of one thread.
 #ifndef ANISELINE_NET_RPC_CLIENT_HPP
 #define ANISELINE_NET_RPC_CLIENT_HPP
 #include "net/wire_connection.hpp"
 
 namespace aniseline {
 
-// Connects when it is first used, and again after a loss.
+// Calls one address. Connects on first use, and again after a lost connection.
 class RpcClient {
  public:
-  // A connection on which calls went unanswered this long carries no new ones: its far end may be
-  // gone without a word, and TCP would go on trying for minutes.
+  // A connection on which calls have gone unanswered for this long takes no new calls: the remote
+  // host may have disappeared without closing it, and TCP would retransmit for minutes.
   static constexpr Duration defaultUnresponsiveAfter{2000};
   RpcClient(EventLoop& loop, Address address, Duration unresponsiveAfter = defaultUnresponsiveAfter)
       : loop(loop), address(std::move(address)), unresponsiveAfter(unresponsiveAfter) {}
@@ -20,12 +20,13 @@
   RpcClient(const RpcClient&) = delete;
   RpcClient& operator=(const RpcClient&) = delete;
 
-  // Sends a message and waits for its answer. An error of kind `unreachable` means that nothing was
-  // sent. `abandoned` is polled during the wait; true ends it as timed out, or as unreachable while
-  // there is no connection yet.
+  // Sends a message and waits for its reply. An error of kind `unreachable` means that nothing was
+  // sent. `abandoned` is polled during the wait; when it returns true the call ends with
+  // `timedOut`, or with `unreachable` if there is no connection yet.
   Result<WireMessage, WireError> call(WireBody body, Duration timeout,
                                       const std::function<bool()>& abandoned = {});
-  // Sends a message that gets no answer; false, or a loss on the way, when it can't be sent.
+  // Sends a message that has no reply. Returns false if it could not be queued; a queued message
+  // may still be lost.
   bool sendOneWay(const WireMessage& message);
 
  private:
@@ -37,8 +38,9 @@
     std::shared_ptr<WireWriter> writer;
     std::map<std::uint64_t, std::shared_ptr<PendingCall>> pendingCalls;  // by correlation id
     bool open = true;
-    bool retired = false;  // takes no new calls; closes once no call waits on it
-    std::optional<MonotonicTime> unansweredSince;  // a call left and nothing was received since
+    bool retired = false;  // takes no new calls; closes once no call is pending
+    // When a call was sent, if nothing has been received since.
+    std::optional<MonotonicTime> unansweredSince;
     void closeIfDrained();
     void complete(WireMessage message);
     void failAll(const WireError& error);
@@ -46,8 +48,8 @@
   std::shared_ptr<Connection> connection(Duration timeout, const std::function<bool()>& abandoned);
   std::shared_ptr<Connection> connect(MonotonicTime deadline,
                                       const std::function<bool()>& abandoned);
-  static void startFibers(const std::shared_ptr<Connection>& made);
-  void retireIfUnresponsive(const std::shared_ptr<Connection>& link);
+  static void startFibers(const std::shared_ptr<Connection>& newConnection);
+  void retireIfUnresponsive(const std::shared_ptr<Connection>& activeConnection);
 
   EventLoop& loop;
   Address address;
@@ -58,7 +60,7 @@
   std::uint64_t nextCorrelationId = 1;
 };
 
-// One client for each address, made when it is first asked for and kept.
+// Keeps one client per address, created on first use.
 class RpcClientPool {
  public:
   explicit RpcClientPool(EventLoop& loop) : loop(loop) {}
@@ -69,7 +71,8 @@
   std::map<Address, std::shared_ptr<RpcClient>> clients;
 };
 
-// A controller's answer to a route query; nothing if it does not answer so in time.
+// Sends a route query and returns the reply, or nothing on an error, a timeout or another kind of
+// reply.
 std::optional<RouteReply> queryRoute(RpcClient& client, const RouteQuery& query, Duration timeout);
 
 }  // namespace aniseline
--- a/source/net/signals.hpp
+++ b/source/net/signals.hpp
@@ -1,4 +1,4 @@
-// Signals of the process, as the fibers of an event loop see them. docs/operations.md 4.
+// Handles process signals on an event loop. docs/operations.md 4.
 #ifndef ANISELINE_NET_SIGNALS_HPP
 #define ANISELINE_NET_SIGNALS_HPP
 #include "net/event_loop.hpp"
@@ -16,14 +16,14 @@
   pthread_sigmask(blocked ? SIG_BLOCK : SIG_UNBLOCK, &set, nullptr);
 }
 
-// Called first in a daemon's main: a signal that comes while the process starts waits until
-// StopSignal or ReloadSignal takes it. Its default action would end the process.
-inline void holdSignalsUntilHandled() {
+// Must be called first in the main function of a daemon. A signal that arrives during startup stays
+// pending until StopSignal or ReloadSignal handles it; its default action would end the process.
+inline void blockSignalsUntilHandled() {
   setSignalsBlocked(true, {SIGTERM, SIGINT, SIGHUP});
 }
 
-// SIGTERM and SIGINT: the process is asked to stop, which it does in its own order. One that comes
-// again changes nothing. Made before the process starts threads, which inherit its signal mask.
+// Handles SIGTERM and SIGINT, which request a graceful stop; repeated signals have no effect. Must
+// be constructed before the process starts threads, because they inherit its signal mask.
 class StopSignal {
  public:
   explicit StopSignal(EventLoop& loop) : signals(loop.context, SIGTERM, SIGINT) {
@@ -40,8 +40,9 @@
   std::atomic<bool> stop{false};
 };
 
-// SIGHUP: the settings of this process have changed where they are kept. The callback runs on the
-// loop's thread, each time the signal comes, also during a stop. Made before threads are started.
+// Handles SIGHUP, which means that the stored settings of this process have changed. The callback
+// runs on the loop's thread for each signal, also during a stop. Must be constructed before the
+// process starts threads.
 class ReloadSignal {
  public:
   ReloadSignal(EventLoop& loop, std::function<void()> reload)
--- a/source/net/socket_state.hpp
+++ b/source/net/socket_state.hpp
@@ -1,4 +1,4 @@
-// What a socket holds, asked without waiting. Called by HTTP connections of both sides.
+// Checks without blocking whether a socket has data to read. Called by HTTP clients and servers.
 #ifndef ANISELINE_NET_SOCKET_STATE_HPP
 #define ANISELINE_NET_SOCKET_STATE_HPP
 #include "net/event_loop.hpp"
@@ -8,9 +8,9 @@
 namespace aniseline {
 
 enum class ReceiveQueue : std::uint8_t {
-  empty,   // nothing has come since the last read
-  filled,  // bytes can be read
-  ended    // the other side has ended its stream, or the connection is lost
+  empty,   // no data has arrived since the last read
+  filled,  // data can be read
+  ended    // the peer has ended its stream, or the connection is lost
 };
 
 inline ReceiveQueue receiveQueueOf(tcp::socket& socket) {
--- a/source/net/wire.cpp
+++ b/source/net/wire.cpp
@@ -1,3 +1,4 @@
+// Encodes and decodes frames.
 #include "net/wire.hpp"
 
 namespace aniseline {
@@ -5,7 +6,7 @@
 namespace {
 
 constexpr std::uint32_t frameMagic = 0x534e4130;  // "0ANS"
-// The largest body that is read, in bytes; a snapshot travels in chunks far below it.
+// The largest accepted body, in bytes. Snapshots are sent in chunks that are far smaller.
 constexpr std::uint32_t maxBodyBytes = 256 * 1024 * 1024;
 
 WireError malformed(std::string text) {
@@ -38,8 +39,8 @@
   if (header.magic != frameMagic)
     return malformed("the peer does not speak our protocol");
   if (header.format != wireFormat)
-    return malformed("the peer speaks format " + std::to_string(header.format) + ", we speak " +
-                     std::to_string(wireFormat));
+    return malformed("the peer speaks format " + std::to_string(header.format) +
+                     ", this process speaks " + std::to_string(wireFormat));
   if (header.bodyBytes > maxBodyBytes)
     return malformed("a message of " + std::to_string(header.bodyBytes) + " bytes is too large");
   return std::nullopt;
@@ -57,12 +58,12 @@
 Result<WireMessage, WireError> decode(const std::string& bytes) {
   FrameHeader header;
   if (bytes.size() < sizeof header)
-    return malformed("the header is not complete");
+    return malformed("the header is incomplete");
   std::memcpy(&header, bytes.data(), sizeof header);
   if (auto error = checkHeader(header))
     return *error;
   if (bytes.size() - sizeof header != header.bodyBytes)
-    return malformed("the message is not complete");
+    return malformed("the message is not as long as its header says");
   return decodeBody(header, bytes.substr(sizeof header));
 }
 
--- a/source/net/wire.hpp
+++ b/source/net/wire.hpp
@@ -1,8 +1,8 @@
-// What our own processes say to each other: the messages, and the frames in which they travel over
-// TCP (Boost.Serialization behind a header with a checksum). docs/design.md 9.3.
+// Defines the messages that aniseline processes exchange, and their framing on TCP: a header with a
+// checksum, followed by a body in Boost.Serialization. docs/design.md 9.3.
 //
-// The order of the serialized fields and of the alternatives of WireBody is the wire format; any
-// change to it needs another `wireFormat`.
+// The order of the serialized fields and of the alternatives of WireBody defines the wire format;
+// any change to it requires a new `wireFormat`.
 #ifndef ANISELINE_NET_WIRE_HPP
 #define ANISELINE_NET_WIRE_HPP
 #include "raft/node.hpp"
@@ -10,35 +10,35 @@
 
 namespace aniseline {
 
-// Asks a process for the route to the leader, and introduces whoever asks.
+// Asks a process for the route to the leader and identifies the sender.
 struct RouteQuery {
-  GatewayEndpoint gateway;    // of a gateway that asks, else empty
-  Address controller;         // of a controller that asks, else empty
-  bool canBootstrap = false;  // the asking controller is blank and may bootstrap a cluster.
-                              // docs/design.md 3.7
+  GatewayEndpoint gateway;  // the sender, if it is a gateway; else empty
+  Address controller;       // the sender, if it is a controller; else empty
+  bool canBootstrap =
+      false;  // the sender has no state and may bootstrap a cluster. docs/design.md 3.7
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& gateway& controller& canBootstrap;
   }
 };
 
-// The answer of a controller to a RouteQuery.
+// A controller's reply to a RouteQuery.
 struct RouteReply {
   LeaderRoute view;
   ControllerId id;
   Address peer;
   ZoneName zone;
-  bool uninitialized = false;  // it knows of no cluster
+  bool uninitialized = false;  // the controller belongs to no cluster yet
   bool isLeader = false;
-  bool hasDisk = true;         // so it may bootstrap and vote
-  Address bootstrapCandidate;  // of one without a disk: the controller that it named to bootstrap
+  bool hasDisk = true;         // the controller has a disk, so it may bootstrap and vote
+  Address bootstrapCandidate;  // the controller that a diskless controller chose to bootstrap
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& view& id& peer& zone& uninitialized& isLeader& hasDisk& bootstrapCandidate;
   }
 };
 
-// An operator asks a blank controller to bootstrap a new cluster.
+// An operator's request to a controller without state to bootstrap a new cluster.
 struct BootstrapRequest {
   template <class Archive>
   void serialize(Archive&, unsigned) {}
@@ -48,7 +48,8 @@
     boost::variant<PeerMessage, ApiRequest, ApiResponse, RouteQuery, RouteReply, BootstrapRequest>;
 
 struct WireMessage {
-  // Repeated by the answer; 0 on a message that gets none. One side's only rise on a connection.
+  // The reply carries the id of its request; 0 on a message without a reply. The ids that one side
+  // sends increase on a connection.
   std::uint64_t correlationId = 0;
   WireBody body;
   template <class Archive>
@@ -60,18 +61,18 @@
 struct WireError {
   enum class Kind {
     unreachable,     // nothing was sent
-    connectionLost,  // it was sent, or a part of it; no answer will come
-    timedOut,        // no answer in time
-    malformed        // what came is no message of this format
+    connectionLost,  // the message was sent at least in part; no reply will arrive
+    timedOut,        // no reply arrived in time
+    malformed        // the received bytes are not a valid message of this format
   } kind = Kind::unreachable;
   std::string text;
 };
-// The error's code in logs, in snake_case.
+// Returns the error's code for logs, in snake_case.
 const char* name(WireError::Kind kind);
 
 constexpr std::uint32_t wireFormat = 7;
 
-// What stands before each message; sent as its bytes.
+// The header before each message; sent as its raw bytes.
 struct FrameHeader {
   std::uint32_t magic = 0;
   std::uint32_t format = 0;
@@ -79,11 +80,12 @@
   std::uint32_t bodyChecksum = 0;
 };
 
+// Returns the frame of a message: header and body.
 std::string encode(const WireMessage& message);
-// One whole frame, as `encode` makes it.
+// Decodes one complete frame.
 Result<WireMessage, WireError> decode(const std::string& bytes);
-// The two halves of `decode`, for a reader that gets a frame piece by piece: why a header can't be
-// followed by a message of ours, and the message in a body.
+// The two steps of `decode`, for a reader that receives a frame in pieces: `checkHeader` returns
+// why a header is not acceptable, `decodeBody` returns the message in a body.
 std::optional<WireError> checkHeader(const FrameHeader& header);
 Result<WireMessage, WireError> decodeBody(const FrameHeader& header, const std::string& body);
 
--- a/source/net/wire_connection.cpp
+++ b/source/net/wire_connection.cpp
@@ -1,3 +1,4 @@
+// Reads frames in bounded steps and writes queued messages in batches.
 #include "net/wire_connection.hpp"
 #include <boost/asio/read.hpp>
 #include <boost/asio/write.hpp>
@@ -6,9 +7,9 @@
 
 namespace {
 
-constexpr std::size_t maxQueuedMessages = 20'000;  // on one connection, however small
+constexpr std::size_t maxQueuedMessages = 20'000;  // per connection, regardless of message size
 constexpr std::size_t maxReadStepBytes = 1024 * 1024;
-constexpr std::size_t writeBatchBytes = 256 * 1024;  // no more is joined once this much is
+constexpr std::size_t writeBatchBytes = 256 * 1024;  // a batch of this size gets no more messages
 
 WireError connectionLost(const IoError& error) {
   return WireError{WireError::Kind::connectionLost, error.message()};
@@ -28,7 +29,7 @@
   if (auto error = checkHeader(header))
     return *error;
   std::string body;
-  // The buffer grows with what really comes, so a false size costs the peer, not us.
+  // The buffer grows as data arrives, so a peer can't force a large allocation with a false size.
   while (body.size() < header.bodyBytes) {
     const std::size_t before = body.size();
     const std::size_t step = std::min<std::size_t>(header.bodyBytes - before, maxReadStepBytes);
--- a/source/net/wire_connection.hpp
+++ b/source/net/wire_connection.hpp
@@ -1,6 +1,6 @@
-// Reading and writing wire messages on one TCP connection. docs/design.md 9.3.
+// Reads and writes wire messages on one TCP connection. docs/design.md 9.3.
 //
-// For the fibers of one thread: one fiber reads, one runs the writer, any may send.
+// Used by fibers of one thread: one fiber reads, one fiber runs the writer, and any fiber may send.
 #ifndef ANISELINE_NET_WIRE_CONNECTION_HPP
 #define ANISELINE_NET_WIRE_CONNECTION_HPP
 #include "net/event_loop.hpp"
@@ -8,16 +8,16 @@
 
 namespace aniseline {
 
-// Reads one message. A peer that speaks another format, or sends what can't be read, is an error of
-// kind `malformed`, after which the connection has to end.
+// Reads one message. Another wire format or an invalid message is an error of kind `malformed`,
+// after which the connection has to be closed.
 Result<WireMessage, WireError> readMessage(tcp::socket& socket);
 
-// Reads what one peer sends on one connection. A caller's correlation ids only rise there, so a
-// request whose bytes come twice is handed out once.
+// Reads the messages of one peer on one connection and drops duplicates. Correlation ids increase
+// on a connection, so a message with a lower or equal id is a duplicate.
 class WireReader {
  public:
   explicit WireReader(std::shared_ptr<tcp::socket> socket) : socket(std::move(socket)) {}
-  // The next message that is no repetition of an earlier one.
+  // Returns the next message that is not a duplicate of an earlier one.
   Result<WireMessage, WireError> readNext();
 
  private:
@@ -25,32 +25,33 @@
   std::uint64_t lastCorrelationId = 0;
 };
 
-// What may wait to be written on one connection, in bytes: enough for the largest answers. What
-// consensus queues to a peer is bounded more tightly by the peer's window. A single larger message
-// still passes.
+// The bound of a connection's write queue, in bytes. It is large enough for the largest responses;
+// Raft messages to a peer are limited more tightly by the peer's window. A single message that is
+// larger is still accepted if the queue is empty.
 constexpr std::size_t maxQueuedBytes = 16 * 1024 * 1024;
 
-// Writes queued messages in order on one socket. Owned jointly by the fibers of its connection.
+// Writes queued messages in order to one socket. Shared by the fibers of its connection.
 class WireWriter {
  public:
   explicit WireWriter(std::shared_ptr<tcp::socket> socket) : socket(std::move(socket)) {}
-  // Queues an encoded message. False: the queue is full or the connection has ended.
+  // Queues an encoded message. Returns false if the queue is full or the connection has ended.
   bool send(std::string bytes);
-  // Writes until the connection ends; runs in a fiber of its own.
+  // Writes queued messages until the connection ends; must run in its own fiber.
   void run();
-  // Everything queued has been handed to the kernel, or the connection has ended.
+  // Reports whether all queued messages were passed to the kernel or the connection has ended.
   bool isFlushed() const { return closed || (queue.empty() && !writing); }
-  // Ends the connection; what is queued is lost.
+  // Closes the connection and discards the queued messages.
   void close();
 
  private:
-  // Queued messages joined to one write; nothing once the connection has ended.
+  // Waits for queued messages and returns them joined for one write, or nothing once the connection
+  // has ended.
   std::optional<std::string> nextBatch();
 
   std::shared_ptr<tcp::socket> socket;
   std::deque<std::string> queue;
   std::size_t queuedBytes = 0;
-  bool writing = false;  // a batch that has left the queue
+  bool writing = false;  // whether a batch taken from the queue is being written
   bool closed = false;
   boost::fibers::mutex mutex;
   boost::fibers::condition_variable queueChanged;
--- a/source/net/worker_client.cpp
+++ b/source/net/worker_client.cpp
@@ -1,3 +1,4 @@
+// Sends syncs to gateways, retries failed ones, and emits the session's events as signals.
 #include "net/worker_client.hpp"
 #include "net/contacts.hpp"
 #include "net/http_status.hpp"
@@ -14,7 +15,7 @@
 constexpr Duration unreadableAnswerDelay{100};
 constexpr Duration minRetryDelay{20};
 constexpr Duration contactsTimeout{500};
-// Beyond the long poll of a sync: for the answer to come.
+// The time allowed for transmission, in addition to the long poll timeout of a sync.
 constexpr Duration syncTransitTime{300};
 
 HttpRequest syncRequest(const SyncReport& report) {
@@ -33,8 +34,8 @@
 void WorkerClient::deliverEvents() {
   for (const auto& [order, outcome] : workerSession.takeConfirmedResults())
     confirmed(order, outcome);
-  for (const auto& next : workerSession.takeCommands())
-    command(next);
+  for (const auto& nextCommand : workerSession.takeCommands())
+    command(nextCommand);
 }
 
 void WorkerClient::attemptEnded(AttemptNumber attempt, bool succeeded) {
@@ -46,15 +47,15 @@
 }
 
 void WorkerClient::run(const std::atomic<bool>& stop) {
-  // The fibers use what stands here: this one waits for them at its end.
-  std::size_t fibers = 2;
-  spawn([this, &stop, &fibers] {
+  // The fibers refer to local variables, so this function waits for them before it returns.
+  std::size_t runningFibers = 2;
+  spawn([this, &stop, &runningFibers] {
     tickUntil(stop);
-    --fibers;
+    --runningFibers;
   });
-  spawn([this, &stop, &fibers] {
+  spawn([this, &stop, &runningFibers] {
     syncUrgentUntil(stop);
-    --fibers;
+    --runningFibers;
   });
   HttpClient client(loop);
   while (!stop) {
@@ -63,11 +64,11 @@
     else
       sync(client);
   }
-  while (fibers > 0)
+  while (runningFibers > 0)
     sleepFor(Duration{5});
 }
 
-// Leases expire and trials end between syncs too.
+// Advances the session's clock regularly, because leases expire and trials end between syncs too.
 void WorkerClient::tickUntil(const std::atomic<bool>& stop) {
   while (!stop) {
     workerSession.tick(monotonicNow());
@@ -76,7 +77,7 @@
   }
 }
 
-// While one sync waits for orders a second one reports results at once.
+// Reports results at once in a second sync while the first one is waiting for orders.
 void WorkerClient::syncUrgentUntil(const std::atomic<bool>& stop) {
   HttpClient client(loop);
   for (; !stop; sleepFor(urgentCheckInterval)) {
@@ -135,7 +136,8 @@
   sleepFor(answer ? std::max(minRetryDelay, answer.value().retryAfter) : minRetryDelay);
 }
 
-// The address given may be a controller's, which serves no workers but knows who does.
+// The configured address may be that of a controller, which does not serve workers but knows the
+// gateways.
 void WorkerClient::refreshGateways(HttpClient& client, const Address& gateway,
                                    const ZoneName& zone) {
   const auto answer =
--- a/source/net/worker_client.hpp
+++ b/source/net/worker_client.hpp
@@ -1,5 +1,4 @@
-// A worker's side of the cluster: keeps a worker that calls gateways in sync with the leader.
-// docs/api.md 3, 4.
+// Keeps a worker that calls gateways in sync with the leader. docs/api.md 3, 4.
 #ifndef ANISELINE_NET_WORKER_CLIENT_HPP
 #define ANISELINE_NET_WORKER_CLIENT_HPP
 #include "agent/worker_session.hpp"
@@ -8,29 +7,30 @@
 
 namespace aniseline {
 
-// Runs the session's core over HTTP; the program connects its slots to the signals. All on the
-// thread that calls `run`.
+// Runs a WorkerSession over HTTP. The program connects its handlers to the signals. All members
+// must be called, and all handlers run, on the thread that calls `run`.
 class WorkerClient {
  public:
   WorkerClient(EventLoop& loop, WorkerSession::Options options, Incarnation incarnation,
                std::vector<Address> gateways);
 
-  // What the worker has to do now.
+  // A command that the worker has to carry out now.
   boost::signals2::signal<void(const TaskCommand&)> command;
-  // The leader has declared the former incarnation gone; the worker goes on as this one.
+  // The leader has declared the former incarnation gone; the worker continues with this one.
   boost::signals2::signal<void(Incarnation)> incarnationChanged;
-  // The leader knows the result of an order's task, which may be handed out now.
+  // The leader has confirmed the result of an order's task, so the result may be published now.
   boost::signals2::signal<void(const Order&, AttemptOutcome)> confirmed;
-  // The leader's text, as when another process has this id.
+  // The leader has rejected a sync, for example because another process has this worker id. The
+  // argument is the leader's error text.
   boost::signals2::signal<void(const std::string&)> rejected;
 
-  // Syncs until the flag is set.
+  // Syncs until `stop` is set.
   void run(const std::atomic<bool>& stop);
-  // A task has ended by itself.
+  // Reports that a task has ended by itself.
   void attemptEnded(AttemptNumber attempt, bool succeeded);
-  // Takes no new work; what runs may go on for so long.
+  // Stops taking new work; running tasks may continue for `timeout`.
   void startDrain(Duration timeout);
-  // For tests of the library's users: while set nothing is sent.
+  // For tests by users of the library: while this is set, nothing is sent.
   bool partitioned = false;
   const WorkerSession& session() const { return workerSession; }
 
--- a/source/net/worker_protocol.hpp
+++ b/source/net/worker_protocol.hpp
@@ -1,5 +1,5 @@
-// What an agent needs to know of how its kind of worker is spoken to; an adapter gives it.
-// docs/design.md 5.8, 9.6.
+// The functions with which an agent encodes and decodes the protocol of its kind of worker;
+// provided by an adapter. docs/design.md 5.8, 9.6.
 #ifndef ANISELINE_NET_WORKER_PROTOCOL_HPP
 #define ANISELINE_NET_WORKER_PROTOCOL_HPP
 #include "agent/node_agent.hpp"
@@ -8,17 +8,17 @@
 namespace aniseline {
 
 struct WorkerProtocol {
-  // What a worker tells its agent unasked.
+  // A message that a worker sends to its agent on its own.
   struct Notice {
     WorkerRegistration registration;
-    // It is about to end. The registration then names its instance and nothing else.
+    // The worker is about to end. The registration then contains only its instance.
     bool shuttingDown = false;
   };
-  // The request by which a call is made.
+  // Returns the HTTP request for a call.
   std::function<HttpRequest(const WorkerCall&)> encodeCall;
-  // What the answer to a call says; an answer that can't be read says nothing.
+  // Decodes the response to a call; an unreadable response becomes a reply without content.
   std::function<WorkerReply(const WorkerCall&, const Result<HttpResponse, HttpError>&)> decodeReply;
-  // Nothing: the request is none of a worker's.
+  // Decodes a notice; returns nothing if the request is not a notice of a worker.
   std::function<std::optional<Notice>(const HttpRequest&)> decodeNotice;
 };
 
--- a/tests/net/data_folder_tests.cpp
+++ b/tests/net/data_folder_tests.cpp
@@ -64,8 +64,8 @@
     std::size_t offset, cut;
     const char* part;
   };
-  for (const Case& bad : {Case{0, 3, "torn"}, Case{40, 0, "checksum"},
-                          Case{1, 0, "not a file of aniseline"}, Case{6, 0, "format"}}) {
+  for (const Case& bad : {Case{0, 3, "truncated"}, Case{40, 0, "checksum"},
+                          Case{1, 0, "not written by aniseline"}, Case{6, 0, "format"}}) {
     DataFolder folder(path);
     CHECK(folder.openLocked().has_value());
     for (std::uint64_t version = 1; version <= 3; ++version)
--- a/tests/net/signals_tests.cpp
+++ b/tests/net/signals_tests.cpp
@@ -14,7 +14,7 @@
 
 // What a daemon does between its main and its loop, with both signals at the worst time.
 [[noreturn]] void startDaemonUnderSignals() {
-  holdSignalsUntilHandled();
+  blockSignalsUntilHandled();
   ::raise(SIGHUP);
   ::raise(SIGTERM);
   // Lives as long as the thread's fiber scheduler.
