--- a/tests/net/data_folder_tests.cpp
+++ b/tests/net/data_folder_tests.cpp
@@ -1,3 +1,4 @@
+// Tests a data folder on a real file system: snapshots, damaged files and locking.
 #include "net/data_folder.hpp"
 #include <cerrno>
 #include <fcntl.h>
@@ -19,10 +20,10 @@
   void teardown() override {
     fs::remove_all(path);
   }
-  WriteAheadRecord record(std::uint64_t version, bool whole) {
+  WriteAheadRecord record(std::uint64_t version, bool isSnapshot) {
     WriteAheadRecord made;
     made.version = DiskVersion{version};
-    made.holdsSnapshot = whole;
+    made.holdsSnapshot = isSnapshot;
     made.firstIndex = LogIndex{version};
     made.entries = {LogEntry{Term{1}, false, "payload " + std::to_string(version)}};
     return made;
@@ -32,18 +33,18 @@
     std::snprintf(name, sizeof name, "/log-%020llu", (unsigned long long)version);
     return path + name;
   }
-  void spoil(const std::string& file, std::size_t offset, std::size_t cut) {
+  void damage(const std::string& file, std::size_t offset, std::size_t removedBytes) {
     std::ifstream in(file, std::ios::binary);
     std::string bytes((std::istreambuf_iterator<char>(in)), {});
-    if (cut)
-      bytes.resize(bytes.size() - cut);
+    if (removedBytes)
+      bytes.resize(bytes.size() - removedBytes);
     else
       bytes[offset] = char(bytes[offset] ^ 0x40);
     std::ofstream(file, std::ios::binary | std::ios::trunc) << bytes;
   }
 };
 
-TEST(DataFolderTests, aWholeVersionTakesThePlaceOfWhatCameBefore) {
+TEST(DataFolderTests, aSnapshotReplacesOlderVersions) {
   DataFolder folder(path);
   const auto identity = folder.open();
   CHECK(identity.has_value());
@@ -58,27 +59,28 @@
   CHECK(loaded.value()[0].holdsSnapshot);
 }
 
-// Torn, corrupt, missing or foreign: refused by name and offset, and never voted with.
-TEST(DataFolderTests, damageIsRefusedByFileAndOffset) {
+// A truncated, corrupt, missing or foreign file has to be reported by name and reason, and its
+// state must never be used by a voter.
+TEST(DataFolderTests, damageIsReportedWithFileAndReason) {
   struct Case {
-    std::size_t offset, cut;
-    const char* part;
+    std::size_t offset, removedBytes;
+    const char* expectedText;
   };
-  for (const Case& bad : {Case{0, 3, "truncated"}, Case{40, 0, "checksum"},
-                          Case{1, 0, "not written by aniseline"}, Case{6, 0, "format"}}) {
+  for (const Case& damageCase : {Case{0, 3, "truncated"}, Case{40, 0, "checksum"},
+                                 Case{1, 0, "not written by aniseline"}, Case{6, 0, "format"}}) {
     DataFolder folder(path);
     CHECK(folder.openLocked().has_value());
     for (std::uint64_t version = 1; version <= 3; ++version)
       CHECK(folder.write(record(version, false)).has_value());
-    spoil(fileOf(2), bad.offset, bad.cut);
+    damage(fileOf(2), damageCase.offset, damageCase.removedBytes);
     auto loaded = folder.load();
     CHECK(!loaded.has_value());
-    CHECK_TEXT(loaded.error().message().find(bad.part) != std::string::npos,
+    CHECK_TEXT(loaded.error().message().find(damageCase.expectedText) != std::string::npos,
                loaded.error().message().c_str());
     CHECK(loaded.error().file.find("log-") != std::string::npos);
     CHECK(folder.quarantine().has_value());
-    auto anew = folder.load();
-    CHECK(anew.has_value() && anew.value().empty());
+    auto reloaded = folder.load();
+    CHECK(reloaded.has_value() && reloaded.value().empty());
   }
   DataFolder folder(path);
   CHECK(folder.openLocked().has_value());
--- a/tests/net/http_client_tests.cpp
+++ b/tests/net/http_client_tests.cpp
@@ -1,5 +1,5 @@
-// One kept connection to a worker, over real sockets of this machine: an answer belongs to the
-// request that it was asked by, whatever else the other side sends. docs/design.md 9.4.
+// Tests one reused connection to a worker over real local sockets: a response is only returned for
+// its own request, even if the server sends additional bytes. docs/design.md 9.4.
 #include "net/http_client.hpp"
 #include <CppUTest/TestHarness.h>
 #include <boost/asio/read_until.hpp>
@@ -10,13 +10,13 @@
 
 namespace {
 
-std::string answerOf(const std::string& text, const std::string& status = "200 OK") {
+std::string httpResponse(const std::string& text, const std::string& status = "200 OK") {
   return "HTTP/1.1 " + status + "\r\nContent-Length: " + std::to_string(text.size()) + "\r\n\r\n" +
          text;
 }
 
-// A server that sends, for each request that it reads, the next of its given texts; an empty one is
-// silence until the connection ends.
+// A server that sends the next of the given texts for each request. For an empty text it sends
+// nothing until the connection ends.
 class ScriptedServer {
  public:
   explicit ScriptedServer(std::vector<std::string> given)
@@ -26,8 +26,8 @@
   ~ScriptedServer() {
     stopping = true;
     IoError ignored;
-    tcp::socket knock(context);
-    knock.connect(acceptor.local_endpoint(), ignored);
+    tcp::socket wakeUp(context);
+    wakeUp.connect(acceptor.local_endpoint(), ignored);
     thread.join();
   }
   Address address() const {
@@ -49,15 +49,16 @@
   }
   void serveConnection(tcp::socket& socket) {
     IoError error;
-    std::string held;
+    std::string receivedBytes;
     while (!error) {
-      const auto size = asio::read_until(socket, asio::dynamic_buffer(held), "\r\n\r\n", error);
+      const auto size =
+          asio::read_until(socket, asio::dynamic_buffer(receivedBytes), "\r\n\r\n", error);
       if (error)
         return;
-      held.erase(0, size);  // the requests here have no body
-      const std::size_t place = read++;
-      if (place < texts.size() && !texts[place].empty())
-        asio::write(socket, asio::buffer(texts[place]), error);
+      receivedBytes.erase(0, size);  // the requests here have no body
+      const std::size_t index = read++;
+      if (index < texts.size() && !texts[index].empty())
+        asio::write(socket, asio::buffer(texts[index]), error);
     }
   }
   std::vector<std::string> texts;
@@ -67,20 +68,20 @@
   std::thread thread;
 };
 
-// What a client gets for so many requests, one after the other.
-std::vector<std::string> asked(const Address& address, std::size_t count) {
+// Sends `count` requests one after another with one client and returns the results.
+std::vector<std::string> sendRequests(const Address& address, std::size_t count) {
   std::vector<std::string> answers;
   std::thread([&] {
-    // The thread's fiber scheduler needs its loop to the thread's very end, so loops are kept.
+    // The thread's fiber scheduler uses the loop until the thread ends, so loops are never deleted.
     static auto* const loops = new std::vector<EventLoop*>;
     EventLoop* const loop = new EventLoop;
     loops->push_back(loop);
     HttpClient client(*loop);
-    for (std::size_t place = 0; place < count; ++place) {
+    for (std::size_t index = 0; index < count; ++index) {
       auto answer = client.send(address, {"POST", "/call", ""}, Duration{300});
       answers.push_back(answer ? std::to_string(answer.value().status) + " " + answer.value().body
                                : "none");
-      sleepFor(Duration{20});  // what was sent beside an answer has arrived
+      sleepFor(Duration{20});  // lets additional bytes arrive
     }
   }).join();
   return answers;
@@ -90,43 +91,44 @@
 
 TEST_GROUP(HttpClientTests){};
 
-TEST(HttpClientTests, keepsItsConnection) {
-  ScriptedServer server({answerOf("one"), answerOf("two")});
-  const auto answers = asked(server.address(), 2);
+TEST(HttpClientTests, reusesItsConnection) {
+  ScriptedServer server({httpResponse("one"), httpResponse("two")});
+  const auto answers = sendRequests(server.address(), 2);
   STRCMP_EQUAL("200 one", answers[0].c_str());
   STRCMP_EQUAL("200 two", answers[1].c_str());
   LONGS_EQUAL(1, server.accepted);
 }
 
-TEST(HttpClientTests, anAnswerThatComesTwiceIsNotTheNextRequests) {
-  ScriptedServer server({answerOf("one") + answerOf("one"), answerOf("two")});
-  const auto answers = asked(server.address(), 2);
+TEST(HttpClientTests, aDuplicateResponseIsNotTakenForTheNextOne) {
+  ScriptedServer server({httpResponse("one") + httpResponse("one"), httpResponse("two")});
+  const auto answers = sendRequests(server.address(), 2);
   STRCMP_EQUAL("200 one", answers[0].c_str());
   STRCMP_EQUAL("200 two", answers[1].c_str());
 }
 
-// It is the very request's that the interim one was for.
-TEST(HttpClientTests, anAnswerBehindAnInterimOneIsNotTheNextRequests) {
-  ScriptedServer server(
-      {"HTTP/1.1 100 Continue\r\n\r\n" + answerOf("one"), answerOf("two"), answerOf("three")});
-  const auto answers = asked(server.address(), 2);
+// The final response belongs to the request that got the interim response.
+TEST(HttpClientTests, aResponseAfterAnInterimOneBelongsToTheSameRequest) {
+  ScriptedServer server({"HTTP/1.1 100 Continue\r\n\r\n" + httpResponse("one"), httpResponse("two"),
+                         httpResponse("three")});
+  const auto answers = sendRequests(server.address(), 2);
   STRCMP_EQUAL("200 one", answers[0].c_str());
   STRCMP_EQUAL("200 two", answers[1].c_str());
 }
 
-// What got no answer in time is not sent again by the client, and its late answer reaches nobody.
-TEST(HttpClientTests, aRequestWithoutAnAnswerIsSentOnceOnly) {
-  ScriptedServer server({"", answerOf("two")});
-  const auto answers = asked(server.address(), 2);
+// After a timeout, the client must not send the request again, and must not reuse a connection on
+// which the response may still arrive.
+TEST(HttpClientTests, aRequestThatTimesOutIsNotSentAgain) {
+  ScriptedServer server({"", httpResponse("two")});
+  const auto answers = sendRequests(server.address(), 2);
   STRCMP_EQUAL("none", answers[0].c_str());
   STRCMP_EQUAL("200 two", answers[1].c_str());
   LONGS_EQUAL(2, server.read);
   LONGS_EQUAL(2, server.accepted);
 }
 
-TEST(HttpClientTests, halfAnAnswerIsNone) {
-  ScriptedServer server({answerOf("one").substr(0, 40), answerOf("two")});
-  const auto answers = asked(server.address(), 2);
+TEST(HttpClientTests, anIncompleteResponseIsAnError) {
+  ScriptedServer server({httpResponse("one").substr(0, 40), httpResponse("two")});
+  const auto answers = sendRequests(server.address(), 2);
   STRCMP_EQUAL("none", answers[0].c_str());
   STRCMP_EQUAL("200 two", answers[1].c_str());
 }
--- a/tests/net/http_server_tests.cpp
+++ b/tests/net/http_server_tests.cpp
@@ -1,6 +1,6 @@
-// What a server owes to connections that it ends itself, over real sockets of this machine: a
-// request on a connection that it has promised to keep is answered, and an answer that was written
-// arrives whole. docs/design.md 9.4, docs/incidents/lost-around-planned-stops.md.
+// Tests how a server closes connections, over real local sockets: a request on a connection that
+// was left open is answered, and a response that was written arrives completely.
+// docs/design.md 9.4, docs/incidents/lost-around-planned-stops.md.
 #include "net/http_server.hpp"
 #include <CppUTest/TestHarness.h>
 #include <boost/asio/write.hpp>
@@ -24,8 +24,7 @@
   return Address{"127.0.0.1:" + std::to_string(acceptor.local_endpoint().port())};
 }
 
-// A server on a thread of its own; what the test wants done there is done between two of its
-// fibers.
+// Runs a server on its own thread. A test can run functions on that thread.
 class RunningServer {
  public:
   RunningServer() : thread([this] { run(); }) {
@@ -36,8 +35,8 @@
     ended = true;
     thread.join();
   }
-  // Has work done on the server's thread, and waits for its end.
-  void carryOut(std::function<void(HttpServer&)> given) {
+  // Runs a function on the server's thread and waits until it returns.
+  void runOnServerThread(std::function<void(HttpServer&)> given) {
     done = false;
     work = std::move(given);
     pending = true;
@@ -45,7 +44,7 @@
       std::this_thread::yield();
   }
   void stop() {
-    carryOut([](HttpServer& server) { server.stop(); });
+    runOnServerThread([](HttpServer& server) { server.stop(); });
   }
   std::atomic<unsigned short> port{0};
   std::atomic<int> requests{0};
@@ -53,7 +52,8 @@
 
  private:
   void run() {
-    // Loops are kept: the thread's fiber scheduler needs its loop to the thread's very end.
+    // Loops are never deleted, because the thread's fiber scheduler uses its loop until the thread
+    // ends.
     static auto* const loops = new std::vector<EventLoop*>;
     EventLoop* const loop = new EventLoop;
     loops->push_back(loop);
@@ -74,7 +74,7 @@
       }
     }
     server.stop();
-    for (int turn = 0; turn < 2000 && server.connectionCount() > 0; ++turn)
+    for (int attempt = 0; attempt < 2000 && server.connectionCount() > 0; ++attempt)
       sleepFor(Duration{5});
   }
   ApiResponse answer(const HttpRequest& request) {
@@ -91,8 +91,9 @@
   std::thread thread;
 };
 
-// What its fibers would read of it afterwards tells them to go on.
-void destroyServerAndItsMemory() {
+// Destroys a server and zeroes its memory. In the zeroed state the server appears to be serving, so
+// a fiber that outlives the server would run forever.
+void destroyServerAndClearItsMemory() {
   static auto* const loop = new EventLoop;
   alignas(HttpServer) static std::array<std::byte, sizeof(HttpServer)> memory;
   auto* const server =
@@ -105,11 +106,11 @@
   memory.fill(std::byte{0});
 }
 
-// A client's plain blocking connection.
+// A client connection with blocking I/O.
 class ClientConnection {
  public:
   struct Answer {
-    int status = 0;  // 0: the connection ended without a whole answer
+    int status = 0;  // 0 if the connection ended before a complete answer
     bool closes = false;
     std::size_t bodyBytes = 0;
   };
@@ -118,7 +119,7 @@
     const timeval timeout{5, 0};
     ::setsockopt(socket.native_handle(), SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
   }
-  // False: the server has ended the connection.
+  // Returns false if the server has ended the connection.
   bool send(const std::string& target, const std::string& body = {}) {
     return sendBytes("POST " + target + " HTTP/1.1\r\nHost: x\r\nContent-Length: " +
                      std::to_string(body.size()) + "\r\n\r\n" + body);
@@ -179,7 +180,7 @@
 
 TEST_GROUP(HttpServerTests){};
 
-TEST(HttpServerTests, keepsItsConnection) {
+TEST(HttpServerTests, keepsConnectionsOpen) {
   RunningServer server;
   ClientConnection client(server);
   for (int request = 0; request < 3; ++request) {
@@ -190,7 +191,7 @@
   }
 }
 
-TEST(HttpServerTests, aRequestOnAKeptConnectionIsAnsweredAfterAStopAndToldOfTheClose) {
+TEST(HttpServerTests, aRequestOnAnOpenConnectionIsAnsweredAfterAStopWithConnectionClose) {
   RunningServer server;
   ClientConnection client(server);
   client.send("/");
@@ -202,9 +203,9 @@
   CHECK_TRUE(answer.closes);
 }
 
-// The head of the first answer has left with the promise to keep the connection when the stop
-// comes.
-TEST(HttpServerTests, aStopWhileAnAnswerIsWrittenDoesNotBreakItsPromiseToKeepTheConnection) {
+// The server stops after it has sent the header of the first response, which leaves the connection
+// open.
+TEST(HttpServerTests, aStopDuringAKeepAliveResponseLeavesTheConnectionOpen) {
   RunningServer server;
   ClientConnection client(server);
   client.send("/large");
@@ -221,11 +222,12 @@
   CHECK_TRUE(next.closes);
 }
 
-// The kernel has accepted the connection and taken its request before the server stops to listen.
-TEST(HttpServerTests, aRequestOfTheListenersBacklogIsAnswered) {
+// The kernel has established the connection and received its request before the server stops
+// listening.
+TEST(HttpServerTests, aRequestInTheListenBacklogIsAnswered) {
   RunningServer server;
   std::unique_ptr<ClientConnection> client;
-  server.carryOut([&](HttpServer& stopped) {
+  server.runOnServerThread([&](HttpServer& stopped) {
     client = std::make_unique<ClientConnection>(server);
     client->send("/");
     stopped.stop();
@@ -235,9 +237,9 @@
   CHECK_TRUE(answer.closes);
 }
 
-// A socket that is closed with unread bytes resets the connection, and what the client had not
-// received yet is thrown away.
-TEST(HttpServerTests, anAnswerArrivesWholeThoughTheClientSendsOn) {
+// Closing a socket with unread bytes would reset the connection and discard the part of the
+// response that the client has not received yet.
+TEST(HttpServerTests, aResponseArrivesCompleteWhileTheClientSendsMore) {
   RunningServer server;
   ClientConnection client(server);
   client.send("/");
@@ -254,8 +256,8 @@
   LONGS_EQUAL(largeBodyBytes, large.bodyBytes);
 }
 
-// Both have come before the first is answered: neither may be passed over in silence.
-TEST(HttpServerTests, pipelinedRequestsThatHaveComeAreAnsweredBeforeTheClose) {
+// Both requests arrive before the first is answered, so both have to be answered.
+TEST(HttpServerTests, pipelinedRequestsAreAnsweredBeforeTheClose) {
   RunningServer server;
   ClientConnection client(server);
   client.send("/");
@@ -269,8 +271,8 @@
   CHECK_TRUE(second.closes);
 }
 
-// The whole body is sent before the answer is read, as most clients do.
-TEST(HttpServerTests, theAnswerToABodyOverTheLimitReachesItsClient) {
+// Like most clients, this one sends the whole body before it reads the response.
+TEST(HttpServerTests, theErrorForATooLargeBodyReachesTheClient) {
   RunningServer server;
   ClientConnection client(server);
   client.send("/", std::string(64 * bodyLimitBytes, 'x'));
@@ -279,9 +281,9 @@
   CHECK_TRUE(answer.closes);
 }
 
-TEST(HttpServerTests, aServerThatDrainsTakesNewConnectionsAndAnnouncesTheirClose) {
+TEST(HttpServerTests, aDrainingServerAcceptsConnectionsAndAnnouncesTheirClose) {
   RunningServer server;
-  server.carryOut([](HttpServer& drained) { drained.drain(); });
+  server.runOnServerThread([](HttpServer& drained) { drained.drain(); });
   ClientConnection client(server);
   client.send("/");
   const auto answer = client.readAnswer();
@@ -289,14 +291,15 @@
   CHECK_TRUE(answer.closes);
 }
 
-// The thread ends only when all its fibers have; one that finds its server gone may turn for ever.
+// A thread ends only after all its fibers. Guards against an accepting fiber that runs forever
+// after its server was destroyed.
 TEST(HttpServerTests, noFiberOfAServerOutlivesIt) {
   constexpr std::chrono::seconds timeout{5};
   auto threadEnded = std::make_shared<std::promise<void>>();
   auto hasEnded = threadEnded->get_future();
   std::thread thread([threadEnded] {
     threadEnded->set_value_at_thread_exit();
-    destroyServerAndItsMemory();
+    destroyServerAndClearItsMemory();
   });
   const bool ended = hasEnded.wait_for(timeout) == std::future_status::ready;
   if (ended)
@@ -311,23 +314,24 @@
   ClientConnection client(server);
   client.send("/");
   client.readAnswer();
-  server.carryOut([](HttpServer& closed) { closed.closeIdleConnections(Duration{60'000}); });
+  server.runOnServerThread(
+      [](HttpServer& closed) { closed.closeIdleConnections(Duration{60'000}); });
   waitFor(Duration{50});
   client.send("/");
   const auto answer = client.readAnswer();
   LONGS_EQUAL(200, answer.status);
   CHECK_TRUE(answer.closes);
-  ClientConnection::Answer none = client.readAnswer();
-  LONGS_EQUAL(0, none.status);
+  ClientConnection::Answer afterClose = client.readAnswer();
+  LONGS_EQUAL(0, afterClose.status);
 }
 
-// Its bytes are in the socket when the server looks for idle connections.
-TEST(HttpServerTests, aRequestThatHasJustComeIsAnsweredThoughItsConnectionWasIdle) {
+// The bytes of the request are in the socket when the server closes its idle connections.
+TEST(HttpServerTests, aRequestThatArrivesWhileIdleConnectionsAreClosedIsAnswered) {
   RunningServer server;
   ClientConnection client(server);
   client.send("/");
   client.readAnswer();
-  server.carryOut([&](HttpServer& closed) {
+  server.runOnServerThread([&](HttpServer& closed) {
     client.send("/");
     closed.closeIdleConnections(Duration{0});
   });
@@ -336,16 +340,16 @@
   CHECK_TRUE(answer.closes);
 }
 
-TEST(HttpServerTests, idleConnectionsEndWhenTheyAreClosed) {
+TEST(HttpServerTests, idleConnectionsAreClosed) {
   RunningServer server;
   ClientConnection client(server);
   client.send("/");
   client.readAnswer();
-  server.carryOut([](HttpServer& closed) { closed.closeIdleConnections(Duration{0}); });
+  server.runOnServerThread([](HttpServer& closed) { closed.closeIdleConnections(Duration{0}); });
   LONGS_EQUAL(0, client.readAnswer().status);
 }
 
-TEST(HttpServerTests, aConnectionBeyondTheLimitIsToldSo) {
+TEST(HttpServerTests, aConnectionBeyondTheLimitGetsStatus503) {
   RunningServer server;
   std::vector<std::unique_ptr<ClientConnection>> clients;
   for (std::size_t count = 0; count < RunningServer::maxConnections; ++count) {
--- a/tests/net/peer_outbox_tests.cpp
+++ b/tests/net/peer_outbox_tests.cpp
@@ -1,4 +1,4 @@
-// Queues to other processes are bounded in bytes; a single larger message passes.
+// Tests that the queues to other processes are bounded in bytes but accept a single larger message.
 // docs/design.md 3.4, 9.3.
 #include "net/peer_outbox.hpp"
 #include "net/wire_connection.hpp"
--- a/tests/net/rpc_client_tests.cpp
+++ b/tests/net/rpc_client_tests.cpp
@@ -1,5 +1,5 @@
-// A leader's machine that is dark takes no connection: whoever calls it goes on once another leads,
-// and nothing was sent.
+// Tests calls to a machine that does not respond, such as that of a failed leader: a caller that
+// abandons the call stops connecting, and nothing was sent.
 #include "net/rpc_client.hpp"
 #include <CppUTest/TestHarness.h>
 #include <arpa/inet.h>
@@ -12,36 +12,36 @@
 
 namespace {
 
-// Listens and never accepts; its queue is full, so that the first packet of any other connection is
-// dropped, as by a machine without power.
-class DarkListener {
+// Listens with a full backlog and never accepts, so that the kernel drops the SYN of further
+// connections, as if the machine had no power.
+class UnresponsiveListener {
  public:
-  DarkListener() {
-    sockaddr_in place{};
-    place.sin_family = AF_INET;
-    place.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    socklen_t length = sizeof place;
+  UnresponsiveListener() {
+    sockaddr_in endpoint{};
+    endpoint.sin_family = AF_INET;
+    endpoint.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    socklen_t length = sizeof endpoint;
     const int listener = open();
-    ::bind(listener, reinterpret_cast<sockaddr*>(&place), length);
+    ::bind(listener, reinterpret_cast<sockaddr*>(&endpoint), length);
     ::listen(listener, 0);
-    ::getsockname(listener, reinterpret_cast<sockaddr*>(&place), &length);
-    port = ntohs(place.sin_port);
+    ::getsockname(listener, reinterpret_cast<sockaddr*>(&endpoint), &length);
+    port = ntohs(endpoint.sin_port);
     for (int count = 0; count < 4; ++count)
       [[maybe_unused]] const int begun =
-          ::connect(open(), reinterpret_cast<sockaddr*>(&place), length);
+          ::connect(open(), reinterpret_cast<sockaddr*>(&endpoint), length);
   }
-  ~DarkListener() {
-    for (const int descriptor : opened)
+  ~UnresponsiveListener() {
+    for (const int descriptor : sockets)
       ::close(descriptor);
   }
   Address address() const { return Address{"127.0.0.1:" + std::to_string(port)}; }
 
  private:
   int open() {
-    opened.push_back(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
-    return opened.back();
+    sockets.push_back(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
+    return sockets.back();
   }
-  std::vector<int> opened;
+  std::vector<int> sockets;
   std::uint16_t port = 0;
 };
 
@@ -49,22 +49,22 @@
 
 TEST_GROUP(RpcClientTests){};
 
-TEST(RpcClientTests, aConnectionIsGivenUpWhenItsCallIsAbandoned) {
-  DarkListener dark;
+TEST(RpcClientTests, aConnectionAttemptEndsWhenItsCallIsAbandoned) {
+  UnresponsiveListener unresponsive;
   std::unique_ptr<EventLoop> loop;
   std::optional<WireError::Kind> kind;
-  Duration took;
+  Duration elapsed;
   std::thread([&] {
     loop = std::make_unique<EventLoop>();
-    RpcClient caller(*loop, dark.address());
+    RpcClient caller(*loop, unresponsive.address());
     const MonotonicTime begun = monotonicNow();
-    const auto answered = caller.call(RouteQuery{}, Duration{2500},
-                                      [&] { return monotonicNow() - begun >= Duration{100}; });
-    took = monotonicNow() - begun;
-    if (!answered)
-      kind = answered.error().kind;
+    const auto reply = caller.call(RouteQuery{}, Duration{2500},
+                                   [&] { return monotonicNow() - begun >= Duration{100}; });
+    elapsed = monotonicNow() - begun;
+    if (!reply)
+      kind = reply.error().kind;
   }).join();
   CHECK(kind == WireError::Kind::unreachable);
-  CHECK(took >= Duration{100});
-  CHECK(took < Duration{700});  // not the whole second that a connection may take
+  CHECK(elapsed >= Duration{100});
+  CHECK(elapsed < Duration{700});  // less than the timeout of one second for a connection attempt
 }
--- a/tests/net/serialization_tests.cpp
+++ b/tests/net/serialization_tests.cpp
@@ -1,5 +1,5 @@
-// What is packed comes back as it was, in every kind; what is truncated or damaged is an error and
-// no crash. docs/design.md 9.3.
+// Tests that packed values of every kind can be unpacked unchanged, and that truncated or damaged
+// bytes never cause a crash. docs/design.md 9.3.
 #include "net/wire.hpp"
 #include "state/cluster_state_fixture.hpp"
 #include <boost/mpl/size.hpp>
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Comes back with all its parts: packed anew it is the same bytes. Cut off at any position it is an
-// error.
+// Checks that unpacking and packing again gives the same bytes, and that truncation at any position
+// is an error.
 template <class Value>
 void checkRoundTrip(const Value& value) {
   const std::string bytes = pack(value);
@@ -23,8 +23,8 @@
   }
 }
 
-// A byte changed on the way is found by the checksum; should one get past it, there is a value or
-// an error.
+// The checksum normally detects damaged bytes. If damage remains undetected, unpacking has to give
+// some value or an error.
 template <class Value>
 void checkDamage(const Value& value) {
   const std::string bytes = pack(value);
@@ -72,7 +72,7 @@
   return value;
 }
 
-// With tenants, which are written behind the text.
+// Returns a config with tenants, which are appended to the text of the fixture.
 std::string configText() {
   std::string text = ClusterStateFixture::configText;
   text.erase(text.rfind('}'));
@@ -166,20 +166,20 @@
 }
 
 std::vector<WireBody> wireBodyOfEachKind() {
-  ApiRequest submit, sync, look;
+  ApiRequest submit, sync, show;
   submit.kind = RequestKind::submitJob;
   submit.job = submission();
   sync.kind = RequestKind::syncWorker;
   sync.report = report();
-  look.kind = RequestKind::showJob;
-  look.targetId = "job";
-  SyncResponse told;
-  told.term = Term{4};
-  told.orders.resize(3);
-  told.orders[1].payload = everyByte();
-  told.confirmedAttempts = {AttemptNumber{3}};
+  show.kind = RequestKind::showJob;
+  show.targetId = "job";
+  SyncResponse syncResponse;
+  syncResponse.term = Term{4};
+  syncResponse.orders.resize(3);
+  syncResponse.orders[1].payload = everyByte();
+  syncResponse.confirmedAttempts = {AttemptNumber{3}};
   ApiResponse answer = ApiResponse::outcomeUnknown("text");
-  answer.body = pack(told);
+  answer.body = pack(syncResponse);
   answer.leader = Address{"r:1"};
   const LeaderRoute route{Term{1},
                           Address{"r:1"},
@@ -191,7 +191,7 @@
                       Address{"a:1"}},
           submit,
           sync,
-          look,
+          show,
           answer,
           RouteQuery{GatewayEndpoint{Address{"s:1"}, ZoneName{"zone"}}, Address{"f:1"}},
           RouteReply{route, ControllerId{"r"}, Address{"r:1"}, ZoneName{"zone"}, false, true, false,
@@ -203,7 +203,7 @@
 
 TEST_GROUP(Serialization){};
 
-TEST(Serialization, aRecordOfEachKindComesBackOrIsRefusedWhenCut) {
+TEST(Serialization, everyRecordKindRoundTripsAndTruncationIsAnError) {
   const auto events = eventOfEachKind();
   checkAllKindsCovered(events);
   for (const auto& event : events) {
@@ -213,7 +213,7 @@
   }
 }
 
-TEST(Serialization, aMessageOfEachKindComesBackOrIsRefusedWhenCut) {
+TEST(Serialization, everyMessageKindRoundTripsAndTruncationIsAnError) {
   const auto peers = peerBodyOfEachKind();
   checkAllKindsCovered(peers);
   for (const auto& body : peers)
@@ -225,7 +225,7 @@
     checkRoundTrip(WireMessage{8, body});
 }
 
-TEST(Serialization, clusterStatesAndDiskRecordsComeBackOrAreRefusedWhenCut) {
+TEST(Serialization, clusterStatesAndDiskRecordsRoundTripAndTruncationIsAnError) {
   ClusterStateFixture cluster;
   for (const char* worker : {"a", "b", "c"})
     cluster.registerWorker(worker);
@@ -247,7 +247,7 @@
   checkRoundTrip(record);
 }
 
-TEST(Serialization, damageGivesAValueOrAnError) {
+TEST(Serialization, damagedBytesGiveAValueOrAnError) {
   for (const auto& event : eventOfEachKind())
     checkDamage(LogRecord{ClusterTime{1}, event});
   for (const auto& body : peerBodyOfEachKind())
@@ -256,9 +256,9 @@
     checkDamage(WireMessage{9, body});
 }
 
-// The bytes hold values only. Other bytes are another format: the numbers in
-// net/data_folder.cpp and net/wire.hpp step with them.
-TEST(Serialization, bytesAreTheValuesAndNothingElse) {
+// The packed bytes contain only the values. A change to these bytes is a change of format, which
+// requires new format numbers in net/data_folder.cpp and net/wire.hpp.
+TEST(Serialization, packedBytesContainOnlyTheValues) {
   using namespace std::string_literals;
   CHECK(pack(LogRecord{ClusterTime{7}, JobCancelled{JobId{"ab"}}}) ==
         "\7\0\0\0\0\0\0\0"
--- a/tests/net/signals_tests.cpp
+++ b/tests/net/signals_tests.cpp
@@ -1,5 +1,5 @@
-// Signals that come before a daemon can handle them; in a process of its own, since they are the
-// process'. docs/operations.md 4.
+// Tests signals that arrive before a daemon can handle them. The test runs in a child process
+// because signals affect the whole process. docs/operations.md 4.
 #include "net/signals.hpp"
 #include <CppUTest/TestHarness.h>
 #include <sys/wait.h>
@@ -12,17 +12,17 @@
 constexpr int bothSignalsHandled = 0;
 constexpr int signalMissed = 1;
 
-// What a daemon does between its main and its loop, with both signals at the worst time.
+// Performs the startup steps of a daemon, with both signals raised before they can be handled.
 [[noreturn]] void startDaemonUnderSignals() {
   blockSignalsUntilHandled();
   ::raise(SIGHUP);
   ::raise(SIGTERM);
-  // Lives as long as the thread's fiber scheduler.
+  // Never deleted, because the thread's fiber scheduler uses it until the thread ends.
   auto* const loop = new EventLoop;
   const StopSignal stop(*loop);
   bool reloaded = false;
   const ReloadSignal reload(*loop, [&] { reloaded = true; });
-  for (int turn = 0; turn < 200 && !(stop.requested() && reloaded); ++turn)
+  for (int attempt = 0; attempt < 200 && !(stop.requested() && reloaded); ++attempt)
     sleepFor(Duration{5});
   ::raise(SIGHUP);
   ::raise(SIGTERM);
@@ -34,7 +34,7 @@
 
 TEST_GROUP(SignalsTests){};
 
-TEST(SignalsTests, signalsOfTheStartWaitForTheirHandlersAndComeAgainWithoutHarm) {
+TEST(SignalsTests, signalsDuringStartupAreHandledLaterAndMayRepeat) {
   const pid_t child = ::fork();
   if (child == 0)
     startDaemonUnderSignals();
--- a/tests/net/stored_data_tests.cpp
+++ b/tests/net/stored_data_tests.cpp
@@ -1,5 +1,5 @@
-// Data that an earlier version stored is read, gives the same state, and is written with the same
-// bytes again. tests/fixtures/README.md says where it comes from.
+// Tests that data stored by an earlier version can be read, gives the same state, and is written
+// again with the same bytes. tests/fixtures/README.md describes the origin of the data.
 #include "checker/invariants.hpp"
 #include "net/data_folder.hpp"
 #include "net/history_file.hpp"
@@ -14,7 +14,8 @@
 
 const std::string fixture = ANISELINE_SOURCE "/tests/fixtures/stored-2026-12-02";
 
-// Applies what a record holds, and checks that every log record is written as it was read.
+// Applies the content of a record, and checks that every log record is packed into the same bytes
+// again.
 void applyRecord(const WriteAheadRecord& record, ClusterState& state, std::size_t& entries) {
   if (record.snapshot.lastIncludedIndex.value > 0) {
     auto snapshot = unpack<ClusterState>(record.snapshot.state);
