--- a/source/net/gateway_client.hpp
+++ b/source/net/gateway_client.hpp
@@ -54,8 +54,8 @@
   HttpClient client;
   PeerDirectory gateways;
   std::optional<ZoneName> zone;
-  MonotonicTime refreshedAt{
-      -1'000'000};  // long before the clock's start, so that the first call refreshes
+  // Initially long before the clock's start, so that the first call refreshes.
+  MonotonicTime refreshedAt{-1'000'000};
 };
 
 }  // namespace aniseline
--- a/source/net/json_field_reader.cpp
+++ b/source/net/json_field_reader.cpp
@@ -5,8 +5,8 @@
 namespace aniseline {
 
 namespace {
-constexpr double maxWholeNumber = 9007199254740992.0;  // 2^53; doubles are exact up to here
-constexpr std::uint64_t maxWhole32 = 0xffffffffU;
+constexpr double maxExactInteger = 9007199254740992.0;  // 2^53; doubles are exact up to here
+constexpr std::uint64_t maxUnsigned32 = 0xffffffffU;
 constexpr double maxBeforeThousandths = 4e6;  // the value in thousandths has to fit into 32 bits
 }  // namespace
 
@@ -36,21 +36,21 @@
   return value.is<bool>() && value.get<bool>();
 }
 
-std::uint64_t JsonFieldReader::whole(const std::string& field, Presence presence) {
+std::uint64_t JsonFieldReader::unsignedInteger(const std::string& field, Presence presence) {
   const auto value = find(field);
   const double number = value.is<double>() ? value.get<double>() : -1;
-  if (number >= 0 && number <= maxWholeNumber && number == std::floor(number))
+  if (number >= 0 && number <= maxExactInteger && number == std::floor(number))
     return std::uint64_t(number);
   if (presence == Presence::required || !value.is<picojson::null>())
     reject(field, "must be a whole number of at least 0");
   return 0;
 }
 
-std::uint32_t JsonFieldReader::whole32(const std::string& field, Presence presence) {
-  return std::uint32_t(std::min(whole(field, presence), maxWhole32));
+std::uint32_t JsonFieldReader::unsignedInteger32(const std::string& field, Presence presence) {
+  return std::uint32_t(std::min(unsignedInteger(field, presence), maxUnsigned32));
 }
 
-std::uint64_t JsonFieldReader::digits(const std::string& field, Presence presence) {
+std::uint64_t JsonFieldReader::decimalText(const std::string& field, Presence presence) {
   const std::string given = text(field, presence);
   if (given.empty())
     return 0;
--- a/source/net/json_field_reader.hpp
+++ b/source/net/json_field_reader.hpp
@@ -21,12 +21,12 @@
   // Reads a Boolean.
   bool flag(const std::string& field);
   // Reads a whole number from 0 to 2^53.
-  std::uint64_t whole(const std::string& field, Presence presence = Presence::optional);
+  std::uint64_t unsignedInteger(const std::string& field, Presence presence = Presence::optional);
   // Reads a whole number and limits it to the largest 32-bit value.
-  std::uint32_t whole32(const std::string& field, Presence presence = Presence::optional);
+  std::uint32_t unsignedInteger32(const std::string& field, Presence presence = Presence::optional);
   // Reads a 64-bit number, which is written as a string of digits because JSON numbers are exact
   // only up to 53 bits.
-  std::uint64_t digits(const std::string& field, Presence presence = Presence::optional);
+  std::uint64_t decimalText(const std::string& field, Presence presence = Presence::optional);
   // Reads a required non-negative number and returns it in thousandths, rounded.
   std::uint32_t thousandths(const std::string& field);
 
--- a/source/net/json_worker_protocol.cpp
+++ b/source/net/json_worker_protocol.cpp
@@ -47,10 +47,10 @@
 TaskRunId decodeRunId(JsonFieldReader& reader) {
   TaskRunId runId;
   runId.job = JobId{reader.text("job", Presence::required)};
-  runId.occurrence = reader.whole32("occurrence");
-  runId.stepIndex = reader.whole32("step", Presence::required);
-  runId.indexInStep = reader.whole32("within", Presence::required);
-  runId.runNumber = reader.whole32("run", Presence::required);
+  runId.occurrence = reader.unsignedInteger32("occurrence");
+  runId.stepIndex = reader.unsignedInteger32("step", Presence::required);
+  runId.indexInStep = reader.unsignedInteger32("within", Presence::required);
+  runId.runNumber = reader.unsignedInteger32("run", Presence::required);
   return runId;
 }
 
@@ -72,13 +72,13 @@
 Order decodeStart(JsonFieldReader& reader, const TaskRunId& runId) {
   Order order;
   order.kind = OrderKind::start;
-  order.attempt = AttemptNumber{reader.digits("attempt", Presence::required)};
+  order.attempt = AttemptNumber{reader.decimalText("attempt", Presence::required)};
   order.job = JobId{reader.text("job", Presence::required)};
-  order.taskIndex = reader.whole32("task", Presence::required);
+  order.taskIndex = reader.unsignedInteger32("task", Presence::required);
   order.cores = reader.thousandths("cores");
-  order.memory = reader.whole("memory_mb", Presence::required);
-  order.runtime = Duration{std::int64_t(reader.whole("runtime_ms", Presence::required))};
-  order.quantum = Duration{std::int64_t(reader.whole("quantum_ms"))};
+  order.memory = reader.unsignedInteger("memory_mb", Presence::required);
+  order.runtime = Duration{std::int64_t(reader.unsignedInteger("runtime_ms", Presence::required))};
+  order.quantum = Duration{std::int64_t(reader.unsignedInteger("quantum_ms"))};
   order.payload = reader.text("payload");
   order.checkpoint = reader.text("saved");
   order.stepIndex = runId.stepIndex;
@@ -139,8 +139,8 @@
       decodeRows(root, "ended", [&](JsonFieldReader& reader, const TaskRunId& runId) {
         const auto outcome = parseAttemptOutcome(reader.text("kind", Presence::required));
         if (outcome)
-          reply.results.push_back(
-              {reader.whole("number", Presence::required), runId, *outcome, reader.text("saved")});
+          reply.results.push_back({reader.unsignedInteger("number", Presence::required), runId,
+                                   *outcome, reader.text("saved")});
         return outcome.has_value();
       });
   if (!runningValid || !resultsValid)
@@ -195,8 +195,8 @@
 Capacity decodeCapacity(JsonFieldReader& reader) {
   Capacity capacity;
   capacity.cores = reader.thousandths("cores");
-  capacity.memory = reader.whole("memory_mb", Presence::required);
-  capacity.accelerators = reader.whole32("accelerators");
+  capacity.memory = reader.unsignedInteger("memory_mb", Presence::required);
+  capacity.accelerators = reader.unsignedInteger32("accelerators");
   capacity.zone = ZoneName{reader.text("zone", Presence::required)};
   capacity.rack = reader.text("rack");
   capacity.pool = reader.text("pool");
@@ -225,9 +225,9 @@
   if (!shuttingDown) {
     registration.capacity = decodeCapacity(reader);
     registration.draining = reader.flag("leaving");
-    registration.drainTimeout = Duration{std::int64_t(reader.whole("leave_within_ms"))};
+    registration.drainTimeout = Duration{std::int64_t(reader.unsignedInteger("leave_within_ms"))};
     registration.clockReading =
-        WorkerTime{std::int64_t(reader.whole("now_ms", Presence::required))};
+        WorkerTime{std::int64_t(reader.unsignedInteger("now_ms", Presence::required))};
   }
   return reader.error() ? std::nullopt : std::optional(notice);
 }
@@ -266,13 +266,13 @@
   call.kind = found->first;
   JsonFieldReader reader(*root);
   call.workerInstance = WorkerId{reader.text("life", Presence::required)};
-  call.fencingTerm = Term{reader.digits("fence", Presence::required)};
+  call.fencingTerm = Term{reader.decimalText("fence", Presence::required)};
   if (!reader.find("deadline_ms").is<picojson::null>())
-    call.leaseDeadline = WorkerTime{std::int64_t(reader.whole("deadline_ms"))};
+    call.leaseDeadline = WorkerTime{std::int64_t(reader.unsignedInteger("deadline_ms"))};
   if (call.kind == CallKind::poll) {
-    call.confirmedUpTo = reader.whole("last_seen");
-    call.longPollTimeout =
-        Duration{std::min(maxLongPollMilliseconds, std::int64_t(reader.whole("wait_ms")))};
+    call.confirmedUpTo = reader.unsignedInteger("last_seen");
+    call.longPollTimeout = Duration{
+        std::min(maxLongPollMilliseconds, std::int64_t(reader.unsignedInteger("wait_ms")))};
   } else {
     const auto name = reader.find("name");
     JsonFieldReader nameReader(name);
--- a/source/net/link_proxy.hpp
+++ b/source/net/link_proxy.hpp
@@ -1,4 +1,4 @@
-// Forwards connections between processes on one machine so that tests can partition a zone from the
+// Forwards connections between processes on one machine so that a zone can be partitioned from the
 // others. docs/operations.md 6.
 #ifndef ANISELINE_NET_LINK_PROXY_HPP
 #define ANISELINE_NET_LINK_PROXY_HPP
@@ -14,7 +14,8 @@
   using ZoneLookup = std::function<std::string(const std::string& ip)>;
   LinkProxy(EventLoop& loop, ZoneLookup zoneLookup)
       : loop(loop), zoneLookup(std::move(zoneLookup)) {}
-  // Accepts connections on `at` and forwards them to `target`, which is in the given zone.
+  // Accepts connections on `listenAddress` and forwards them to `target`, which is in the given
+  // zone.
   Result<bool> open(const Address& listenAddress, const Address& target, std::string zone);
   // Starts or ends the partition of a zone. While it lasts, no data passes to or from the zone;
   // data in transit is delayed until the partition ends, as on a real network.
--- a/source/net/wire.hpp
+++ b/source/net/wire.hpp
@@ -14,8 +14,8 @@
 struct RouteQuery {
   GatewayEndpoint gateway;  // the sender, if it is a gateway; else empty
   Address controller;       // the sender, if it is a controller; else empty
-  bool canBootstrap =
-      false;  // the sender has no state and may bootstrap a cluster. docs/design.md 3.7
+  // The sender is a controller without state and may bootstrap a cluster. docs/design.md 3.7
+  bool canBootstrap = false;
   template <class Archive>
   void serialize(Archive& archive, unsigned) {
     archive& gateway& controller& canBootstrap;
--- a/tests/net/byte_fault_proxy.hpp
+++ b/tests/net/byte_fault_proxy.hpp
@@ -13,7 +13,7 @@
     cut,        // the stream ends before the remaining bytes; the other direction continues
     reset,      // the connection is reset in both directions
     stall,      // the remaining bytes are held back until release()
-    blackhole,  // what follows on this connection never comes, and nobody says so
+    blackhole,  // the remaining bytes are discarded, but the connection stays open
     replay,     // all bytes forwarded since arm() are sent again, then the remaining bytes
   };
   enum class Direction : std::uint8_t { request, answer };
@@ -86,8 +86,8 @@
     std::string forwarded[2];  // by direction, since arm()
     std::vector<std::weak_ptr<tcp::socket>> sockets;
     bool stalled = false, closed = false;
-    std::shared_ptr<bool>
-        answersEnded;  // whether the answer stream of the connection with the fault has ended
+    // Whether the answer stream of the connection with the fault has ended.
+    std::shared_ptr<bool> answersEnded;
   };
 
   static void accept(const std::shared_ptr<Shared>& shared) {
--- a/tests/net/connection_fault_tests.cpp
+++ b/tests/net/connection_fault_tests.cpp
@@ -22,8 +22,8 @@
 
 // Runs `work` on a thread with an event loop, and fails the test if it returns failures.
 void runOnEventLoop(const std::function<std::string(EventLoop&)>& work) {
-  std::unique_ptr<EventLoop>
-      loop;  // must outlive the thread, whose fiber scheduler uses it to the end
+  // Must outlive the thread, whose fiber scheduler uses it until the thread ends.
+  std::unique_ptr<EventLoop> loop;
   std::string failures;
   std::thread thread([&] {
     loop = std::make_unique<EventLoop>();
@@ -212,8 +212,7 @@
     expect(description + "second next call", client.call(callName(++callCount), longTimeout),
            false);
     if (server.executions[name] > 1)
-      failures +=
-          description + "carried out " + std::to_string(server.executions[name]) + " times\n";
+      failures += description + "executed " + std::to_string(server.executions[name]) + " times\n";
     if (result == correctAnswer && server.executions[name] != 1)
       failures += description + "answered, but not executed once\n";
   }
@@ -365,7 +364,7 @@
       auto answer =
           caller.send({"POST", given.target, name}, repeated ? longTimeout : Duration{300});
       if (server.executions[name] != given.executions)
-        failures += std::string(given.target) + " carried out " +
+        failures += std::string(given.target) + " executed " +
                     std::to_string(server.executions[name]) + " times\n";
       if (answer.has_value() != repeated ||
           (!answer && answer.error().kind != ClientError::Kind::unknown))
--- a/tests/net/data_folder_crash_tests.cpp
+++ b/tests/net/data_folder_crash_tests.cpp
@@ -308,13 +308,13 @@
   std::size_t oldIdentities = 0, newIdentities = 0;
   const auto check = [&](const std::shared_ptr<ModelDisk>& found) {
     // Follows the start procedure of the controller daemon.
-    DataFolder crashedAgain("d", found);
-    auto opened = crashedAgain.openLocked();
-    auto loaded = crashedAgain.load();
+    DataFolder reopened("d", found);
+    auto opened = reopened.openLocked();
+    auto loaded = reopened.load();
     if (!opened || !loaded) {
-      CHECK(crashedAgain.quarantine().has_value());
-      opened = crashedAgain.openLocked();
-      loaded = crashedAgain.load();
+      CHECK(reopened.quarantine().has_value());
+      opened = reopened.openLocked();
+      loaded = reopened.load();
     }
     CHECK(opened.has_value() && loaded.has_value());
     const bool isOld = opened.value().value == old.identity;
