--- a/source/net/json_worker_protocol.cpp
+++ b/source/net/json_worker_protocol.cpp
@@ -1,3 +1,4 @@
+// Implements the messages of the JSON worker protocol, grouped into calls, replies and notices.
 #include "net/json_worker_protocol.hpp"
 #include "net/http_status.hpp"
 #include "net/json_field_reader.hpp"
@@ -13,7 +14,7 @@
 constexpr std::pair<CallKind, const char*> callTargets[] = {{CallKind::start, "/v1/run/start"},
                                                             {CallKind::stop, "/v1/run/stop"},
                                                             {CallKind::poll, "/v1/run/look"}};
-// Why a worker turns a call down, in the field `reason` beside status 409.
+// The reasons for which a worker rejects a call, as sent in the field `reason` with status 409.
 constexpr std::pair<ReplyStatus, const char*> rejectionReasons[] = {
     {ReplyStatus::fenced, "fence"},
     {ReplyStatus::staleRun, "old"},
@@ -21,7 +22,7 @@
     {ReplyStatus::insufficientCapacity, "room"}};
 constexpr const char* registrationTarget = "/v1/account";
 constexpr const char* shutdownTarget = "/v1/leave";
-// A worker keeps a poll open for no longer, whatever it is asked for.
+// The longest time that a worker keeps a poll open, even if the call asks for more.
 constexpr std::int64_t maxLongPollMilliseconds = 10'000;
 
 std::optional<picojson::value> parseObject(const std::string& body) {
@@ -46,10 +47,10 @@
 TaskRunId decodeRunId(JsonFieldReader& reader) {
   TaskRunId runId;
   runId.job = JobId{reader.text("job", Presence::required)};
-  runId.occurrence = reader.whole32("occurrence");
-  runId.stepIndex = reader.whole32("step", Presence::required);
-  runId.indexInStep = reader.whole32("within", Presence::required);
-  runId.runNumber = reader.whole32("run", Presence::required);
+  runId.occurrence = reader.unsignedInteger32("occurrence");
+  runId.stepIndex = reader.unsignedInteger32("step", Presence::required);
+  runId.indexInStep = reader.unsignedInteger32("within", Presence::required);
+  runId.runNumber = reader.unsignedInteger32("run", Presence::required);
   return runId;
 }
 
@@ -58,7 +59,7 @@
 void encodeStart(const WorkerCall& call, picojson::object& body) {
   const Order& order = call.order;
   body["attempt"] = json(std::to_string(order.attempt.value));
-  body["job"] = json(order.job.value);  // the occurrence's own id, where it is one of a timetable
+  body["job"] = json(order.job.value);  // for an occurrence of a timetable, the occurrence's own id
   body["task"] = json(order.taskIndex);
   body["cores"] = json(order.cores / 1000.0);
   body["memory_mb"] = json(order.memory);
@@ -71,13 +72,13 @@
 Order decodeStart(JsonFieldReader& reader, const TaskRunId& runId) {
   Order order;
   order.kind = OrderKind::start;
-  order.attempt = AttemptNumber{reader.digits("attempt", Presence::required)};
+  order.attempt = AttemptNumber{reader.decimalText("attempt", Presence::required)};
   order.job = JobId{reader.text("job", Presence::required)};
-  order.taskIndex = reader.whole32("task", Presence::required);
+  order.taskIndex = reader.unsignedInteger32("task", Presence::required);
   order.cores = reader.thousandths("cores");
-  order.memory = reader.whole("memory_mb", Presence::required);
-  order.runtime = Duration{std::int64_t(reader.whole("runtime_ms", Presence::required))};
-  order.quantum = Duration{std::int64_t(reader.whole("quantum_ms"))};
+  order.memory = reader.unsignedInteger("memory_mb", Presence::required);
+  order.runtime = Duration{std::int64_t(reader.unsignedInteger("runtime_ms", Presence::required))};
+  order.quantum = Duration{std::int64_t(reader.unsignedInteger("quantum_ms"))};
   order.payload = reader.text("payload");
   order.checkpoint = reader.text("saved");
   order.stepIndex = runId.stepIndex;
@@ -108,8 +109,8 @@
 
 // --- replies ---
 
-// Hands each row of a list to `decodeRow`, which says whether the row is valid. False: there is no
-// such list, or a row of it is not valid.
+// Passes each row of a list to `decodeRow`, which reports whether the row is valid. Returns false
+// if there is no such list or a row is invalid.
 template <class DecodeRow>
 bool decodeRows(const picojson::value& root, const char* field, DecodeRow&& decodeRow) {
   const auto& list = root.get(field);
@@ -126,8 +127,8 @@
   return valid;
 }
 
-// What a poll's answer says of the worker's runs; an answer that is not valid as a whole counts as
-// none.
+// Reads the running tasks and the results in the response to a poll. If any part is invalid, the
+// whole response counts as missing.
 void decodePollAnswer(const picojson::value& root, WorkerReply& reply) {
   const bool runningValid =
       decodeRows(root, "active", [&](JsonFieldReader& reader, const TaskRunId& runId) {
@@ -138,8 +139,8 @@
       decodeRows(root, "ended", [&](JsonFieldReader& reader, const TaskRunId& runId) {
         const auto outcome = parseAttemptOutcome(reader.text("kind", Presence::required));
         if (outcome)
-          reply.results.push_back(
-              {reader.whole("number", Presence::required), runId, *outcome, reader.text("saved")});
+          reply.results.push_back({reader.unsignedInteger("number", Presence::required), runId,
+                                   *outcome, reader.text("saved")});
         return outcome.has_value();
       });
   if (!runningValid || !resultsValid)
@@ -194,13 +195,13 @@
 Capacity decodeCapacity(JsonFieldReader& reader) {
   Capacity capacity;
   capacity.cores = reader.thousandths("cores");
-  capacity.memory = reader.whole("memory_mb", Presence::required);
-  capacity.accelerators = reader.whole32("accelerators");
+  capacity.memory = reader.unsignedInteger("memory_mb", Presence::required);
+  capacity.accelerators = reader.unsignedInteger32("accelerators");
   capacity.zone = ZoneName{reader.text("zone", Presence::required)};
   capacity.rack = reader.text("rack");
   capacity.pool = reader.text("pool");
   capacity.enforcesCapacity = reader.flag("guards_room");
-  // What runs on a worker that is called ends by itself when its lease does.
+  // A worker of this protocol ends its runs by itself when their lease expires.
   capacity.honoursLeases = true;
   capacity.killsOnLeaseExpiry = true;
   capacity.supportsSuspend = false;
@@ -224,9 +225,9 @@
   if (!shuttingDown) {
     registration.capacity = decodeCapacity(reader);
     registration.draining = reader.flag("leaving");
-    registration.drainTimeout = Duration{std::int64_t(reader.whole("leave_within_ms"))};
+    registration.drainTimeout = Duration{std::int64_t(reader.unsignedInteger("leave_within_ms"))};
     registration.clockReading =
-        WorkerTime{std::int64_t(reader.whole("now_ms", Presence::required))};
+        WorkerTime{std::int64_t(reader.unsignedInteger("now_ms", Presence::required))};
   }
   return reader.error() ? std::nullopt : std::optional(notice);
 }
@@ -260,18 +261,18 @@
                          "there is no " + request.method + " " + request.target);
   const auto root = parseObject(request.body);
   if (!root)
-    return invalid("", "the body must be an object in JSON");
+    return invalid("", "the body must be a JSON object");
   WorkerCall call;
   call.kind = found->first;
   JsonFieldReader reader(*root);
   call.workerInstance = WorkerId{reader.text("life", Presence::required)};
-  call.fencingTerm = Term{reader.digits("fence", Presence::required)};
+  call.fencingTerm = Term{reader.decimalText("fence", Presence::required)};
   if (!reader.find("deadline_ms").is<picojson::null>())
-    call.leaseDeadline = WorkerTime{std::int64_t(reader.whole("deadline_ms"))};
+    call.leaseDeadline = WorkerTime{std::int64_t(reader.unsignedInteger("deadline_ms"))};
   if (call.kind == CallKind::poll) {
-    call.confirmedUpTo = reader.whole("last_seen");
-    call.longPollTimeout =
-        Duration{std::min(maxLongPollMilliseconds, std::int64_t(reader.whole("wait_ms")))};
+    call.confirmedUpTo = reader.unsignedInteger("last_seen");
+    call.longPollTimeout = Duration{
+        std::min(maxLongPollMilliseconds, std::int64_t(reader.unsignedInteger("wait_ms")))};
   } else {
     const auto name = reader.find("name");
     JsonFieldReader nameReader(name);
@@ -304,17 +305,19 @@
     if (reply.status != status)
       continue;
     body["reason"] = json(reason);
-    return reject(http_status::conflict, "conflict", std::string("turned away: ") + reason);
+    return reject(http_status::conflict, "conflict",
+                  std::string("the call was rejected; reason: ") + reason);
   }
   switch (reply.status) {
     case ReplyStatus::ok:
       return ApiResponse::of(http_status::ok, body);
     case ReplyStatus::instanceMismatch:
-      return reject(http_status::gone, "gone", "this is another life of the worker");
+      return reject(http_status::gone, "gone", "the call is for another instance of the worker");
     case ReplyStatus::invalidRequest:
-      return reject(http_status::badRequest, "invalid", "can't be carried out");
+      return reject(http_status::badRequest, "invalid", "the worker can't carry out this call");
     default:
-      return reject(http_status::serviceUnavailable, "not_taken", "not now");
+      return reject(http_status::serviceUnavailable, "not_taken",
+                    "the worker can't accept calls at the moment");
   }
 }
 
