--- a/programs/aniselinectl.cpp
+++ b/programs/aniselinectl.cpp
@@ -1,4 +1,4 @@
-// aniselinectl: the operators' command line. Its commands stand in source/cli/.
+// aniselinectl: the command-line tool for operators. Its commands are implemented in source/cli/.
 // docs/operations.md 3.
 #include "net/log.hpp"
 #include "net/options.hpp"
@@ -11,15 +11,17 @@
 
 namespace {
 
-Result<ApiResponse, ClientError> foundBy(EventLoop& loop, const Address& peer, Duration within) {
-  RpcClient caller(loop, peer);
-  auto answered = caller.call(BootstrapRequest{}, within);
-  if (!answered)
-    return ClientError{ClientError::Kind::unknown, 0, answered.error().text, Duration{0}};
-  if (auto* answer = boost::get<ApiResponse>(&answered.value().body))
+// Asks the controller at a peer address to bootstrap a cluster.
+Result<ApiResponse, ClientError> bootstrapVia(EventLoop& loop, const Address& peer,
+                                              Duration timeout) {
+  RpcClient client(loop, peer);
+  auto reply = client.call(BootstrapRequest{}, timeout);
+  if (!reply)
+    return ClientError{ClientError::Kind::unknown, 0, reply.error().text, Duration{0}};
+  if (auto* answer = boost::get<ApiResponse>(&reply.value().body))
     return *answer;
   return ClientError{ClientError::Kind::unknown, 0,
-                     peer.value + " gave another answer than asked for", Duration{0}};
+                     peer.value + " sent an unexpected type of answer", Duration{0}};
 }
 
 void printHelp(const OptionSet& options, Arguments arguments) {
@@ -35,38 +37,42 @@
 
 }  // namespace
 
-int main(int count, char** values) {
+int main(int argc, char** argv) {
   EventLoop loop;
   std::vector<Address> gateways;
   Arguments arguments;
-  std::int64_t within = 10'000;
+  std::int64_t timeout = 10'000;
   Session session{{},
                   {},
                   {},
-                  [](Duration span) { sleepFor(span); },
+                  [](Duration duration) { sleepFor(duration); },
                   std::cout,
                   std::cerr,
                   isatty(STDOUT_FILENO) == 1};
-  CommandOptions& choices = session.options;
-  OptionSet options("aniselinectl", "the operators' command line of aniseline");
-  options.addAddresses("gateways", gateways, "outer address of a gateway");
+  CommandOptions& commandOptions = session.options;
+  OptionSet options("aniselinectl", "command-line tool for operators of aniseline");
+  options.addAddresses("gateways", gateways, "client-facing address of a gateway");
   options.bindEnvironment("gateways", "ANISELINECTL_GATEWAYS");
-  options.addInteger("within-ms", within, "how long to try", 100, 600'000);
-  options.addFlag("json", choices.json, "answers and errors as JSON, for programs");
-  options.addText("state", choices.state,
-                  "of the jobs to list: timed, open, cancelling, finished, failed or cancelled");
-  options.addInteger("limit", choices.limit, "jobs to list at most", 1, 1000);
+  options.addInteger("within-ms", timeout, "time limit of a request in ms, retries included", 100,
+                     600'000);
+  options.addFlag("json", commandOptions.json, "print answers and errors as JSON, for programs");
+  options.addText(
+      "state", commandOptions.state,
+      "list only jobs in this state: timed, open, cancelling, finished, failed or cancelled");
+  options.addInteger("limit", commandOptions.limit, "maximum number of jobs to list", 1, 1000);
   options.addInteger(
-      "based-on", choices.baseVersion,
-      "the config version that the new one is based on; the one in force if not given", 0,
+      "based-on", commandOptions.baseVersion,
+      "configuration version that the change is based on; if not given, the one in force", 0,
       1'000'000'000);
-  options.addInteger("drain-within-ms", choices.drainPeriodMilliseconds,
-                     "how long a drained worker's tasks may go on", 0, 86'400'000);
-  options.addInteger("times", choices.watchTurns, "how often", 1, 1'000'000);
-  options.addInteger("every-ms", choices.watchIntervalMilliseconds, "time between", 100, 3'600'000);
-  options.addPositionals(arguments, "a command");
-  options.setHelp([&](const Arguments& asked) { printHelp(options, asked); });
-  options.read(count, values);
+  options.addInteger("drain-within-ms", commandOptions.drainPeriodMilliseconds,
+                     "time in ms that the tasks of a drained worker may go on", 0, 86'400'000);
+  options.addInteger("times", commandOptions.watchRepetitions, "number of repetitions", 1,
+                     1'000'000);
+  options.addInteger("every-ms", commandOptions.watchIntervalMilliseconds, "interval in ms", 100,
+                     3'600'000);
+  options.addPositionals(arguments, "command to run");
+  options.setHelp([&](const Arguments& helpArguments) { printHelp(options, helpArguments); });
+  options.read(argc, argv);
   std::size_t nameLength = 0;
   if (!arguments.empty() && arguments[0] == "help" &&
       (arguments.size() == 1 ||
@@ -75,15 +81,15 @@
     return 0;
   }
   startLog("aniselinectl", "", true);
-  std::unique_ptr<GatewayClient> caller;
+  std::unique_ptr<GatewayClient> client;
   if (!gateways.empty()) {
-    caller = std::make_unique<GatewayClient>(loop, gateways);
+    client = std::make_unique<GatewayClient>(loop, gateways);
     session.send = [&](const HttpRequest& request) -> Result<HttpResponse, ClientError> {
-      return caller->send(request, Duration{within});
+      return client->send(request, Duration{timeout});
     };
   }
   session.bootstrapCluster = [&](const Address& peer) {
-    return foundBy(loop, peer, Duration{within});
+    return bootstrapVia(loop, peer, Duration{timeout});
   };
   const ExitCode code = runCommandLine(session, arguments, options.givenOnCommandLine());
   std::cout.flush();
--- a/source/cli/cluster_commands.cpp
+++ b/source/cli/cluster_commands.cpp
@@ -1,3 +1,4 @@
+// Commands that change the cluster: replacing a voter and bootstrapping a new cluster.
 #include "net/event_loop.hpp"
 #include "cli/command.hpp"
 #include "cli/views.hpp"
@@ -6,24 +7,24 @@
 
 namespace {
 
-ExitCode replace(Session& session, const Arguments& arguments) {
+ExitCode replaceController(Session& session, const Arguments& arguments) {
   return sendAndShow(session, {"POST", "/v1/controllers/" + arguments[0] + "/replace", ""},
                      [](const picojson::value& answer) {
                        return "controller " + printable(textField(answer, "replacing")) +
-                              ": a learner takes its place as soon as one has caught up\n";
+                              ": will be replaced as soon as a learner has caught up\n";
                      });
 }
-ExitCode found(Session& session, const Arguments& arguments) {
+ExitCode bootstrap(Session& session, const Arguments& arguments) {
   if (auto endpoint = parseEndpoint(Address{arguments[0]}); !endpoint)
     return reportUsageError(session, "found: " + endpoint.error().text());
   auto answer = session.bootstrapCluster(Address{arguments[0]});
   if (!answer)
     return reportError(session, answer.error());
-  const ApiResponse& notified = answer.value();
-  if (notified.status >= 400)
-    return reportError(session, ClientError{ClientError::Kind::rejected, notified.status,
-                                            notified.body, Duration{0}});
-  session.out << notified.body << "\n";
+  const ApiResponse& response = answer.value();
+  if (response.status >= 400)
+    return reportError(session, ClientError{ClientError::Kind::rejected, response.status,
+                                            response.body, Duration{0}});
+  session.out << response.body << "\n";
   return ExitCode::success;
 }
 
@@ -33,19 +34,20 @@
   return {
       {"replace",
        "CONTROLLER",
-       "let a learner take this voter's place",
-       "It is remembered through changes of leader. The leader itself can't be replaced: stop it "
+       "replace this voter by a learner",
+       "The request survives changes of leader. The leader itself can't be replaced: stop it "
        "first.",
        {},
        false,
-       replace},
+       replaceController},
       {"found",
        "PEER-ADDRESS",
-       "found a cluster on one blank controller",
-       "Once, before anything else; asks that controller itself, so needs no gateways.",
+       "bootstrap a cluster on one empty controller",
+       "Run it once, before any other command. It contacts the controller directly and needs no "
+       "gateways.",
        {},
        false,
-       found,
+       bootstrap,
        false},
   };
 }
--- a/source/cli/cluster_view.cpp
+++ b/source/cli/cluster_view.cpp
@@ -1,24 +1,27 @@
+// Renders the members of the cluster and its counters as tables.
 #include "cli/views.hpp"
 
 namespace aniseline {
 
 namespace {
 
-constexpr double silentAfter = 2000;  // milliseconds, as the leader counts it. docs/design.md 3.5
+// A voter counts as silent after this many milliseconds without contact, the same limit as the
+// leader uses. docs/design.md 3.5
+constexpr double silentVoterLimit = 2000;
 
-std::string attention(const picojson::array& controllers) {
-  int voters = 0, heard = 0;
+std::string voterWarning(const picojson::array& controllers) {
+  int voters = 0, reachable = 0;
   for (const auto& controller : controllers) {
     if (!flagField(controller, "voter"))
       continue;
     ++voters;
-    const double unheard = numberField(controller, "unheard_ms", -1);
-    heard += unheard >= 0 && unheard < silentAfter;
+    const double sinceContact = numberField(controller, "unheard_ms", -1);
+    reachable += sinceContact >= 0 && sinceContact < silentVoterLimit;
   }
-  if (voters >= 3 && heard == voters)
+  if (voters >= 3 && reachable == voters)
     return "";
-  return "attention: " + std::to_string(heard) + " of " + std::to_string(voters) +
-         " voters heard within " + formatDuration(silentAfter) +
+  return "attention: " + std::to_string(reachable) + " of " + std::to_string(voters) +
+         " voters heard within " + formatDuration(silentVoterLimit) +
          (voters < 3 ? "; three are needed" : "") + "\n";
 }
 
@@ -48,8 +51,8 @@
   return "term " + formatNumber(numberField(answer, "term")) + ", committed " +
          formatNumber(numberField(answer, "commit")) + " of " + formatNumber(last) + ", config " +
          formatNumber(numberField(answer, "config")) + ", cluster time " +
-         formatTime(numberField(answer, "cluster_time_ms")) + "\n" + attention(controllers) + "\n" +
-         members.render() + (gateways.size() ? "\n" + gateways.render() : "");
+         formatTime(numberField(answer, "cluster_time_ms")) + "\n" + voterWarning(controllers) +
+         "\n" + members.render() + (gateways.size() ? "\n" + gateways.render() : "");
 }
 
 std::string countersView(const picojson::value& answer) {
--- a/source/cli/command.cpp
+++ b/source/cli/command.cpp
@@ -1,3 +1,4 @@
+// Looks up and runs commands, and prints their answers and errors.
 #include "cli/command.hpp"
 #include "base/json.hpp"
 #include "cli/table.hpp"
@@ -9,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t maxRepeatedArguments = 100;  // of a command that takes any number
+constexpr std::size_t maxRepeatedArguments = 100;  // limit for a command that takes any number
 
 std::size_t countArguments(const std::string& text) {
   std::istringstream stream(text);
@@ -22,26 +23,26 @@
     count += word.front() != '[';
   return count;
 }
-// Ids stand in a request's target as they are; no id of ours holds what would change the target's
-// meaning.
-bool fitsTarget(const std::string& word) {
-  return !word.empty() && std::none_of(word.begin(), word.end(), [](char letter) {
-    return std::uint8_t(letter) <= 0x20 || letter == 0x7f || std::strchr("/?#%", letter);
+// Ids are put into the target of a request without escaping, so characters that would change the
+// meaning of the target are rejected. No valid id contains them.
+bool isSafeInTarget(const std::string& word) {
+  return !word.empty() && std::none_of(word.begin(), word.end(), [](char character) {
+    return std::uint8_t(character) <= 0x20 || character == 0x7f || std::strchr("/?#%", character);
   });
 }
-bool namesId(const std::string& argument) {
+bool isIdArgument(const std::string& argument) {
   return argument == "JOB" || argument == "WORKER" || argument == "CONTROLLER";
 }
 
-// Why the command can't be run with these; nothing if it can.
-std::optional<std::string> usageErrorOf(const Command& command, const Arguments& arguments,
-                                        const std::vector<std::string>& givenOptions) {
+// Returns why the command can't be run with these arguments and options, or nothing if it can.
+std::optional<std::string> findUsageError(const Command& command, const Arguments& arguments,
+                                          const std::vector<std::string>& givenOptions) {
   if (arguments.size() < command.minArguments() || arguments.size() > command.maxArguments())
     return "it is: aniselinectl " + command.name + " " + command.arguments;
-  std::istringstream shape(command.arguments);
+  std::istringstream argumentNames(command.arguments);
   std::string argument;
   for (const auto& word : arguments) {
-    if (shape >> argument && namesId(argument) && !fitsTarget(word))
+    if (argumentNames >> argument && isIdArgument(argument) && !isSafeInTarget(word))
       return "'" + printable(word) + "' can't be an id";
   }
   for (const auto& option : givenOptions) {
@@ -70,20 +71,20 @@
 const std::vector<Command>& allCommands() {
   static const std::vector<Command> commands = [] {
     std::vector<Command> all;
-    for (auto part : {inspectCommands(), jobCommands(), workerCommands(), configCommands(),
-                      clusterCommands(), watchCommands()})
-      all.insert(all.end(), part.begin(), part.end());
+    for (auto group : {inspectCommands(), jobCommands(), workerCommands(), configCommands(),
+                       clusterCommands(), watchCommands()})
+      all.insert(all.end(), group.begin(), group.end());
     return all;
   }();
   return commands;
 }
 
 const Command* findCommand(const Arguments& arguments, std::size_t& nameLength) {
-  static const std::map<std::string, std::string> otherNames{{"list", "jobs"}};
+  static const std::map<std::string, std::string> aliases{{"list", "jobs"}};
   for (nameLength = std::min<std::size_t>(2, arguments.size()); nameLength > 0; --nameLength) {
     std::string name = nameLength == 2 ? arguments[0] + " " + arguments[1] : arguments[0];
-    if (auto other = otherNames.find(name); other != otherNames.end())
-      name = other->second;
+    if (auto alias = aliases.find(name); alias != aliases.end())
+      name = alias->second;
     for (const auto& command : allCommands()) {
       if (command.name == name)
         return &command;
@@ -101,14 +102,14 @@
                             "the words make no command; `aniselinectl help` lists those that do");
   const Arguments arguments(commandLine.begin() + std::ptrdiff_t(nameLength), commandLine.end());
   std::vector<std::string> ownOptions = givenOptions;
-  // What `watch` repeats has options of its own.
+  // The command that `watch` repeats may have its own options.
   if (command->name == "watch") {
     if (const Command* repeated = findCommand(arguments, nameLength))
       std::erase_if(ownOptions, [&](const std::string& option) {
         return std::count(repeated->options.begin(), repeated->options.end(), option) > 0;
       });
   }
-  if (auto error = usageErrorOf(*command, arguments, ownOptions))
+  if (auto error = findUsageError(*command, arguments, ownOptions))
     return reportUsageError(session, command->name + ": " + *error);
   if (command->needsGateways && !session.send)
     return reportUsageError(session,
--- a/source/cli/config_commands.cpp
+++ b/source/cli/config_commands.cpp
@@ -1,3 +1,4 @@
+// Commands that show, check and change the configuration of the cluster.
 #include "cli/command.hpp"
 #include "base/json.hpp"
 #include "cli/views.hpp"
@@ -8,9 +9,10 @@
 
 namespace {
 
-// The text of a file that holds a good config; else the faults are told.
-std::optional<std::string> goodConfig(Session& session, const std::string& file, ExitCode& code,
-                                      std::size_t& queues) {
+// Returns the text of a file that holds a valid configuration, and its number of queues. Otherwise
+// reports the errors, sets `code` and returns nothing.
+std::optional<std::string> readValidConfig(Session& session, const std::string& file,
+                                           ExitCode& code, std::size_t& queues) {
   code = ExitCode::usage;
   auto text = readWholeFile(session, file);
   if (!text)
@@ -31,7 +33,7 @@
 ExitCode checkConfig(Session& session, const Arguments& arguments) {
   ExitCode code;
   std::size_t queues = 0;
-  if (!goodConfig(session, arguments[0], code, queues))
+  if (!readValidConfig(session, arguments[0], code, queues))
     return code;
   const std::string& file = arguments[0];
   return show(session, json(picojson::object{{"good", json(true)}, {"queues", json(queues)}}),
@@ -39,7 +41,8 @@
                 return file + ": good, " + std::to_string(queues) + " queues\n";
               });
 }
-// The version that an order is based on: as given, else the one in force; 0 if there is none yet.
+// Returns the version that a change is based on: the one given as an option, else the version in
+// force; 0 if there is no configuration yet.
 Result<std::int64_t, ClientError> baseVersionOf(Session& session) {
   if (session.options.baseVersion >= 0)
     return session.options.baseVersion;
@@ -54,11 +57,12 @@
     version = std::int64_t(numberField(root, "version", -1));
   if (version < 0)
     return ClientError{ClientError::Kind::unknown, 0,
-                       "the version in force can't be learned; give --based-on", Duration{0}};
+                       "the version in force could not be read; pass it as --based-on",
+                       Duration{0}};
   return version;
 }
-ExitCode sendOrder(Session& session, const char* method, std::int64_t baseVersion,
-                   const std::string& field, const std::string& text) {
+ExitCode sendConfigChange(Session& session, const char* method, std::int64_t baseVersion,
+                          const std::string& field, const std::string& text) {
   return sendAndShow(
       session,
       {method, "/v1/config",
@@ -70,13 +74,13 @@
 ExitCode applyConfig(Session& session, const Arguments& arguments) {
   ExitCode code;
   std::size_t queues = 0;
-  auto text = goodConfig(session, arguments[0], code, queues);
+  auto text = readValidConfig(session, arguments[0], code, queues);
   if (!text)
     return code;
   const auto baseVersion = baseVersionOf(session);
   if (!baseVersion)
     return reportError(session, baseVersion.error());
-  return sendOrder(session, "PUT", baseVersion.value(), "config", *text);
+  return sendConfigChange(session, "PUT", baseVersion.value(), "config", *text);
 }
 ExitCode patchConfig(Session& session, const Arguments& arguments) {
   auto text = readWholeFile(session, arguments[0]);
@@ -90,7 +94,7 @@
   const auto baseVersion = baseVersionOf(session);
   if (!baseVersion)
     return reportError(session, baseVersion.error());
-  return sendOrder(session, "PATCH", baseVersion.value(), "patch", *text);
+  return sendConfigChange(session, "PATCH", baseVersion.value(), "patch", *text);
 }
 
 }  // namespace
@@ -99,31 +103,32 @@
   return {
       {"config show",
        "",
-       "the config in force",
-       "--json gives its text as it was applied.",
+       "show the configuration in force",
+       "--json prints its text as it was applied.",
        {},
        true,
        showConfig},
       {"config check",
        "FILE",
-       "check a config without asking anyone",
-       "Every fault is named by its path.",
+       "validate a configuration file without contacting the cluster",
+       "Every error is reported with its path in the file.",
        {},
        false,
        checkConfig,
        false},
       {"config apply",
        "FILE",
-       "put a config in force",
-       "Refused as a conflict, naming the newer version, if it is not based on the one in force.",
+       "apply a configuration",
+       "Rejected as a conflict that names the newer version if it is not based on the version in "
+       "force.",
        {"based-on"},
        false,
        applyConfig},
       {"config patch",
        "FILE",
-       "add, replace or remove named items of the config in force",
-       "FILE holds {\"upsert\": {LIST: ITEMS}, \"remove\": {LIST: [NAME, ...]}}. Refused as a "
-       "conflict, as config apply is.",
+       "add, replace or remove named items of the configuration in force",
+       "FILE holds {\"upsert\": {LIST: ITEMS}, \"remove\": {LIST: [NAME, ...]}}. Rejected "
+       "as a conflict under the same conditions as config apply.",
        {"based-on"},
        false,
        patchConfig},
--- a/source/cli/errors.cpp
+++ b/source/cli/errors.cpp
@@ -1,3 +1,4 @@
+// Chooses exit codes by HTTP status and kind, and formats the details of an error body.
 #include "cli/errors.hpp"
 #include "base/json.hpp"
 #include "cli/table.hpp"
@@ -6,7 +7,7 @@
 
 namespace {
 
-std::optional<picojson::value> errorIn(const ClientError& error) {
+std::optional<picojson::value> parseErrorBody(const ClientError& error) {
   picojson::value root;
   if (!parseJson(root, error.text).empty() || !jsonField(root, "text").is<std::string>())
     return std::nullopt;
@@ -38,7 +39,7 @@
 
 std::string errorText(const ClientError& error) {
   const std::string status = error.status ? std::to_string(error.status) + " " : "";
-  const auto root = errorIn(error);
+  const auto root = parseErrorBody(error);
   if (!root)
     return "aniselinectl: " + status + printable(error.text) + "\n";
   std::string text =
@@ -54,7 +55,7 @@
   return text + "\n";
 }
 std::string errorJson(const ClientError& error) {
-  if (auto root = errorIn(error))
+  if (auto root = parseErrorBody(error))
     return root->serialize();
   return json(picojson::object{
                   {"error", json(error.kind == ClientError::Kind::unknown ? "unknown" : "refused")},
--- a/source/cli/errors.hpp
+++ b/source/cli/errors.hpp
@@ -1,4 +1,5 @@
-// Exit codes by kind, and errors as people or programs read them. docs/operations.md 3.
+// Maps errors to exit codes and renders them as text for people or as JSON for programs.
+// docs/operations.md 3.
 #ifndef ANISELINE_CLI_ERRORS_HPP
 #define ANISELINE_CLI_ERRORS_HPP
 #include "net/gateway_client.hpp"
@@ -7,19 +8,20 @@
 
 enum class ExitCode : int {
   success = 0,
-  usage = 2,       // the words, options or files are wrong; nothing was asked
-  rejected = 3,    // the content or the order is not valid
-  notFound = 4,    // there is no such thing
-  unknown = 5,     // no answer: it may or may not have been taken
-  conflict = 6,    // something newer or other stands there
-  overloaded = 7,  // turned away for now; ask again later
+  usage = 2,       // wrong arguments, options or files; nothing was sent
+  rejected = 3,    // the content or the request is not valid
+  notFound = 4,    // the requested object does not exist
+  unknown = 5,     // no answer: the request may or may not have taken effect
+  conflict = 6,    // a newer version or different content exists
+  overloaded = 7,  // rejected for now; retry later
 };
 
 ExitCode exitCodeOf(const ClientError& error);
-// One line, and one for each detail.
+// Returns one line for the error, or a line for each of several details.
 std::string errorText(const ClientError& error);
-// The answer's own JSON, or one made of the same fields.
+// Returns the JSON of the answer, or else an object with the same fields made from the error.
 std::string errorJson(const ClientError& error);
+// Renders the errors found in a file: a line for each that starts with `where`, or JSON.
 std::string errorText(const std::string& where, const CoreError& error);
 std::string errorJson(const CoreError& error);
 
--- a/source/cli/help.cpp
+++ b/source/cli/help.cpp
@@ -1,38 +1,40 @@
+// Builds the help texts of aniselinectl.
 #include "cli/command.hpp"
 
 namespace aniseline {
 
 namespace {
 
-std::string usageOf(const Command& command) {
+std::string commandUsage(const Command& command) {
   return command.name + (command.arguments.empty() ? "" : " " + command.arguments);
 }
 
-constexpr const char* codes =
-    "Exit codes: 0 done, 2 wrong words, 3 refused, 4 missing, 5 unknown (ask again), 6 conflict, 7 "
-    "overloaded (ask later).\n";
+constexpr const char* exitCodeHelp =
+    "Exit codes: 0 success, 2 usage error, 3 rejected, 4 not found, 5 outcome unknown (retry), 6 "
+    "conflict, 7 overloaded (retry later).\n";
 
 }  // namespace
 
 std::string generalHelp(const std::string& options) {
   std::size_t width = 0;
   for (const auto& command : allCommands())
-    width = std::max(width, usageOf(command).size());
+    width = std::max(width, commandUsage(command).size());
   std::string text =
-      "aniselinectl: the operators' command line of aniseline.\n\naniselinectl [OPTIONS] COMMAND; "
-      "`aniselinectl COMMAND --help` says more.\n\n";
+      "aniselinectl: command-line tool for operators of aniseline.\n\naniselinectl [OPTIONS] "
+      "COMMAND; "
+      "see `aniselinectl COMMAND --help` for details.\n\n";
   for (const auto& command : allCommands())
-    text += "  " + usageOf(command) + std::string(width + 2 - usageOf(command).size(), ' ') +
-            command.purpose + "\n";
-  return text + "\nFor all commands:\n" + options + "\n" + codes;
+    text += "  " + commandUsage(command) +
+            std::string(width + 2 - commandUsage(command).size(), ' ') + command.purpose + "\n";
+  return text + "\nOptions for all commands:\n" + options + "\n" + exitCodeHelp;
 }
 
 std::string commandHelp(const Command& command, const std::string& ownOptions,
                         const std::string& common) {
-  return "aniselinectl " + usageOf(command) + "\n\n" + command.purpose + ".\n" +
+  return "aniselinectl " + commandUsage(command) + "\n\n" + command.purpose + ".\n" +
          (command.details.empty() ? "" : command.details + "\n") +
-         (command.options.empty() ? "" : "\nOptions:\n" + ownOptions) + "\nFor all commands:\n" +
-         common + "\n" + codes;
+         (command.options.empty() ? "" : "\nOptions:\n" + ownOptions) +
+         "\nOptions for all commands:\n" + common + "\n" + exitCodeHelp;
 }
 
 }  // namespace aniseline
--- a/source/cli/inspect_commands.cpp
+++ b/source/cli/inspect_commands.cpp
@@ -1,3 +1,4 @@
+// Commands that show the state of the cluster without changing it.
 #include "cli/command.hpp"
 #include "base/json.hpp"
 #include "cli/views.hpp"
@@ -42,46 +43,47 @@
   return {
       {"cluster",
        "",
-       "controllers, their roles and lag, gateways",
-       "BEHIND counts records of the log that a controller lacks; UNHEARD is how long the leader "
-       "has not heard it.",
+       "list controllers with their roles and lag, and gateways",
+       "BEHIND counts the log records that a controller is missing; UNHEARD is the time since the "
+       "leader last heard from it.",
        {},
        true,
        cluster},
       {"workers",
        "",
-       "workers, their room and standing",
-       "RUNS and HELD count attempts, ORDERS those not yet applied; BLAME rises with failed work "
-       "(design.md 5.6).",
+       "list workers with their capacity and state",
+       "RUNS and HELD count running and suspended attempts, ORDERS counts orders not yet applied; "
+       "BLAME is a failure score that rises with failed work (design.md 5.6).",
        {},
        true,
        workers},
       {"tenants",
        "",
-       "tenants, what each may have running and what it has",
-       "KEYS counts a tenant's keys, which are never shown. A tenant that the config no longer "
-       "names keeps its cap, "
-       "without keys, while jobs of it are open. Above its cap is a tenant whose cap was lowered, "
-       "or whose one task "
-       "is larger than what was left of it.",
+       "list tenants with their caps and current usage",
+       "KEYS counts the API keys of a tenant, which are never shown. A tenant that was removed "
+       "from "
+       "the configuration keeps its cap, without keys, while it has open jobs. A tenant is above "
+       "its "
+       "cap if the cap was lowered, or if a single task was larger than the rest of the cap.",
        {},
        true,
        tenants},
       {"plan",
        "",
-       "who waits and why, and the reserved start",
-       "By rank: the first line would start first.",
+       "show who waits and why, and the reserved start",
+       "Sorted by rank: the first line would start first.",
        {},
        true,
        plan},
       {"queues",
        "",
-       "queues in force with their open jobs",
-       "A queue that the config no longer names runs its open jobs out and is shown as closed.",
+       "list queues with their open jobs",
+       "A queue that was removed from the configuration still runs its open jobs and is shown as "
+       "closed.",
        {},
        true,
        queues},
-      {"counters", "", "counts since the cluster was founded", "", {}, true, counters},
+      {"counters", "", "show counters since the cluster was bootstrapped", "", {}, true, counters},
   };
 }
 
--- a/source/cli/job_commands.cpp
+++ b/source/cli/job_commands.cpp
@@ -1,3 +1,4 @@
+// Commands that list, show, submit and cancel jobs.
 #include "cli/command.hpp"
 #include "cli/views.hpp"
 
@@ -42,20 +43,20 @@
 
 std::vector<Command> jobCommands() {
   return {
-      {"jobs", "", "jobs by id", "`list` is the same.", {"state", "limit"}, true, jobs},
-      {"show", "JOB", "a job, its state and its first 200 tasks", "", {}, true, showJob},
+      {"jobs", "", "list jobs by id", "`list` is an alias.", {"state", "limit"}, true, jobs},
+      {"show", "JOB", "show a job, its state and its first 200 tasks", "", {}, true, showJob},
       {"submit",
        "FILE",
        "submit the job that the file describes",
-       "Safe to repeat: the same id with the same content gets the same answer, with other content "
-       "a conflict.",
+       "Safe to repeat: the same id with the same content gets the same answer, with different "
+       "content a conflict.",
        {},
        false,
        submit},
       {"cancel",
        "JOB",
        "cancel a job",
-       "Safe to repeat. The answer is its state: cancelling, or how it ended.",
+       "Safe to repeat. Prints the state of the job: cancelling, or its final state.",
        {},
        false,
        cancel},
--- a/source/cli/jobs_view.cpp
+++ b/source/cli/jobs_view.cpp
@@ -1,3 +1,4 @@
+// Renders lists of jobs, and one job with its tasks.
 #include "cli/views.hpp"
 
 namespace aniseline {
--- a/source/cli/plan_view.cpp
+++ b/source/cli/plan_view.cpp
@@ -1,3 +1,4 @@
+// Renders the waiting work with the reasons why it waits, and the reserved start.
 #include "cli/views.hpp"
 
 namespace aniseline {
--- a/source/cli/queues_view.cpp
+++ b/source/cli/queues_view.cpp
@@ -1,3 +1,4 @@
+// Renders the queues with their open jobs, and the configuration.
 #include "cli/views.hpp"
 #include "state/cluster_config.hpp"
 
@@ -39,7 +40,8 @@
       queues.push_back(json(queue));
     }
   }
-  // Named by no config any more: closed to new jobs. docs/design.md 6.4.
+  // The remaining queues are no longer in the configuration: they are closed to new jobs.
+  // docs/design.md 6.4.
   for (const auto& [name, count] : open)
     queues.push_back(json(
         picojson::object{{"name", json(name)}, {"open", json(count)}, {"closed", json(true)}}));
@@ -68,7 +70,7 @@
   }
   const double uncounted = numberField(queues, "uncounted");
   return "config " + formatNumber(numberField(queues, "version")) + "\n\n" + table.render() +
-         (uncounted > 0 ? "counted are the first 1000 open jobs; " + formatNumber(uncounted) +
+         (uncounted > 0 ? "only the first 1000 open jobs are counted; " + formatNumber(uncounted) +
                               " more are open or timed\n"
                         : "");
 }
@@ -80,14 +82,14 @@
   const auto queues = queuesWithOpenJobs(answer, picojson::value());
   std::string text = queuesView(queues);
   Table policies({{"POLICY"}, {"RANK"}, {"MAY HOLD"}});
-  if (const auto given = jsonField(config, "policies"); given.is<picojson::object>())
-    for (const auto& [name, policy] : given.get<picojson::object>())
+  if (const auto configured = jsonField(config, "policies"); configured.is<picojson::object>())
+    for (const auto& [name, policy] : configured.get<picojson::object>())
       policies.add({name, textField(policy, "rank"), textField(policy, "may_hold")});
   if (policies.size())
     text += "\n" + policies.render();
   Table planner({{"PLANNER"}, {"VALUE", Table::Align::right}});
-  if (const auto given = jsonField(config, "planner"); given.is<picojson::object>())
-    for (const auto& [name, value] : given.get<picojson::object>())
+  if (const auto configured = jsonField(config, "planner"); configured.is<picojson::object>())
+    for (const auto& [name, value] : configured.get<picojson::object>())
       planner.add(
           {name, value.is<double>() ? formatNumber(value.get<double>()) : value.serialize()});
   if (planner.size())
--- a/source/cli/worker_commands.cpp
+++ b/source/cli/worker_commands.cpp
@@ -1,3 +1,4 @@
+// Commands that drain workers, return them to service and declare them gone.
 #include "cli/command.hpp"
 #include "cli/views.hpp"
 
@@ -5,22 +6,23 @@
 
 namespace {
 
-ExitCode order(Session& session, const std::string& worker, const std::string& verb) {
-  return sendAndShow(session, {"POST", "/v1/workers/" + worker + "/" + verb, ""},
+ExitCode sendWorkerCommand(Session& session, const std::string& worker, const std::string& action) {
+  return sendAndShow(session, {"POST", "/v1/workers/" + worker + "/" + action, ""},
                      [](const picojson::value& answer) {
                        return "worker " + printable(textField(answer, "worker")) + ": " +
                               printable(textField(answer, "state")) + "\n";
                      });
 }
 ExitCode drain(Session& session, const Arguments& arguments) {
-  return order(session, arguments[0],
-               "drain?within_ms=" + std::to_string(session.options.drainPeriodMilliseconds));
+  return sendWorkerCommand(
+      session, arguments[0],
+      "drain?within_ms=" + std::to_string(session.options.drainPeriodMilliseconds));
 }
 ExitCode undrain(Session& session, const Arguments& arguments) {
-  return order(session, arguments[0], "undrain");
+  return sendWorkerCommand(session, arguments[0], "undrain");
 }
 ExitCode declareGone(Session& session, const Arguments& arguments) {
-  return order(session, arguments[0], "gone");
+  return sendWorkerCommand(session, arguments[0], "gone");
 }
 
 }  // namespace
@@ -29,16 +31,16 @@
   return {
       {"drain",
        "WORKER",
-       "no new work for it; what runs may go on for a while",
-       "After --drain-within-ms what still runs is stopped and waits again.",
+       "stop new work on this worker; running tasks may go on for a while",
+       "Tasks that still run after --drain-within-ms are stopped and queued again.",
        {"drain-within-ms"},
        false,
        drain},
-      {"undrain", "WORKER", "give it work again", "", {}, false, undrain},
+      {"undrain", "WORKER", "allow new work on this worker again", "", {}, false, undrain},
       {"declare-gone",
        "WORKER",
-       "its tasks may be started elsewhere",
-       "Say it only when the machine is really off: else a task may run twice at once.",
+       "allow the tasks of this worker to start elsewhere",
+       "Use it only if the machine is really off: otherwise a task may run twice at once.",
        {},
        false,
        declareGone},
--- a/source/cli/workers_view.cpp
+++ b/source/cli/workers_view.cpp
@@ -1,3 +1,4 @@
+// Renders workers with their capacity, load and state.
 #include "cli/views.hpp"
 
 namespace aniseline {
@@ -24,14 +25,14 @@
       notes += "room unguarded";
     if (textField(worker, "state") == "present")
       cores += numberField(worker, "cores"), used += numberField(worker, "cores_used");
-    const double held = numberField(worker, "held");
+    const double suspended = numberField(worker, "held");
     table.add({textField(worker, "id"), textField(worker, "state"), textField(worker, "zone"),
                textField(worker, "rack"),
                formatNumber(numberField(worker, "cores_used")) + "/" +
                    formatNumber(numberField(worker, "cores")),
                formatMemory(numberField(worker, "memory_used_mb")) + "/" +
                    formatMemory(numberField(worker, "memory_mb")),
-               formatNumber(numberField(worker, "attempts") - held), formatNumber(held),
+               formatNumber(numberField(worker, "attempts") - suspended), formatNumber(suspended),
                formatNumber(numberField(worker, "orders_pending")),
                formatNumber(numberField(worker, "failureScore")),
                formatDuration(numberField(worker, "unheard_ms", -1)), notes});
--- a/tests/cli/commands_tests.cpp
+++ b/tests/cli/commands_tests.cpp
@@ -1,4 +1,5 @@
-// aniselinectl's tables from canned answers, its words and its exit codes. docs/operations.md 3.
+// Tests the tables, arguments and exit codes of aniselinectl with canned answers.
+// docs/operations.md 3.
 #include "cli/command.hpp"
 #include "cli/views.hpp"
 #include <CppUTest/TestHarness.h>
@@ -14,47 +15,50 @@
   return root;
 }
 
-// A session whose answers are given beforehand, by method and target.
-struct Desk {
+// Runs commands in a session with canned answers, selected by method and target, and records the
+// requests and the output.
+struct CommandHarness {
   std::map<std::string, Result<HttpResponse, ClientError>> answers;
-  std::vector<std::string> asked;
+  std::vector<std::string> requests;
   std::ostringstream out, err;
-  int rests = 0;
+  int sleeps = 0;
   Session session{{},
                   [this](const HttpRequest& request) { return answer(request); },
                   [](const Address&) -> Result<ApiResponse, ClientError> {
                     return ApiResponse::of(200, {{"founded", json(true)}});
                   },
-                  [this](Duration) { ++rests; },
+                  [this](Duration) { ++sleeps; },
                   out,
                   err};
   Result<HttpResponse, ClientError> answer(const HttpRequest& request) {
-    asked.push_back(request.method + " " + request.target +
-                    (request.body.empty() ? "" : " " + request.body));
+    requests.push_back(request.method + " " + request.target +
+                       (request.body.empty() ? "" : " " + request.body));
     auto found = answers.find(request.method + " " + request.target);
     if (found == answers.end())
       return ClientError{ClientError::Kind::notFound, 404,
                          R"({"error":"missing","text":"no such thing"})", Duration{0}};
     return found->second;
   }
-  void give(const std::string& request, const std::string& body) {
+  void addAnswer(const std::string& request, const std::string& body) {
     answers.emplace(request, HttpResponse{200, body, Duration{0}});
   }
-  void refuse(const std::string& request, ClientError::Kind kind, int status,
-              const std::string& body) {
+  void addError(const std::string& request, ClientError::Kind kind, int status,
+                const std::string& body) {
     answers.emplace(request, ClientError{kind, status, body, Duration{0}});
   }
-  int run(const std::string& line, const std::vector<std::string>& given = {}) {
+  int run(const std::string& line, const std::vector<std::string>& givenOptions = {}) {
     std::istringstream stream(line);
     Arguments words;
     for (std::string word; stream >> word;)
       words.push_back(word);
-    return int(runCommandLine(session, words, given));
+    return int(runCommandLine(session, words, givenOptions));
   }
-  bool complains(const std::string& part) const {
+  bool errorContains(const std::string& part) const {
     return err.str().find(part) != std::string::npos;
   }
-  bool tells(const std::string& part) const { return out.str().find(part) != std::string::npos; }
+  bool outputContains(const std::string& part) const {
+    return out.str().find(part) != std::string::npos;
+  }
 };
 
 const char* const clusterAnswer =
@@ -69,7 +73,7 @@
 
 TEST_GROUP(CommandsTests){};
 
-TEST(CommandsTests, AClusterIsShownWithWhoIsBehindOrSilent) {
+TEST(CommandsTests, ClusterViewShowsLagAndSilentMembers) {
   STRCMP_EQUAL(
       "term 2, committed 315 of 316, config 1, cluster time 2026-12-02T03:38:38.211Z\n"
       "attention: 2 of 3 voters heard within 2.0 s\n"
@@ -85,7 +89,7 @@
       clusterView(parsed(clusterAnswer)).c_str());
 }
 
-TEST(CommandsTests, WorkersAreShownWithTheirRoom) {
+TEST(CommandsTests, WorkersViewShowsCapacityAndNotes) {
   STRCMP_EQUAL(
       "WORKER  STATE    ZONE   RACK   CORES          MEMORY  RUNS  HELD  ORDERS  BLAME  UNHEARD  "
       "NOTES\n"
@@ -101,7 +105,7 @@
           .c_str());
 }
 
-TEST(CommandsTests, TenantsAreShownWithTheirCapsAndNoKey) {
+TEST(CommandsTests, TenantsViewShowsUsageAndCaps) {
   STRCMP_EQUAL(
       "config 12\n"
       "\n"
@@ -114,7 +118,7 @@
           .c_str());
 }
 
-TEST(CommandsTests, AJobIsShownWithItsTasksAndThoseLeftOut) {
+TEST(CommandsTests, JobViewShowsTasksAndCountsOmittedOnes) {
   STRCMP_EQUAL(
       "job first-job, queue plates, failed\n"
       "because: task 1 failed too often\n"
@@ -139,7 +143,7 @@
           .c_str());
 }
 
-TEST(CommandsTests, APlanSaysWhoWaitsAndWhy) {
+TEST(CommandsTests, PlanViewShowsReasonsAndReservation) {
   STRCMP_EQUAL(
       "plan 67, 3 units wait\n"
       "reserved: job wide, step 0, in 2.5 s on m11, m1, moved so far: 1\n"
@@ -155,15 +159,15 @@
           .c_str());
 }
 
-TEST(CommandsTests, QueuesAreCountedAndThoseGoneAreShownClosed) {
-  Desk desk;
-  desk.give(
+TEST(CommandsTests, QueuesShowOpenJobsAndRemovedQueuesAsClosed) {
+  CommandHarness harness;
+  harness.addAnswer(
       "GET /v1/config",
       R"({"version":4,"config":{"queues":{"plates":{"urgency":0,"retries":5,"open_limit":1000},"proofs":{"urgency":10,"retries":3,"open_limit":2000,"reserved":500,"trial":{"quantum_ms":5000,"memory_mb":512}}}}})");
-  desk.give(
+  harness.addAnswer(
       "GET /v1/jobs?state=open&limit=1000",
       R"({"open":5,"kept":9,"jobs":[{"id":"a","queue":"proofs"},{"id":"b","queue":"old"},{"id":"c","queue":"proofs"}]})");
-  LONGS_EQUAL(0, desk.run("queues"));
+  LONGS_EQUAL(0, harness.run("queues"));
   STRCMP_EQUAL(
       "config 4\n"
       "\n"
@@ -171,11 +175,11 @@
       "plates        0     0    1000         0        5  60.0 s  default\n"
       "proofs       10     2    2000       500        3   5.0 s  default\n"
       "old           -     1  closed         -        -       -  -\n"
-      "counted are the first 1000 open jobs; 2 more are open or timed\n",
-      desk.out.str().c_str());
+      "only the first 1000 open jobs are counted; 2 more are open or timed\n",
+      harness.out.str().c_str());
 }
 
-TEST(CommandsTests, WhatCameFromElsewhereCantSteerATerminal) {
+TEST(CommandsTests, TablesReplaceControlCharacters) {
   Table table({{"A"}, {"B", Table::Align::right}});
   table.add({"\x1b[2J\n", "\xc3\xa9"});
   table.add({"x", "longer"});
@@ -186,7 +190,7 @@
   STRCMP_EQUAL("48.0 h", formatDuration(172'800'000).c_str());
 }
 
-TEST(CommandsTests, AnswersOfAnotherFormAreNoFault) {
+TEST(CommandsTests, ViewsAcceptAnswersOfUnexpectedShape) {
   for (
       const char* body :
       {"{}", "[]", "7",
@@ -196,10 +200,10 @@
       CHECK(!view(parsed(body)).empty());
 }
 
-TEST(CommandsTests, WrongWordsAreNamedAndNothingIsAsked) {
+TEST(CommandsTests, UsageErrorsAreReportedWithoutSendingRequests) {
   struct Case {
-    const char *words, *part;
-    std::vector<std::string> given{};
+    const char *commandLine, *errorPart;
+    std::vector<std::string> givenOptions{};
   };
   const std::vector<Case> cases = {
       {"", "the words make no command"},
@@ -217,23 +221,24 @@
       {"watch watch cluster", "must only look"},
       {"submit nothing/there", "nothing/there: can't be read"},
       {"found localhost", "found: 'localhost'"}};
-  for (const auto& wrong : cases) {
-    Desk desk;
-    LONGS_EQUAL_TEXT(2, desk.run(wrong.words, wrong.given), wrong.words);
-    CHECK_TEXT(desk.complains(wrong.part),
-               (wrong.words + std::string(": ") + desk.err.str()).c_str());
-    CHECK_TEXT(desk.asked.empty() && desk.out.str().empty(), wrong.words);
+  for (const auto& testCase : cases) {
+    CommandHarness harness;
+    LONGS_EQUAL_TEXT(2, harness.run(testCase.commandLine, testCase.givenOptions),
+                     testCase.commandLine);
+    CHECK_TEXT(harness.errorContains(testCase.errorPart),
+               (testCase.commandLine + std::string(": ") + harness.err.str()).c_str());
+    CHECK_TEXT(harness.requests.empty() && harness.out.str().empty(), testCase.commandLine);
   }
-  Desk desk;
-  desk.session.options.state = "odd";
-  LONGS_EQUAL(2, desk.run("jobs", {"state"}));
-  desk.session.send = nullptr;
-  LONGS_EQUAL(2, desk.run("cluster"));
-  CHECK(desk.complains("--gateways: is missing"));
-  LONGS_EQUAL(0, desk.run("found 127.0.0.1:1"));
+  CommandHarness harness;
+  harness.session.options.state = "odd";
+  LONGS_EQUAL(2, harness.run("jobs", {"state"}));
+  harness.session.send = nullptr;
+  LONGS_EQUAL(2, harness.run("cluster"));
+  CHECK(harness.errorContains("--gateways: is missing"));
+  LONGS_EQUAL(0, harness.run("found 127.0.0.1:1"));
 }
 
-TEST(CommandsTests, ExitCodesAreByKind) {
+TEST(CommandsTests, ExitCodesFollowStatusAndErrorKind) {
   struct Case {
     ClientError::Kind kind;
     int status, code;
@@ -247,23 +252,23 @@
       {ClientError::Kind::rejected, 413, 3, "too large"},
       {ClientError::Kind::unknown, 503, 5, R"({"error":"unknown","text":"t"})"},
       {ClientError::Kind::unknown, 0, 5, "127.0.0.1:1: Connection refused"}};
-  for (const auto& wanted : cases) {
-    Desk desk;
-    desk.refuse("GET /v1/jobs/a", wanted.kind, wanted.status, wanted.body);
-    LONGS_EQUAL_TEXT(wanted.code, desk.run("show a"), wanted.body);
-    CHECK_TEXT(!desk.err.str().empty() && desk.out.str().empty(), wanted.body);
+  for (const auto& expected : cases) {
+    CommandHarness harness;
+    harness.addError("GET /v1/jobs/a", expected.kind, expected.status, expected.body);
+    LONGS_EQUAL_TEXT(expected.code, harness.run("show a"), expected.body);
+    CHECK_TEXT(!harness.err.str().empty() && harness.out.str().empty(), expected.body);
   }
-  Desk garbled;
-  garbled.give("GET /v1/cluster", "<html>");
+  CommandHarness garbled;
+  garbled.addAnswer("GET /v1/cluster", "<html>");
   LONGS_EQUAL(5, garbled.run("cluster"));
 }
 
-TEST(CommandsTests, FaultsAreToldByPathAndToProgramsAsJson) {
+TEST(CommandsTests, ErrorDetailsArePrintedByPathOrAsJson) {
   const char* body =
       R"({"error":"invalid","text":"both","details":[{"path":"/id","text":"is missing"},{"path":"/steps","text":"is missing"}]})";
-  Desk people, programs;
-  for (auto* desk : {&people, &programs})
-    desk->refuse("DELETE /v1/jobs/a", ClientError::Kind::rejected, 400, body);
+  CommandHarness people, programs;
+  for (auto* harness : {&people, &programs})
+    harness->addError("DELETE /v1/jobs/a", ClientError::Kind::rejected, 400, body);
   LONGS_EQUAL(3, people.run("cancel a"));
   STRCMP_EQUAL("aniselinectl: 400 invalid: \n  /id: is missing\n  /steps: is missing\n",
                people.err.str().c_str());
@@ -272,54 +277,55 @@
   STRCMP_EQUAL("both", textField(parsed(programs.err.str()), "text").c_str());
 }
 
-TEST(CommandsTests, OldWordsStillWorkAndJsonIsTheAnswerItself) {
-  Desk desk;
-  desk.give("GET /v1/jobs?limit=100&state=open", R"({"jobs":[],"open":0,"kept":0})");
-  desk.session.options.state = "open";
-  LONGS_EQUAL(0, desk.run("list", {"state"}));
-  desk.give("GET /v1/cluster", clusterAnswer);
-  desk.session.options.json = true;
-  desk.out.str("");
-  LONGS_EQUAL(0, desk.run("cluster"));
-  CHECK(parsed(desk.out.str()) == parsed(clusterAnswer));
-  desk.give("POST /v1/workers/m1/drain?within_ms=5000", R"({"worker":"m1","state":"draining"})");
-  desk.session.options.drainPeriodMilliseconds = 5000;
-  desk.session.options.json = false;
-  LONGS_EQUAL(0, desk.run("drain m1", {"drain-within-ms"}));
-  CHECK(desk.tells("worker m1: draining\n"));
+TEST(CommandsTests, AliasesWorkAndJsonPrintsTheAnswerItself) {
+  CommandHarness harness;
+  harness.addAnswer("GET /v1/jobs?limit=100&state=open", R"({"jobs":[],"open":0,"kept":0})");
+  harness.session.options.state = "open";
+  LONGS_EQUAL(0, harness.run("list", {"state"}));
+  harness.addAnswer("GET /v1/cluster", clusterAnswer);
+  harness.session.options.json = true;
+  harness.out.str("");
+  LONGS_EQUAL(0, harness.run("cluster"));
+  CHECK(parsed(harness.out.str()) == parsed(clusterAnswer));
+  harness.addAnswer("POST /v1/workers/m1/drain?within_ms=5000",
+                    R"({"worker":"m1","state":"draining"})");
+  harness.session.options.drainPeriodMilliseconds = 5000;
+  harness.session.options.json = false;
+  LONGS_EQUAL(0, harness.run("drain m1", {"drain-within-ms"}));
+  CHECK(harness.outputContains("worker m1: draining\n"));
 }
 
-TEST(CommandsTests, WatchRepeatsSoOftenAndGoesOnPastAFailure) {
-  Desk desk;
-  desk.session.options.watchTurns = 3;
-  desk.give("GET /v1/plan", R"({"plan":1,"waiting":0,"reasons":[]})");
-  LONGS_EQUAL(0, desk.run("watch plan", {"times"}));
-  LONGS_EQUAL(3, long(desk.asked.size()));
-  LONGS_EQUAL(2, desk.rests);
-  CHECK(desk.tells(", 3 of 3\nplan 1, 0 units wait\n"));
-  LONGS_EQUAL(4, desk.run("watch show none"));
-  LONGS_EQUAL(6, long(desk.asked.size()));
-  desk.session.options.json = true;
-  desk.out.str("");
-  LONGS_EQUAL(0, desk.run("watch plan"));
-  const std::string lines = desk.out.str();
+TEST(CommandsTests, WatchRepeatsTheGivenNumberOfTimesDespiteFailures) {
+  CommandHarness harness;
+  harness.session.options.watchRepetitions = 3;
+  harness.addAnswer("GET /v1/plan", R"({"plan":1,"waiting":0,"reasons":[]})");
+  LONGS_EQUAL(0, harness.run("watch plan", {"times"}));
+  LONGS_EQUAL(3, long(harness.requests.size()));
+  LONGS_EQUAL(2, harness.sleeps);
+  CHECK(harness.outputContains(", 3 of 3\nplan 1, 0 units wait\n"));
+  LONGS_EQUAL(4, harness.run("watch show none"));
+  LONGS_EQUAL(6, long(harness.requests.size()));
+  harness.session.options.json = true;
+  harness.out.str("");
+  LONGS_EQUAL(0, harness.run("watch plan"));
+  const std::string lines = harness.out.str();
   LONGS_EQUAL(3, std::count(lines.begin(), lines.end(), '\n'));
-  desk.session.options.state = "odd";
-  LONGS_EQUAL(2, desk.run("watch jobs", {"state", "every-ms"}));
+  harness.session.options.state = "odd";
+  LONGS_EQUAL(2, harness.run("watch jobs", {"state", "every-ms"}));
 }
 
-TEST(CommandsTests, EveryCommandSaysWhatItIs) {
+TEST(CommandsTests, EveryCommandHasHelpAndIsFoundByName) {
   const std::string help = generalHelp("");
   for (const auto& command : allCommands()) {
     CHECK_TEXT(help.find("  " + command.name) != std::string::npos && !command.purpose.empty(),
                command.name.c_str());
     CHECK(commandHelp(command, "", "").starts_with("aniselinectl " + command.name));
-    std::size_t taken = 0;
+    std::size_t nameLength = 0;
     std::istringstream stream(command.name);
     Arguments words;
     for (std::string word; stream >> word;)
       words.push_back(word);
-    POINTERS_EQUAL(&command, findCommand(words, taken));
-    LONGS_EQUAL(long(words.size()), long(taken));
+    POINTERS_EQUAL(&command, findCommand(words, nameLength));
+    LONGS_EQUAL(long(words.size()), long(nameLength));
   }
 }
