--- a/programs/controller.cpp
+++ b/programs/controller.cpp
@@ -1,4 +1,5 @@
-// controller: the control plane and state on a machine with a disk. docs/design.md 3, 9.
+// controller: the control plane, which replicates the state of the cluster by Raft and plans.
+// docs/design.md 3, 9.
 #include "daemons/controller_daemon.hpp"
 #include "net/log.hpp"
 #include "net/options.hpp"
@@ -7,52 +8,55 @@
 
 using namespace aniseline;
 
-int main(int count, char** values) {
+int main(int argc, char** argv) {
   holdSignalsUntilHandled();
   ControllerSettings settings;
-  std::string policiesLeftOut;
-  OptionSet options("controller", "aniseline's control plane and state, on a machine with a disk");
+  std::string disabledPolicies;
+  OptionSet options("controller", "the control plane and replicated state of aniseline");
   options.addAddress("peer", settings.peerAddress,
-                     "the address where other processes of the system reach this one",
+                     "address where other processes of the cluster reach this one",
                      OptionSet::Presence::required);
   options.addAddress("advertise", settings.advertisedAddress,
-                     "the address at which other processes reach --peer, if another");
-  options.addAddress("http", settings.httpAddress, "the address of /healthz and /readyz");
-  options.addText("zone", settings.zone, "the zone of this machine", OptionSet::Presence::required);
+                     "address at which other processes reach --peer, if it differs");
+  options.addAddress("http", settings.httpAddress, "address that serves /healthz and /readyz");
+  options.addText("zone", settings.zone, "zone of this machine", OptionSet::Presence::required);
   options.addText(
       "data", settings.dataFolder,
-      "the data folder; without one it keeps nothing, never votes and only leads the way");
-  options.addAddresses("seeds", settings.seeds, "peer addresses of controllers, for first contact",
+      "data folder; without it, this process stores nothing, never votes and only serves first "
+      "contacts");
+  options.addAddresses("seeds", settings.seeds,
+                       "peer addresses of controllers, used for first contact",
                        OptionSet::Presence::required);
   options.addFlag("found", settings.bootstrap,
-                  "found a cluster when every seed is there and blank");
-  options.addInteger("heartbeat-ms", settings.heartbeatMilliseconds, "a leader's heartbeat", 10,
-                     10'000);
+                  "bootstrap a cluster once every seed is reachable and empty");
+  options.addInteger("heartbeat-ms", settings.heartbeatMilliseconds,
+                     "heartbeat interval of a leader in ms", 10, 10'000);
   options.addInteger("election-low-ms", settings.electionLowMilliseconds,
-                     "the shortest wait for a leader", 50, 60'000);
+                     "shortest election timeout in ms", 50, 60'000);
   options.addInteger("election-high-ms", settings.electionHighMilliseconds,
-                     "the longest wait for a leader", 100, 60'000);
+                     "longest election timeout in ms", 100, 60'000);
   options.addInteger("voters", settings.voters,
-                     "how many controllers vote: two for each that may be lost at once, and one", 1,
+                     "number of voting controllers: 2n + 1 to tolerate the loss of n at once", 1,
                      15);
   options.addInteger("replace-after-ms", settings.replaceAfterMilliseconds,
-                     "a silent voter is replaced by a learner after this", 1000, 86'400'000);
+                     "time in ms after which a learner replaces a silent voter", 1000, 86'400'000);
   options.addInteger("max-passed-over-ms", settings.maxPassedOverMilliseconds,
-                     "work that fits waits for other work at most this long, if nothing else of "
-                     "its job runs; 0: without a bound",
+                     "longest time in ms that work that fits may be passed over for other work, "
+                     "if nothing else of its job runs; 0: no limit",
                      0, 600'000);
   options.addInteger("stop-within-ms", settings.stopTimeoutMilliseconds,
-                     "a stop waits this long for another leader and other full copies", 0, 600'000);
+                     "time in ms that a stop waits for another leader and other complete replicas",
+                     0, 600'000);
   options.addInteger("snapshot-versions", settings.snapshotVersions,
-                     "versions on disk between whole views", 10, 1'000'000);
-  options.addText("without", policiesLeftOut,
-                  "for experiments: policies of the planner to leave out, parted by commas");
+                     "number of versions on disk between snapshots", 10, 1'000'000);
+  options.addText("without", disabledPolicies,
+                  "for experiments: planner policies to turn off, separated by commas");
   options.addFlag("explain-late-jobs", settings.explainLateJobs,
-                  "log of each job that missed its latency target where its time went");
-  options.addFlag("quiet", settings.quiet, "no logs");
-  options.read(count, values);
-  if (const auto unknown = settings.policies.turnOffAll(policiesLeftOut)) {
-    std::cerr << "controller: --without: there is no policy " << *unknown << "\n";
+                  "log how each job that missed its latency target spent its time");
+  options.addFlag("quiet", settings.quiet, "disable logging");
+  options.read(argc, argv);
+  if (const auto unknownPolicy = settings.policies.turnOffAll(disabledPolicies)) {
+    std::cerr << "controller: --without: there is no policy " << *unknownPolicy << "\n";
     return 2;
   }
   if (settings.advertisedAddress.value.empty())
@@ -60,9 +64,10 @@
   EventLoop::sourceIp = sourceIpOf(settings.peerAddress);
   if (settings.electionHighMilliseconds <= settings.electionLowMilliseconds ||
       settings.electionLowMilliseconds <= 2 * settings.heartbeatMilliseconds) {
-    std::fprintf(stderr,
-                 "controller: --election-low-ms: must be over twice the heartbeat and below "
-                 "--election-high-ms\n");
+    std::fprintf(
+        stderr,
+        "controller: --election-low-ms: must be more than twice --heartbeat-ms and less than "
+        "--election-high-ms\n");
     return 2;
   }
   if (settings.voters % 2 == 0) {
--- a/programs/core_benchmark.cpp
+++ b/programs/core_benchmark.cpp
@@ -1,5 +1,5 @@
-// core_benchmark: processor time and memory of each role, on the core alone: no sockets, no files,
-// virtual time. docs/CAPACITY.md.
+// core_benchmark: measures the processor time and memory of each role on the core alone, without
+// sockets or files and in virtual time. docs/CAPACITY.md.
 #include "benchmarks/benchmark_runner.hpp"
 #include "net/options.hpp"
 #include <iostream>
@@ -8,20 +8,20 @@
 
 namespace {
 
-// The sizes of a single flow, as options.
+// Options for the sizes of a single workload.
 struct FlowOptions {
   bool single = false;
   std::int64_t workers = 60, kept = 0, waiting = 0, running = 0, queues = 10, starts = 100;
 
   void addTo(OptionSet& options) {
-    options.addFlag("one", single, "measure one flow of the sizes given below only");
-    options.addInteger("workers", workers, "of that flow", 1, 100'000);
-    options.addInteger("jobs-kept", kept, "of that flow", 0, 1'000'000);
-    options.addInteger("tasks-waiting", waiting, "of that flow", 0, 1'000'000);
-    options.addInteger("tasks-running", running, "of that flow, beside those it starts", 0,
-                       1'000'000);
-    options.addInteger("queues", queues, "of that flow", 1, 2000);
-    options.addInteger("starts", starts, "of that flow, a second", 0, 100'000);
+    options.addFlag("one", single, "measure only one flow, with the sizes of the options below");
+    options.addInteger("workers", workers, "workers of that flow", 1, 100'000);
+    options.addInteger("jobs-kept", kept, "finished jobs that are kept", 0, 1'000'000);
+    options.addInteger("tasks-waiting", waiting, "waiting tasks", 0, 1'000'000);
+    options.addInteger("tasks-running", running,
+                       "running tasks, in addition to those that the flow starts", 0, 1'000'000);
+    options.addInteger("queues", queues, "queues of that flow", 1, 2000);
+    options.addInteger("starts", starts, "task starts per second", 0, 100'000);
   }
   benchmarks::Sizes sizes() const {
     benchmarks::Sizes sizes;
@@ -37,25 +37,28 @@
 
 }  // namespace
 
-int main(int count, char** values) {
+int main(int argc, char** argv) {
   benchmarks::RunnerOptions runnerOptions;
   FlowOptions flow;
   OptionSet options("core_benchmark",
-                    "processor time and memory of each role on the core alone, as JSON lines: "
-                    "medians and spreads (most less least)");
-  options.addText("part", runnerOptions.only,
-                  "only this part: flow, idle, plan, gang, state, config, route, gateway or agent");
-  options.addInteger("repeats", runnerOptions.repeats, "how often each is measured", 1, 100);
-  options.addInteger("seed", runnerOptions.seed, "the first seed; each repeat takes the next", 0,
+                    "measures processor time and memory of each role on the core alone; prints "
+                    "medians and spreads (maximum minus minimum) as JSON lines");
+  options.addText(
+      "part", runnerOptions.only,
+      "measure only this part: flow, idle, plan, gang, state, config, route, gateway or agent");
+  options.addInteger("repeats", runnerOptions.repeats, "number of measurements of each part", 1,
+                     100);
+  options.addInteger("seed", runnerOptions.seed, "first seed; each repeat uses the next one", 0,
                      1'000'000'000);
   options.addInteger("budget-s", runnerOptions.budgetSeconds,
-                     "processor time past which the rest is left out, and said to be", 1, 86'400);
+                     "processor time in s after which the remaining parts are reported as skipped",
+                     1, 86'400);
   options.addInteger("tick-ms", runnerOptions.tickMs,
-                     "virtual time between two steps of a controller", 1, 20);
-  options.addInteger("length-ms", runnerOptions.measuredMs, "virtual time measured of a flow", 500,
-                     3'600'000);
+                     "virtual time in ms between two steps of a controller", 1, 20);
+  options.addInteger("length-ms", runnerOptions.measuredMs,
+                     "virtual time in ms for which a flow is measured", 500, 3'600'000);
   flow.addTo(options);
-  options.read(count, values);
+  options.read(argc, argv);
   benchmarks::BenchmarkRunner runner(runnerOptions);
   if (flow.single)
     runner.measureOneFlow(flow.sizes());
--- a/programs/history_check.cpp
+++ b/programs/history_check.cpp
@@ -1,4 +1,4 @@
-// history_check: checks the never-rules from the histories that callers and workers witnessed.
+// history_check: checks recorded histories of clients and workers against the safety invariants.
 // docs/design.md 11.
 #include "net/history_file.hpp"
 #include "net/options.hpp"
@@ -9,16 +9,20 @@
 
 using namespace aniseline;
 
-int main(int count, char** values) {
+int main(int argc, char** argv) {
   std::string folder, configFile;
-  std::int64_t slack = 300;
-  OptionSet options("history_check",
-                    "checks aniseline's never-rules from witnessed histories (*.witness, "
-                    "*.submissions in a folder)");
-  options.addText("folder", folder, "the folder with the histories", OptionSet::Presence::required);
-  options.addText("config", configFile, "the config in force, for the queues' retries");
-  options.addInteger("slack-ms", slack, "allowed for the witnesses' own clock readings", 0, 10'000);
-  options.read(count, values);
+  std::int64_t clockSlack = 300;
+  OptionSet options(
+      "history_check",
+      "checks recorded histories (*.witness and *.submissions in a folder) against the "
+      "safety invariants of aniseline");
+  options.addText("folder", folder, "folder with the histories", OptionSet::Presence::required);
+  options.addText("config", configFile,
+                  "configuration in force, for the retry limits of the queues");
+  options.addInteger("slack-ms", clockSlack,
+                     "tolerance in ms for the clock readings of the recording processes", 0,
+                     10'000);
+  options.read(argc, argv);
 
   auto read = readHistoryFolder(folder);
   if (!read) {
@@ -27,8 +31,8 @@
   }
   const auto& history = read.value().events;
   const auto& submissions = read.value().submissions;
-  InvariantOptions promises;
-  promises.clockSlackMs = slack;
+  InvariantOptions invariantOptions;
+  invariantOptions.clockSlackMs = clockSlack;
   if (!configFile.empty()) {
     std::ifstream stream(configFile);
     auto config = ClusterConfig::parse(std::string((std::istreambuf_iterator<char>(stream)), {}));
@@ -36,21 +40,21 @@
       std::cerr << "history_check: " << configFile << ": " << config.error().text() << "\n";
       return 2;
     }
-    promises.finishedRetentionMs = config.value().planner.finishedJobRetention.milliseconds;
-    promises.retainedJobsLimit = config.value().planner.maxRetainedJobs;
+    invariantOptions.finishedRetentionMs = config.value().planner.finishedJobRetention.milliseconds;
+    invariantOptions.retainedJobsLimit = config.value().planner.maxRetainedJobs;
     for (const auto& [name, queue] : config.value().queues)
-      promises.retriesByQueue[name.value] = queue.maxRetries;
+      invariantOptions.retriesByQueue[name.value] = queue.maxRetries;
   }
   std::size_t starts = 0;
   for (const auto& event : history)
     starts += event.kind == HistoryEvent::Kind::started;
-  const auto findings = checkInvariants(history, submissions, promises);
-  for (const auto& promise : findings.unavoidableViolations)
-    std::cout << "limit of rule " << number(promise.rule) << " at " << promise.timestamp << ": "
-              << promise.description << "\n";
-  for (const auto& promise : findings.violations)
-    std::cout << "rule " << number(promise.rule) << " at " << promise.timestamp << ": "
-              << promise.description << "\n";
+  const auto findings = checkInvariants(history, submissions, invariantOptions);
+  for (const auto& violation : findings.unavoidableViolations)
+    std::cout << "limit of rule " << number(violation.rule) << " at " << violation.timestamp << ": "
+              << violation.description << "\n";
+  for (const auto& violation : findings.violations)
+    std::cout << "rule " << number(violation.rule) << " at " << violation.timestamp << ": "
+              << violation.description << "\n";
   std::cout << json(picojson::object{
                         {"lines", json(history.size())},
                         {"jobs", json(submissions.size())},
--- a/programs/local_cluster.cpp
+++ b/programs/local_cluster.cpp
@@ -1,5 +1,5 @@
-// local_cluster: a whole fleet of real processes on one machine, with load and faults, checked at
-// its end. The only program that starts processes. docs/operations.md 6.
+// local_cluster: runs all processes of a cluster on one machine, with load and faults, and checks
+// the recorded histories at its end. The only program that starts processes. docs/operations.md 6.
 #include "net/gateway_client.hpp"
 #include "net/history_file.hpp"
 #include "net/http_server.hpp"
@@ -22,9 +22,10 @@
 
 struct Settings {
   std::string folder, programs, deployment = "cedarmark", config;
-  std::int64_t seconds = 20, port = 21'000, fill = 0, gateways = 7, workers = 11, keep = 0;
+  std::int64_t seconds = 20, port = 21'000, fillerJobs = 0, gateways = 7, workers = 11,
+               keepSeconds = 0;
   double rate = 1;
-  bool called = false;  // workers are called by agents rather than call gateways
+  bool called = false;  // workers are called by agents instead of calling gateways
   std::vector<std::string> steps;
 };
 
@@ -35,81 +36,82 @@
   std::string zone;
 };
 
-class Fleet {
+class LocalCluster {
  public:
-  explicit Fleet(Settings given)
+  explicit LocalCluster(Settings given)
       : settings(std::move(given)),
         linkProxy(loop, zoneOfIp),
         control(loop, HttpLimits{},
-                [this](const HttpRequest& request) { return controlled(request); }) {}
-  ~Fleet() { end(); }
-  void end() {
-    // Only what was started here is ended here, by its number.
+                [this](const HttpRequest& request) { return handleControlRequest(request); }) {}
+  ~LocalCluster() { stopAll(); }
+  void stopAll() {
+    // Ends only processes that this program started, by their process id.
     for (auto& child : children)
-      signal(child, SIGCONT), signal(child, SIGTERM);
-    const MonotonicTime until = monotonicNow() + Duration{5000};
+      sendSignal(child, SIGCONT), sendSignal(child, SIGTERM);
+    const MonotonicTime deadline = monotonicNow() + Duration{5000};
     for (auto& child : children)
-      while (child.process && monotonicNow() < until && !reap(child))
+      while (child.process && monotonicNow() < deadline && !reap(child))
         usleep(10'000);
     for (auto& child : children)
-      signal(child, SIGKILL), reap(child);
+      sendSignal(child, SIGKILL), reap(child);
   }
 
-  // The process' exit status: 0 when all went well.
+  // Returns the exit status of the process: 0 if every check passed.
   int run() {
     std::filesystem::create_directories(settings.folder);
-    endWhenStopped();
+    exitOnStopSignal();
     addControllers();
     addGateways();
-    if (!openRelays())
+    if (!openProxies())
       return 1;
     addWorkers();
     if (!startAll() || !applyConfig() || !startLoad())
       return 1;
     sleepFor(loadHeadStart);
-    bool good = true;
+    bool passed = true;
     for (const auto& step : settings.steps)
-      good = take(step) && good;
+      passed = runStep(step) && passed;
     keepRunning();
-    while (busy)
+    while (zoneChangeInProgress)
       sleepFor(Duration{50});
-    good = loadEnded() && good;
-    good = workersEnded() && good;
-    const auto kept = rulesKept();
-    if (!kept)
+    passed = waitForLoad() && passed;
+    passed = stopWorkers() && passed;
+    const auto invariantsHold = checkHistories();
+    if (!invariantsHold)
       return 1;
-    good = *kept && good;
-    std::cout << (good ? "1 passed, 0 failed" : "0 passed, 1 failed") << std::endl;
-    return good ? 0 : 1;
+    passed = *invariantsHold && passed;
+    std::cout << (passed ? "1 passed, 0 failed" : "0 passed, 1 failed") << std::endl;
+    return passed ? 0 : 1;
   }
 
  private:
   static constexpr Duration loadHeadStart{2000};  // before the first step
-  static constexpr Duration loadDrain{
-      75'000};  // for the last jobs to end once no more are submitted
+  static constexpr Duration loadDrainTimeout{
+      75'000};  // for the last jobs to end after the last submission
 
-  // Told to stop, it takes along what it started.
-  void endWhenStopped() {
+  // Stops all child processes and exits on a stop signal.
+  void exitOnStopSignal() {
     spawn([this] {
       while (!stop.requested())
         sleepFor(Duration{50});
-      end();
+      stopAll();
       std::_Exit(4);
     });
   }
   void addControllers() {
     for (int index = 1; index <= 3; ++index)
       add("controller" + std::to_string(index),
-          {"controller", "--peer", real(index, index), "--advertise", peer(index), "--http",
-           real(index, 10 + index), "--zone", "zone" + std::to_string(index), "--data",
+          {"controller", "--peer", listenAddress(index, index), "--advertise",
+           controllerAddress(index), "--http", listenAddress(index, 10 + index), "--zone",
+           "zone" + std::to_string(index), "--data",
            settings.folder + "/data" + std::to_string(index), "--found"},
           zone(index), true);
   }
   void addGateways() {
     for (int index = 1; index <= settings.gateways; ++index)
       add("gateway" + std::to_string(index),
-          {"gateway", "--http", real(index, 20 + index), "--advertise", outer(index), "--zone",
-           zone(index)},
+          {"gateway", "--http", listenAddress(index, 20 + index), "--advertise",
+           gatewayAddress(index), "--zone", zone(index)},
           zone(index), true);
   }
   void addWorkers() {
@@ -117,20 +119,22 @@
       addWorker(index);
   }
   void addWorker(int index) {
-    std::vector<std::string> arguments = workerWords(index);
+    std::vector<std::string> arguments = workerArguments(index);
     if (settings.called) {
-      arguments.insert(arguments.end(), {"--called", "--listen", real(index, calledOffset(index)),
-                                         "--agent", real(index, agentOffset(index))});
+      arguments.insert(arguments.end(),
+                       {"--called", "--listen", listenAddress(index, calledWorkerOffset(index)),
+                        "--agent", listenAddress(index, agentOffset(index))});
       addAgent(index);
     }
     for (int gateway = 0; !settings.called && gateway < 3; ++gateway)
-      arguments.insert(arguments.end(),
-                       {"--gateways", outer((index + gateway) % int(settings.gateways) + 1)});
+      arguments.insert(
+          arguments.end(),
+          {"--gateways", gatewayAddress((index + gateway) % int(settings.gateways) + 1)});
     if (index <= 4)
       arguments.push_back("--unguarded");
     add("worker_stub" + std::to_string(index), std::move(arguments), zone(index), false);
   }
-  std::vector<std::string> workerWords(int index) const {
+  std::vector<std::string> workerArguments(int index) const {
     const bool cedarmark = settings.deployment == "cedarmark";
     return {"worker_stub",
             "--id",
@@ -138,7 +142,7 @@
             "--zone",
             zone(index),
             "--from",
-            sourceIpOf(Address{real(index, 0)}),
+            sourceIpOf(Address{listenAddress(index, 0)}),
             "--rack",
             "rack" + std::to_string((index + 2) / 3),
             "--cores",
@@ -150,37 +154,38 @@
   }
   void addAgent(int index) {
     add("agent" + std::to_string(index),
-        {"agent", "--listen", real(index, agentOffset(index)), "--worker",
-         real(index, calledOffset(index)), "--zone", zone(index)},
+        {"agent", "--listen", listenAddress(index, agentOffset(index)), "--worker",
+         listenAddress(index, calledWorkerOffset(index)), "--zone", zone(index)},
         zone(index), true);
   }
   bool startAll() {
     for (auto& child : children)
       if (!start(child))
         return false;
-    caller = std::make_unique<GatewayClient>(loop, gatewayAddresses());
-    keeper = HistoryFile(settings.folder + "/keeper.witness");
-    return until("three voters and every worker", Duration{30'000}, [this] { return whole(); });
+    client = std::make_unique<GatewayClient>(loop, gatewayAddresses());
+    clusterHistory = HistoryFile(settings.folder + "/keeper.witness");
+    return waitFor("three voters and every worker", Duration{30'000},
+                   [this] { return allHealthy(); });
   }
   bool applyConfig() {
     std::ifstream stream(settings.config);
     const std::string config((std::istreambuf_iterator<char>(stream)), {});
-    auto applied = caller->send({"PUT", "/v1/config", "{\"based_on\":0,\"config\":" + config + "}"},
+    auto applied = client->send({"PUT", "/v1/config", "{\"based_on\":0,\"config\":" + config + "}"},
                                 Duration{10'000});
     if (!applied) {
-      say("the config was not taken: " + applied.error().text);
+      printStatus("the configuration was not accepted: " + applied.error().text);
       return false;
     }
-    say("the fleet is whole");
+    printStatus("all controllers and workers are up");
     return true;
   }
   bool startLoad() {
-    std::ofstream(settings.folder + "/control") << at(0) << "\n";
+    std::ofstream(settings.folder + "/control") << loopbackAddress(0) << "\n";
     Child loadgen{
         "loadgen",
         {"loadgen", "--deployment", settings.deployment, "--seconds",
          std::to_string(settings.seconds), "--rate", std::to_string(settings.rate), "--fill",
-         std::to_string(settings.fill), "--witness", settings.folder + "/loadgen.witness",
+         std::to_string(settings.fillerJobs), "--witness", settings.folder + "/loadgen.witness",
          "--submissions", settings.folder + "/loadgen.submissions", "--report",
          settings.folder + "/loadgen.report"},
         0,
@@ -191,43 +196,48 @@
     return start(children.back());
   }
   void keepRunning() {
-    if (!settings.keep)
+    if (!settings.keepSeconds)
       return;
-    say("kept running; control at " + at(0) + ", the first gateway at " + outer(1));
-    const MonotonicTime until = monotonicNow() + Duration{settings.keep * 1000};
-    while (!released && monotonicNow() < until)
+    printStatus("kept running; control address " + loopbackAddress(0) + ", first gateway " +
+                gatewayAddress(1));
+    const MonotonicTime deadline = monotonicNow() + Duration{settings.keepSeconds * 1000};
+    while (!releaseRequested && monotonicNow() < deadline)
       sleepFor(Duration{50});
   }
-  // The load, the last child started so far, ended in time and saw every job end.
-  bool loadEnded() {
+  // Waits for the load generator, which is the last child started so far. Returns whether it ended
+  // in time and observed the end of every accepted job.
+  bool waitForLoad() {
     Child& load = children.back();
-    const MonotonicTime end = monotonicNow() + Duration{settings.seconds * 1000} + loadDrain;
-    while (load.process && monotonicNow() < end && !reap(load))
+    const MonotonicTime deadline =
+        monotonicNow() + Duration{settings.seconds * 1000} + loadDrainTimeout;
+    while (load.process && monotonicNow() < deadline && !reap(load))
       sleepFor(Duration{50});
-    const bool good = !load.process && lastStatus == 0;
-    if (!good)
-      say("not every job that was accepted was seen to end");
+    const bool passed = !load.process && lastExitStatus == 0;
+    if (!passed)
+      printStatus("the load generator did not observe the end of every accepted job in time");
     std::ifstream report(settings.folder + "/loadgen.report");
     std::cout << std::string((std::istreambuf_iterator<char>(report)), {});
-    return good;
+    return passed;
   }
-  // Every writer closes its history before it is read.
-  bool workersEnded() {
-    keeper.write(HistoryEvent::Kind::quiescent);
-    keeper.close();
+  // Stops the workers, so that every history is closed before it is read. Returns whether all ended
+  // in time.
+  bool stopWorkers() {
+    clusterHistory.write(HistoryEvent::Kind::quiescent);
+    clusterHistory.close();
     for (auto& child : children)
       if (child.name.starts_with("worker_stub"))
-        signal(child, SIGCONT), signal(child, SIGTERM);
-    bool good = true;
+        sendSignal(child, SIGCONT), sendSignal(child, SIGTERM);
+    bool passed = true;
     for (auto& child : children)
       if (child.name.starts_with("worker_stub"))
-        good = until(
-                   child.name + " has ended", Duration{8000}, [&] { return reap(child); }, true) &&
-               good;
-    return good;
-  }
-  // Nothing, when the history's checker can't be started.
-  std::optional<bool> rulesKept() {
+        passed =
+            waitFor(
+                child.name + " has ended", Duration{8000}, [&] { return reap(child); }, true) &&
+            passed;
+    return passed;
+  }
+  // Runs history_check. Returns whether it found no violation, or nothing if it can't be started.
+  std::optional<bool> checkHistories() {
     children.push_back(
         Child{"history_check",
               {"history_check", "--folder", settings.folder, "--config", settings.config},
@@ -237,35 +247,35 @@
       return std::nullopt;
     while (!reap(children.back()))
       sleepFor(Duration{20});
-    if (lastStatus != 0)
-      say("history_check found broken promises");
-    return lastStatus == 0;
+    if (lastExitStatus != 0)
+      printStatus("history_check found violations");
+    return lastExitStatus == 0;
   }
 
-  // Each zone has an IP number at which its processes really are, and one at which the others find
-  // them, through relays.
-  std::string at(std::int64_t offset) const {
+  // Each zone has an IP address on which its processes listen, and one at which processes of other
+  // zones reach them through proxies.
+  std::string loopbackAddress(std::int64_t offset) const {
     return "127.0.0.1:" + std::to_string(settings.port + offset);
   }
-  std::string real(int index, std::int64_t offset) const {
+  std::string listenAddress(int index, std::int64_t offset) const {
     return "127.1." + zone(index).substr(4) + ".1:" + std::to_string(settings.port + offset);
   }
-  std::string shown(int index, std::int64_t offset) const {
+  std::string proxyAddress(int index, std::int64_t offset) const {
     return "127.2." + zone(index).substr(4) + ".1:" + std::to_string(settings.port + offset);
   }
-  std::string peer(int index) const { return shown(index, index); }
+  std::string controllerAddress(int index) const { return proxyAddress(index, index); }
   static std::int64_t agentOffset(int index) { return 100 + index; }
-  static std::int64_t calledOffset(int index) { return 300 + index; }
-  std::string outer(int index) const { return shown(index, 20 + index); }
+  static std::int64_t calledWorkerOffset(int index) { return 300 + index; }
+  std::string gatewayAddress(int index) const { return proxyAddress(index, 20 + index); }
   static std::string zoneOfIp(const std::string& ip) {
     return ip.starts_with("127.1.") ? "zone" + ip.substr(6, ip.find('.', 6) - 6) : std::string();
   }
-  bool openRelays() {
+  bool openProxies() {
     auto open = [this](int index, std::int64_t offset) {
-      auto opened =
-          linkProxy.open(Address{shown(index, offset)}, Address{real(index, offset)}, zone(index));
+      auto opened = linkProxy.open(Address{proxyAddress(index, offset)},
+                                   Address{listenAddress(index, offset)}, zone(index));
       if (!opened)
-        say(opened.error().text());
+        printStatus(opened.error().text());
       return opened.has_value();
     };
     for (int index = 1; index <= 3; ++index)
@@ -274,22 +284,23 @@
     for (int index = 1; index <= settings.gateways; ++index)
       if (!open(index, 20 + index))
         return false;
-    if (auto error = control.listen(Address{at(0)})) {
-      say(error->text());
+    if (auto error = control.listen(Address{loopbackAddress(0)})) {
+      printStatus(error->text());
       return false;
     }
     return true;
   }
   static std::string zone(int index) { return "zone" + std::to_string((index - 1) % 3 + 1); }
-  void say(const std::string& text) { std::cout << "local_cluster: " << text << std::endl; }
+  void printStatus(const std::string& text) { std::cout << "local_cluster: " << text << std::endl; }
 
-  void add(std::string name, std::vector<std::string> arguments, std::string zone, bool seeded) {
-    if (seeded)
+  void add(std::string name, std::vector<std::string> arguments, std::string zone,
+           bool needsSeeds) {
+    if (needsSeeds)
       for (int index = 1; index <= 3; ++index)
-        arguments.insert(arguments.end(), {"--seeds", peer(index)});
+        arguments.insert(arguments.end(), {"--seeds", controllerAddress(index)});
     children.push_back(Child{std::move(name), std::move(arguments), 0, std::move(zone)});
   }
-  bool start(Child& child, bool outputHere = false) {
+  bool start(Child& child, bool inheritOutput = false) {
     std::vector<std::string> arguments = child.arguments;
     arguments[0] = settings.programs + "/" + arguments[0];
     std::vector<char*> values;
@@ -300,27 +311,28 @@
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
     const std::string file = settings.folder + "/" + child.name + ".log";
-    if (!outputHere) {
+    if (!inheritOutput) {
       posix_spawn_file_actions_addopen(&actions, 1, file.c_str(), O_WRONLY | O_CREAT | O_APPEND,
                                        0644);
       posix_spawn_file_actions_adddup2(&actions, 1, 2);
     }
-    // The relays' sockets are not the children's: held there they would stay open when they are
-    // closed here.
+    // Children must not inherit the sockets of the proxies: inherited ones would stay open after
+    // they are closed here.
     posix_spawn_file_actions_addclosefrom_np(&actions, 3);
     const int failed =
         posix_spawn(&child.process, values[0], &actions, nullptr, values.data(), environ);
     posix_spawn_file_actions_destroy(&actions);
     if (failed) {
-      say(arguments[0] + " can't be started: " + std::strerror(failed));
+      printStatus(arguments[0] + " can't be started: " + std::strerror(failed));
       child.process = 0;
     }
     return !failed;
   }
-  void signal(Child& child, int number) {
+  void sendSignal(Child& child, int number) {
     if (child.process)
       ::kill(child.process, number);
   }
+  // Collects the exit status of a child if it has ended. Returns whether the child is not running.
   bool reap(Child& child) {
     int status = 0;
     if (!child.process)
@@ -328,45 +340,49 @@
     if (waitpid(child.process, &status, WNOHANG) != child.process)
       return false;
     child.process = 0;
-    lastStatus = WIFEXITED(status) ? WEXITSTATUS(status) : 128;
+    lastExitStatus = WIFEXITED(status) ? WEXITSTATUS(status) : 128;
     return true;
   }
-  Child* named(const std::string& name) {
+  Child* findChild(const std::string& name) {
     for (auto& child : children)
       if (child.name == name)
         return &child;
     return nullptr;
   }
-  bool until(const std::string& what, Duration within, const std::function<bool()>& condition,
-             bool quiet = false) {
-    const MonotonicTime begun = monotonicNow(), end = begun + within;
-    while (monotonicNow() < end) {
+  // Polls the condition until it holds or the time is up, and prints which of both happened. With
+  // `quiet`, prints only that the time is up.
+  bool waitFor(const std::string& what, Duration timeout, const std::function<bool()>& condition,
+               bool quiet = false) {
+    const MonotonicTime startedAt = monotonicNow(), deadline = startedAt + timeout;
+    while (monotonicNow() < deadline) {
       if (condition()) {
         if (!quiet)
-          say(what + ": after " + std::to_string((monotonicNow() - begun).milliseconds) + " ms");
+          printStatus(what + ": after " +
+                      std::to_string((monotonicNow() - startedAt).milliseconds) + " ms");
         return true;
       }
       sleepFor(Duration{50});
     }
-    say(what + ": not within " + std::to_string(within.milliseconds) + " ms");
+    printStatus(what + ": not within " + std::to_string(timeout.milliseconds) + " ms");
     return false;
   }
-  std::optional<picojson::value> show(const std::string& target) {
-    GatewayClient own(loop, gatewayAddresses());
-    auto answer = own.send({"GET", target, ""}, Duration{3000});
+  std::optional<picojson::value> getJson(const std::string& target) {
+    GatewayClient gatewayClient(loop, gatewayAddresses());
+    auto answer = gatewayClient.send({"GET", target, ""}, Duration{3000});
     picojson::value root;
     if (!answer || !picojson::parse(root, answer.value().body).empty())
       return std::nullopt;
     return root;
   }
-  bool whole() {
-    auto cluster = show("/v1/cluster");
+  // Reports whether three voters and every worker were heard of within the last seconds.
+  bool allHealthy() {
+    auto cluster = getJson("/v1/cluster");
     if (!cluster)
       return false;
     int voters = 0;
     for (const auto& member : cluster->get("controllers").get<picojson::array>())
       voters += member.get("voter").get<bool>() && member.get("unheard_ms").get<double>() < 1000;
-    auto workers = show("/v1/workers");
+    auto workers = getJson("/v1/workers");
     if (!workers)
       return false;
     std::int64_t present = 0;
@@ -379,16 +395,16 @@
     std::vector<Address> addresses;
     addresses.reserve(std::size_t(settings.gateways));
     for (int index = 1; index <= settings.gateways; ++index)
-      addresses.push_back(Address{outer(index)});
+      addresses.push_back(Address{gatewayAddress(index)});
     return addresses;
   }
 
-  // --- control: what zone_drill asks for. docs/operations.md 9 ---
-  ApiResponse controlled(const HttpRequest& request) {
+  // --- HTTP interface for zone_drill. docs/operations.md 9 ---
+  ApiResponse handleControlRequest(const HttpRequest& request) {
     if (request.method == "GET" && request.target == "/fleet")
-      return ApiResponse::of(200, showFleet());
+      return ApiResponse::of(200, describeCluster());
     if (request.method == "POST" && request.target == "/release") {
-      released = true;
+      releaseRequested = true;
       return ApiResponse::of(200, {{"released", json(true)}});
     }
     std::vector<std::string> parts;
@@ -406,36 +422,38 @@
                      [&](const Child& child) { return child.zone == name; }))
       return ApiResponse::error(404, "missing", "there is no zone " + name);
     if (by != "kill" && by != "freeze" && by != "cut")
-      return ApiResponse::error(400, "invalid", "a zone goes by kill, freeze or cut");
-    if (busy)
-      return ApiResponse::error(409, "conflict", "the fleet is at work on a zone");
-    busy = true;
-    const bool goesOut = parts[2] == "out";
-    if (goesOut)
-      mark(HistoryEvent::Kind::faultBegan, name + " by " + by);
-    moveZone(name, by, goesOut);
-    if (!goesOut)
-      mark(HistoryEvent::Kind::faultEnded, name + " by " + by);
-    busy = false;
-    return ApiResponse::of(200, {{"zone", json(name)}, {"out", json(goesOut)}});
-  }
-  void moveZone(const std::string& name, const std::string& by, bool goesOut) {
+      return ApiResponse::error(400, "invalid", "the kind of outage must be kill, freeze or cut");
+    if (zoneChangeInProgress)
+      return ApiResponse::error(409, "conflict", "another zone change is in progress");
+    zoneChangeInProgress = true;
+    const bool takeDown = parts[2] == "out";
+    if (takeDown)
+      recordEvent(HistoryEvent::Kind::faultBegan, name + " by " + by);
+    setZoneOutage(name, by, takeDown);
+    if (!takeDown)
+      recordEvent(HistoryEvent::Kind::faultEnded, name + " by " + by);
+    zoneChangeInProgress = false;
+    return ApiResponse::of(200, {{"zone", json(name)}, {"out", json(takeDown)}});
+  }
+  // Takes a zone out by killing or freezing its processes or cutting its network, or brings it
+  // back.
+  void setZoneOutage(const std::string& name, const std::string& by, bool takeDown) {
     if (by == "cut")
-      return linkProxy.setPartitioned(name, goesOut);
+      return linkProxy.setPartitioned(name, takeDown);
     for (auto& child : children) {
       if (child.zone != name)
         continue;
       if (by == "freeze")
-        signal(child, goesOut ? SIGSTOP : SIGCONT);
-      else if (goesOut) {
-        signal(child, SIGKILL);
+        sendSignal(child, takeDown ? SIGSTOP : SIGCONT);
+      else if (takeDown) {
+        sendSignal(child, SIGKILL);
         while (!reap(child))
           sleepFor(Duration{5});
       } else if (!child.process)
         start(child);
     }
   }
-  picojson::object showFleet() {
+  picojson::object describeCluster() {
     std::map<std::string, picojson::array> zones;
     for (const auto& child : children)
       if (!child.zone.empty())
@@ -443,29 +461,34 @@
             json(picojson::object{{"name", json(child.name)}, {"up", json(child.process != 0)}}));
     picojson::object byZone;
     for (auto& [name, list] : zones) {
-      picojson::array outers;
+      picojson::array gatewayList;
       for (int index = 1; index <= settings.gateways; ++index)
         if (zone(index) == name)
-          outers.push_back(json(outer(index)));
-      byZone[name] = json(picojson::object{{"processes", json(list)}, {"gateways", json(outers)}});
+          gatewayList.push_back(json(gatewayAddress(index)));
+      byZone[name] =
+          json(picojson::object{{"processes", json(list)}, {"gateways", json(gatewayList)}});
     }
-    return {{"whole", json(whole())}, {"folder", json(settings.folder)}, {"zones", json(byZone)}};
+    return {
+        {"whole", json(allHealthy())}, {"folder", json(settings.folder)}, {"zones", json(byZone)}};
+  }
+  void recordEvent(HistoryEvent::Kind kind, const std::string& detail = {}) {
+    clusterHistory.write(kind, detail);
   }
-  void mark(HistoryEvent::Kind kind, const std::string& detail = {}) { keeper.write(kind, detail); }
 
   Child* leader() {
-    auto cluster = show("/v1/cluster");
+    auto cluster = getJson("/v1/cluster");
     if (!cluster)
       return nullptr;
     for (const auto& member : cluster->get("controllers").get<picojson::array>())
       if (member.get("leads").get<bool>())
         for (int index = 1; index <= 3; ++index)
-          if (member.get("address").to_str() == peer(index))
-            return named("controller" + std::to_string(index));
+          if (member.get("address").to_str() == controllerAddress(index))
+            return findChild("controller" + std::to_string(index));
     return nullptr;
   }
-  // A step: VERB:NAME[:SECONDS]; the name may be "leader". Verbs: kill, freeze, stop, empty.
-  bool take(const std::string& step) {
+  // Runs a step of the form VERB:NAME[:SECONDS], where the name may be "leader" and the verb is
+  // kill, freeze, stop or empty. Returns whether the cluster served and recovered in time.
+  bool runStep(const std::string& step) {
     const auto first = step.find(':'), second = step.find(':', first + 1);
     const std::string verb = step.substr(0, first);
     const std::string name =
@@ -475,81 +498,87 @@
                           second == std::string::npos ? std::string::npos : second - first - 1);
     const std::int64_t seconds =
         second == std::string::npos ? 3 : std::strtoll(step.c_str() + second + 1, nullptr, 10);
-    Child* child = name == "leader" ? leader() : named(name);
+    Child* child = name == "leader" ? leader() : findChild(name);
     if (!child) {
-      say(step + ": there is no such process");
+      printStatus(step + ": no such process");
       return false;
     }
-    say(step + ": " + child->name);
+    printStatus(step + ": " + child->name);
     const bool freeze = verb == "freeze";
-    mark(HistoryEvent::Kind::faultBegan, step);
-    signal(*child, freeze ? SIGSTOP : verb == "stop" ? SIGTERM : SIGKILL);
-    bool good = true;
+    recordEvent(HistoryEvent::Kind::faultBegan, step);
+    sendSignal(*child, freeze ? SIGSTOP : verb == "stop" ? SIGTERM : SIGKILL);
+    bool passed = true;
     if (!freeze)
-      good = until(child->name + " has ended", Duration{8000}, [&] { return reap(*child); });
-    // A killed worker can't witness that its tasks are gone; who reaped its process can, before it
-    // is started again.
-    if (!freeze && good && child->name.starts_with("worker_stub")) {
+      passed = waitFor(child->name + " has ended", Duration{8000}, [&] { return reap(*child); });
+    // A killed worker can't record that its tasks are gone, so this program does, after it has
+    // reaped the process and before it starts it again.
+    if (!freeze && passed && child->name.starts_with("worker_stub")) {
       HistoryEvent gone;
       gone.kind = HistoryEvent::Kind::workerLost;
       gone.worker = "m" + child->name.substr(std::string("worker_stub").size());
-      keeper.write(gone);
+      clusterHistory.write(gone);
     }
     if (verb == "empty")
       std::filesystem::remove_all(settings.folder + "/data" + child->name.substr(9));
-    good = until("service meanwhile", Duration{12'000},
-                 [&] { return show("/v1/counters").has_value(); }) &&
-           good;
+    passed = waitFor("service during the fault", Duration{12'000},
+                     [&] { return getJson("/v1/counters").has_value(); }) &&
+             passed;
     sleepFor(Duration{seconds * 1000});
     if (freeze)
-      signal(*child, SIGCONT);
+      sendSignal(*child, SIGCONT);
     else
-      good = start(*child) && good;
-    mark(HistoryEvent::Kind::faultEnded, step);
-    mark(HistoryEvent::Kind::clusterHealed);
-    good = until("whole again", Duration{verb == "empty" ? 60'000 : 12'000},
-                 [this] { return whole(); }) &&
-           good;
-    if (show("/v1/counters"))
-      mark(HistoryEvent::Kind::serviceRestored);
-    return good;
+      passed = start(*child) && passed;
+    recordEvent(HistoryEvent::Kind::faultEnded, step);
+    recordEvent(HistoryEvent::Kind::clusterHealed);
+    passed =
+        waitFor("recovery of all controllers and workers",
+                Duration{verb == "empty" ? 60'000 : 12'000}, [this] { return allHealthy(); }) &&
+        passed;
+    if (getJson("/v1/counters"))
+      recordEvent(HistoryEvent::Kind::serviceRestored);
+    return passed;
   }
 
   Settings settings;
   EventLoop loop;
-  std::unique_ptr<GatewayClient> caller;
+  std::unique_ptr<GatewayClient> client;
   std::deque<Child> children;
-  int lastStatus = 0;
+  int lastExitStatus = 0;
   StopSignal stop{loop};
   LinkProxy linkProxy;
   HttpServer control;
-  HistoryFile keeper;
-  bool busy = false, released = false;
+  HistoryFile clusterHistory;
+  bool zoneChangeInProgress = false, releaseRequested = false;
 };
 
 }  // namespace
 
-int main(int count, char** values) {
+int main(int argc, char** argv) {
   Settings settings;
-  settings.programs = std::filesystem::path(values[0]).parent_path().string();
+  settings.programs = std::filesystem::path(argv[0]).parent_path().string();
   OptionSet options("local_cluster",
-                    "a whole fleet of aniseline on this machine; steps are VERB:NAME[:SECONDS], "
-                    "with kill, freeze, stop or empty and a process' name or 'leader'");
-  options.addText("folder", settings.folder, "a folder for data, logs and histories; must be new",
+                    "runs a cluster of aniseline on this machine; steps are VERB:NAME[:SECONDS], "
+                    "where VERB is kill, freeze, stop or empty and NAME is a process or 'leader'");
+  options.addText("folder", settings.folder,
+                  "folder for data, logs and histories; must be empty or not exist",
+                  OptionSet::Presence::required);
+  options.addText("config", settings.config, "configuration to apply",
                   OptionSet::Presence::required);
-  options.addText("config", settings.config, "the config to apply", OptionSet::Presence::required);
   options.addText("deployment", settings.deployment, "cedarmark or cooperative");
-  options.addText("programs", settings.programs, "the folder with the programs");
-  options.addInteger("seconds", settings.seconds, "how long to submit", 5, 86'400);
-  options.addInteger("keep", settings.keep, "seconds to stay up for a look", 0, 86'400);
-  options.addInteger("port", settings.port, "the first port", 1024, 65'000);
-  options.addInteger("fill", settings.fill, "long jobs to fill the workers with", 0, 10'000);
-  options.addInteger("gateways", settings.gateways, "gateways", 1, 50);
-  options.addInteger("workers", settings.workers, "workers", 1, 200);
-  options.addReal("rate", settings.rate, "times the deployment's load", 0.01, 1000);
-  options.addFlag("called", settings.called, "workers are called by agents, one beside each");
-  options.addPositionals(settings.steps, "steps, one after the other");
-  options.read(count, values);
+  options.addText("programs", settings.programs, "folder with the programs");
+  options.addInteger("seconds", settings.seconds, "time in s during which jobs are submitted", 5,
+                     86'400);
+  options.addInteger("keep", settings.keepSeconds,
+                     "time in s to keep running after the steps, for inspection", 0, 86'400);
+  options.addInteger("port", settings.port, "first port", 1024, 65'000);
+  options.addInteger("fill", settings.fillerJobs, "number of long jobs that fill the workers first",
+                     0, 10'000);
+  options.addInteger("gateways", settings.gateways, "number of gateways", 1, 50);
+  options.addInteger("workers", settings.workers, "number of workers", 1, 200);
+  options.addReal("rate", settings.rate, "multiple of the load of the deployment", 0.01, 1000);
+  options.addFlag("called", settings.called, "workers are called by agents, one agent per worker");
+  options.addPositionals(settings.steps, "steps, run one after the other");
+  options.read(argc, argv);
   if (std::filesystem::exists(settings.folder) && !std::filesystem::is_empty(settings.folder)) {
     std::cerr << "local_cluster: --folder: " << settings.folder << " is not empty\n";
     return 2;
@@ -557,8 +586,8 @@
   startLog("local_cluster", "", true);
   int status = 1;
   {
-    Fleet fleet(settings);
-    status = fleet.run();
+    LocalCluster cluster(settings);
+    status = cluster.run();
   }
   std::cout.flush();
   std::_Exit(status);
--- a/programs/worker_stub.cpp
+++ b/programs/worker_stub.cpp
@@ -1,5 +1,5 @@
-// worker_stub: a stand-in worker, on the worker library or called by an agent. Its tasks are
-// timers. docs/operations.md 7.
+// worker_stub: a test worker whose tasks are timers. It either calls gateways with the worker
+// library or is called by an agent. docs/operations.md 7.
 #include "agent/called_worker_session.hpp"
 #include "daemons/listening.hpp"
 #include "net/worker_client.hpp"
@@ -17,14 +17,14 @@
 struct Settings {
   std::string id, zone, rack, witness, from;
   std::vector<Address> gateways;
-  std::int64_t cores = 16, memory = 32 * 1024, seed = 1, leaveWithin = 2000;
-  double slow = 1, fail = 0;
+  std::int64_t cores = 16, memory = 32 * 1024, seed = 1, leaveTimeoutMilliseconds = 2000;
+  double slowdownFactor = 1, failureRatio = 0;
   bool unguarded = false, leaseless = false, quiet = false, called = false;
   Address listen, agent;
 };
 
-// What the two ways of working need of each other's options.
-std::string faultOf(const Settings& settings) {
+// Returns which option is missing or not allowed in the chosen mode, or an empty text.
+std::string findOptionError(const Settings& settings) {
   if (!settings.called)
     return settings.gateways.empty() ? "--gateways: is missing" : "";
   if (settings.listen.value.empty())
@@ -34,12 +34,12 @@
   return settings.leaseless ? "--leaseless: is no option of a worker that is called" : "";
 }
 
-// The tasks as timers, and the history of what really ran.
-class Timers {
+// Simulates tasks by timers and records the history of all that ran.
+class SimulatedTasks {
  public:
-  explicit Timers(const Settings& settings)
+  explicit SimulatedTasks(const Settings& settings)
       : settings(settings), random(std::uint64_t(settings.seed)), history(settings.witness) {
-    // What an earlier process of this name ran ended with it.
+    // Tasks of an earlier process with this id ended when that process did.
     write(HistoryEvent::Kind::workerLost, {});
     HistoryEvent event;
     event.kind = HistoryEvent::Kind::capacityReported;
@@ -74,78 +74,81 @@
     event.detail = std::move(detail);
     history.write(std::move(event));
   }
-  void follow(const TaskCommand& command) {
+  void apply(const TaskCommand& command) {
     auto found = tasks.find(command.attempt);
     const MonotonicTime now = monotonicNow();
     if (command.kind == TaskCommand::Kind::start) {
-      tasks[command.attempt] = Running{command.order, now, really(command.order), true};
+      tasks[command.attempt] = RunningTask{command.order, now, actualRuntime(command.order), true};
       write(HistoryEvent::Kind::started, command.order);
     } else if (found == tasks.end())
       return;
     else if (command.kind == TaskCommand::Kind::suspend) {
-      found->second.left = found->second.left - (now - found->second.since);
+      found->second.remaining = found->second.remaining - (now - found->second.runningSince);
       found->second.active = false;
       write(HistoryEvent::Kind::suspended, found->second.order);
     } else if (command.kind == TaskCommand::Kind::resume) {
-      found->second.since = now;
+      found->second.runningSince = now;
       found->second.active = true;
       write(HistoryEvent::Kind::resumed, found->second.order);
     } else {
       write(HistoryEvent::Kind::ended, found->second.order,
-            found->second.order.quantum.milliseconds > 0 && spent(found->second, now) ? "ran_out"
-                                                                                      : "stopped");
+            found->second.order.quantum.milliseconds > 0 && hasUsedUpQuantum(found->second, now)
+                ? "ran_out"
+                : "stopped");
       tasks.erase(found);
     }
   }
-  std::vector<AttemptNumber> due() const {
+  std::vector<AttemptNumber> dueAttempts() const {
     const MonotonicTime now = monotonicNow();
-    std::vector<AttemptNumber> due;
+    std::vector<AttemptNumber> attempts;
     for (const auto& [attempt, task] : tasks)
-      if (task.active && now - task.since >= task.left)
-        due.push_back(attempt);
-    return due;
+      if (task.active && now - task.runningSince >= task.remaining)
+        attempts.push_back(attempt);
+    return attempts;
   }
-  // Whether it ended well.
+  // Ends a task, at random as a failure. Returns whether it succeeded.
   bool finish(AttemptNumber attempt) {
-    const bool well = !random.chance(settings.fail);
-    write(HistoryEvent::Kind::ended, tasks[attempt].order, well ? "finished" : "failed");
+    const bool succeeded = !random.chance(settings.failureRatio);
+    write(HistoryEvent::Kind::ended, tasks[attempt].order, succeeded ? "finished" : "failed");
     tasks.erase(attempt);
-    return well;
+    return succeeded;
   }
   [[noreturn]] void close() {
     log(LogLevel::info, log_events::stopped);
-    // Whatever still runs ends with this process.
+    // Tasks that still run end with this process.
     write(HistoryEvent::Kind::workerLost, {});
     history.close();
     std::_Exit(0);
   }
 
  private:
-  struct Running {
+  struct RunningTask {
     Order order;
-    MonotonicTime since;
-    Duration left;
+    MonotonicTime runningSince;
+    Duration remaining;
     bool active = true;
   };
-  // A payload "run=250" says what the task really takes; else it takes what was requested.
-  Duration really(const Order& order) const {
+  // Returns how long the task runs: 250 ms for a payload "run=250", otherwise the requested
+  // runtime.
+  Duration actualRuntime(const Order& order) const {
     std::int64_t run = order.runtime.milliseconds;
     if (order.payload.starts_with("run="))
       run = std::strtoll(order.payload.c_str() + 4, nullptr, 10);
-    return Duration{std::int64_t(double(run) * settings.slow)};
+    return Duration{std::int64_t(double(run) * settings.slowdownFactor)};
   }
-  bool spent(const Running& task, MonotonicTime now) const {
-    const Duration ran =
-        really(task.order) - task.left + (task.active ? now - task.since : Duration{0});
+  // Reports whether a trial has used up its quantum.
+  bool hasUsedUpQuantum(const RunningTask& task, MonotonicTime now) const {
+    const Duration ran = actualRuntime(task.order) - task.remaining +
+                         (task.active ? now - task.runningSince : Duration{0});
     return ran >= task.order.quantum;
   }
   const Settings& settings;
   Random random;
   HistoryFile history;
-  std::map<AttemptNumber, Running> tasks;
+  std::map<AttemptNumber, RunningTask> tasks;
 };
 
-Incarnation drawnIncarnation() {
+Incarnation randomIncarnation() {
   std::random_device device;
   return Incarnation{((std::uint64_t(device()) << 32) | device()) | 1};
 }
@@ -153,189 +156,200 @@
 // A worker that calls gateways. docs/api.md 3.
 class CallingWorker {
  public:
-  explicit CallingWorker(Settings given) : settings(std::move(given)), timers(settings) {}
+  explicit CallingWorker(Settings given) : settings(std::move(given)), simulatedTasks(settings) {}
   int run() {
     WorkerSession::Options options;
     options.id = WorkerId{settings.id};
-    options.capacity = timers.capacity();
-    client = std::make_unique<WorkerClient>(loop, options, drawnIncarnation(), settings.gateways);
+    options.capacity = simulatedTasks.capacity();
+    client = std::make_unique<WorkerClient>(loop, options, randomIncarnation(), settings.gateways);
     client->confirmed.connect([this](const Order& order, AttemptOutcome kind) {
-      timers.write(HistoryEvent::Kind::resultConfirmed, order, name(kind));
+      simulatedTasks.write(HistoryEvent::Kind::resultConfirmed, order, name(kind));
     });
-    client->rejected.connect([](const std::string& words) {
-      log(LogLevel::warning, log_events::workerRejected, {{"error", json(words)}});
+    client->rejected.connect([](const std::string& reason) {
+      log(LogLevel::warning, log_events::workerRejected, {{"error", json(reason)}});
     });
-    client->command.connect([this](const TaskCommand& command) { timers.follow(command); });
-    std::atomic<bool> over{false};
-    spawn([this, &over] { client->run(over); });
+    client->command.connect([this](const TaskCommand& command) { simulatedTasks.apply(command); });
+    std::atomic<bool> stopClient{false};
+    spawn([this, &stopClient] { client->run(stopClient); });
     StopSignal stop(loop);
     log(LogLevel::info, log_events::started, {{"worker", json(settings.id)}});
     while (!stop.requested()) {
       sleepFor(Duration{2});
-      finishDue();
+      finishDueTasks();
     }
-    // docs/operations.md 4: it says that it leaves, lets its work end for a while, then goes.
-    client->startDrain(Duration{settings.leaveWithin});
-    timers.write(HistoryEvent::Kind::draining, {});
+    // Announces that it drains, and lets its tasks end for a while before it exits.
+    // docs/operations.md 4.
+    client->startDrain(Duration{settings.leaveTimeoutMilliseconds});
+    simulatedTasks.write(HistoryEvent::Kind::draining, {});
     log(LogLevel::info, log_events::draining);
-    const MonotonicTime until = monotonicNow() + Duration{settings.leaveWithin + 1500};
-    while (!client->session().empty() && monotonicNow() < until) {
+    const MonotonicTime deadline =
+        monotonicNow() + Duration{settings.leaveTimeoutMilliseconds + 1500};
+    while (!client->session().empty() && monotonicNow() < deadline) {
       sleepFor(Duration{2});
-      finishDue();
+      finishDueTasks();
     }
     sleepFor(Duration{200});
-    over = true;
-    timers.close();
+    stopClient = true;
+    simulatedTasks.close();
   }
 
  private:
-  void finishDue() {
-    for (auto attempt : timers.due()) {
+  void finishDueTasks() {
+    for (auto attempt : simulatedTasks.dueAttempts()) {
       if (client->session().leaseExpired())
-        return;  // held by a lapsed lease: nothing ends now
-      client->attemptEnded(attempt, timers.finish(attempt));
+        return;  // the tasks are suspended since the lease expired, so none ends now
+      client->attemptEnded(attempt, simulatedTasks.finish(attempt));
     }
   }
   Settings settings;
-  Timers timers;
+  SimulatedTasks simulatedTasks;
   EventLoop loop;
   std::unique_ptr<WorkerClient> client;
 };
 
-// A worker that its agent calls. docs/api.md 5.
+// A worker that is called by its agent. docs/api.md 5.
 class CalledWorker {
  public:
   explicit CalledWorker(Settings given)
-      : settings(std::move(given)), timers(settings), hand(options(), nextLife()) {}
+      : settings(std::move(given)),
+        simulatedTasks(settings),
+        workerSession(options(), newInstance()) {}
   int run() {
     HttpServer server(loop, HttpLimits{64 * 1024, 50, Duration{60'000}, Duration{2000}},
-                      [this](const HttpRequest& request) { return called(request); });
+                      [this](const HttpRequest& request) { return handleCall(request); });
     if (!listenOrLog(server, settings.listen))
       return 1;
     StopSignal stop(loop);
     log(LogLevel::info, log_events::started,
-        {{"worker", json(settings.id)}, {"worker_instance", json(hand.currentInstance().value)}});
+        {{"worker", json(settings.id)},
+         {"worker_instance", json(workerSession.currentInstance().value)}});
     spawn([this] {
       for (;; sleepFor(Duration{300}))
-        account();
+        sendRegistration();
     });
     while (!stop.requested())
-      turn();
-    // It says that it leaves; what runs may go on for a while, then it goes.
+      runOnce();
+    // Announces that it drains, and lets its tasks end for a while before it exits.
     leaving = true;
-    timers.write(HistoryEvent::Kind::draining, {});
+    simulatedTasks.write(HistoryEvent::Kind::draining, {});
     log(LogLevel::info, log_events::draining);
-    const MonotonicTime until = monotonicNow() + Duration{settings.leaveWithin + 1500};
-    while ((!told || !hand.empty()) && monotonicNow() < until)
-      turn();
+    const MonotonicTime deadline =
+        monotonicNow() + Duration{settings.leaveTimeoutMilliseconds + 1500};
+    while ((!drainAcknowledged || !workerSession.empty()) && monotonicNow() < deadline)
+      runOnce();
     HttpClient client(loop);
-    if (auto left = client.send(settings.agent, encodeShutdownNotice(hand.currentInstance()),
-                                Duration{1500});
-        !left)
+    if (auto answer = client.send(
+            settings.agent, encodeShutdownNotice(workerSession.currentInstance()), Duration{1500});
+        !answer)
       log(LogLevel::warning, log_events::shutdownNoticeFailed,
-          {{"code", json(name(left.error().kind))}, {"error", json(left.error().text)}});
-    hand.onReplaced(nextLife());
+          {{"code", json(name(answer.error().kind))}, {"error", json(answer.error().text)}});
+    workerSession.onReplaced(newInstance());
     deliver();
-    timers.close();
+    simulatedTasks.close();
   }
 
  private:
   CalledWorkerSession::Options options() const {
-    CalledWorkerSession::Options made;
-    made.capacity = timers.capacity();
-    made.capacity.honoursLeases = made.capacity.killsOnLeaseExpiry = true;
-    made.capacity.supportsSuspend = false;
-    return made;
+    CalledWorkerSession::Options sessionOptions;
+    sessionOptions.capacity = simulatedTasks.capacity();
+    sessionOptions.capacity.honoursLeases = sessionOptions.capacity.killsOnLeaseExpiry = true;
+    sessionOptions.capacity.supportsSuspend = false;
+    return sessionOptions;
   }
-  WorkerId nextLife() const {
-    return WorkerId{settings.id + "." + std::to_string(drawnIncarnation().value)};
+  WorkerId newInstance() const {
+    return WorkerId{settings.id + "." + std::to_string(randomIncarnation().value)};
   }
   WorkerTime steadyNow() const { return WorkerTime{monotonicNow().milliseconds}; }
   void deliver() {
-    for (const auto& [order, kind] : hand.takeConfirmedResults())
-      timers.write(HistoryEvent::Kind::resultConfirmed, order, name(kind));
-    for (const auto& command : hand.takeCommands())
-      timers.follow(command);
+    for (const auto& [order, kind] : workerSession.takeConfirmedResults())
+      simulatedTasks.write(HistoryEvent::Kind::resultConfirmed, order, name(kind));
+    for (const auto& command : workerSession.takeCommands())
+      simulatedTasks.apply(command);
   }
-  void turn() {
+  void runOnce() {
     sleepFor(Duration{2});
-    hand.tick(steadyNow());
-    deliver();  // what the lapsed hold killed has no end of its own
-    for (auto attempt : timers.due())
-      hand.onTaskEnded(attempt, timers.finish(attempt), steadyNow());
+    workerSession.tick(steadyNow());
+    deliver();  // tasks killed by lease expiry must not be reported as ended below
+    for (auto attempt : simulatedTasks.dueAttempts())
+      workerSession.onTaskEnded(attempt, simulatedTasks.finish(attempt), steadyNow());
   }
-  ApiResponse called(const HttpRequest& request) {
+  ApiResponse handleCall(const HttpRequest& request) {
     auto call = decodeWorkerCall(request);
     if (!call)
       return ApiResponse::fromError(call.error());
-    const MonotonicTime until = monotonicNow() + call.value().longPollTimeout;
-    auto reply = hand.onCall(call.value(), steadyNow());
+    const MonotonicTime deadline = monotonicNow() + call.value().longPollTimeout;
+    auto reply = workerSession.onCall(call.value(), steadyNow());
     deliver();
     while (call.value().kind == WorkerCall::Kind::poll && reply.status == WorkerReply::Status::ok &&
-           reply.results.empty() && monotonicNow() < until) {
+           reply.results.empty() && monotonicNow() < deadline) {
       sleepFor(Duration{5});
-      reply = hand.onCall(call.value(), steadyNow());
+      reply = workerSession.onCall(call.value(), steadyNow());
       deliver();
     }
     return encodeWorkerReply(call.value(), reply);
   }
-  // Makes itself known. What it was told is over is over: it begins as another life.
-  void account() {
-    WorkerRegistration made{hand.currentInstance(), options().capacity, leaving,
-                            Duration{settings.leaveWithin}, steadyNow()};
-    const bool says = leaving;
-    auto answer = accounts.send(settings.agent, encodeRegistration(made), Duration{1200});
-    if (!answer || made.workerInstance != hand.currentInstance())
+  // Registers with the agent. If the agent answers that this instance has been retired (410),
+  // discards all tasks and continues as a new instance.
+  void sendRegistration() {
+    WorkerRegistration registration{workerSession.currentInstance(), options().capacity, leaving,
+                                    Duration{settings.leaveTimeoutMilliseconds}, steadyNow()};
+    const bool announcesDrain = leaving;
+    auto answer =
+        registrationClient.send(settings.agent, encodeRegistration(registration), Duration{1200});
+    if (!answer || registration.workerInstance != workerSession.currentInstance())
       return;
-    if (answer.value().status == 200 && says) {
-      told = true;
-      hand.startDraining();
+    if (answer.value().status == 200 && announcesDrain) {
+      drainAcknowledged = true;
+      workerSession.startDraining();
     }
     if (answer.value().status != 410)
       return;
-    hand.onReplaced(nextLife());
+    workerSession.onReplaced(newInstance());
     deliver();
     log(LogLevel::warning, log_events::instanceRestarted,
-        {{"worker_instance", json(hand.currentInstance().value)}});
+        {{"worker_instance", json(workerSession.currentInstance().value)}});
   }
 
   Settings settings;
-  Timers timers;
-  CalledWorkerSession hand;
+  SimulatedTasks simulatedTasks;
+  CalledWorkerSession workerSession;
   EventLoop loop;
-  HttpClient accounts{loop};
-  bool leaving = false, told = false;
+  HttpClient registrationClient{loop};
+  bool leaving = false, drainAcknowledged = false;
 };
 
 }  // namespace
 
-int main(int count, char** values) {
+int main(int argc, char** argv) {
   Settings settings;
-  OptionSet options("worker_stub", "a stand-in worker for aniseline");
-  options.addText("id", settings.id, "the worker's id", OptionSet::Presence::required);
-  options.addText("zone", settings.zone, "the zone of this machine", OptionSet::Presence::required);
-  options.addText("rack", settings.rack, "the rack of this machine");
+  OptionSet options("worker_stub", "a test worker for aniseline whose tasks are timers");
+  options.addText("id", settings.id, "id of the worker", OptionSet::Presence::required);
+  options.addText("zone", settings.zone, "zone of this machine", OptionSet::Presence::required);
+  options.addText("rack", settings.rack, "rack of this machine");
   options.addAddresses("gateways", settings.gateways,
-                       "outer addresses of gateways, for first contact");
-  options.addFlag("called", settings.called, "an agent calls it; it calls no gateway");
-  options.addAddress("listen", settings.listen, "where its agent calls it");
-  options.addAddress("agent", settings.agent, "where it makes itself known to its agent");
+                       "client-facing addresses of gateways, used for first contact");
+  options.addFlag("called", settings.called,
+                  "the worker is called by an agent and calls no gateways");
+  options.addAddress("listen", settings.listen, "address where its agent calls it");
+  options.addAddress("agent", settings.agent, "address of its agent, where it registers");
   options.addText("from", settings.from,
-                  "the IP number to connect from, on a machine with several");
-  options.addInteger("cores", settings.cores, "cores", 1, 65'536);
-  options.addInteger("memory-mb", settings.memory, "memory", 1, 1'000'000'000);
-  options.addInteger("seed", settings.seed, "of the draws for failures", 0, 1'000'000'000);
-  options.addInteger("leave-within-ms", settings.leaveWithin,
-                     "how long its work may go on when it leaves", 0, 3'600'000);
-  options.addReal("slow", settings.slow, "its tasks take this many times as long", 0.01, 1000);
-  options.addReal("fail", settings.fail, "this part of its tasks fails", 0, 1);
-  options.addFlag("unguarded", settings.unguarded, "it does not guard its room");
-  options.addFlag("leaseless", settings.leaseless, "it does not honour leases");
-  options.addText("witness", settings.witness, "a file for the history of what really ran");
-  options.addFlag("quiet", settings.quiet, "no logs");
-  options.read(count, values);
-  if (const auto fault = faultOf(settings); !fault.empty()) {
-    std::cerr << "worker_stub: " << fault << "\n";
+                  "source IP address of connections, for machines with several");
+  options.addInteger("cores", settings.cores, "number of cores", 1, 65'536);
+  options.addInteger("memory-mb", settings.memory, "memory in MB", 1, 1'000'000'000);
+  options.addInteger("seed", settings.seed, "seed of the random failures", 0, 1'000'000'000);
+  options.addInteger("leave-within-ms", settings.leaveTimeoutMilliseconds,
+                     "time in ms that its tasks may go on when it is stopped", 0, 3'600'000);
+  options.addReal("slow", settings.slowdownFactor, "factor by which its tasks take longer", 0.01,
+                  1000);
+  options.addReal("fail", settings.failureRatio, "fraction of its tasks that fails", 0, 1);
+  options.addFlag("unguarded", settings.unguarded,
+                  "it does not reject starts that exceed its free capacity");
+  options.addFlag("leaseless", settings.leaseless, "its tasks run on when its lease expires");
+  options.addText("witness", settings.witness, "file for the history of the tasks that ran");
+  options.addFlag("quiet", settings.quiet, "disable logging");
+  options.read(argc, argv);
+  if (const auto optionError = findOptionError(settings); !optionError.empty()) {
+    std::cerr << "worker_stub: " << optionError << "\n";
     return 2;
   }
   EventLoop::sourceIp = settings.from;
--- a/programs/zone_drill.cpp
+++ b/programs/zone_drill.cpp
@@ -1,5 +1,5 @@
-// zone_drill: takes a zone out of a running fleet under load, gives it back, and checks the
-// promises. docs/operations.md 9.
+// zone_drill: takes a zone out of a running cluster under load, restores it, and checks latencies
+// and safety invariants. docs/operations.md 9.
 #include "net/gateway_client.hpp"
 #include "net/history_file.hpp"
 #include "net/log.hpp"
@@ -15,14 +15,14 @@
 struct Settings {
   Address control;
   std::string zone, by = "kill", queue = "proofs", config, report;
-  std::int64_t outSeconds = 10, everyMilliseconds = 200, urgentMilliseconds = 250,
-               failoverMilliseconds = 6000, backMilliseconds = 12'000;
+  std::int64_t outSeconds = 10, probeIntervalMilliseconds = 200, urgentLimitMilliseconds = 250,
+               failoverMilliseconds = 6000, recoveryLimitMilliseconds = 12'000;
   bool dryRun = false;
 };
 
-// One urgent job of the drill's own, from its submission to seen finished.
+// The times of one urgent job that the drill submits, in ms; -1 if the event was not observed.
 struct Probe {
-  std::int64_t begunAt = 0, acceptedAfter = -1, finishedAfter = -1;
+  std::int64_t startedAt = 0, acceptedAfter = -1, finishedAfter = -1;
 };
 
 class Drill {
@@ -30,75 +30,78 @@
   explicit Drill(Settings given) : settings(std::move(given)), client(loop), stop(loop) {}
 
   int run() {
-    auto fleet = look();
-    if (!fleet)
-      return refuse("the fleet at " + settings.control.value + " can't be asked");
-    const auto& zones = fleet->get("zones").get<picojson::object>();
+    auto cluster = fetchClusterStatus();
+    if (!cluster)
+      return reportRefusal("the cluster at " + settings.control.value + " can't be asked");
+    const auto& zones = cluster->get("zones").get<picojson::object>();
     auto chosen = zones.find(settings.zone);
     if (chosen == zones.end())
-      return refuse("the fleet has no zone " + settings.zone);
-    if (!fleet->get("whole").get<bool>())
-      return refuse("the fleet is not whole; a drill would take out what is left");
-    folder = fleet->get("folder").to_str();
-    std::vector<Address> others, own;
+      return reportRefusal("the cluster has no zone " + settings.zone);
+    if (!cluster->get("whole").get<bool>())
+      return reportRefusal(
+          "the cluster is degraded already, so a drill could take out the rest of it");
+    folder = cluster->get("folder").to_str();
+    std::vector<Address> otherGateways, zoneGateways;
     for (const auto& [name, zone] : zones)
       for (const auto& gateway : zone.get("gateways").get<picojson::array>())
-        (name == settings.zone ? own : others).push_back(Address{gateway.to_str()});
-    if (others.empty())
-      return refuse("no gateway is left outside of " + settings.zone);
+        (name == settings.zone ? zoneGateways : otherGateways).push_back(Address{gateway.to_str()});
+    if (otherGateways.empty())
+      return reportRefusal("there is no gateway outside of " + settings.zone);
     if (settings.dryRun)
-      return plan(chosen->second, others);
+      return printPlan(chosen->second, otherGateways);
     history = HistoryFile(folder + "/zone_drill.witness");
     jobs.open(folder + "/zone_drill.submissions", std::ios::app);
 
-    spawn([this, others] { probeOn(others); });
-    wait(Duration{2000});
-    if (!order("out"))
-      return refuse("the zone could not be taken out");
-    const std::int64_t outAt = now();
-    wait(Duration{settings.outSeconds * 1000});
-    const std::int64_t backAt = now();
-    const bool returned = order("back");
-    bool back = false;
-    while (returned && !back && now() - backAt < settings.backMilliseconds * 3) {
-      auto seen = look();
-      back = seen && seen->get("whole").get<bool>() && served(own);
-      if (!back)
+    spawn([this, otherGateways] { runProbes(otherGateways); });
+    waitFor(Duration{2000});
+    if (!changeZone("out"))
+      return reportRefusal("the zone could not be taken out");
+    const std::int64_t outageStart = now();
+    waitFor(Duration{settings.outSeconds * 1000});
+    const std::int64_t outageEnd = now();
+    const bool restored = changeZone("back");
+    bool recovered = false;
+    while (restored && !recovered && now() - outageEnd < settings.recoveryLimitMilliseconds * 3) {
+      auto clusterStatus = fetchClusterStatus();
+      recovered = clusterStatus && clusterStatus->get("whole").get<bool>() && serves(zoneGateways);
+      if (!recovered)
         sleepFor(Duration{100});
     }
-    const std::int64_t wholeAfter = now() - backAt;
-    wait(Duration{1500});
+    const std::int64_t recoveryTime = now() - outageEnd;
+    waitFor(Duration{1500});
     probing = false;
-    while (under)
+    while (probesInFlight)
       sleepFor(Duration{20});
     history.close();
 
-    report["before"] = json(judge(0, outAt));
-    report["out"] = json(judge(outAt + settings.failoverMilliseconds, backAt));
-    report["back_after_ms"] = json(back ? wholeAfter : -1);
-    hold("the zone is back within " + std::to_string(settings.backMilliseconds) + " ms",
-         back && wholeAfter <= settings.backMilliseconds);
+    report["before"] = json(summarizeLatencies(0, outageStart));
+    report["out"] =
+        json(summarizeLatencies(outageStart + settings.failoverMilliseconds, outageEnd));
+    report["back_after_ms"] = json(recovered ? recoveryTime : -1);
+    recordCheck(
+        "the zone is back within " + std::to_string(settings.recoveryLimitMilliseconds) + " ms",
+        recovered && recoveryTime <= settings.recoveryLimitMilliseconds);
     std::size_t lost = 0;
     for (const auto& probe : probes)
       lost += probe.finishedAfter < 0;
-    hold("every probe that was begun was seen finished", lost == 0 && !probes.empty());
-    judgeUrgent(outAt + settings.failoverMilliseconds, backAt);
-    judgeHistories();
-    return close();
+    recordCheck("every probe was observed to finish", lost == 0 && !probes.empty());
+    checkUrgentLatency(outageStart + settings.failoverMilliseconds, outageEnd);
+    checkHistories();
+    return writeReport();
   }
 
  private:
   static std::int64_t now() { return monotonicNow().milliseconds; }
-  void wait(Duration span) {
-    const MonotonicTime until = monotonicNow() + span;
-    while (monotonicNow() < until && !stop.requested())
+  void waitFor(Duration duration) {
+    const MonotonicTime deadline = monotonicNow() + duration;
+    while (monotonicNow() < deadline && !stop.requested())
       sleepFor(Duration{20});
   }
-  int refuse(const std::string& why) {
+  int reportRefusal(const std::string& why) {
     std::cerr << "zone_drill: " << why << "\n";
     return 3;
   }
-  std::optional<picojson::value> look() {
+  std::optional<picojson::value> fetchClusterStatus() {
     auto answer = client.send(settings.control, {"GET", "/fleet", ""}, Duration{8000});
     picojson::value root;
     if (!answer || answer.value().status != 200 ||
@@ -106,114 +109,117 @@
       return std::nullopt;
     return root;
   }
-  bool order(const std::string& verb) {
-    auto answer = client.send(
-        settings.control, {"POST", "/fleet/" + settings.zone + "/" + verb + "/" + settings.by, ""},
-        Duration{8000});
+  bool changeZone(const std::string& direction) {
+    auto answer =
+        client.send(settings.control,
+                    {"POST", "/fleet/" + settings.zone + "/" + direction + "/" + settings.by, ""},
+                    Duration{8000});
     return answer && answer.value().status == 200;
   }
-  int plan(const picojson::value& zone, const std::vector<Address>& others) {
+  int printPlan(const picojson::value& zone, const std::vector<Address>& otherGateways) {
     std::cout << "would take out " << settings.zone << " by " << settings.by << " for "
               << settings.outSeconds << " s:";
     for (const auto& process : zone.get("processes").get<picojson::array>())
       std::cout << " " << process.get("name").to_str();
-    std::cout << "\nand probe queue " << settings.queue << " every " << settings.everyMilliseconds
-              << " ms through";
-    for (const auto& address : others)
+    std::cout << "\nand probe queue " << settings.queue << " every "
+              << settings.probeIntervalMilliseconds << " ms through";
+    for (const auto& address : otherGateways)
       std::cout << " " << address.value;
     std::cout << "\nnothing was done" << std::endl;
     return 0;
   }
-  bool served(const std::vector<Address>& gateways) {
-    GatewayClient caller(loop, gateways);
-    return caller.send({"GET", "/v1/counters", ""}, Duration{1500}).has_value();
+  bool serves(const std::vector<Address>& gateways) {
+    GatewayClient gatewayClient(loop, gateways);
+    return gatewayClient.send({"GET", "/v1/counters", ""}, Duration{1500}).has_value();
   }
 
-  void note(HistoryEvent::Kind kind, const JobId& job, std::string detail = {}) {
+  void recordEvent(HistoryEvent::Kind kind, const JobId& job, std::string detail = {}) {
     HistoryEvent event;
     event.kind = kind;
     event.job = job.value;
     event.detail = std::move(detail);
     history.write(std::move(event));
   }
-  void probeOn(const std::vector<Address>& gateways) {
+  void runProbes(const std::vector<Address>& gateways) {
     for (std::size_t count = 0; probing; ++count) {
-      auto turned = gateways;
-      std::rotate(turned.begin(), turned.begin() + std::ptrdiff_t(count % turned.size()),
-                  turned.end());
+      auto rotatedGateways = gateways;
+      std::rotate(rotatedGateways.begin(),
+                  rotatedGateways.begin() + std::ptrdiff_t(count % rotatedGateways.size()),
+                  rotatedGateways.end());
       const std::size_t index = probes.size();
       probes.push_back(Probe{now(), -1, -1});
-      ++under;
-      spawn([this, index, turned] {
-        follow(index, turned);
-        --under;
+      ++probesInFlight;
+      spawn([this, index, rotatedGateways] {
+        runProbe(index, rotatedGateways);
+        --probesInFlight;
       });
-      sleepFor(Duration{settings.everyMilliseconds});
+      sleepFor(Duration{settings.probeIntervalMilliseconds});
     }
   }
-  void follow(std::size_t index, const std::vector<Address>& gateways) {
+  void runProbe(std::size_t index, const std::vector<Address>& gateways) {
     JobSubmission job;
     job.id = JobId{"drill-" + std::to_string(wallNow().milliseconds) + "-" + std::to_string(index)};
     job.queue = QueueName{settings.queue};
     job.steps = {{"probe", {}, false, {TaskRequest{1000, 128, Duration{500}, "run=60"}}}};
     jobs << renderJobSubmission(job) << "\n" << std::flush;
-    GatewayClient caller(loop, gateways);
-    caller.onAttempt = [&](const HttpRequest& request,
-                           const Result<HttpResponse, HttpError>& result) {
+    GatewayClient gatewayClient(loop, gateways);
+    gatewayClient.onAttempt = [&](const HttpRequest& request,
+                                  const Result<HttpResponse, HttpError>& result) {
       if (request.method != "POST")
         return;
-      note(HistoryEvent::Kind::submitted, job.id);
+      recordEvent(HistoryEvent::Kind::submitted, job.id);
       const int status = result ? result.value().status : 503;
-      note(status == 202   ? HistoryEvent::Kind::accepted
-           : status == 503 ? HistoryEvent::Kind::outcomeUnknown
-                           : HistoryEvent::Kind::rejected,
-           job.id, std::to_string(status));
+      recordEvent(status == 202   ? HistoryEvent::Kind::accepted
+                  : status == 503 ? HistoryEvent::Kind::outcomeUnknown
+                                  : HistoryEvent::Kind::rejected,
+                  job.id, std::to_string(status));
     };
-    if (!caller.submitJob(job, Duration{20'000}))
+    if (!gatewayClient.submitJob(job, Duration{20'000}))
       return;
-    probes[index].acceptedAfter = now() - probes[index].begunAt;
-    for (const MonotonicTime until = monotonicNow() + Duration{30'000}; monotonicNow() < until;
-         sleepFor(Duration{20})) {
-      auto shown = caller.showJob(job.id, Duration{5000});
+    probes[index].acceptedAfter = now() - probes[index].startedAt;
+    for (const MonotonicTime deadline = monotonicNow() + Duration{30'000};
+         monotonicNow() < deadline; sleepFor(Duration{20})) {
+      auto shown = gatewayClient.showJob(job.id, Duration{5000});
       picojson::value root;
       if (!shown || !picojson::parse(root, shown.value().body).empty() ||
           root.get("state").to_str() != "finished")
         continue;
-      note(HistoryEvent::Kind::stateObserved, job.id, "finished");
-      probes[index].finishedAfter = now() - probes[index].begunAt;
+      recordEvent(HistoryEvent::Kind::stateObserved, job.id, "finished");
+      probes[index].finishedAfter = now() - probes[index].startedAt;
       return;
     }
   }
 
-  std::vector<std::int64_t> spansOf(std::int64_t from, std::int64_t to) const {
-    std::vector<std::int64_t> spans;
+  std::vector<std::int64_t> latenciesBetween(std::int64_t from, std::int64_t to) const {
+    std::vector<std::int64_t> latencies;
     for (const auto& probe : probes)
-      if (probe.begunAt >= from && probe.begunAt < to)
-        spans.push_back(probe.finishedAfter < 0 ? 30'000 : probe.finishedAfter);
-    std::sort(spans.begin(), spans.end());
-    return spans;
+      if (probe.startedAt >= from && probe.startedAt < to)
+        latencies.push_back(probe.finishedAfter < 0 ? 30'000 : probe.finishedAfter);
+    std::sort(latencies.begin(), latencies.end());
+    return latencies;
   }
-  picojson::object judge(std::int64_t from, std::int64_t to) const {
-    const auto spans = spansOf(from, to);
-    if (spans.empty())
+  picojson::object summarizeLatencies(std::int64_t from, std::int64_t to) const {
+    const auto latencies = latenciesBetween(from, to);
+    if (latencies.empty())
       return {{"probes", json(0)}};
-    return {{"probes", json(spans.size())},
-            {"p50_ms", json(spans[spans.size() / 2])},
-            {"p95_ms", json(spans[spans.size() * 95 / 100])},
-            {"max_ms", json(spans.back())}};
+    return {{"probes", json(latencies.size())},
+            {"p50_ms", json(latencies[latencies.size() / 2])},
+            {"p95_ms", json(latencies[latencies.size() * 95 / 100])},
+            {"max_ms", json(latencies.back())}};
   }
-  void judgeUrgent(std::int64_t from, std::int64_t to) {
-    const auto spans = spansOf(from, to);
-    hold("after failover 95 of 100 urgent jobs took at most " +
-             std::to_string(settings.urgentMilliseconds) + " ms",
-         !spans.empty() && spans[spans.size() * 95 / 100] <= settings.urgentMilliseconds);
+  void checkUrgentLatency(std::int64_t from, std::int64_t to) {
+    const auto latencies = latenciesBetween(from, to);
+    recordCheck("after failover, 95 % of the urgent jobs took at most " +
+                    std::to_string(settings.urgentLimitMilliseconds) + " ms",
+                !latencies.empty() &&
+                    latencies[latencies.size() * 95 / 100] <= settings.urgentLimitMilliseconds);
   }
-  // The never-rules over what callers and workers have witnessed so far; the writers are still at
-  // work.
-  void judgeHistories() {
+  // Checks the histories recorded so far against the safety invariants. Their writers are still
+  // running.
+  void checkHistories() {
     auto read = readHistoryFolder(folder, true);
     if (!read)
-      return hold(read.error().message(), false);
+      return recordCheck(read.error().message(), false);
     InvariantOptions options;
     std::ifstream stream(settings.config);
     if (auto config =
@@ -227,25 +233,26 @@
       limits.push_back(
           json("rule " + std::to_string(number(limit.rule)) + ": " + limit.description));
     report["limits"] = json(limits);
-    for (const auto& promise : findings.violations)
-      hold("rule " + std::to_string(number(promise.rule)) + ": " + promise.description, false);
-    hold("no never-rule was broken", findings.violations.empty());
+    for (const auto& violation : findings.violations)
+      recordCheck("rule " + std::to_string(number(violation.rule)) + ": " + violation.description,
+                  false);
+    recordCheck("no safety invariant was violated", findings.violations.empty());
   }
-  void hold(const std::string& what, bool holds) {
+  void recordCheck(const std::string& what, bool holds) {
     checks.push_back(json(picojson::object{{"what", json(what)}, {"holds", json(holds)}}));
-    good = good && holds;
+    allChecksHold = allChecksHold && holds;
   }
-  int close() {
+  int writeReport() {
     report["zone"] = json(settings.zone);
     report["by"] = json(settings.by);
     report["interrupted"] = json(stop.requested());
     report["checks"] = json(checks);
-    report["held"] = json(good);
+    report["held"] = json(allChecksHold);
     const std::string text = json(report).serialize(true);
     std::cout << text << std::flush;
     if (!settings.report.empty())
       std::ofstream(settings.report) << text;
-    return stop.requested() ? 4 : good ? 0 : 1;
+    return stop.requested() ? 4 : allChecksHold ? 0 : 1;
   }
 
   Settings settings;
@@ -256,37 +263,42 @@
   HistoryFile history;
   std::ofstream jobs;
   std::vector<Probe> probes;
-  std::size_t under = 0;
-  bool probing = true, good = true;
+  std::size_t probesInFlight = 0;
+  bool probing = true, allChecksHold = true;
   picojson::array checks;
   picojson::object report;
 };
 
 }  // namespace
 
-int main(int count, char** values) {
+int main(int argc, char** argv) {
   Settings settings;
   OptionSet options(
       "zone_drill",
-      "takes a zone out of a running fleet under load, gives it back, and checks the promises");
+      "takes a zone out of a running cluster under load, restores it, and checks latencies and "
+      "safety invariants");
   options.addAddress("control", settings.control,
-                     "where the fleet's keeper takes orders (local_cluster says it)",
+                     "control address of local_cluster, as it prints it",
                      OptionSet::Presence::required);
-  options.addText("zone", settings.zone, "the zone to take out", OptionSet::Presence::required);
-  options.addText("by", settings.by, "kill, freeze or cut");
-  options.addText("queue", settings.queue, "the urgent queue to probe");
-  options.addText("config", settings.config, "the config in force, for the queues' retries");
-  options.addText("report", settings.report, "a file for the report");
-  options.addInteger("out-seconds", settings.outSeconds, "how long the zone stays out", 1, 3600);
-  options.addInteger("every-ms", settings.everyMilliseconds, "between probes", 20, 60'000);
-  options.addInteger("urgent-ms", settings.urgentMilliseconds,
-                     "the bound of urgent work after failover, polling included", 1, 60'000);
+  options.addText("zone", settings.zone, "zone to take out", OptionSet::Presence::required);
+  options.addText("by", settings.by, "kind of outage: kill, freeze or cut");
+  options.addText("queue", settings.queue, "urgent queue that the probes use");
+  options.addText("config", settings.config,
+                  "configuration in force, for the retry limits of the queues");
+  options.addText("report", settings.report, "file for the report");
+  options.addInteger("out-seconds", settings.outSeconds, "time in s that the zone stays out", 1,
+                     3600);
+  options.addInteger("every-ms", settings.probeIntervalMilliseconds,
+                     "interval between probes in ms", 20, 60'000);
+  options.addInteger("urgent-ms", settings.urgentLimitMilliseconds,
+                     "latency limit in ms for urgent jobs after failover, polling included", 1,
+                     60'000);
   options.addInteger("failover-ms", settings.failoverMilliseconds,
-                     "given for failover before urgent work is judged", 0, 60'000);
-  options.addInteger("back-ms", settings.backMilliseconds, "the bound of being back once whole",
-                     100, 600'000);
-  options.addFlag("dry-run", settings.dryRun, "say what would be done, do nothing");
-  options.read(count, values);
+                     "time in ms allowed for failover before the latency limit applies", 0, 60'000);
+  options.addInteger("back-ms", settings.recoveryLimitMilliseconds,
+                     "limit in ms for the recovery of the restored zone", 100, 600'000);
+  options.addFlag("dry-run", settings.dryRun, "only print what would be done");
+  options.read(argc, argv);
   if (settings.by != "kill" && settings.by != "freeze" && settings.by != "cut") {
     std::cerr << "zone_drill: --by: must be kill, freeze or cut\n";
     return 2;
--- a/source/cli/command.hpp
+++ b/source/cli/command.hpp
@@ -12,8 +12,9 @@
   bool json = false;
   bool compact = false;  // prints each JSON answer on one line, for programs that read many
   std::string state;     // lists only jobs in this state; empty: all jobs
-  std::int64_t baseVersion =
-      -1;  // that a configuration change is based on; -1: the version in force
+  // The version that a configuration change is based on; -1: the version in force.
+  std::int64_t baseVersion = -1;
+  // The time for which the tasks of a drained worker may go on.
   std::int64_t drainPeriodMilliseconds = 30'000;
   std::int64_t limit = 100;  // maximum number of jobs to list
   std::int64_t watchRepetitions = 30;
