--- a/source/simulator/campaign.cpp
+++ b/source/simulator/campaign.cpp
@@ -1,3 +1,4 @@
+// Runs the phases of a campaign in order and reports its result.
 #include "simulator/campaign.hpp"
 #include "simulator/campaign_operators.hpp"
 #include "simulator/campaign_workload.hpp"
@@ -9,12 +10,12 @@
 
 namespace {
 
-// Limits of virtual time, in ms.
+// Timeouts in ms of virtual time.
 constexpr std::int64_t votersWithinMs = 20'000;
 constexpr std::int64_t firstConfigWithinMs = 10'000;
 constexpr std::int64_t servedWithinMs = 30'000;
 constexpr std::int64_t jobsEndWithinMs = 240'000;
-// No fault begins while the cluster settles, nor so late that its end would come after the run's.
+// No fault begins while the cluster is forming, nor so late that it would end after the run.
 constexpr std::int64_t firstFaultMs = 3000;
 constexpr std::int64_t lastFaultBeforeEndMs = 8000;
 constexpr double simultaneousFaults = 0.25;  // share of the faults that begin with the one before
@@ -26,11 +27,12 @@
   cluster.calledWorkers = options.calledWorkers;
   cluster.controllers = options.controllers;
   cluster.controller.voterCount = options.voters;
-  // Agents of called workers need no more than a twentieth of the lease and 200 ms.
+  // Agents of called workers need a margin of at most a twentieth of the lease plus 200 ms.
   if (options.calledWorkers && seed % 2)
     cluster.controller.leaseMargin = Duration{350};
   cluster.seed = seed;
-  // Workers that ignore leases and workers that don't enforce their capacity, in every mix.
+  // The seeds cover every combination of the numbers of workers that ignore leases and of workers
+  // that do not enforce their capacity.
   cluster.workersIgnoringLeases =
       std::array<std::size_t, 4>{0, seed / 4 % 4 == 3 ? 0u : 2u, 0, 11}[seed % 4];
   cluster.workersNotEnforcingCapacity = std::array<std::size_t, 3>{6, 0, 11}[seed / 4 % 3];
@@ -162,7 +164,8 @@
     cluster.recordEvent(event);
   }
 
-  // Nothing is broken from now on: the ms of virtual time until a caller's job is served.
+  // Called once no fault is in effect any more. Returns the ms of virtual time until a caller's job
+  // is served.
   std::int64_t measureRecovery(const std::string& id) {
     recordEvent(HistoryEvent::Kind::clusterHealed);
     const std::int64_t healedAt = cluster.now;
@@ -185,7 +188,8 @@
                         });
   }
 
-  // Some runs end with one last fault, after which nothing else breaks: what is lost stays away.
+  // Ends some runs with one last fault. No other fault follows, and the processes that are lost in
+  // it do not come back.
   void endWithLastFault() {
     const bool drawn = options.seed % 4 == 1 && options.faults > 0;
     if (!options.lastFaultEverywhere && !drawn)
@@ -204,7 +208,7 @@
     measureRecovery("last-probe");
   }
 
-  // For whoever looks into a run: what the leader answers of jobs that are still open.
+  // Traces what the leader answers about jobs that are still open, for debugging.
   void traceOpenJobs() {
     cluster.traceControllers();
     if (cluster.allJobsEnded())
@@ -281,7 +285,7 @@
     counted["term"] = double(controller.raftNode().term().value);
   }
 
-  // What workers that are called went through, so that a run which tries none of it is noticed.
+  // Counts the events of called workers, so that a campaign that covers none of them is noticed.
   void countCalledWorkersEvents() {
     auto& counted = result.counters;
     for (const char* what : {"started late", "from a checkpoint", "ended lapsed", "ended alone",
@@ -301,7 +305,7 @@
   }
 
   CampaignOptions options;
-  Random random;  // of the faults, the jobs and the watch
+  Random random;  // shared by the faults, the jobs and the configuration watch
   SimulatedCluster cluster;
   FaultInjector injector;
   CampaignOperators operators;
--- a/source/simulator/campaign_configs.cpp
+++ b/source/simulator/campaign_configs.cpp
@@ -1,3 +1,4 @@
+// The configurations as JSON text.
 #include "simulator/campaign_configs.hpp"
 
 namespace aniseline {
--- a/source/simulator/campaign_configs.hpp
+++ b/source/simulator/campaign_configs.hpp
@@ -1,13 +1,15 @@
-// The configurations that simulated clusters run with.
+// The cluster configurations that simulated clusters use.
 #ifndef ANISELINE_SIMULATOR_CAMPAIGN_CONFIGS_HPP
 #define ANISELINE_SIMULATOR_CAMPAIGN_CONFIGS_HPP
 #include "base/types.hpp"
 
 namespace aniseline {
 
-// `additionalQueues` is JSON text that goes into the object of queues, such as `,"extra":{}`.
+// Returns the configuration of campaigns without called workers. `additionalQueues` is JSON text
+// that is appended to the members of the `queues` object, such as `,"extra":{}`.
 std::string standardConfig(const std::string& additionalQueues = "");
-// The same, with queues, pools and policies for workers that are called, too.
+// Returns the same configuration with additional queues, pools and planner settings for called
+// workers.
 std::string calledConfig(const std::string& additionalQueues = "");
 
 }  // namespace aniseline
--- a/source/simulator/campaign_operators.cpp
+++ b/source/simulator/campaign_operators.cpp
@@ -1,3 +1,4 @@
+// Draws the operators' requests and decides on each answer whether to resend.
 #include "simulator/campaign_operators.hpp"
 #include "simulator/campaign_configs.hpp"
 #include "simulator/fault_kinds.hpp"
@@ -7,11 +8,13 @@
 namespace {
 
 constexpr std::int64_t resendAfterMs = 300;
-constexpr double lostAnswers = 0.3;     // share of the answers
-constexpr double resentOrders = 0.4;    // share of the orders that were answered
-constexpr double racesWithLoss = 0.3;   // share of the races beside which the leader is lost
-constexpr double identicalRaces = 0.2;  // share of the races in which both send the same order
-constexpr double patchedOrders = 0.5;   // share of the orders that patch the one in force
+constexpr double lostAnswers = 0.3;    // share of the answers that are lost
+constexpr double resentOrders = 0.4;   // share of the answered requests that are sent again
+constexpr double racesWithLoss = 0.3;  // share of the races during which the leader is killed
+constexpr double identicalRaces =
+    0.2;  // share of the races in which both operators send the same change
+constexpr double patchedOrders =
+    0.5;  // share of the changes sent as a patch of the current configuration
 constexpr std::int64_t leaderAwayMs = 500;
 constexpr const char* leaderLoss = "the operators' leader";  // the fault's name in the history
 
@@ -88,7 +91,7 @@
   }
 }
 
-// The leader's process ends while the orders are under way.
+// Kills the leader while the operators' requests are in flight.
 void CampaignOperators::loseLeaderSoon() {
   cluster.scheduleAfter(random.between(0, 40), [this] { loseLeader(); });
 }
--- a/source/simulator/campaign_operators.hpp
+++ b/source/simulator/campaign_operators.hpp
@@ -1,6 +1,6 @@
-// The operators of a campaign: they put configurations in force, send the same order again until
-// it is answered clearly, and race each other. Their draws come from random numbers of their own,
-// so that what they do leaves the drawn faults as they are. docs/design.md 12.3.
+// The operators of a campaign. They apply configurations, resend a request until its answer is
+// definitive, and send competing requests. They draw from a random generator of their own, so that
+// the drawn faults do not depend on them. docs/design.md 12.3.
 #ifndef ANISELINE_SIMULATOR_CAMPAIGN_OPERATORS_HPP
 #define ANISELINE_SIMULATOR_CAMPAIGN_OPERATORS_HPP
 #include "simulator/campaign.hpp"
@@ -9,30 +9,32 @@
 
 class CampaignOperators {
  public:
-  // The cluster and the options outlive this.
+  // The cluster and the options must outlive this object.
   CampaignOperators(SimulatedCluster& cluster, const CampaignOptions& options);
 
-  // The text of the campaign's configuration, with more queues if any are given (campaign_configs).
+  // Returns the text of the campaign's configuration, with the additional queues; see
+  // campaign_configs.
   std::string configText(const std::string& additionalQueues = "") const;
-  // Sends the order until it gets a clear answer. Answers may be lost on their way back, and an
-  // order may be sent once more long after it was answered, when others were applied.
+  // Sends the configuration until it gets a definitive answer. Answers may be lost, and a request
+  // may be sent once more long after it was answered, when newer ones have been applied.
   void applyUntilAnswered(const std::string& text, std::uint64_t baseVersion);
-  // Two orders on one base at once; some are the same order, and some are patches.
+  // Sends two changes of the same base version at once. Sometimes both are the same change, and
+  // some are patches.
   void race();
-  // Races over and over until the end of the run, beside the loss of leaders.
+  // Schedules races until the end of the run; the leader is killed during some of them.
   void scheduleRaces();
-  // From now on no answer is lost, no order sent once more, and no leader lost.
+  // Stops the loss of answers, the late resending of requests and the killing of leaders.
   void stop() { stopped = true; }
 
-  // The newest version that was acknowledged.
+  // Returns the newest version that was acknowledged.
   std::uint64_t appliedVersion() const { return newestApplied; }
-  // Orders that were acknowledged again after another was applied.
+  // Returns how many changes were acknowledged again after a newer one had been applied.
   std::uint64_t resentLater() const { return acknowledgedLater; }
   std::uint64_t acknowledgedPatches() const { return patchesAcknowledged; }
   std::size_t leadersLost() const { return lostLeaders; }
 
  private:
-  // A whole configuration, or a patch of the one that it is based on.
+  // A whole configuration, or a patch of its base version.
   struct Order {
     std::string text;
     std::uint64_t baseVersion = 0;
--- a/source/simulator/campaign_workload.cpp
+++ b/source/simulator/campaign_workload.cpp
@@ -1,3 +1,4 @@
+// Draws the shape of each job and submits it.
 #include "simulator/campaign_workload.hpp"
 
 namespace aniseline {
@@ -87,7 +88,7 @@
   cluster.submit(job, drawCancelDelay(standardCancelShare, standardLongestCancelMs));
 }
 
-// Some run far longer than they requested.
+// Some of these tasks run far longer than requested.
 void CampaignWorkload::submitLongTasks(const std::string& id) {
   const std::int64_t cancelDelay = drawCancelDelay(standardCancelShare, standardLongestCancelMs);
   const std::int64_t actual = random.between(3000, 30'000);
@@ -106,7 +107,7 @@
       id, "strict", {.tasks = 2, .memoryMb = 512, .requestedMs = 2000, .actualMs = 700}));
 }
 
-// It never ends by itself: its queue's limit or its caller stops it.
+// Submits a job that does not end by itself; the hard limit of its queue or its caller stops it.
 void CampaignWorkload::submitEndless() {
   constexpr std::int64_t cancelAfterTheRunMs = 5000;
   cluster.submit(
@@ -147,7 +148,7 @@
     step.requirements.preferredRack = "shelf" + std::to_string(random.between(1, 2));
   if (random.chance(0.2))
     step.requirements.redundant = true;
-  if (random.chance(0.2)) {  // one payload for all
+  if (random.chance(0.2)) {  // one payload shared by all tasks
     job.payload = step.tasks[0].payload;
     for (auto& task : step.tasks) {
       task.payload.clear();
@@ -172,7 +173,7 @@
   auto& requirements = job.steps[0].requirements;
   requirements.checkpointed = random.chance(0.6);
   requirements.sameRack = random.chance(0.3);
-  // Two workers of a pool are enough, so that one zone may be away for good.
+  // Two workers of a pool are enough to run the gang, since one zone may be lost for good.
   if (random.chance(0.3))
     requirements.maxPerWorker = tasks > 2 ? 2 : 1;
   if (random.chance(0.5)) {
@@ -232,7 +233,7 @@
   cluster.submit(job);
 }
 
-// Occurrences overlap, since one takes longer than the time until the next.
+// The occurrences overlap, since a run takes longer than the interval between two of them.
 void CampaignWorkload::submitOverlappingTimetable(std::size_t index) {
   const bool gang = index > 0;
   auto job = singleStepJob(
--- a/source/simulator/config_watch.cpp
+++ b/source/simulator/config_watch.cpp
@@ -1,3 +1,4 @@
+// The query loops of the configuration watch.
 #include "simulator/config_watch.hpp"
 #include "simulator/fault_kinds.hpp"
 
@@ -17,12 +18,13 @@
 }
 
 void ConfigWatch::onAnswer(std::int64_t askedAt, int status, const std::string& body) {
-  // One request at a time: requests that overlap may rightly be answered in either order.
+  // Only one request is in flight at a time, since overlapping requests may legitimately be
+  // answered in either order.
   cluster.scheduleAfter(random.between(300, 900), [this] { askGateway(); });
   picojson::value root;
   if (status != 200 || !picojson::parse(root, body).empty())
     return;
-  // An answer speaks for no time before the request.
+  // The answer says nothing about the time before the request.
   HistoryEvent observed;
   observed.kind = HistoryEvent::Kind::configObserved;
   observed.timestamp = SimulatedCluster::epochMs + askedAt;
--- a/source/simulator/config_watch.hpp
+++ b/source/simulator/config_watch.hpp
@@ -1,5 +1,5 @@
-// Observes which configuration is in force during a campaign, as gateways answer it and as each
-// process acts on it, and records that in the history. docs/design.md 11, 12.3.
+// Observes the current configuration during a campaign, as returned by gateways and as used by each
+// process, and records it in the history. docs/design.md 11, 12.3.
 #ifndef ANISELINE_SIMULATOR_CONFIG_WATCH_HPP
 #define ANISELINE_SIMULATOR_CONFIG_WATCH_HPP
 #include "simulator/simulated_cluster.hpp"
@@ -8,13 +8,13 @@
 
 class ConfigWatch {
  public:
-  // The cluster and the random numbers outlive this.
+  // The cluster and the generator must outlive this object.
   ConfigWatch(SimulatedCluster& cluster, Random& random) : cluster(cluster), random(random) {}
 
   void start();
-  // Processes are no longer looked into; gateways are asked until the end of the run.
+  // Stops observing the processes; gateways are queried until the end of the run.
   void stopObservingProcesses() { stopped = true; }
-  // How often a gateway answered which configuration is in force.
+  // Returns how often a gateway answered with the current configuration.
   std::uint64_t answers() const { return answerCount; }
 
  private:
--- a/source/simulator/fault_injector.cpp
+++ b/source/simulator/fault_injector.cpp
@@ -1,3 +1,4 @@
+// The draws of kinds and targets, and the limits on simultaneous losses.
 #include "simulator/fault_injector.hpp"
 #include "simulator/fault_kinds.hpp"
 
@@ -5,17 +6,19 @@
 
 namespace {
 
-constexpr std::size_t mostGone = 4;  // workers; the others must be able to do all that is left
-// Until the consequences of a fault on an acknowledgement are over.
+// Removed workers at most; the others must be able to run all remaining tasks.
+constexpr std::size_t mostGone = 4;
+// The time until the consequences of a fault on an acknowledgement have passed.
 constexpr std::int64_t acknowledgementFaultMs = 6000;
-// Such a fault comes 0 to 3 ms after the answer.
+// The number of possible delays: the fault takes effect 0 to 3 ms after the answer.
 constexpr std::int64_t acknowledgementFaultDelays = 4;
 
 std::string workerName(std::size_t index) {
   return "m" + std::to_string(index + 1);
 }
 
-// The order of kinds is part of what a seed means: a new kind goes to the end of its table.
+// The draws of a seed depend on the order of the kinds, so a new kind is added at the end of its
+// table.
 const FaultTable& everyClusterTable() {
   static const FaultTable kinds =
       concatenate({controllerFaults(), networkFaults(), machineFaults(), workerFaults(),
@@ -54,13 +57,14 @@
   };
 }
 
-// The leader is as likely as any.
+// Prefers the leader for half of the faults.
 std::vector<std::size_t> FaultInjector::chooseControllers(const FaultTargets& targets) const {
   return chooseControllersBeside(
       targets.prefersLeader ? cluster.leader().value_or(targets.controller) : targets.controller,
       targets);
 }
-// Those beside the first are voters while there are any: there lies what can be lost.
+// Chooses voters in addition to the first while there are any, since only they hold data that can
+// be lost.
 std::vector<std::size_t> FaultInjector::chooseControllersBeside(std::size_t first,
                                                                 const FaultTargets& targets) const {
   std::vector<std::size_t> chosen{first};
@@ -74,9 +78,9 @@
   return chosen;
 }
 
-// Two of three copies, or three of five, may never be lost before the first are replaced: that is
-// beyond what they can bear. Two that moved know only each other's old address, so without the
-// others they count as lost.
+// Two of three replicas, or three of five, must not be lost before the first ones are replaced, as
+// Raft does not tolerate that. Two controllers that moved know only each other's old address, so
+// without the others they count as lost.
 bool FaultInjector::tryLoseDisk(std::size_t index, bool moves) {
   const auto lost = cluster.votersWithoutDisk();
   const std::size_t unknown =
@@ -101,8 +105,8 @@
   removed.erase(workerName(worker));
 }
 
-// Waits for the very next answer of its kind: the acknowledgement leaves, and the machine
-// with it.
+// Waits for the next matching answer: the acknowledgement is sent, and right after it the machine
+// fails.
 void FaultInjector::faultOnAcknowledgement(Fault& fault, const FaultTargets& targets,
                                            Matches matches, ControllerAction strike) {
   auto took = std::make_shared<bool>(false);
@@ -131,7 +135,7 @@
   return names;
 }
 
-// Where there are workers that are called, half of the faults are theirs.
+// In clusters with called workers, half of the faults are drawn from their table.
 const std::vector<FaultKind>& FaultInjector::drawTable() {
   if (cluster.calledWorkerCount() > 0 && random.chance(0.5))
     return calledTable();
--- a/source/simulator/fault_injector.hpp
+++ b/source/simulator/fault_injector.hpp
@@ -1,5 +1,5 @@
-// Draws the faults of a campaign, and makes sure that no more is lost at once than the cluster has
-// to bear. Owned by a campaign, on its thread. The kinds stand in faults_*.cpp.
+// Draws the faults of a campaign, and ensures that no more is lost at once than the cluster must
+// tolerate. Owned by a campaign and used on its thread. faults_*.cpp define the kinds of fault.
 // docs/design.md 12.3.
 #ifndef ANISELINE_SIMULATOR_FAULT_INJECTOR_HPP
 #define ANISELINE_SIMULATOR_FAULT_INJECTOR_HPP
@@ -7,14 +7,14 @@
 
 namespace aniseline {
 
-// One fault of a schedule.
+// One scheduled fault.
 struct Fault {
-  std::int64_t startsAt = 0;  // ms after the schedule's start
+  std::int64_t startsAt = 0;  // ms after the start of the schedule
   std::int64_t duration = 0;  // ms
   std::string name;
-  std::function<bool()> begin;  // false: it could not take effect
+  std::function<bool()> begin;  // returns false if the fault could not take effect
   std::function<void()> end;
-  // Of a fault that waits for an acknowledgement: whether one came.
+  // Set only for a fault that waits for an acknowledgement: whether one was sent.
   std::shared_ptr<bool> tookEffect;
 };
 
@@ -24,43 +24,44 @@
 class FaultInjector {
  public:
   using Matches = std::function<bool(const ApiRequest&, const ApiResponse&)>;
-  // What is done to the controller with this index.
+  // Applies the fault to the controller with this index.
   using ControllerAction = std::function<void(std::size_t index)>;
 
   FaultInjector(SimulatedCluster& cluster, Random& random);
-  // Things only the campaign can do: a flood of jobs, two operators at once.
+  // Callbacks of the campaign, which submit a flood of jobs and let two operators race.
   std::function<void()> floodOfJobs;
   std::function<void()> operatorRace;
   Fault drawFault(std::int64_t startsAt);
-  // Every kind's name, for the report.
+  // Returns the names of all kinds of fault, for the report.
   static std::vector<std::string> kindNames(bool called, bool several);
-  // The ids of workers that never come back.
+  // Returns the ids of the workers that are removed for good.
   const std::set<std::string>& removedWorkers() const { return removed; }
-  // False: as many are gone as the rest can stand in for.
+  // Marks the worker as removed. Returns false if it already is, or if the remaining workers could
+  // not take over its load.
   bool tryRemoveForGood(std::size_t worker);
-  // Drops the faults that still wait for an acknowledgement.
+  // Drops the faults that still wait for an acknowledgement or a membership change.
   void disarm() {
     armedFaults.clear();
     armedMembershipFaults.clear();
   }
 
   // --- for the kinds of fault: simulator/fault_kinds.hpp ---
-  // False: that would be one voter more than may be lost.
+  // Returns false if that would be one voter more than may be lost.
   bool tryLoseDisk(std::size_t index, bool moves);
   std::vector<std::size_t> chooseControllers(const FaultTargets& targets) const;
   std::vector<std::size_t> chooseControllersBeside(std::size_t first,
                                                    const FaultTargets& targets) const;
-  // The fault takes effect right after the next acknowledgement that matches, if there is one.
+  // Lets the fault take effect right after the next matching acknowledgement, if there is one.
   void faultOnAcknowledgement(Fault& fault, const FaultTargets& targets, Matches matches,
                               ControllerAction action);
-  // The same, for the next change of membership.
+  // Does the same for the next membership change.
   void faultOnMembershipChange(ControllerAction action) {
     armedMembershipFaults.push_back(std::move(action));
   }
   void reinstate(std::size_t worker);
-  std::int64_t nextClockFaultAt = 0;  // virtual ms from which another clock may be wrong
-  std::int64_t nextMoveAt = 0;        // virtual ms from which another controller may move
-  std::size_t movingControllers = 0;  // until nextMoveAt
+  std::int64_t nextClockFaultAt = 0;  // virtual time in ms from which another clock may be wrong
+  std::int64_t nextMoveAt = 0;        // virtual time in ms from which another controller may move
+  std::size_t movingControllers = 0;  // valid until nextMoveAt
 
  private:
   const std::vector<FaultKind>& drawTable();
@@ -68,7 +69,7 @@
   SimulatedCluster& cluster;
   Random& random;
   std::set<std::string> removed;
-  // Waits for the next answer that matches.
+  // A fault that waits for the next matching answer.
   struct ArmedFault {
     Matches matches;
     ControllerAction action;
--- a/source/simulator/fault_kinds.cpp
+++ b/source/simulator/fault_kinds.cpp
@@ -1,3 +1,4 @@
+// The helpers that make kinds of fault and switch whole zones off and on.
 #include "simulator/fault_kinds.hpp"
 
 namespace aniseline {
--- a/source/simulator/fault_kinds.hpp
+++ b/source/simulator/fault_kinds.hpp
@@ -1,27 +1,27 @@
-// What the kinds of fault are made of: their victims, what they share, and a table for each
-// subject. docs/design.md 12.3.
+// Building blocks of the kinds of fault: their targets, shared helpers, and a table of kinds for
+// each subject. docs/design.md 12.3.
 #ifndef ANISELINE_SIMULATOR_FAULT_KINDS_HPP
 #define ANISELINE_SIMULATOR_FAULT_KINDS_HPP
 #include "simulator/fault_injector.hpp"
 
 namespace aniseline {
 
-// The zones, gateways, workers and racks of every simulated cluster.
+// The numbers of zones, gateways and workers of every simulated cluster, and the size of its racks.
 constexpr std::size_t simulatedZones = 3, simulatedGateways = 7, simulatedWorkers = 11,
                       workersPerRack = 3;
 
-// Whom one fault hits, drawn for every fault whether its kind looks at it or not, so that the
-// schedule of a seed does not hang on the kind.
+// The targets of one fault. All of them are drawn for every fault, even where its kind does not use
+// them, so that the schedule of a seed does not depend on the kind.
 struct FaultTargets {
   std::size_t controller, gateway, worker, fromZone, toZone, calledWorker = 0;
-  std::size_t controllerCount = 1,
-              nextController =
-                  0;  // controllers at once, and where to look for those beside the first
+  // The number of controllers to hit at once, and the index at which the search for those in
+  // addition to the first one starts.
+  std::size_t controllerCount = 1, nextController = 0;
   bool prefersLeader, coinFlip;
   std::int64_t clockJump, duration;
 };
 
-// One kind of fault: `plan` sets what begins the fault and what ends it.
+// One kind of fault. `plan` sets the functions that begin and end the fault.
 struct FaultKind {
   const char* name;
   std::function<void(FaultInjector&, SimulatedCluster&, const FaultTargets&, Fault&)> plan;
@@ -36,34 +36,34 @@
 FaultTable zoneFaults();
 FaultTable gatewayFaults();
 FaultTable callerFaults();
-FaultTable acknowledgementFaults();              // aimed at the moment after an acknowledgement
-FaultTable calledWorkerAcknowledgementFaults();  // the same, of what agents report
-FaultTable calledWorkerFaults();                 // need workers that are called
-FaultTable severalControllerFaults();            // need more voters than three
+FaultTable acknowledgementFaults();              // right after an acknowledgement
+FaultTable calledWorkerAcknowledgementFaults();  // the same, for reports of agents
+FaultTable calledWorkerFaults();                 // require called workers
+FaultTable severalControllerFaults();            // require more than three voters
 
-// --- what the tables share ---
-constexpr std::int64_t shortDrainMs = 2500;  // a worker's, to leave within
-constexpr std::int64_t downtimeMs = 1500;    // until one that is called and left comes back
+// --- shared by the tables ---
+constexpr std::int64_t shortDrainMs = 2500;  // time within which a draining worker must leave
+constexpr std::int64_t downtimeMs = 1500;    // from a called worker's exit to its restart
 
-// The kinds of several tables, in their order.
+// Returns the kinds of several tables, in order.
 FaultTable concatenate(std::initializer_list<FaultTable> tables);
 
-// One step of a fault whose victims are known from the start.
+// Begins or ends a fault whose targets are fixed when it is drawn.
 using FaultStep = void (*)(SimulatedCluster&, const FaultTargets&);
-// A kind that takes effect always, and is lifted at its end.
+// Returns a kind that always takes effect and is lifted at its end.
 FaultKind lastingFault(const char* name, FaultStep begin, FaultStep end);
-// A kind that takes effect always, and needs no end.
+// Returns a kind that always takes effect and needs no end.
 FaultKind momentaryFault(const char* name, FaultStep begin);
 
-// Does a step to one controller; false: it could not take effect there.
+// Begins a fault of one controller. Returns false if it could not take effect there.
 using ControllerStep = bool (*)(FaultInjector&, SimulatedCluster&, std::size_t index,
                                 const FaultTargets&);
 using ControllerRepair = void (*)(SimulatedCluster&, std::size_t index);
-// A kind of one controller, or of as many as may be lost at once: the victims are chosen when the
-// fault begins.
+// Returns a kind that hits one controller, or up to as many as may be lost at once. The controllers
+// are chosen when the fault begins.
 FaultKind faultOfControllers(const char* name, ControllerStep begin, ControllerRepair end);
 
-// Calls `use` with the index of each process of a kind that stands in the zone.
+// Calls `use` with the index of each process in the zone, of a kind with `count` processes.
 template <class Use>
 void forEachInZone(std::size_t count, std::size_t zone, Use use) {
   for (std::size_t index = zone; index < count; index += simulatedZones) {
@@ -73,9 +73,9 @@
 void partitionPair(SimulatedCluster& cluster, std::size_t from, std::size_t to, bool cut);
 void powerOffControllers(SimulatedCluster& cluster);
 void powerOnControllers(SimulatedCluster& cluster);
-// Every process of a zone loses power: controllers, gateways, workers and agents.
+// Powers off every process of a zone: controllers, gateways, workers and agents.
 void powerOffZone(SimulatedCluster& cluster, std::size_t zone);
-// What is down starts again, but for these controllers, which stay away.
+// Starts the processes of a zone that are down, except for the controllers in `controllersAway`.
 void powerOnZone(SimulatedCluster& cluster, std::size_t zone,
                  const std::vector<std::size_t>& controllersAway = {});
 
--- a/source/simulator/faults_called_workers.cpp
+++ b/source/simulator/faults_called_workers.cpp
@@ -1,14 +1,15 @@
-// Faults of workers that are called, and of their agents. docs/design.md 12.3.
+// Faults of called workers and of their agents. docs/design.md 12.3.
 #include "simulator/fault_kinds.hpp"
 
 namespace aniseline {
 
 namespace {
 
-constexpr std::int64_t backAtOnceMs = 60;      // a restart faster than any lease
-constexpr std::int64_t leavingLastsMs = 5000;  // at least, so that the notice runs out within it
+constexpr std::int64_t backAtOnceMs = 60;  // a restart within any lease
+constexpr std::int64_t leavingLastsMs =
+    5000;  // minimum, so that the drain deadline passes during the fault
 constexpr std::int64_t hastyNoticeMs = 600;
-constexpr std::int64_t lateOrdersMs = 12'000;  // until the last order held back has arrived
+constexpr std::int64_t lateOrdersMs = 12'000;  // until the last delayed order has arrived
 
 void comeBackAtOnce(SimulatedCluster& cluster, const FaultTargets& targets) {
   cluster.killCalledWorker(targets.calledWorker);
@@ -28,7 +29,8 @@
 void killAgent(FaultInjector&, SimulatedCluster& cluster, const FaultTargets& targets,
                Fault& fault) {
   if (targets.coinFlip)
-    fault.duration = 100 + fault.duration % 900;  // most are started again at once
+    fault.duration =
+        100 + fault.duration % 900;  // half of the agents are restarted within a second
   fault.begin = [&cluster, targets] {
     cluster.killAgent(targets.calledWorker);
     return true;
@@ -58,7 +60,7 @@
 
 void deliverLateOrders(SimulatedCluster& cluster, const FaultTargets& targets) {
   cluster.setOrdersDelayed(targets.calledWorker, false);
-  // What is still on its way is trouble too.
+  // The delayed orders that have not arrived yet still count as a fault.
   const std::string still = "orders on their way " + std::to_string(cluster.now);
   cluster.recordFault(still, false);
   cluster.scheduleAfter(lateOrdersMs, [&cluster, still] { cluster.recordFault(still, true); });
--- a/source/simulator/faults_controllers.cpp
+++ b/source/simulator/faults_controllers.cpp
@@ -5,17 +5,17 @@
 
 namespace {
 
-constexpr std::int64_t longestBriefOutageMs = 1000;  // of all processes at once
-constexpr std::int64_t slowDiskMs = 80;     // of each sync: more than a round of heartbeats
-constexpr std::int64_t moveRestMs = 5000;   // until all know the addresses of those that moved
-constexpr std::int64_t clockRestMs = 1000;  // until the next clock may lie
+constexpr std::int64_t longestBriefOutageMs = 1000;  // outage of all controllers at once
+constexpr std::int64_t slowDiskMs = 80;     // delay of each sync, longer than a heartbeat round
+constexpr std::int64_t moveRestMs = 5000;   // until all processes know the new addresses
+constexpr std::int64_t clockRestMs = 1000;  // until another clock may be wrong
 
 void restartController(SimulatedCluster& cluster, std::size_t index) {
   cluster.restartController(index);
 }
 
-// No more than may be lost, as two that move while both are down know only each other's old
-// address. docs/design.md 3.5.
+// Moves at most as many controllers as may be lost, since two that move while both are down know
+// only each other's old address. docs/design.md 3.5.
 void moveWithDisks(FaultInjector& injector, SimulatedCluster& cluster, const FaultTargets& targets,
                    Fault& fault) {
   auto moved = std::make_shared<std::vector<std::size_t>>();
@@ -37,7 +37,7 @@
   };
 }
 
-// One clock may lie at a time: two of three that lie alike outvote the truth.
+// Sets one clock wrong at a time: two of three clocks that are wrong alike outvote the correct one.
 void jumpClock(FaultInjector& injector, SimulatedCluster& cluster, const FaultTargets& targets,
                Fault& fault) {
   auto chosen = std::make_shared<std::vector<std::size_t>>();
@@ -75,7 +75,8 @@
                   [&](auto index) { cluster.stallDisk(index, targets.duration); });
 }
 
-// Whatever may be lost, all processes may be killed at one moment and come back with their disks.
+// Kills all controllers at once and restarts them with their disks. This is allowed whatever the
+// number of tolerable losses.
 void killAllBriefly(SimulatedCluster& cluster, const FaultTargets& targets) {
   for (std::size_t index = 0; index < cluster.controllerCount(); ++index)
     cluster.killController(index, false);
@@ -88,7 +89,7 @@
   cluster.restartController(index);
 }
 
-// `begin` of a kind that takes effect on every controller it is tried on.
+// Returns a `begin` step that takes effect on every controller.
 template <class Step>
 ControllerStep onAny(Step) {
   return [](FaultInjector&, SimulatedCluster& cluster, std::size_t index, const FaultTargets&) {
--- a/source/simulator/faults_gateways.cpp
+++ b/source/simulator/faults_gateways.cpp
@@ -1,15 +1,16 @@
-// Faults of gateways, and what callers do to a cluster. docs/design.md 12.3.
+// Faults of gateways, and load peaks and conflicts caused by callers and operators.
+// docs/design.md 12.3.
 #include "simulator/fault_kinds.hpp"
 
 namespace aniseline {
 
 namespace {
 
-constexpr std::size_t swappedGateways = 4;  // the three of first contact and one more
+constexpr std::size_t swappedGateways = 4;  // the three first contacts and one more gateway
 constexpr std::int64_t swapEveryMs = 600, swapDownMs = 300;
 
-// All the machines of first contact and one more; whoever was away meanwhile still knows the
-// others. docs/operations.md 4.
+// Replaces all first-contact gateways and one more, one by one. A process that was down meanwhile
+// still knows the other gateways. docs/operations.md 4.
 void swapFirstContacts(SimulatedCluster& cluster, const FaultTargets&) {
   for (std::size_t index = 0; index < swappedGateways; ++index)
     cluster.scheduleAfter(std::int64_t(index) * swapEveryMs, [&cluster, index] {
--- a/source/simulator/faults_on_acknowledgement.cpp
+++ b/source/simulator/faults_on_acknowledgement.cpp
@@ -1,4 +1,4 @@
-// Faults aimed at the moment after an acknowledgement: it leaves, and the machine with it.
+// Faults right after an acknowledgement: the answer is sent, and then its sender fails.
 // docs/design.md 12.3.
 #include "simulator/fault_kinds.hpp"
 
@@ -6,9 +6,10 @@
 
 namespace {
 
-constexpr std::int64_t outageMs = 1500;             // until those that were struck come back
-constexpr std::int64_t diskLossOutageMs = 500;      // until those without their disk come back
-constexpr std::int64_t membershipFaultDelayMs = 2;  // so that the change of members is on its way
+constexpr std::int64_t outageMs = 1500;         // until the failed controllers restart
+constexpr std::int64_t diskLossOutageMs = 500;  // until the controllers without their disk restart
+constexpr std::int64_t membershipFaultDelayMs =
+    2;  // lets the messages of the membership change be sent
 
 bool acknowledged(const ApiResponse& answer) {
   return answer.status < 300;
@@ -38,7 +39,8 @@
          request.report.draining && acknowledged(answer);
 }
 
-// By turns: disks are lost, all controllers lose power, the struck controllers lose power.
+// How the controllers fail: the targets lose their disks, all controllers lose power, or the
+// targets lose power.
 enum class FailureMode { diskLoss, powerOffAll, powerOffTargets };
 
 void failControllers(FaultInjector& injector, SimulatedCluster& cluster,
--- a/source/simulator/faults_workers.cpp
+++ b/source/simulator/faults_workers.cpp
@@ -1,15 +1,16 @@
-// Faults of workers and of racks of them. docs/design.md 12.3.
+// Faults of single workers and of racks. docs/design.md 12.3.
 #include "simulator/fault_kinds.hpp"
 
 namespace aniseline {
 
 namespace {
 
-constexpr std::int64_t leavingLastsMs = 5000;  // at least, so that the notice runs out within it
-constexpr double slowFactor = 6;               // times the runtime of its tasks
-constexpr double quietFailures = 0.5;          // of its tasks
+constexpr std::int64_t leavingLastsMs =
+    5000;                         // minimum, so that the drain deadline passes during the fault
+constexpr double slowFactor = 6;  // multiplies the runtime of the worker's tasks
+constexpr double quietFailures = 0.5;  // share of the worker's tasks that fail
 
-// Every worker of the rack that a worker stands in.
+// Calls `use` with every worker in the rack of `worker`.
 template <class Use>
 void eachInRack(std::size_t worker, Use use) {
   const std::size_t first = worker / workersPerRack * workersPerRack;
--- a/source/simulator/faults_zones.cpp
+++ b/source/simulator/faults_zones.cpp
@@ -1,14 +1,15 @@
-// Faults of all that stands in one zone. docs/design.md 12.3.
+// Faults of all processes in one zone. docs/design.md 12.3.
 #include "simulator/fault_kinds.hpp"
 
 namespace aniseline {
 
 namespace {
 
-constexpr std::int64_t zoneNoticeMs = 2000;      // given to the workers of a zone that is emptied
-constexpr std::int64_t zoneEmptyAfterMs = 4500;  // until its controllers and gateways go too
-constexpr std::int64_t zoneEmptyLastsMs =
-    7000;  // at least, so that all of them are away for a time
+constexpr std::int64_t zoneNoticeMs = 2000;  // time that the workers of the zone have to drain
+constexpr std::int64_t zoneEmptyAfterMs =
+    4500;  // until the zone's controllers and gateways are killed
+// Minimum duration, so that all processes of the zone are down for a while.
+constexpr std::int64_t zoneEmptyLastsMs = 7000;
 
 void freezeZone(SimulatedCluster& cluster, std::size_t zone, bool frozen) {
   forEachInZone(cluster.controllerCount(), zone,
--- a/source/simulator/last_fault.cpp
+++ b/source/simulator/last_fault.cpp
@@ -1,3 +1,4 @@
+// Chooses the lost controllers, and submits jobs right before the fault.
 #include "simulator/last_fault.hpp"
 #include "simulator/campaign_workload.hpp"
 #include "simulator/campaign_configs.hpp"
@@ -7,17 +8,18 @@
 
 namespace {
 
-constexpr const char* faultName = "the last fault";  // in the history
+constexpr const char* faultName = "the last fault";  // as recorded in the history
 constexpr std::int64_t intactWithinMs = 40'000;
 constexpr std::size_t jobsBeforeTheFault = 24;
 constexpr std::int64_t submittedOverMs = 600;
 constexpr std::int64_t justAcknowledgedMs = 1000;
-// From the loss of power to its return in the first zone, and from one zone to the next.
+// Bounds of the time from the power loss to its return in the first zone, and from one zone to the
+// next.
 constexpr std::int64_t shortestOutageMs = 300;
 constexpr std::int64_t longestOutageMs = 8000;
 constexpr std::int64_t longestBetweenZonesMs = 1500;
 
-// What happens to the controllers that are hit while all else stays up.
+// The failure of the targeted controllers while all other processes stay up.
 enum class Loss : std::uint8_t { power, frozen, disks, cutOff };
 
 }  // namespace
@@ -31,7 +33,7 @@
       intactWithinMs);
 }
 
-// The leader first, then other voters while any more may be lost.
+// Returns the leader, then other voters up to the number that may be lost.
 std::vector<std::size_t> LastFault::chooseVictims() const {
   std::vector<std::size_t> victims{cluster.leader().value_or(0)};
   for (std::size_t index = 0;
@@ -65,7 +67,7 @@
       }
       break;
     case Loss::cutOff:
-      if (options.voters == 3) {  // one of three in each zone
+      if (options.voters == 3) {  // each zone has one of the three voters
         cluster.partitionZones(leaderZone, (leaderZone + 1) % simulatedZones, true);
         cluster.partitionZones(leaderZone, (leaderZone + 2) % simulatedZones, true);
         break;
@@ -78,7 +80,7 @@
   cluster.recordFault(faultName, true);
 }
 
-// Short and long jobs, gangs and checkpointed work, some of which are cancelled at once.
+// Submits short and long jobs, gangs and checkpointed jobs; some of them are cancelled right away.
 void LastFault::submitWork() {
   for (std::size_t count = 0; count < jobsBeforeTheFault; ++count) {
     const std::string id = "last" + std::to_string(count);
--- a/source/simulator/last_fault.hpp
+++ b/source/simulator/last_fault.hpp
@@ -1,5 +1,6 @@
-// The fault that may end a run. No other comes after it, and what is lost stays away, so that the
-// rest of the cluster has to serve on. Called by a campaign once all has been healed.
+// The fault that may end a run. No other fault follows, and the lost processes do not come back, so
+// that the rest of the cluster has to keep serving. Called by a campaign after the cluster is
+// healed.
 // docs/design.md 12.3.
 #ifndef ANISELINE_SIMULATOR_LAST_FAULT_HPP
 #define ANISELINE_SIMULATOR_LAST_FAULT_HPP
@@ -9,27 +10,27 @@
 
 class LastFault {
  public:
-  // The cluster outlives this.
+  // The cluster and the options must outlive this object.
   LastFault(SimulatedCluster& cluster, const CampaignOptions& options);
 
-  // Waits until every voter has its disk, since what may be lost is counted from there; for at most
-  // 40 s of virtual time.
+  // Waits until every voter has its disk, since the number of tolerable losses assumes that. Waits
+  // at most 40 s of virtual time.
   void awaitIntactReplicas();
 
-  // The leader, and as many other voters as may be lost at once, lose power, freeze, lose their
-  // disks or are cut off, by the seed. All other machines stay up.
+  // Makes as many voters as may be lost at once, the leader first, lose power, freeze, lose their
+  // disks or become isolated. The seed selects which. All other machines stay up.
   void injectDrawnBySeed();
 
-  // As many voters as may be lost lose their disks, while every other machine loses power at the
-  // same moment: controllers (also those that don't vote), gateways, workers and agents. Power
-  // returns zone by zone. The machines whose disks are lost stay away, or come back empty, by the
-  // seed. Returns once all zones have power again.
+  // Makes as many voters as may be lost lose their disks, while every other machine loses power at
+  // the same moment: controllers (including those that don't vote), gateways, workers and agents.
+  // Power returns zone by zone. Depending on the seed, the machines whose disks are lost stay down
+  // or come back empty. Returns once all zones have power again.
   //
-  // Jobs are submitted right before, and `raceOperators` is called, so that the fault comes while
-  // acknowledgements have just been given and others are under way.
+  // Right before the fault, jobs are submitted and `raceOperators` is called, so that some
+  // acknowledgements have just been sent and others are in flight when it occurs.
   void injectEverywhere(const std::function<void()>& raceOperators);
 
-  // Jobs that were acknowledged within the last second before injectEverywhere's fault.
+  // Returns how many jobs were acknowledged within the last second before injectEverywhere's fault.
   std::size_t justAcknowledged() const { return acknowledgedRightBefore; }
 
  private:
@@ -40,7 +41,7 @@
 
   SimulatedCluster& cluster;
   const CampaignOptions& options;
-  Random random;  // of its own, so that it leaves the run before it as it is
+  Random random;  // its own generator, so that the run before it does not change
   std::size_t acknowledgedRightBefore = 0;
 };
 
--- a/source/simulator/measurements.cpp
+++ b/source/simulator/measurements.cpp
@@ -1,3 +1,4 @@
+// Builds the states and clusters that are measured.
 #include "simulator/measurements.hpp"
 #include "simulator/campaign.hpp"
 #include "simulator/campaign_configs.hpp"
--- a/source/simulator/measurements.hpp
+++ b/source/simulator/measurements.hpp
@@ -1,16 +1,18 @@
-// What simulate measures beside its campaigns. docs/measurements.md.
+// The measurements of the simulate program other than campaigns. docs/measurements.md.
 #ifndef ANISELINE_SIMULATOR_MEASUREMENTS_HPP
 #define ANISELINE_SIMULATOR_MEASUREMENTS_HPP
 #include <picojson.h>
 
 namespace aniseline {
 
-// One plan with so many tasks waiting and every worker full; the median of many, by the processor's
-// clock.
+// Measures the CPU time of one plan with `waiting` waiting tasks while every worker is full.
+// Returns the median, minimum and maximum of 31 plans in ms.
 picojson::object measurePlanning(std::size_t waiting, std::size_t workers);
-// From the loss of a leader to another that serves, over many seeds, in virtual time.
+// Measures the virtual time in ms from the loss of a leader, which is frozen or killed, to the next
+// leader, over `seeds` seeds.
 picojson::object measureFailover(std::int64_t from, std::int64_t seeds, bool freezes);
-// Packing, copying and reading a cluster state that keeps so many jobs, as they ended or shortened.
+// Measures the CPU time in ms of packing, copying and reading a cluster state with `kept` ended
+// jobs, which are kept whole or shortened.
 picojson::object measureSnapshot(std::size_t kept, bool whole);
 
 }  // namespace aniseline
--- a/source/simulator/simulated_cluster.cpp
+++ b/source/simulator/simulated_cluster.cpp
@@ -1,3 +1,4 @@
+// Sets up the nodes, and implements the event queue, message delivery and the lifting of faults.
 #include "simulator/simulated_nodes.hpp"
 
 namespace aniseline {
@@ -46,15 +47,16 @@
     auto node = std::make_unique<CalledWorkerNode>();
     agent->index = node->index = index;
     agent->zone = node->zone = index % options.zones;
-    // Two pools, of guarded and of unguarded workers; sizes, kinds and racks differ within each.
+    // There are two pools: workers that enforce their capacity and workers that do not. Sizes,
+    // labels and racks differ within each pool.
     Capacity& capacity = node->capacity;
     capacity.cores = index % 4 < 2 ? options.cores : options.cores * 3 / 2;
     capacity.memory = options.memory;
     capacity.accelerators = index % 4 == 3 ? 2 : 0;
     capacity.zone = ZoneName{"zone" + std::to_string(node->zone + 1)};
     capacity.rack = "shelf" + std::to_string(index / 4 + 1);
-    capacity.labels = {index / 2 % 2 ? "plain" : "fine",
-                       capacity.rack};  // of each kind in two zones
+    // Workers with each label stand in two zones.
+    capacity.labels = {index / 2 % 2 ? "plain" : "fine", capacity.rack};
     capacity.pool = index % 2 ? "open" : "guarded";
     capacity.enforcesCapacity = index % 2 == 0;
     capacity.host = "host" + std::to_string(index + 1);
@@ -151,8 +153,7 @@
   return nullptr;
 }
 
-// --- as a whole
-// --------------------------------------------------------------------------------------------------
+// --- operations on the whole cluster ---
 
 void SimulatedCluster::healAll() {
   partitions.clear();
@@ -196,7 +197,7 @@
 void SimulatedCluster::observeConfigs() {
   auto poll = [this](const std::string& process, ConfigVersion version) {
     if (!version.value)
-      return;  // it has just begun and knows of none
+      return;  // the process has just started and has no configuration yet
     auto given = makeEvent(HistoryEvent::Kind::configObserved, epochMs + now);
     given.detail = process;
     given.version = version.value;
--- a/source/simulator/simulated_cluster.hpp
+++ b/source/simulator/simulated_cluster.hpp
@@ -1,5 +1,5 @@
-// A whole cluster in virtual time, from one seed: the same core as in the daemons, with a network,
-// disks and clocks that fail on purpose. docs/design.md 12.
+// A complete cluster in virtual time, determined by one seed. It runs the same core as the daemons
+// on a network, disks and clocks into which faults are injected. docs/design.md 12.
 #ifndef ANISELINE_SIMULATOR_SIMULATED_CLUSTER_HPP
 #define ANISELINE_SIMULATOR_SIMULATED_CLUSTER_HPP
 #include "gateway/peer_directory.hpp"
@@ -18,14 +18,16 @@
   std::size_t zones = 3, controllers = 3, gateways = 7, workers = 11;
   std::uint32_t cores = 16'000;  // thousandths
   std::uint64_t memory = 32 * 1024;
-  std::size_t workersIgnoringLeases = 0;  // workers, from the last on, that do not honour leases
-  std::size_t workersNotEnforcingCapacity =
-      6;  // workers, from the first on, that do not guard their room
-  std::size_t calledWorkers =
-      0;  // workers beside these that are called rather than call, each with its agent
-  std::size_t workersWithDuplicateId =
-      0;                   // workers, from the last on, that wrongly bear the first one's id
-  double messageLoss = 0;  // part of the messages between processes
+  // Number of workers, counted from the last one, that do not honour leases.
+  std::size_t workersIgnoringLeases = 0;
+  // Number of workers, counted from the first one, that do not enforce their capacity.
+  std::size_t workersNotEnforcingCapacity = 6;
+  // Number of additional workers that are called by an agent instead of syncing with the leader
+  // themselves. Each has an agent of its own.
+  std::size_t calledWorkers = 0;
+  // Number of workers, counted from the last one, that are wrongly set up with the first one's id.
+  std::size_t workersWithDuplicateId = 0;
+  double messageLoss = 0;  // share of the messages between processes that are lost
   ControllerOptions controller;
 };
 
@@ -34,77 +36,84 @@
   explicit SimulatedCluster(SimulatedClusterOptions options);
   ~SimulatedCluster();
 
-  // Time.
+  // --- virtual time, in ms ---
   std::int64_t now = 0;
-  static constexpr std::int64_t epochMs = 1'800'000'000'000;  // the true calendar time at virtual 0
+  static constexpr std::int64_t epochMs =
+      1'800'000'000'000;  // the true wall-clock time at virtual time 0
   void scheduleAfter(std::int64_t delay, std::function<void()> work);
   void runUntil(std::int64_t time);
   bool runUntilTrue(const std::function<bool()>& condition, std::int64_t within);
 
-  // Faults.
-  void killController(std::size_t index, bool losesUnsynced);  // restart brings it back
+  // --- faults ---
+  // With `losesUnsynced`, the write that was in flight is lost, as in a power loss.
+  void killController(std::size_t index, bool losesUnsynced);
   void restartController(std::size_t index);
-  void setVoters(std::size_t index, std::size_t voters);  // its setting, from its next start on
-  void loseDisk(std::size_t index);        // with the kill; the restart is a new identity
-  void moveController(std::size_t index);  // its next start is at a new address
+  // Sets how many voters this controller is configured with, from its next start on.
+  void setVoters(std::size_t index, std::size_t voters);
+  // Kills the controller and erases its disk; it restarts with a new identity.
+  void loseDisk(std::size_t index);
+  void moveController(std::size_t index);  // takes effect at its next start, at a new address
   void freezeController(std::size_t index, bool frozen);
-  void isolateController(std::size_t index, bool cut);  // from everyone, both ways
+  void isolateController(std::size_t index, bool cut);  // from all processes, in both directions
   void stallDisk(std::size_t index, std::int64_t milliseconds);
   void slowDisk(std::size_t index, std::int64_t extra);
   std::vector<WriteAheadRecord> copyDisk(std::size_t index) const;
   void replaceDisk(std::size_t index, std::vector<WriteAheadRecord> records);
   void setClockOffset(std::size_t index, std::int64_t wrongBy);
-  void setDiskFull(std::size_t index, bool full);  // a write then fails, and the process ends
+  // While the disk is full, a write fails and ends the process.
+  void setDiskFull(std::size_t index, bool full);
   void transferLeadership(std::size_t index);
   void killGateway(std::size_t index);
   void restartGateway(std::size_t index);
-  void moveGateway(std::size_t index);  // another machine, with another address, in its place
+  // Replaces the gateway by one on another machine with another address.
+  void moveGateway(std::size_t index);
   void freezeGateway(std::size_t index, bool frozen);
   void killWorker(std::size_t index, bool forGood);
   void restartWorker(std::size_t index);
-  void reinstateWorker(std::size_t index);  // one that went for good is there again, empty
+  // Brings back, without tasks, a worker that had been removed for good.
+  void reinstateWorker(std::size_t index);
   void freezeWorker(std::size_t index, bool frozen);
   void isolateWorker(std::size_t index, bool cut);
   void drainWorker(std::size_t index, std::int64_t within);
   void setWorkerBehaviour(std::size_t index, double slow, double fail);
-  // Workers that are called, and their agents, by place.
+  // Called workers and their agents; both have the same index.
   void killAgent(std::size_t index);
   void restartAgent(std::size_t index);
   void freezeAgent(std::size_t index, bool frozen);
   void isolateAgent(std::size_t index, bool cut);
   void killCalledWorker(std::size_t index);
-  void restartCalledWorker(std::size_t index);  // another life
+  void restartCalledWorker(std::size_t index);  // as a new instance
   void drainCalledWorker(std::size_t index, std::int64_t within, std::int64_t awayFor);
   enum class Malfunction : std::uint8_t { none, stalled, rejecting, unresponsive, failing };
-  void setCalledWorkerMalfunction(std::size_t index, Malfunction sickness);
-  void setOrdersDelayed(std::size_t index,
-                        bool delayed);  // calls get no answer and are carried out much later
+  void setCalledWorkerMalfunction(std::size_t index, Malfunction malfunction);
+  // While delayed, calls get no answer and are carried out much later.
+  void setOrdersDelayed(std::size_t index, bool delayed);
   std::size_t calledWorkerCount() const { return calledWorkers.size(); }
-  void partitionZones(std::size_t from, std::size_t to, bool cut);  // one way
+  void partitionZones(std::size_t from, std::size_t to, bool cut);  // one direction
   void healAll();
-  // Records in the history that a fault begins or ends.
+  // Records in the history that a fault began or ended.
   void recordFault(const std::string& fault, bool ends);
-  // What each process acts on, for the rules of configs.
+  // Records which configuration each process acts on, for the configuration invariants.
   void observeConfigs();
-  void traceControllers() const;  // what each believes, for whoever looks into a run
+  void traceControllers() const;  // traces the view of each controller, for debugging
 
-  // Callers and operators. The handler is called once, with the answer, or with status 0 if there
-  // was none.
+  // --- callers and operators ---
+  // Called once, with the answer, or with status 0 if there was none.
   using ResponseHandler = std::function<void(int status, const std::string& body)>;
   void sendRequest(std::size_t gateway, const std::string& method, const std::string& target,
                    const std::string& body, ResponseHandler follower, std::int64_t within = 3000);
-  // A caller that resends after silence, polls until its job has ended, and records all it
-  // observes.
+  // Starts a caller that resends when it gets no answer, polls until its job has ended, and records
+  // everything it observes. A negative `cancelAfter` means that it never cancels.
   void submit(const JobSubmission& job, std::int64_t cancelAfter = -1,
               const std::string& apiKey = "");
   void resubmit(const JobSubmission& job);
   void applyConfig(const std::string& text, std::uint64_t baseVersion, ResponseHandler follower,
                    std::size_t gateway = 0);
-  // The text is that of a patch.
+  // `text` is a patch of the configuration.
   void patchConfig(const std::string& text, std::uint64_t baseVersion, ResponseHandler follower,
                    std::size_t gateway = 0);
 
-  // What can be seen.
+  // --- observations ---
   std::optional<std::size_t> leader() const;
   const Controller* controller(std::size_t index) const;
   std::size_t controllerCount() const;
@@ -113,38 +122,39 @@
   bool isWorkerUp(const std::string& id) const;
   std::size_t voterCount() const;
   std::size_t configuredVoters() const { return options.controller.voterCount; }
-  std::size_t tolerableLosses() const {
-    return (configuredVoters() - 1) / 2;
-  }  // voters that may be lost at once
-  // Voters whose disk is gone; nothing while their number is not the wanted one or a change of
-  // members is under way.
+  // Returns how many voters may be lost at once.
+  std::size_t tolerableLosses() const { return (configuredVoters() - 1) / 2; }
+  // Returns the number of voters whose disk is lost, or nothing while the number of voters is not
+  // the configured one or a membership change is in progress.
   std::optional<std::size_t> votersWithoutDisk() const;
   bool allReplicasIntact() const { return votersWithoutDisk() == std::size_t(0); }
-  // The orders for configs that a refusal was sent for, by digest and base, though the cluster took
-  // them; and acknowledged ones that it does not hold.
+  // Returns, by digest and base version, the configuration changes that were answered with a
+  // refusal although the cluster applied them, and those that were acknowledged but are not stored.
   std::vector<std::string> misjudgedConfigOrders() const;
-  bool allJobsEnded() const;  // every job that was accepted has been shown as over
+  // Reports whether every accepted job has been shown to its caller as ended.
+  bool allJobsEnded() const;
   std::vector<std::string> unfinishedJobs() const;
   CheckReport checkHistory() const;
   std::uint64_t hash() const { return transcriptHash; }
-  // A digest of every durable write of every controller in its order, and of the replicated state
-  // of those that are up: it depends on no name and no text of ours but what is on disk.
+  // Returns a digest of every durable write of every controller, in order, and of the replicated
+  // state of the controllers that are up. It depends only on what is on disk, not on names or texts
+  // in the source.
   std::uint64_t durableDigest() const;
   std::vector<HistoryEvent> history;
   std::map<std::string, JobSubmission> submissions;
   std::map<std::string, std::uint32_t> retriesByQueue, maxAttemptsByQueue;
-  std::map<std::string, std::set<std::string>>
-      poolsByQueue;                      // by queue: those that any config sent it to
-  std::int64_t reservedTrialMemory = 0;  // MB; the most that any config reserved
+  // By queue: the pools that any configuration assigned to it.
+  std::map<std::string, std::set<std::string>> poolsByQueue;
+  std::int64_t reservedTrialMemory = 0;  // MB; the maximum that any configuration reserved
   std::map<std::string, std::string> lastObservedState;
   std::vector<ObservedKeyUse> keyUses;  // answers to submissions that carried a key
-  // For rule 20: see InvariantOptions.
+  // Inputs of invariant 20; see InvariantOptions.
   std::map<std::string, TenantName> tenantByJob;
   std::map<TenantName, TenantCap> lowestCaps;
   std::vector<std::int64_t> acknowledgementLatencies;
-  std::function<void(const std::string&)> trace;  // each thing of note, for transcripts
-  // The moment at which a controller sends an answer, or tells of something: faults are aimed at
-  // these.
+  std::function<void(const std::string&)> trace;  // called with each line of the transcript
+  // Called when a controller sends an answer or emits a log event, so that faults can be injected
+  // at that moment.
   std::function<void(std::size_t index, const ApiRequest& request, const ApiResponse& answer)>
       onResponse;
   std::function<void(std::size_t index, const LogEvent& note)> onLogEvent;
@@ -164,7 +174,7 @@
     const char* method = "";
     std::string body;
     HistoryEvent submitted;
-    bool isValid = false;  // as far as can be told without the configuration it is based on
+    bool isValid = false;  // as far as that is known without the base configuration
   };
   void schedule(std::int64_t time, std::function<void()> work);
   bool cutBetween(const Node& from, const Node& to) const;
@@ -205,14 +215,14 @@
   void acknowledgeDrain(std::size_t index, const WorkerId& instance);
   void advanceDrain(CalledWorkerNode& node);
   void deliverLocally(Node& to, std::function<void()> work);
-  // What reaches a process that is up still; a frozen one gets it when it wakes.
+  // Runs `work` at a process that is still up; a frozen one runs it when it is thawed.
   void deliverAt(Node& to, std::int64_t at, std::function<void()> work);
-  // A whole configuration or a patch, in the field of the body that bears its name.
+  // Makes a request that carries a whole configuration or a patch in the body's `field`.
   ConfigOrder makeConfigOrder(const char* method, const std::string& field, const std::string& text,
                               std::uint64_t baseVersion) const;
   void sendConfigOrder(const ConfigOrder& order, std::size_t gateway, ResponseHandler follower);
   void recordConfigAnswer(const HistoryEvent& submitted, int status, const std::string& body);
-  // What the checkers of runs need to know of a configuration.
+  // Note the parts of a configuration that the history checkers need.
   void notePools(const ClusterConfig& config);
   void noteAttemptLimits(const ClusterConfig& config);
   void sendSubmission(std::shared_ptr<CallerState> state);
@@ -242,7 +252,7 @@
   std::vector<std::unique_ptr<CalledWorkerNode>> calledWorkers;
   struct GangState;
   std::unique_ptr<GangState> gangState;
-  std::unique_ptr<Node> clients;  // callers and operators
+  std::unique_ptr<Node> clients;  // the node of all callers and operators
   std::set<std::pair<std::size_t, std::size_t>> partitions;
   std::vector<std::shared_ptr<CallerState>> callers;
   std::vector<Address> seedAddresses;
--- a/source/simulator/simulated_nodes.hpp
+++ b/source/simulator/simulated_nodes.hpp
@@ -1,4 +1,4 @@
-// What the simulated world is made of: processes with their machines, and callers.
+// The node types of a simulated cluster: processes with their machines, and callers.
 // docs/design.md 12.1.
 #ifndef ANISELINE_SIMULATOR_SIMULATED_NODES_HPP
 #define ANISELINE_SIMULATOR_SIMULATED_NODES_HPP
@@ -7,7 +7,7 @@
 
 namespace aniseline {
 
-// FNV-1a, continued from an earlier hash.
+// Returns the FNV-1a hash of the bytes, continued from an earlier hash.
 inline std::uint64_t hashBytes(std::uint64_t hash, std::string_view bytes) {
   constexpr std::uint64_t prime = 1099511628211ull;
   for (unsigned char byte : bytes)
@@ -15,13 +15,13 @@
   return hash;
 }
 
-constexpr std::size_t gatewayNotFound = std::size_t(-1);  // nobody is at that address any more
+constexpr std::size_t gatewayNotFound = std::size_t(-1);  // no gateway has that address
 
 struct SimulatedCluster::Node {
   std::size_t zone = 0;
   bool up = true, frozen = false, isolated = false;
   std::uint64_t generation = 1;
-  std::vector<std::function<void()>> deferredWork;  // what arrives while frozen
+  std::vector<std::function<void()>> deferredWork;  // work that arrived while the node was frozen
   virtual ~Node() = default;
 };
 
@@ -36,11 +36,11 @@
   std::int64_t diskStalledUntil = 0, diskDelay = 0, clockOffset = 0, monotonicBase = 0;
   bool stepScheduled = false, diskFull = false;
   std::int64_t nextJoinAttemptAt = 0;
-  std::optional<std::size_t> votersOverride;  // its own setting, if another than the others'
+  std::optional<std::size_t> votersOverride;  // its voter count, if it differs from the others'
   std::map<std::uint64_t, std::function<void()>> onExit;  // called when the process ends
 };
 
-// A process that asks the leader and holds the way to it.
+// A process that calls the leader and stores the route to it.
 struct SimulatedCluster::RoutedNode : Node {
   LeaderRoute route;
 };
@@ -67,21 +67,21 @@
   bool longPollInFlight = false, urgentSyncInFlight = false, removed = false;
 };
 
-// The agent of one worker that is called, on the same machine; killed, it begins empty.
+// The agent of one called worker, on the same machine. Its state is lost when it is killed.
 struct SimulatedCluster::AgentNode : RoutedNode {
   std::size_t index = 0, nextController = 0;
   std::unique_ptr<NodeAgent> core;
   bool longPollInFlight = false, urgentSyncInFlight = false;
-  std::int64_t drainAcknowledgementDueBy =
-      0;                    // the word of a leaving is acknowledged once it is logged
-  WorkerId drainingWorker;  // whose word that is
+  // A drain announcement is acknowledged once it is in the log.
+  std::int64_t drainAcknowledgementDueBy = 0;
+  WorkerId drainingWorker;  // the worker that announced the drain
 };
 
 struct SimulatedCluster::CalledWorkerNode : Node {
   std::size_t index = 0, instanceCount = 0;
   Capacity capacity;
   std::unique_ptr<CalledWorker> worker;
-  struct PendingPoll {  // one that waits for an ending
+  struct PendingPoll {  // a poll that waits for a run to end
     WorkerCall call;
     std::int64_t deadline = 0;
     std::function<void(WorkerReply)> reply;
@@ -90,15 +90,16 @@
   CalledWorker::Malfunction malfunction = CalledWorker::Malfunction::none;
   std::int64_t nextHeartbeatAt = 0;
   bool ordersDelayed = false, removed = false, drainAcknowledged = false;
-  std::uint64_t heartbeats = 0;  // of this life
-  // A leaving under way: announced by `draining`, or by a leave with beats that go on saying `up`.
+  std::uint64_t heartbeats = 0;  // sent by this instance
+  // A drain in progress, announced either by the state `draining` in heartbeats or by a leave
+  // request while heartbeats still say `up`.
   struct Drain {
     bool byRequest = false;
     std::int64_t announcedAt = 0;         // when it was first announced
-    std::int64_t nextAnnouncementAt = 0;  // a leave that got no acknowledgement is sent again then
-    std::int64_t servesAfterAcknowledgement = 0;  // from the acknowledgement to its end
+    std::int64_t nextAnnouncementAt = 0;  // when an unacknowledged leave request is sent again
+    std::int64_t servesAfterAcknowledgement = 0;  // ms from the acknowledgement to the exit
     std::int64_t endsAt = 0;                      // 0: not known yet
-    std::int64_t downtime = 0;                    // from its end to the start of the next life
+    std::int64_t downtime = 0;                    // ms from the exit to the next instance's start
     bool finalAnnouncementSent = false;
   };
   std::optional<Drain> drain;
@@ -114,7 +115,7 @@
   bool accepted = false, ended = false, rejected = false, cancelled = false;
   std::int64_t cancelAfter = -1, startedAt = 0, attempts = 0;
   bool isResend = false;
-  std::string apiKey;  // empty: none is given
+  std::string apiKey;  // empty: the request has no key
 };
 
 inline HistoryEvent makeEvent(HistoryEvent::Kind kind, std::int64_t at) {
