--- a/source/simulator/called_worker.cpp
+++ b/source/simulator/called_worker.cpp
@@ -1,10 +1,12 @@
+// Starts, runs, stops and reports tasks in virtual time.
 #include "simulator/called_worker.hpp"
 #include "state/occurrence.hpp"
 
 namespace aniseline {
 
 namespace {
-// What a stand-in's task does is said in its payload: "run=800" or "run=800 fail".
+// The payload of a simulated task states what it does, such as "run=800" or "run=800 fail".
+// Returns its runtime in ms.
 std::int64_t runOf(const std::string& payload, std::int64_t otherwise) {
   return payload.starts_with("run=") ? std::strtoll(payload.c_str() + 4, nullptr, 10) : otherwise;
 }
@@ -16,7 +18,7 @@
          : how == "failed" ? AttemptOutcome::failed
                            : AttemptOutcome::stopped;
 }
-// A checkpoint says how far the work is; the mark makes each one's text its own.
+// A checkpoint's text consists of the progress in ms and a random number that makes it unique.
 std::int64_t progressOf(const std::string& saved) {
   return std::strtoll(saved.c_str(), nullptr, 10);
 }
@@ -72,7 +74,7 @@
   }
   reply.clockReading = clock(now);
   if (call.kind == WorkerCall::Kind::start && malfunction == Malfunction::rejecting) {
-    reply.status = WorkerReply::Status::unavailable;  // nothing was done
+    reply.status = WorkerReply::Status::unavailable;  // the call had no effect
     return reply;
   }
   if (call.fencingTerm < fencingTerm) {
@@ -105,7 +107,7 @@
 
 void CalledWorker::start(const WorkerCall& call, WorkerReply& reply, std::int64_t now, bool late) {
   if (runs.count(call.runId))
-    return;  // it is there already
+    return;  // the run has already been started
   const bool newerHere = std::any_of(runs.begin(), runs.end(), [&](const auto& entry) {
     return withoutRunNumber(entry.first) == withoutRunNumber(call.runId) &&
            entry.first.runNumber > call.runId.runNumber;
@@ -136,8 +138,8 @@
   run.readyAt = call.checkpoint.empty() ? now : now + options.restoreTime.milliseconds;
   run.runtime = runOf(call.payload, run.request.runtime.milliseconds);
   run.fails = failsAlways(call.payload);
-  if (run.step && run.step->requirements
-                      .longRunning) {  // it goes on until it is stopped, or fails at some time
+  // A long-running task runs until it is stopped, or fails at a random time.
+  if (run.step && run.step->requirements.longRunning) {
     run.runtime = random.between(4000, 40'000);
     run.fails = true;
   }
@@ -175,8 +177,8 @@
     found->second.stopsAt = now + random.between(0, options.longestStop.milliseconds);
 }
 
-// Endings that nobody asks for again are final, unless the hold ran out before they were taken note
-// of.
+// A confirmed result is not listed again and is final, unless the lease expired before it was
+// confirmed.
 void CalledWorker::confirmResults(std::uint64_t lastSeen) {
   while (!unconfirmedResults.empty() && unconfirmedResults.front().number <= lastSeen) {
     const EndedRun& ended = unconfirmedResults.front();
@@ -266,7 +268,8 @@
       over.emplace_back(name, run.fails ? "failed" : "finished");
   }
   for (const auto& [name, how] : over) {
-    // Another member may have ended in this very tick: the first ending speaks for all.
+    // Another member of the gang may have ended in the same tick. The outcome of the first one
+    // applies to all members.
     const bool worked = how == "finished" || how == "failed";
     const auto& run = runs.at(name);
     endRun(name, worked && run.gang() && !rendezvousOf(name).outcome.empty()
--- a/source/simulator/called_worker.hpp
+++ b/source/simulator/called_worker.hpp
@@ -1,6 +1,6 @@
-// A stand-in for a worker that is called rather than calls: it holds what runs there until a
-// deadline on its own clock, and gangs assemble themselves at such workers. Sans-IO.
-// docs/design.md 12.4.
+// A simulated called worker, which an agent calls instead of it syncing with the leader. It runs
+// tasks until a lease deadline on its own clock, and gangs assemble themselves on such workers. It
+// does no I/O itself. docs/design.md 12.4.
 #ifndef ANISELINE_SIMULATOR_CALLED_WORKER_HPP
 #define ANISELINE_SIMULATOR_CALLED_WORKER_HPP
 #include "agent/node_agent.hpp"
@@ -8,20 +8,21 @@
 
 namespace aniseline {
 
-// Where the members of one run of a gang find each other.
+// The shared state through which the members of one run of a gang find each other.
 struct GangRendezvous {
   std::set<std::uint32_t> membersPresent;
   std::set<std::string> racks;
   std::optional<std::int64_t> assembledAt;
-  std::string outcome;  // how it ended, once it has
+  std::string outcome;  // empty until the run has ended
 };
-using GangRendezvousTable = std::map<std::tuple<JobId, std::uint32_t, std::uint32_t, std::uint32_t>,
-                                     GangRendezvous>;  // job, occurrence, step, run
+// The key consists of job, occurrence, step and run number.
+using GangRendezvousTable =
+    std::map<std::tuple<JobId, std::uint32_t, std::uint32_t, std::uint32_t>, GangRendezvous>;
 
 struct CalledWorkerOptions {
   WorkerId workerInstance;
   Capacity capacity;
-  double clockRate = 1.0;  // its steady clock against a true one
+  double clockRate = 1.0;  // rate of its monotonic clock relative to true time
   std::int64_t clockOrigin = 0;
   Duration maxLease{6000}, longestStop{250}, gangTimeout{3000}, checkpointInterval{1000},
       restoreTime{150};
@@ -32,20 +33,22 @@
 class CalledWorker {
  public:
   enum class Malfunction : std::uint8_t { none, stalled, rejecting, unresponsive, failing };
-  using JobLookup =
-      std::function<const JobSubmission*(const JobId&)>;  // what the callers asked for
+  // Returns the submission of a job, or nullptr if no caller submitted it.
+  using JobLookup = std::function<const JobSubmission*(const JobId&)>;
   using EventSink = std::function<void(HistoryEvent)>;
   CalledWorker(CalledWorkerOptions options, GangRendezvousTable& rendezvousTable,
                std::uint64_t seed, JobLookup findJob, EventSink recordEvent, std::int64_t now);
 
-  // Of a look the lists are read when it is answered, which may be later.
+  // Carries out a call and returns its reply. The reply to a poll lacks the lists of runs: the
+  // caller adds them with listRuns when it answers the poll, which may be later. `late` marks an
+  // order that was delayed on its way.
   WorkerReply handleCall(const WorkerCall& call, std::int64_t now, bool late);
   bool hasResultAfter(std::uint64_t lastSeen) const {
     return !unconfirmedResults.empty() && unconfirmedResults.back().number > lastSeen;
   }
   void listRuns(WorkerReply& reply, std::int64_t now) const;
   void tick(std::int64_t now);
-  void crash();  // its process ends, with all that runs there
+  void crash();  // ends the process and all its runs
 
   WorkerRegistration accountAt(std::int64_t now) const;
   Malfunction malfunction = Malfunction::none;
@@ -61,7 +64,7 @@
     const StepRequest* step = nullptr;
     TaskRequest request;
     std::int64_t startedAt = 0, readyAt = 0, runtime = 0, progress = 0, checkpointedProgress = 0;
-    std::optional<std::int64_t> stopsAt;  // the stop is under way until then
+    std::optional<std::int64_t> stopsAt;  // set while a stop is in progress
     bool fails = false;
     bool gang() const { return step && step->gang; }
   };
@@ -69,7 +72,7 @@
     std::uint64_t number = 0;
     TaskRunId name;
     std::string outcome, checkpoint;
-    bool leaseExpired = false;  // the hold ran out before anybody took note of it
+    bool leaseExpired = false;  // the lease expired before the result was confirmed
   };
   WorkerTime clock(std::int64_t now) const {
     return WorkerTime{options.clockOrigin +
@@ -100,7 +103,8 @@
   Term fencingTerm;
   std::optional<WorkerTime> leaseExpiresAt;
   std::map<TaskRunId, ActiveRun> runs;
-  std::map<TaskRunId, std::uint32_t> fencedRuns;  // by task: the highest run stopped or ended here
+  std::map<TaskRunId, std::uint32_t>
+      fencedRuns;  // by task: the highest run number stopped or ended here
   std::deque<EndedRun> unconfirmedResults;
   std::uint64_t lastResultNumber = 0;
 };
--- a/source/simulator/crowded_service.cpp
+++ b/source/simulator/crowded_service.cpp
@@ -1,3 +1,4 @@
+// Submits the jobs and injects the disturbances of a crowded run.
 #include "simulator/crowded_service.hpp"
 #include "simulator/campaign_workload.hpp"
 
@@ -5,11 +6,12 @@
 
 namespace {
 
-constexpr std::size_t calledWorkers = 12;  // every second one is in the pool that is crowded
-constexpr std::uint32_t poolCores = 120;   // of these six
+constexpr std::size_t calledWorkers = 12;  // every second one is in the crowded pool
+constexpr std::uint32_t poolCores = 120;   // total of the six workers of that pool
 constexpr std::uint32_t fillerCores = 2;
-constexpr std::int64_t registrationsWithinMs = 8000;  // also of a worker whose first one is late
-constexpr std::int64_t settleMs = 4000;               // until the long work has its share
+constexpr std::int64_t registrationsWithinMs =
+    8000;                                // includes workers whose first registration is delayed
+constexpr std::int64_t settleMs = 4000;  // until the long jobs occupy their share
 constexpr std::int64_t votersWithinMs = 20'000;
 constexpr std::int64_t configWithinMs = 10'000;
 constexpr std::int64_t neverEndsMs = 100'000'000;
--- a/source/simulator/crowded_service.hpp
+++ b/source/simulator/crowded_service.hpp
@@ -1,7 +1,7 @@
-// A seeded run of a service that is nearly full: long work holds a share of one pool, urgent work
-// comes steadily or in bursts, and work of lower priority of every shape waits beside it. Shows
-// whether anything waits though there is room for it (rule 20). Called by the simulate program and
-// the tests. docs/design.md 7.8, 12.3.
+// A seeded run of a nearly full cluster: long jobs occupy a share of one pool, urgent jobs arrive
+// steadily or in bursts, and jobs of every shape with lower priority wait. Checks that no job waits
+// although there is capacity for it (invariant 20). Called by the simulate program and the tests.
+// docs/design.md 7.8, 12.3.
 #ifndef ANISELINE_SIMULATOR_CROWDED_SERVICE_HPP
 #define ANISELINE_SIMULATOR_CROWDED_SERVICE_HPP
 #include "simulator/simulated_cluster.hpp"
@@ -12,15 +12,15 @@
 
 struct CrowdedServiceOptions {
   std::uint64_t seed = 1;
-  double occupancy = 0.7;  // share of the pool's cores that long work holds
+  double occupancy = 0.7;  // share of the pool's cores that long jobs occupy
   UrgentArrival urgentArrival = UrgentArrival::steady;
   bool drainsWorker = false;
   bool losesLeader = false;
   std::int64_t duration = 40'000;  // ms of virtual time
-  bool verbose = false;            // traces all that happens to the standard error stream
+  bool verbose = false;            // writes a trace of the run to the standard error stream
 
-  /// The options that a seed stands for: every occupancy, arrival and disturbance comes within 32
-  /// seeds in a row.
+  /// Returns the options for a seed. Any 32 consecutive seeds cover every combination of occupancy,
+  /// arrival and disturbance.
   static CrowdedServiceOptions drawnBy(std::uint64_t seed);
 };
 
--- a/source/simulator/simulated_called_workers.cpp
+++ b/source/simulator/simulated_called_workers.cpp
@@ -1,14 +1,14 @@
+// Agents and called workers in the simulated cluster: heartbeats, calls, drains and their faults.
 #include "simulator/simulated_nodes.hpp"
 
 namespace aniseline {
 
-// What passes between two processes of one machine: no cut of the network comes between them.
+// Delivers a message between two processes of one machine; network partitions do not affect it.
 void SimulatedCluster::deliverLocally(Node& to, std::function<void()> work) {
   deliverAt(to, now + random.between(0, 1), std::move(work));
 }
 
-// --- agents
-// ---------------------------------------------------------------------------------------------------
+// --- agents ---
 
 void SimulatedCluster::bootAgent(AgentNode& node) {
   node.up = true;
@@ -21,7 +21,7 @@
   tickAgent(node, node.generation);
 }
 
-// One controller after the other is asked: any of them may be frozen. docs/design.md 9.2.
+// Asks the controllers in turn, since any of them may be frozen. docs/design.md 9.2.
 void SimulatedCluster::learnRoute(AgentNode& node, std::uint64_t generation) {
   if (!node.up || node.generation != generation)
     return;
@@ -87,8 +87,7 @@
              });
 }
 
-// --- what they ask of their workers
-// --------------------------------------------------------------------------------
+// --- calls of agents to their workers ---
 
 void SimulatedCluster::callWorker(AgentNode& node, const WorkerCall& call) {
   auto& to = *calledWorkers[node.index];
@@ -110,11 +109,10 @@
     return schedule(now + 1, [respond] { respond({}); });
   schedule(now + call.timeout.milliseconds, [respond] { respond({}); });
   if (to.ordersDelayed && random.chance(0.85)) {
-    // No answer: it is carried out now, or seconds later and after newer ones.
+    // The call gets no answer. It is carried out now, or seconds later and after newer calls; many
+    // of the delayed calls still arrive within the lease.
     const std::int64_t delay =
-        random.chance(0.3)
-            ? 0
-            : random.between(2000, random.chance(0.5) ? 3200 : 12'000);  // many within the lease
+        random.chance(0.3) ? 0 : random.between(2000, random.chance(0.5) ? 3200 : 12'000);
     return schedule(now + delay, [this, &to, call, delay, life = to.worker->workerInstance()] {
       if (to.up && to.worker->workerInstance() == life)
         to.worker->handleCall(call, now, delay > 0);
@@ -138,8 +136,7 @@
   });
 }
 
-// --- workers that are called
-// ---------------------------------------------------------------------------------------
+// --- called workers ---
 
 void SimulatedCluster::bootCalledWorker(CalledWorkerNode& node) {
   node.up = true;
@@ -204,7 +201,8 @@
   schedule(now + 5, [this, &node, generation] { tickCalledWorker(node, generation); });
 }
 
-// Some beats come seconds late, behind newer ones and after the end of the life that sent them.
+// Some heartbeats arrive seconds late, after newer ones and after the instance that sent them has
+// ended.
 void SimulatedCluster::sendHeartbeat(CalledWorkerNode& node) {
   constexpr double lateShare = 0.06;
   auto account = node.worker->accountAt(now);
@@ -268,11 +266,11 @@
   calledWorkers[index]->ordersDelayed = delayed;
 }
 
-// --- leavings
-// ---------------------------------------------------------------------------------------------------
+// --- drains ---
 
-// It announces its end, serves on from the acknowledgement, and ends; with no acknowledgement it
-// ends all the same, some seconds later. Another life begins after that. docs/design.md 12.4.
+// The worker announces the drain, keeps serving for a while after the acknowledgement, and exits.
+// Without an acknowledgement it exits 5 s after the announcement. A new instance starts later.
+// docs/design.md 12.4.
 void SimulatedCluster::drainCalledWorker(std::size_t index, std::int64_t within,
                                          std::int64_t awayFor) {
   auto& node = *calledWorkers[index];
@@ -342,7 +340,7 @@
   });
 }
 
-// The word of a leaving is acknowledged once it is logged, or not at all.
+// A drain announcement is acknowledged once it is in the log, or not at all.
 void SimulatedCluster::awaitDrainAcknowledgement(AgentNode& agent, const WorkerId& instance) {
   constexpr std::int64_t tellWithin = 900;
   agent.drainAcknowledgementDueBy = now + tellWithin;
--- a/source/simulator/simulated_callers.cpp
+++ b/source/simulator/simulated_callers.cpp
@@ -1,3 +1,4 @@
+// Callers and operators of the simulated cluster, and the observations of its state.
 #include "simulator/simulated_nodes.hpp"
 
 namespace aniseline {
@@ -48,7 +49,8 @@
         if (!state->apiKey.empty() && (status == 202 || refusedForKey))
           keyUses.push_back(
               {ApiKeyDigest::of(state->apiKey), askedAt, epochMs + now, status == 202});
-        // A key that was revoked between two submissions says nothing of the first one.
+        // The key may have been revoked between two submissions, so a refusal of a resend does not
+        // tell whether the first submission was accepted.
         const bool outcomeUnknown =
             status == 0 || status == 503 || (refusedForKey && state->attempts > 1);
         auto answered = makeEvent(status == 202    ? HistoryEvent::Kind::accepted
@@ -151,7 +153,7 @@
     notePools(parsed.value());
   ConfigOrder order = makeConfigOrder("PUT", "config", text, baseVersion);
   order.submitted.digest = configDigest(text);
-  // Of a text with faults the answer says nothing of the config in force.
+  // The answer to an invalid text tells nothing about the current configuration.
   order.isValid = bool(parsed);
   sendConfigOrder(
       order, gateway,
--- a/source/simulator/simulated_controllers.cpp
+++ b/source/simulator/simulated_controllers.cpp
@@ -1,3 +1,4 @@
+// Controllers of the simulated cluster: their ticks, disks, messages and faults.
 #include "simulator/simulated_nodes.hpp"
 
 namespace aniseline {
@@ -52,7 +53,7 @@
         }
     }
     if (node.core->raftNode().removedFromCluster()) {
-      // docs/design.md 3.5: it puts its state aside and begins as a new identity.
+      // The controller discards its state and starts with a new identity. docs/design.md 3.5.
       if (trace)
         trace(node.identity.value + " is retired and begins anew");
       node.identity = ControllerId{};
@@ -86,8 +87,9 @@
     return schedule(node.diskStalledUntil + 1,
                     [this, &node, generation] { finishWrite(node, generation); });
   if (node.diskFull)
-    return killController(node.index, true);  // a write that failed is not vouched for
-  // The operating system's work goes on while the process is frozen; the news of it waits.
+    return killController(node.index, true);  // a failed write must not be acknowledged
+  // The operating system completes the write while the process is frozen; the process learns of it
+  // when it is thawed.
   const DiskVersion version = node.writeInFlight->version;
   if (node.writeInFlight->holdsSnapshot)
     node.disk.clear();
@@ -150,7 +152,8 @@
   auto& node = *controllers[index];
   if (!node.up)
     return;
-  // A mere kill leaves what the system was already writing; a loss of power does not.
+  // After a kill, the operating system may still complete the write in flight; after a power loss
+  // it does not.
   if (node.writeInFlight && !losesUnsynced && random.chance(0.5)) {
     if (node.writeInFlight->holdsSnapshot)
       node.disk.clear();
--- a/source/simulator/simulated_gateways.cpp
+++ b/source/simulator/simulated_gateways.cpp
@@ -1,3 +1,4 @@
+// Gateways of the simulated cluster, and the calls of nodes to controllers and gateways.
 #include "simulator/simulated_nodes.hpp"
 
 namespace aniseline {
--- a/source/simulator/simulated_workers.cpp
+++ b/source/simulator/simulated_workers.cpp
@@ -1,3 +1,4 @@
+// Workers that sync with the leader, their faults, and partitions between zones.
 #include "simulator/simulated_nodes.hpp"
 
 namespace aniseline {
@@ -10,7 +11,7 @@
   hand.id = WorkerId{node.id};
   hand.capacity = node.capacity;
   node.session = std::make_unique<WorkerSession>(hand, Incarnation{random.next() | 1});
-  std::vector<Address> firstContacts;  // what its settings say when it is started
+  std::vector<Address> firstContacts;  // as in the worker's settings at its start
   for (std::size_t index = 0; index < std::min<std::size_t>(3, gateways.size()); ++index)
     firstContacts.push_back(gateways[index]->publicAddress);
   node.gatewayDirectory = std::make_unique<PeerDirectory>(firstContacts, random.next());
@@ -99,7 +100,7 @@
              });
 }
 
-// Whatever gateway answers names the others, even while no leader is there.
+// Any gateway that answers lists the others, even while there is no leader.
 void SimulatedCluster::learnContacts(WorkerNode& node, std::size_t index) {
   if (index == gatewayNotFound || !gateways[index]->up)
     return;
@@ -194,7 +195,7 @@
   auto& node = *workers[index];
   if (!node.up || node.frozen == frozen)
     return;
-  // What runs in a frozen process does not run: the history says so.
+  // The tasks of a frozen process do not run, which is recorded in the history.
   for (auto& [attempt, task] : node.tasks) {
     if (!task.active)
       continue;
@@ -210,7 +211,7 @@
     }
   }
   if (!frozen) {
-    // Woken, it looks at the time before anything else.
+    // A thawed process first checks the time.
     for (auto& [attempt, task] : node.tasks)
       if (task.active)
         task.resumedAt = now;
@@ -261,7 +262,7 @@
   }
   scheduleAfter(within + 2000, [this, index, generation = node.generation] {
     if (workers[index]->generation == generation)
-      killWorker(index, true);  // else it is another process by now
+      killWorker(index, true);  // otherwise the process has been replaced
   });
 }
 void SimulatedCluster::setWorkerBehaviour(std::size_t index, double slow, double fail) {
--- a/source/simulator/tenant_service.cpp
+++ b/source/simulator/tenant_service.cpp
@@ -1,3 +1,4 @@
+// Changes the tenants, submits their jobs and injects the faults of a run.
 #include "simulator/tenant_service.hpp"
 #include "simulator/campaign_workload.hpp"
 
@@ -5,18 +6,18 @@
 
 namespace {
 
-constexpr std::size_t calledWorkers = 10;  // every second one is in the pool of the tenants' work
+constexpr std::size_t calledWorkers = 10;  // every second one is in the pool that the tenants use
 constexpr std::size_t tenantCount = 3;
-constexpr std::size_t initialKeys = 2;  // of each tenant
+constexpr std::size_t initialKeys = 2;  // per tenant
 constexpr std::int64_t votersWithinMs = 20'000;
 constexpr std::int64_t configWithinMs = 10'000;
 constexpr std::int64_t registrationsWithinMs = 8000;
-constexpr std::int64_t settleMs = 30'000;  // after the last fault, until all work has ended
+constexpr std::int64_t settleMs = 30'000;  // time after the last fault in which all jobs must end
 constexpr std::int64_t lastFaultBeforeEndMs = 8000;
 constexpr std::int64_t resendAfterMs = 300;
 constexpr std::int64_t brieflyDownMs = 800;
 
-// A tenant as the operator has it now.
+// A tenant as the operator has configured it.
 struct DesiredTenant {
   std::vector<std::string> keys;
   std::uint32_t capCores = 0;     // whole cores
@@ -87,7 +88,7 @@
     allKeys.emplace_back(key, tenant);
   }
 
-  // --- the operator: one change at a time, sent until it is answered ---
+  // --- the operator, who sends one change at a time until it is acknowledged ---
 
   std::string configText() const {
     std::string text =
@@ -183,7 +184,8 @@
     sendConfig();
   }
 
-  // So that all that was accepted can end: what waits then waits for another reason.
+  // Removes all caps, so that every accepted job can end. A job that still waits then does so for
+  // another reason.
   void liftCaps() {
     cluster.runUntilTrue([&] { return configs.back().acknowledgedAt.has_value(); }, configWithinMs);
     for (auto& [name, tenant] : tenants) {
@@ -203,7 +205,7 @@
   void submitJob() {
     if (stopped)
       return;
-    // The newest keys of all for the most part, some of them revoked meanwhile.
+    // Uses one of the newest keys in most cases; some of them have been revoked meanwhile.
     const std::size_t recent = std::min<std::size_t>(allKeys.size(), 8);
     const std::size_t place = random.chance(0.85) ? allKeys.size() - 1 - random.next() % recent
                                                   : random.next() % allKeys.size();
@@ -228,7 +230,7 @@
     cluster.submit(job, cancelled ? random.between(500, 6000) : -1, key);
   }
 
-  // --- faults, in series that overlap ---
+  // --- faults, which may overlap ---
 
   void scheduleFaults() {
     const std::int64_t last = options.duration - lastFaultBeforeEndMs;
@@ -245,7 +247,7 @@
         &TenantService::delayOrders};
     (this->*kinds[random.next() % kinds.size()])(random.between(200, 6000));
   }
-  // Begins a fault and ends it, unless the same thing is in trouble already.
+  // Begins a fault and schedules its end, unless the same target already has a fault.
   void during(const std::string& kind, std::size_t index, std::int64_t lasts,
               const std::function<void()>& begin, std::function<void()> end) {
     const std::string name = kind + " " + std::to_string(index);
@@ -350,7 +352,7 @@
     inTrouble.clear();
   }
 
-  // --- what it came to ---
+  // --- result ---
 
   TenantServiceResult judge() {
     TenantServiceResult result;
@@ -376,12 +378,13 @@
   Random random;
   SimulatedCluster cluster;
   std::map<std::string, DesiredTenant> tenants;
-  std::vector<std::pair<std::string, std::string>> allKeys;  // with the tenant of each
+  std::vector<std::pair<std::string, std::string>> allKeys;  // each key with its tenant
   std::vector<ObservedTenantConfig> configs;
   std::uint64_t appliedVersion = 0;
   std::size_t keysMade = 0;
   std::size_t jobsMade = 0;
-  std::map<std::string, std::function<void()>> inTrouble;  // by target: what ends the trouble
+  std::map<std::string, std::function<void()>>
+      inTrouble;  // by target: the function that ends its fault
   std::map<std::string, std::size_t> faults;
   bool stopped = false;
 };
--- a/tests/golden_tests.cpp
+++ b/tests/golden_tests.cpp
@@ -1,5 +1,5 @@
-// Approved transcripts of whole requests in the simulator; docs/design.md 12.2. ANISELINE_APPROVE=1
-// writes them anew.
+// Compares transcripts of scenarios in the simulator with approved files. ANISELINE_APPROVE=1
+// rewrites the files. docs/design.md 12.2.
 #include "support/scenario.hpp"
 
 using namespace aniseline;
@@ -15,8 +15,8 @@
   script.request("POST", "/v1/jobs", jobJson("c", 300, "nowhere"));
   script.request("POST", "/v1/jobs", jobJson("d", 300, "proofs", 99));
   script.request("GET", "/v1/jobs/d");
-  // docs/design.md 10: only when the workers have been known for a while is a job called too large
-  // for all of them.
+  // A job is refused as too large for all workers only when the workers have been known for a
+  // while. docs/design.md 10.
   script.advance(31'000);
   script.request("POST", "/v1/jobs", jobJson("e", 300, "proofs", 99));
   script.request("DELETE", "/v1/jobs/b");
@@ -45,12 +45,12 @@
   script.request("PUT", "/v1/config", "{\"based_on\":2,\"config\":{\"queues\":{\"q\":{}}}}");
   script.request(
       "PUT", "/v1/config",
-      "{\"based_on\":2,\"config\":{\"queues\":{\"q\":{}}}}");  // a resend: the same answer
+      "{\"based_on\":2,\"config\":{\"queues\":{\"q\":{}}}}");  // a resend gets the same answer
   script.request("GET", "/v1/config");
   script.compareWithApproved("two-configs");
 }
 
-// The leader dies right after it acknowledged; what it acknowledged stays, and runs once.
+// The leader is killed right after it acknowledged a job. The job is kept and runs once.
 TEST(Transcripts, leaderLostAfterAcknowledging) {
   Scenario script;
   const std::size_t before = *script.cluster->leader();
@@ -67,7 +67,8 @@
   script.compareWithApproved("leader-lost");
 }
 
-// All three lose power right after an acknowledgement: only what was synced counts, and that was.
+// All controllers lose power right after a job is acknowledged. The job was synced to disk before,
+// so it still runs.
 TEST(Transcripts, powerLossEverywhereAfterAcknowledging) {
   Scenario script;
   script.cluster->submit(parseJob(jobJson("a", 300)));
@@ -84,7 +85,8 @@
   script.compareWithApproved("power-loss");
 }
 
-// A frozen leader that wakes is fenced: it neither answers nor orders, and nothing runs twice.
+// A leader that was frozen is fenced when it is thawed: it neither answers nor issues orders, and
+// no task runs twice.
 TEST(Transcripts, frozenLeaderWakes) {
   Scenario script;
   const std::size_t before = *script.cluster->leader();
@@ -104,8 +106,8 @@
   script.compareWithApproved("frozen-leader");
 }
 
-// A cut-off worker holds in place when its lease lapses; what was replaced is stopped on its
-// return, never resumed.
+// An isolated worker suspends its tasks when its lease expires. On its return, tasks that were
+// replaced meanwhile are stopped and never resumed.
 TEST(Transcripts, cutOffWorkerReturns) {
   SimulatedClusterOptions options;
   options.workers = 2;
@@ -125,8 +127,8 @@
   script.compareWithApproved("cut-off-worker");
 }
 
-// docs/design.md 5.4: without the word that it honours leases a silent worker's tasks are not
-// replaced, until an operator speaks.
+// The tasks of a silent worker that does not honour leases are not replaced until an operator
+// declares it gone. docs/design.md 5.4.
 TEST(Transcripts, termlessWorkerNeedsAWord) {
   SimulatedClusterOptions options;
   options.workers = 2;
@@ -150,8 +152,8 @@
   script.compareWithApproved("leaseless-worker");
 }
 
-// An emptied machine at a new address is a new identity: it learns, is admitted, and the dead one
-// goes.
+// A controller that restarts without its disk at a new address has a new identity. It catches up
+// and becomes a voter, and the old identity is removed.
 TEST(Transcripts, emptyControllerAtANewAddress) {
   Scenario script;
   const std::size_t victim = (*script.cluster->leader() + 1) % 3;
@@ -174,8 +176,8 @@
   script.compareWithApproved("empty-controller");
 }
 
-// A controller that comes back with an old copy of its disk has forgotten what it acknowledged; it
-// is put out and begins anew.
+// A controller that restarts with an old copy of its disk has lost entries that it acknowledged. It
+// is removed from the cluster and starts with a new identity.
 TEST(Transcripts, oldDiskIsNotTrusted) {
   Scenario script;
   const std::size_t victim = (*script.cluster->leader() + 1) % 3;
@@ -200,8 +202,8 @@
   script.compareWithApproved("old-disk");
 }
 
-// docs/design.md 5.7: a drained worker's task may go on until the deadline, then is stopped and
-// starts elsewhere.
+// A task on a draining worker may run until the deadline; then it is stopped and started on another
+// worker. docs/design.md 5.7.
 TEST(Transcripts, drainMovesWorkAway) {
   SimulatedClusterOptions options;
   options.workers = 2;
@@ -223,8 +225,8 @@
   script.compareWithApproved("drain");
 }
 
-// docs/design.md 10: past its limit a queue is told so at once, and another's reserve is not
-// touched.
+// Submissions over a queue's limit are refused at once, and the reserve of another queue stays
+// available. docs/design.md 10.
 TEST(Transcripts, aFloodLeavesTheReserve) {
   Scenario script;
   bool taken = false;
@@ -246,8 +248,8 @@
   script.compareWithApproved("flood");
 }
 
-// docs/design.md 5.2: a second process with a worker's id is told so, and the first one's work goes
-// on.
+// A second process with the id of another worker is rejected, and the first one's tasks continue.
+// docs/design.md 5.2.
 TEST(Transcripts, twoWorkersWithOneId) {
   SimulatedClusterOptions options;
   options.workers = 2;
@@ -264,8 +266,8 @@
   script.compareWithApproved("two-workers-one-id");
 }
 
-// docs/design.md 3.5: a new identity that answers at a voter's very address proves that voter's
-// disk gone.
+// A new identity that answers at a voter's address proves that the voter's disk is lost, so that
+// the voter is replaced without waiting. docs/design.md 3.5.
 TEST(Transcripts, aLostDiskIsReplacedWithoutTheWait) {
   Scenario script({}, 30'000);
   const std::size_t victim = (*script.cluster->leader() + 1) % 3;
@@ -276,7 +278,7 @@
   script.appendLine("three voters within 4 s, though a silent one is waited for 30 s");
   script.compareWithApproved("lost-disk");
 }
-// And a voter that is only slow, cut off or frozen for less than the wait stays one.
+// A voter that is only slow, isolated or frozen for less than the waiting time remains a voter.
 TEST(Transcripts, aSilentVoterStaysOne) {
   Scenario script({}, 30'000);
   const std::size_t victim = (*script.cluster->leader() + 1) % 3;
@@ -292,7 +294,7 @@
   LONGS_EQUAL(3, script.cluster->voterCount());
 }
 
-// An operator's word outlives the leader that heard it.
+// An operator's replacement order is carried out although the leader that received it is killed.
 TEST(Transcripts, aReplacementOutlivesItsLeader) {
   Scenario script({}, 60'000);
   const std::size_t before = *script.cluster->leader(), victim = (before + 1) % 3;
@@ -316,8 +318,8 @@
   script.compareWithApproved("replacement-outlives");
 }
 
-// docs/design.md 4.5: past the limit the earliest ended go; none of it turns new work away, and a
-// resend is still known.
+// Over the limit of kept jobs, those that ended first are removed. Kept jobs do not cause new ones
+// to be refused, and a resent job is still recognized. docs/design.md 4.5.
 TEST(Transcripts, finishedWorkTurnsNoneAway) {
   Scenario script;
   bool taken = false;
@@ -343,8 +345,8 @@
   script.compareWithApproved("kept-jobs");
 }
 
-// docs/design.md 5.5: a queue may wait longer for a silent worker, which then tells its ending
-// instead of being replaced.
+// A queue may be configured to wait longer for a silent worker, whose task then reports its result
+// instead of being replaced. docs/design.md 5.5.
 TEST(Transcripts, patienceSavesAnEnding) {
   for (const char* patience : {"0", "6000"}) {
     Scenario script;
@@ -369,9 +371,10 @@
   }
 }
 
-// docs/design.md 8.3: a request that is given up is answered then, with a time to come back: what
-// may have been taken as unknown when its leader has lost the majority, what surely was not as not
-// taken. None is held to its end.
+// A request that is given up is answered at once with a time after which to retry. If it may have
+// been applied, because its leader lost the majority, its outcome is reported as unknown; if it
+// certainly was not, it is reported as not taken. No request is held until its client times out.
+// docs/design.md 8.3.
 TEST(Transcripts, whatIsGivenUpIsAnsweredThen) {
   Scenario script;
   const std::size_t leader = *script.cluster->leader();
@@ -390,7 +393,8 @@
   script.compareWithApproved("given-up");
 }
 
-// The centre cut one way: whoever still reaches a majority both ways leads, and service goes on.
+// Links between controllers are cut in one direction. A controller that reaches a majority in both
+// directions leads, and the cluster keeps serving.
 TEST(Transcripts, oneWayCutsOfTheCentre) {
   for (const bool whole : {false, true}) {
     Scenario script;
@@ -407,7 +411,7 @@
   }
 }
 
-// The same seed gives the same run, to the letter.
+// The same seed gives exactly the same run.
 TEST(Transcripts, sameSeedSameRun) {
   CampaignOptions options;
   options.seed = 7;
--- a/tests/simulator/crowded_service_tests.cpp
+++ b/tests/simulator/crowded_service_tests.cpp
@@ -1,5 +1,5 @@
-// A nearly full service with urgent work: nothing waits for three calm seconds while there is room
-// for it twice over. docs/design.md 7.9.
+// Tests that in a nearly full cluster with urgent jobs no task waits for three seconds without
+// faults while there is capacity for it twice over. docs/design.md 7.9.
 #include "simulator/crowded_service.hpp"
 #include <CppUTest/TestHarness.h>
 
@@ -7,7 +7,7 @@
 
 TEST_GROUP(CrowdedServiceTests){};
 
-// Seeds that left gangs, wide, long-running and plain work waiting before the bound was there.
+// Before waiting was bounded, these seeds left gangs and wide, long-running and plain jobs waiting.
 TEST(CrowdedServiceTests, nothingWaitsWhereThereIsRoom) {
   for (const std::uint64_t seed : {4, 5, 13, 29, 45}) {
     const auto result = runCrowdedService(CrowdedServiceOptions::drawnBy(seed));
--- a/tests/simulator/last_fault_tests.cpp
+++ b/tests/simulator/last_fault_tests.cpp
@@ -1,5 +1,5 @@
-// The end of a run at which disks are lost while every other machine loses power: nothing that was
-// acknowledged is lost, and service returns. docs/design.md 12.3.
+// Tests that a cluster loses no acknowledged job and serves again after some disks are lost while
+// every other machine loses power. docs/design.md 12.3.
 #include "simulator/campaign.hpp"
 #include <CppUTest/TestHarness.h>
 
@@ -21,7 +21,8 @@
   return options;
 }
 
-// Plays the seeds, and returns how many jobs were acknowledged within the last second before.
+// Runs the seeds, and returns how many jobs were acknowledged within the last second before the
+// fault.
 double acknowledgedBefore(const LastFaultRuns& runs) {
   double acknowledged = 0;
   for (std::uint64_t seed = runs.firstSeed; seed < runs.firstSeed + runs.seeds; ++seed) {
@@ -64,7 +65,7 @@
 
 TEST(LastFaultTests, withoutTheOptionTheDrawnLastFaultStays) {
   CampaignOptions options = shortRun();
-  options.seed = 5;  // one of those that end with a drawn last fault
+  options.seed = 5;  // a seed whose run ends with a drawn last fault
   options.lastFaultEverywhere = false;
   const CampaignResult result = runCampaign(options);
   CHECK(result.passed());
--- a/tests/simulator/operators_tests.cpp
+++ b/tests/simulator/operators_tests.cpp
@@ -1,5 +1,6 @@
-// Two operators at work all the time, whose answers and leaders are lost, beside faults of every
-// kind: of different orders one is confirmed, and none that was taken is refused.
+// Tests two operators who change the configuration concurrently while answers and leaders are lost
+// and faults of every kind occur. Of competing changes only one may be acknowledged, and no applied
+// change may be refused.
 #include "simulator/campaign.hpp"
 #include <CppUTest/TestHarness.h>
 
--- a/tests/simulator/tenant_service_tests.cpp
+++ b/tests/simulator/tenant_service_tests.cpp
@@ -1,5 +1,5 @@
-// Tenants whose keys and caps change beside every fault: no revoked key is good, no good one
-// refused, and no tenant passes its cap. docs/design.md 12.3.
+// Tests tenants whose keys and caps change during faults: no revoked key is accepted, no valid key
+// is refused, and no tenant exceeds its cap. docs/design.md 12.3.
 #include "simulator/tenant_service.hpp"
 #include <CppUTest/TestHarness.h>
 
@@ -25,5 +25,5 @@
   CHECK(sums.acceptedWithKey > 400);
   CHECK(sums.refusedForKey > 100);
   CHECK(sums.configurations > 100);
-  LONGS_EQUAL(9, sums.faults.size());  // every kind came
+  LONGS_EQUAL(9, sums.faults.size());  // every kind of fault occurred
 }
--- a/tests/simulator/voter_replacement_tests.cpp
+++ b/tests/simulator/voter_replacement_tests.cpp
@@ -1,4 +1,4 @@
-// Losses that follow a replacement at once, and losses in the midst of one. docs/design.md 3.5.
+// Tests losses of voters right after a replacement of voters and during one. docs/design.md 3.5.
 #include "support/scenario.hpp"
 
 using namespace aniseline;
@@ -7,10 +7,11 @@
 
 struct Site {
   std::size_t voters, controllers;
-  std::int64_t replaceAfter;  // as platform/main.cpp reckons it from the bound
+  std::int64_t replaceAfter;  // as platform/main.cpp derives it from the bound
   std::int64_t replacedWithin;
 };
-// The two sizes of site, with spares for a second loss of as many as may be lost at once.
+// Clusters of three and five voters, with spare controllers for a second loss of as many voters as
+// may be lost at once.
 constexpr Site small{3, 6, 2500, 4000};
 constexpr Site grown{5, 10, 3750, 6000};
 constexpr std::uint64_t seeds = 40;
@@ -34,7 +35,7 @@
 
   Replacement(const Site& site, std::uint64_t seed)
       : Scenario(optionsOf(site, seed), site.replaceAfter), site(site) {
-    advance(8000);  // until no zone has too many
+    advance(8000);  // until the voters are spread over the zones
     waitForVoters(site.voters, 10'000);
     keepSubmitting();
   }
@@ -65,7 +66,7 @@
     lost.insert(index);
     cluster->loseDisk(index);
   }
-  // Who goes: the leader; one of `preferred`; any other.
+  // Chooses by `draw` the leader, one of `preferred`, or any other voter.
   std::size_t victim(std::uint64_t draw, const std::set<std::size_t>& preferred) const {
     const auto leader = cluster->leader();
     if (draw % 3 == 0 && leader)
@@ -80,7 +81,8 @@
     CHECK(cluster->runUntilTrue([&] { return replaced(); }, within));
     return cluster->now - begun;
   }
-  // By the committed members of the leader as many vote as should, and each is there.
+  // Reports whether the leader's committed membership has the wanted number of voters and every one
+  // of them is running.
   bool replaced() const { return vote(site.voters); }
   bool vote(std::size_t wanted) const {
     if (!cluster->leader())
@@ -122,8 +124,8 @@
   }
 };
 
-// As many as may be lost at once are lost for good; the moment that they are replaced (and up to
-// 40 ms later) as many again.
+// Loses as many voters as may be lost at once for good, and 0 to 40 ms after they are replaced
+// loses as many again.
 void loseAgainRightAfterARepair(const Site& site, std::uint64_t seed) {
   Replacement run(site, seed);
   const std::size_t bearable = run.cluster->tolerableLosses();
@@ -144,8 +146,8 @@
   run.end();
 }
 
-// One more is killed at the very moment at which members change, and is back with its disk later:
-// nothing is lost, whoever is out by then.
+// Kills one more voter 0 to 14 ms after a membership change and restarts it with its disk later.
+// Nothing may be lost, even if it has been replaced by then.
 void killWhileMembersChange(const Site& site, std::uint64_t seed) {
   Replacement run(site, seed);
   const auto before = run.voters();
@@ -169,7 +171,8 @@
   run.end();
 }
 
-// The one that stands ready is lost with them: whoever is blank has to learn first.
+// Loses the learner together with a voter, so that a blank controller has to catch up before it can
+// replace the voter. Returns the time in ms until the replacement.
 std::int64_t loseTheReadyOneToo(const Site& site, std::uint64_t seed) {
   Replacement run(site, seed);
   const auto before = run.voters();
@@ -215,8 +218,8 @@
     killWhileMembersChange(grown, seed);
 }
 
-// An operator's order is done when the removal is committed. Said before it, the order would be
-// lost with a removal that never is.
+// A replacement order is completed only after the removal is committed. If it were completed
+// earlier, the order would be lost when the removal does not get committed.
 TEST(Replacements, anOrderIsDoneOnlyAfterTheRemoval) {
   Replacement run(small, 1);
   const std::size_t named = run.victim(2, {});
@@ -249,8 +252,9 @@
   run.end();
 }
 
-// The setting differs between controllers while they are started anew with another one, and who
-// leads changes meanwhile: the voters follow the leader's setting one by one, nothing is lost.
+// The configured number of voters differs between controllers while they are restarted one by one,
+// and the leader changes meanwhile. The number of voters follows the leader's setting, and nothing
+// is lost.
 TEST(Replacements, theVotersGoFromThreeToFiveAndBackWhileSettingsDiffer) {
   const Site site{3, 7, 2500, 4000};
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
@@ -276,8 +280,8 @@
   }
 }
 
-// The disk of the one that stands ready stalls while a voter is gone. As a voter it would be needed
-// for each majority, and nothing would be acknowledged until it writes again.
+// The disk of the learner stalls while voters are lost. If the learner were promoted, every
+// majority would need it, and nothing would be acknowledged until its disk writes again.
 TEST(Replacements, aSuccessorThatIsBehindStopsNothing) {
   for (const Site& site : {small, grown})
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
--- a/tests/simulator/voters_tests.cpp
+++ b/tests/simulator/voters_tests.cpp
@@ -1,4 +1,5 @@
-// Five voters of seven controllers: any two may be lost at once. docs/design.md 3.5.
+// Tests clusters of seven controllers with five voters, any two of which may be lost at once.
+// docs/design.md 3.5.
 #include "support/scenario.hpp"
 
 using namespace aniseline;
@@ -13,9 +14,9 @@
 }
 
 struct Centre : Scenario {
-  std::vector<std::string> changes;  // of members, as the leaders tell of them
+  std::vector<std::string> changes;  // membership changes, as logged by the leaders
   explicit Centre(std::int64_t replaceAfter = 5000) : Scenario(five(), replaceAfter) {
-    advance(8000);  // until no zone has too many
+    advance(8000);  // until the voters are spread over the zones
     cluster->onLogEvent = [this](std::size_t, const LogEvent& note) {
       const RenderedLogEvent rendered = render(note);
       if (rendered.name == "members change")
@@ -48,7 +49,7 @@
                [](const auto& left, const auto& right) { return left.second < right.second; })
         ->second;
   }
-  // Voters, the leader first.
+  // Returns the voters, the leader first.
   std::vector<std::size_t> voters() const {
     std::vector<std::size_t> found{*cluster->leader()};
     for (std::size_t index = 0; index < cluster->controllerCount(); ++index)
@@ -60,8 +61,8 @@
     cluster->submit(parseJob(jobJson(id, 300)));
     waitForFinished(id, within);
   }
-  // Five that vote and are there, one that stands ready; the seventh stays blank or keeps what it
-  // learnt without being a member.
+  // Reports whether there are five running voters and one learner. The seventh controller is not a
+  // member; it is blank or keeps the state that it replicated earlier.
   bool whole() const {
     return cluster->allReplicasIntact() && cluster->voterCount() == 5 && membersThat(true) == 5 &&
            membersThat(false) == 1;
@@ -100,8 +101,8 @@
     centre.cluster->killController(index, true);
   const std::int64_t begun = centre.cluster->now;
   centre.serves("a", 4000);
-  // 5 s until they count as dead, after the new leader's beginning; then the two that stand by come
-  // in one by one.
+  // The new leader considers them dead 5 s after its election. Then the two other controllers are
+  // promoted one by one.
   CHECK(centre.cluster->runUntilTrue(
       [&] { return centre.cluster->voterCount() == 5 && centre.membersThat(true) == 5; },
       begun + 10'000 - centre.cluster->now));
@@ -151,7 +152,7 @@
   }
 }
 
-// At every moment about the one at which it would be replaced.
+// Tries return times from before to after the time at which the voter is replaced.
 TEST(Voters, oneThatComesBackInTimeStaysAndSixNeverStay) {
   for (std::int64_t away = 4600; away <= 5600; away += 50) {
     Centre centre;
@@ -160,7 +161,7 @@
     centre.cluster->killController(victim, true);
     centre.advance(away);
     centre.cluster->restartController(victim);
-    centre.advance(200);  // until it is heard again
+    centre.advance(200);  // until the leader has heard from it
     const bool replaced = !centre.changes.empty();
     if (away <= 4700)
       CHECK(!replaced);
@@ -241,8 +242,8 @@
   }
 }
 
-// What was lost with a zone is replaced from the others; when it is back no zone keeps so many that
-// its loss stops all.
+// The voters lost with a zone are replaced by controllers of the other zones. When the zone is
+// back, no zone keeps so many voters that its loss would stop the cluster.
 TEST(Voters, votersSpreadAgainWhenAnZoneIsBack) {
   for (std::size_t zone = 0; zone < 3; ++zone) {
     Centre centre;
@@ -262,7 +263,8 @@
   }
 }
 
-// An operator names one that lives: it goes, not the one that came for it.
+// An operator requests the replacement of a running voter. That voter is removed, and not the
+// controller that replaces it.
 TEST(Voters, aLivingVoterThatIsNamedIsReplacedOnce) {
   Centre centre;
   const auto victim = centre.voters()[2];
