--- a/programs/simulate.cpp
+++ b/programs/simulate.cpp
@@ -278,7 +278,7 @@
 // Whether nothing waited where there was room for it, and every other rule was kept.
 bool simulateCrowdedServices(const SimulateOptions& options) {
   const auto results = runSeeds<CrowdedServiceResult>(options, [&](std::uint64_t seed) {
-    CrowdedServiceOptions own = CrowdedServiceOptions::drawnBy(seed);
+    CrowdedServiceOptions own = CrowdedServiceOptions::forSeed(seed);
     own.verbose = options.verbose;
     return runCrowdedService(own);
   });
@@ -299,7 +299,7 @@
 // rule was kept, and all that was accepted has ended.
 bool simulateTenantServices(const SimulateOptions& options) {
   const auto results = runSeeds<TenantServiceResult>(options, [&](std::uint64_t seed) {
-    TenantServiceOptions own = TenantServiceOptions::drawnBy(seed);
+    TenantServiceOptions own = TenantServiceOptions::forSeed(seed);
     own.verbose = options.verbose;
     return runTenantService(own);
   });
--- a/source/simulator/called_worker.cpp
+++ b/source/simulator/called_worker.cpp
@@ -7,27 +7,28 @@
 namespace {
 // The payload of a simulated task states what it does, such as "run=800" or "run=800 fail".
 // Returns its runtime in ms.
-std::int64_t runOf(const std::string& payload, std::int64_t otherwise) {
-  return payload.starts_with("run=") ? std::strtoll(payload.c_str() + 4, nullptr, 10) : otherwise;
+std::int64_t parseRuntime(const std::string& payload, std::int64_t defaultRuntime) {
+  return payload.starts_with("run=") ? std::strtoll(payload.c_str() + 4, nullptr, 10)
+                                     : defaultRuntime;
 }
-bool failsAlways(const std::string& payload) {
+bool alwaysFails(const std::string& payload) {
   return payload.ends_with(" fail");
 }
-AttemptOutcome kindOf(const std::string& how) {
-  return how == "finished" ? AttemptOutcome::succeeded
-         : how == "failed" ? AttemptOutcome::failed
-                           : AttemptOutcome::stopped;
+AttemptOutcome outcomeFrom(const std::string& outcome) {
+  return outcome == "finished" ? AttemptOutcome::succeeded
+         : outcome == "failed" ? AttemptOutcome::failed
+                               : AttemptOutcome::stopped;
 }
 // A checkpoint's text consists of the progress in ms and a random number that makes it unique.
-std::int64_t progressOf(const std::string& saved) {
-  return std::strtoll(saved.c_str(), nullptr, 10);
+std::int64_t parseProgress(const std::string& checkpoint) {
+  return std::strtoll(checkpoint.c_str(), nullptr, 10);
 }
 }  // namespace
 
-CalledWorker::CalledWorker(CalledWorkerOptions given, GangRendezvousTable& rendezvousTable,
+CalledWorker::CalledWorker(CalledWorkerOptions workerOptions, GangRendezvousTable& rendezvousTable,
                            std::uint64_t seed, JobLookup findJob, EventSink recordEvent,
                            std::int64_t now)
-    : options(std::move(given)),
+    : options(std::move(workerOptions)),
       rendezvousTable(rendezvousTable),
       random(seed),
       findJob(std::move(findJob)),
@@ -35,26 +36,26 @@
       startedAt(now),
       lastTickAt(now) {}
 
-WorkerRegistration CalledWorker::accountAt(std::int64_t now) const {
+WorkerRegistration CalledWorker::registrationAt(std::int64_t now) const {
   return {options.workerInstance, options.capacity, draining, drainTimeout, clock(now)};
 }
 
 HistoryEvent CalledWorker::makeEvent(HistoryEvent::Kind kind, const TaskRunId& name) const {
-  HistoryEvent given;
-  given.kind = kind;
-  given.worker = options.workerInstance.value;
-  given.job = name.job.value;
-  given.attempt = std::to_string(name.runNumber);
+  HistoryEvent event;
+  event.kind = kind;
+  event.worker = options.workerInstance.value;
+  event.job = name.job.value;
+  event.attempt = std::to_string(name.runNumber);
   const auto* job = findJob(name.job);
   if (!job)
-    return given;
+    return event;
   if (job->hasTimetable())
-    given.job = OccurrenceId::make(name.job, name.occurrence).value;
-  given.task = name.indexInStep;
+    event.job = OccurrenceId::make(name.job, name.occurrence).value;
+  event.task = name.indexInStep;
   for (std::uint32_t step = 0; step < std::min<std::size_t>(name.stepIndex, job->steps.size());
        ++step)
-    given.task += std::uint32_t(job->steps[step].tasks.size());
-  return given;
+    event.task += std::uint32_t(job->steps[step].tasks.size());
+  return event;
 }
 
 void CalledWorker::extendLease(const std::optional<WorkerTime>& deadline, std::int64_t now) {
@@ -108,12 +109,12 @@
 void CalledWorker::start(const WorkerCall& call, WorkerReply& reply, std::int64_t now, bool late) {
   if (runs.count(call.runId))
     return;  // the run has already been started
-  const bool newerHere = std::any_of(runs.begin(), runs.end(), [&](const auto& entry) {
+  const bool newerRunPresent = std::any_of(runs.begin(), runs.end(), [&](const auto& entry) {
     return withoutRunNumber(entry.first) == withoutRunNumber(call.runId) &&
            entry.first.runNumber > call.runId.runNumber;
   });
-  if (auto known = fencedRuns.find(withoutRunNumber(call.runId));
-      newerHere || (known != fencedRuns.end() && call.runId.runNumber <= known->second)) {
+  if (auto fenced = fencedRuns.find(withoutRunNumber(call.runId));
+      newerRunPresent || (fenced != fencedRuns.end() && call.runId.runNumber <= fenced->second)) {
     reply.status = WorkerReply::Status::staleRun;
     return;
   }
@@ -134,10 +135,10 @@
   run.payload = call.payload;
   run.checkpoint = call.checkpoint;
   run.startedAt = now;
-  run.progress = run.checkpointedProgress = progressOf(call.checkpoint);
+  run.progress = run.checkpointedProgress = parseProgress(call.checkpoint);
   run.readyAt = call.checkpoint.empty() ? now : now + options.restoreTime.milliseconds;
-  run.runtime = runOf(call.payload, run.request.runtime.milliseconds);
-  run.fails = failsAlways(call.payload);
+  run.runtime = parseRuntime(call.payload, run.request.runtime.milliseconds);
+  run.fails = alwaysFails(call.payload);
   // A long-running task runs until it is stopped, or fails at a random time.
   if (run.step && run.step->requirements.longRunning) {
     run.runtime = random.between(4000, 40'000);
@@ -150,31 +151,31 @@
     run.runtime = std::min<std::int64_t>(run.runtime, run.progress + 100);
     run.fails = true;
   }
-  auto given = makeEvent(HistoryEvent::Kind::started, call.runId);
-  given.payload = call.payload;
-  given.checkpoint = call.checkpoint;
-  given.cores = run.request.cores;
-  given.memory = run.request.memory;
-  given.accelerators = run.request.accelerators;
-  given.executedLate = late;
-  recordEvent(given);
+  auto event = makeEvent(HistoryEvent::Kind::started, call.runId);
+  event.payload = call.payload;
+  event.checkpoint = call.checkpoint;
+  event.cores = run.request.cores;
+  event.memory = run.request.memory;
+  event.accelerators = run.request.accelerators;
+  event.executedLate = late;
+  recordEvent(event);
   if (run.gang()) {
-    auto& met = rendezvousOf(call.runId);
-    met.membersPresent.insert(call.runId.indexInStep);
-    met.racks.insert(options.capacity.rack);
-    if (!met.assembledAt && met.outcome.empty() &&
-        met.membersPresent.size() == run.step->tasks.size())
-      met.assembledAt = run.readyAt;
+    auto& rendezvous = rendezvousOf(call.runId);
+    rendezvous.membersPresent.insert(call.runId.indexInStep);
+    rendezvous.racks.insert(options.capacity.rack);
+    if (!rendezvous.assembledAt && rendezvous.outcome.empty() &&
+        rendezvous.membersPresent.size() == run.step->tasks.size())
+      rendezvous.assembledAt = run.readyAt;
   }
   runs.emplace(call.runId, std::move(run));
 }
 
 void CalledWorker::stop(const WorkerCall& call, std::int64_t now) {
-  auto& fencedTo = fencedRuns[withoutRunNumber(call.runId)];
-  fencedTo = std::max(fencedTo, call.runId.runNumber);
+  auto& highestFencedRun = fencedRuns[withoutRunNumber(call.runId)];
+  highestFencedRun = std::max(highestFencedRun, call.runId.runNumber);
   auto found = runs.find(call.runId);
   if (found != runs.end() && !found->second.stopsAt)
-    found->second.stopsAt = now + random.between(0, options.longestStop.milliseconds);
+    found->second.stopsAt = now + random.between(0, options.maxStopDelay.milliseconds);
 }
 
 // A confirmed result is not listed again and is final, unless the lease expired before it was
@@ -183,9 +184,9 @@
   while (!unconfirmedResults.empty() && unconfirmedResults.front().number <= lastSeen) {
     const EndedRun& ended = unconfirmedResults.front();
     if (!ended.leaseExpired) {
-      auto given = makeEvent(HistoryEvent::Kind::resultConfirmed, ended.name);
-      given.detail = ended.outcome;
-      recordEvent(given);
+      auto event = makeEvent(HistoryEvent::Kind::resultConfirmed, ended.name);
+      event.detail = ended.outcome;
+      recordEvent(event);
     }
     unconfirmedResults.pop_front();
   }
@@ -200,7 +201,8 @@
       reply.complete = false;
       break;
     }
-    reply.results.push_back({ended.number, ended.name, kindOf(ended.outcome), ended.checkpoint});
+    reply.results.push_back(
+        {ended.number, ended.name, outcomeFrom(ended.outcome), ended.checkpoint});
   }
 }
 
@@ -209,29 +211,29 @@
     return;
   run.checkpointedProgress = run.progress;
   run.checkpoint = std::to_string(run.progress) + ":" + std::to_string(random.next());
-  auto given = makeEvent(HistoryEvent::Kind::checkpointed, name);
-  given.checkpoint = run.checkpoint;
-  recordEvent(given);
+  auto event = makeEvent(HistoryEvent::Kind::checkpointed, name);
+  event.checkpoint = run.checkpoint;
+  recordEvent(event);
 }
 
-void CalledWorker::endRun(TaskRunId name, const std::string& how) {
+void CalledWorker::endRun(TaskRunId name, const std::string& outcome) {
   auto found = runs.find(name);
-  auto given = makeEvent(HistoryEvent::Kind::ended, name);
-  given.detail = how;
-  recordEvent(given);
-  unconfirmedResults.push_back({++lastResultNumber, name, how, found->second.checkpoint});
+  auto event = makeEvent(HistoryEvent::Kind::ended, name);
+  event.detail = outcome;
+  recordEvent(event);
+  unconfirmedResults.push_back({++lastResultNumber, name, outcome, found->second.checkpoint});
   if (found->second.gang()) {
-    auto& met = rendezvousOf(name);
-    if (met.outcome.empty())
-      met.outcome = how == "finished" ? "finished" : "broken";
+    auto& rendezvous = rendezvousOf(name);
+    if (rendezvous.outcome.empty())
+      rendezvous.outcome = outcome == "finished" ? "finished" : "broken";
   }
   runs.erase(found);
-  auto& fencedTo = fencedRuns[withoutRunNumber(name)];
-  fencedTo = std::max(fencedTo, name.runNumber);
+  auto& highestFencedRun = fencedRuns[withoutRunNumber(name)];
+  highestFencedRun = std::max(highestFencedRun, name.runNumber);
 }
 
 void CalledWorker::tick(std::int64_t now) {
-  const std::int64_t before = std::exchange(lastTickAt, now);
+  const std::int64_t previousTickAt = std::exchange(lastTickAt, now);
   if (leaseExpiresAt && clock(now) >= *leaseExpiresAt) {
     leaseExpiresAt.reset();
     while (!runs.empty())
@@ -239,51 +241,53 @@
     for (auto& ended : unconfirmedResults)
       ended.leaseExpired = true;
   }
-  std::vector<std::pair<TaskRunId, std::string>> over;
+  std::vector<std::pair<TaskRunId, std::string>> endedRuns;
   for (auto& [name, run] : runs) {
-    GangRendezvous* met = run.gang() ? &rendezvousOf(name) : nullptr;
-    const bool works = !met || met->assembledAt;
-    if (works && malfunction != Malfunction::stalled) {
-      const std::int64_t from =
-          std::max({before, run.readyAt, met ? *met->assembledAt : run.startedAt});
-      run.progress += std::max<std::int64_t>(0, now - from);
-      const std::int64_t every = options.checkpointInterval.milliseconds;
-      if (run.progress / every > run.checkpointedProgress / every && run.progress < run.runtime)
+    GangRendezvous* rendezvous = run.gang() ? &rendezvousOf(name) : nullptr;
+    const bool progresses = !rendezvous || rendezvous->assembledAt;
+    if (progresses && malfunction != Malfunction::stalled) {
+      const std::int64_t activeSince = std::max(
+          {previousTickAt, run.readyAt, rendezvous ? *rendezvous->assembledAt : run.startedAt});
+      run.progress += std::max<std::int64_t>(0, now - activeSince);
+      const std::int64_t interval = options.checkpointInterval.milliseconds;
+      if (run.progress / interval > run.checkpointedProgress / interval &&
+          run.progress < run.runtime)
         saveCheckpoint(name, run);
     }
-    const std::int64_t length = met && run.step->requirements.sameRack && met->racks.size() > 1
-                                    ? std::int64_t(double(run.runtime) * options.remoteSlowdown)
-                                    : run.runtime;
+    const std::int64_t duration =
+        rendezvous && run.step->requirements.sameRack && rendezvous->racks.size() > 1
+            ? std::int64_t(double(run.runtime) * options.remoteSlowdown)
+            : run.runtime;
     if (run.stopsAt) {
       if (now < *run.stopsAt)
         continue;
       saveCheckpoint(name, run);
-      over.emplace_back(name, "stopped");
-    } else if (met && !met->outcome.empty())
-      over.emplace_back(name, met->outcome);
-    else if (met && !met->assembledAt) {
+      endedRuns.emplace_back(name, "stopped");
+    } else if (rendezvous && !rendezvous->outcome.empty())
+      endedRuns.emplace_back(name, rendezvous->outcome);
+    else if (rendezvous && !rendezvous->assembledAt) {
       if (now - run.startedAt >= options.gangTimeout.milliseconds)
-        over.emplace_back(name, "alone");
-    } else if (run.progress >= length)
-      over.emplace_back(name, run.fails ? "failed" : "finished");
+        endedRuns.emplace_back(name, "alone");
+    } else if (run.progress >= duration)
+      endedRuns.emplace_back(name, run.fails ? "failed" : "finished");
   }
-  for (const auto& [name, how] : over) {
+  for (const auto& [name, outcome] : endedRuns) {
     // Another member of the gang may have ended in the same tick. The outcome of the first one
     // applies to all members.
-    const bool worked = how == "finished" || how == "failed";
+    const bool completed = outcome == "finished" || outcome == "failed";
     const auto& run = runs.at(name);
-    endRun(name, worked && run.gang() && !rendezvousOf(name).outcome.empty()
+    endRun(name, completed && run.gang() && !rendezvousOf(name).outcome.empty()
                      ? rendezvousOf(name).outcome
-                     : how);
+                     : outcome);
   }
 }
 
 void CalledWorker::crash() {
   for (auto& [name, run] : runs)
     if (run.gang()) {
-      auto& met = rendezvousOf(name);
-      if (met.outcome.empty())
-        met.outcome = "broken";
+      auto& rendezvous = rendezvousOf(name);
+      if (rendezvous.outcome.empty())
+        rendezvous.outcome = "broken";
     }
   runs.clear();
 }
--- a/source/simulator/called_worker.hpp
+++ b/source/simulator/called_worker.hpp
@@ -24,7 +24,7 @@
   Capacity capacity;
   double clockRate = 1.0;  // rate of its monotonic clock relative to true time
   std::int64_t clockOrigin = 0;
-  Duration maxLease{6000}, longestStop{250}, gangTimeout{3000}, checkpointInterval{1000},
+  Duration maxLease{6000}, maxStopDelay{250}, gangTimeout{3000}, checkpointInterval{1000},
       restoreTime{150};
   std::size_t maxResultsPerPoll = 500;
   double remoteSlowdown = 2.0;
@@ -50,7 +50,7 @@
   void tick(std::int64_t now);
   void crash();  // ends the process and all its runs
 
-  WorkerRegistration accountAt(std::int64_t now) const;
+  WorkerRegistration registrationAt(std::int64_t now) const;
   Malfunction malfunction = Malfunction::none;
   bool draining = false;
   Duration drainTimeout{0};
@@ -83,7 +83,7 @@
   void stop(const WorkerCall& call, std::int64_t now);
   void confirmResults(std::uint64_t lastSeen);
   void saveCheckpoint(const TaskRunId& name, ActiveRun& run);
-  void endRun(TaskRunId name, const std::string& how);
+  void endRun(TaskRunId name, const std::string& outcome);
   bool fits(const TaskRequest& request) const;
   HistoryEvent makeEvent(HistoryEvent::Kind kind, const TaskRunId& name) const;
   GangRendezvous& rendezvousOf(const TaskRunId& name) {
--- a/source/simulator/campaign.cpp
+++ b/source/simulator/campaign.cpp
@@ -18,8 +18,9 @@
 // No fault begins while the cluster is forming, nor so late that it would end after the run.
 constexpr std::int64_t firstFaultMs = 3000;
 constexpr std::int64_t lastFaultBeforeEndMs = 8000;
-constexpr double simultaneousFaults = 0.25;  // share of the faults that begin with the one before
-constexpr std::uint64_t fewestConfigAnswers = 10;
+constexpr double simultaneousFaultShare =
+    0.25;  // share of the faults that begin with the one before
+constexpr std::uint64_t minConfigAnswers = 10;
 
 SimulatedClusterOptions clusterOptions(const CampaignOptions& options) {
   const std::uint64_t seed = options.seed;
@@ -56,10 +57,10 @@
       cluster.trace = [this](const std::string& text) {
         std::fprintf(stderr, "%8lld %s\n", (long long)cluster.now, text.c_str());
       };
-    injector.floodOfJobs = [this] {
+    injector.submitJobFlood = [this] {
       workload.submitFlood();
     };
-    injector.operatorRace = [this] {
+    injector.startOperatorRace = [this] {
       operators.race();
     };
   }
@@ -105,7 +106,7 @@
     std::vector<Fault> faults;
     std::int64_t startsAt = 0;
     for (std::size_t count = 0; count < options.faults; ++count) {
-      if (!count || !random.chance(simultaneousFaults))
+      if (!count || !random.chance(simultaneousFaultShare))
         startsAt = random.between(firstFaultMs, options.duration - lastFaultBeforeEndMs);
       faults.push_back(injector.drawFault(startsAt));
     }
@@ -199,7 +200,7 @@
     if (options.lastFaultEverywhere) {
       lastFault.injectEverywhere([this] { operators.race(); });
       result.counters["acknowledged right before the last fault"] =
-          double(lastFault.justAcknowledged());
+          double(lastFault.jobsAcknowledgedBefore());
       ++result.effectsByFault["one last fault everywhere"];
     } else {
       lastFault.injectDrawnBySeed();
@@ -246,15 +247,15 @@
     result.starts = std::size_t(
         std::count_if(cluster.history.begin(), cluster.history.end(),
                       [](const auto& event) { return event.kind == HistoryEvent::Kind::started; }));
-    countLeadersWork();
-    result.counters["orders resent later"] = double(operators.resentLater());
+    countLeaderEvents();
+    result.counters["orders resent later"] = double(operators.acknowledgedLateResends());
     result.counters["patches acknowledged"] = double(operators.acknowledgedPatches());
     if (options.calledWorkers)
-      countCalledWorkersEvents();
+      countCalledWorkerEvents();
   }
 
   void reportHistory() {
-    if (configWatch.answers() < fewestConfigAnswers)
+    if (configWatch.answers() < minConfigAnswers)
       result.unfinished.push_back("too few looks at the config");
     CheckReport checked = cluster.checkHistory();
     result.violations = std::move(checked.violations);
@@ -263,13 +264,13 @@
     for (const auto& unfinished : cluster.unfinishedJobs()) {
       result.unfinished.push_back(unfinished);
     }
-    for (const auto& misjudged : cluster.misjudgedConfigOrders()) {
+    for (const auto& finding : cluster.wronglyAnsweredConfigChanges()) {
       result.violations.push_back(
-          {Invariant::configurationOrder, SimulatedCluster::epochMs + cluster.now, misjudged});
+          {Invariant::configurationOrder, SimulatedCluster::epochMs + cluster.now, finding});
     }
   }
 
-  void countLeadersWork() {
+  void countLeaderEvents() {
     const auto leader = cluster.leader();
     if (!leader)
       return;
@@ -286,11 +287,11 @@
   }
 
   // Counts the events of called workers, so that a campaign that covers none of them is noticed.
-  void countCalledWorkersEvents() {
+  void countCalledWorkerEvents() {
     auto& counted = result.counters;
-    for (const char* what : {"started late", "from a checkpoint", "ended lapsed", "ended alone",
+    for (const char* name : {"started late", "from a checkpoint", "ended lapsed", "ended alone",
                              "ended broken", "ended stopped", "ended failed"}) {
-      counted[what] = 0;
+      counted[name] = 0;
     }
     for (const auto& event : cluster.history) {
       if (event.kind == HistoryEvent::Kind::started) {
--- a/source/simulator/campaign_operators.cpp
+++ b/source/simulator/campaign_operators.cpp
@@ -8,17 +8,17 @@
 namespace {
 
 constexpr std::int64_t resendAfterMs = 300;
-constexpr double lostAnswers = 0.3;    // share of the answers that are lost
-constexpr double resentOrders = 0.4;   // share of the answered requests that are sent again
-constexpr double racesWithLoss = 0.3;  // share of the races during which the leader is killed
-constexpr double identicalRaces =
+constexpr double lostAnswerShare = 0.3;  // share of the answers that are lost
+constexpr double resendShare = 0.4;      // share of the answered requests that are sent again
+constexpr double leaderLossShare = 0.3;  // share of the races during which the leader is killed
+constexpr double identicalRaceShare =
     0.2;  // share of the races in which both operators send the same change
-constexpr double patchedOrders =
+constexpr double patchShare =
     0.5;  // share of the changes sent as a patch of the current configuration
-constexpr std::int64_t leaderAwayMs = 500;
-constexpr const char* leaderLoss = "the operators' leader";  // the fault's name in the history
+constexpr std::int64_t leaderOutageMs = 500;
+constexpr const char* leaderLossFault = "the operators' leader";  // the fault's name in the history
 
-bool isClear(int status) {
+bool isDefinitive(int status) {
   return status == 200 || status == 409 || status == 400;
 }
 
@@ -35,46 +35,47 @@
   sendUntilAnswered({text, baseVersion, false});
 }
 
-void CampaignOperators::sendUntilAnswered(const Order& order) {
+void CampaignOperators::sendUntilAnswered(const ConfigChange& change) {
   const std::size_t gateway = random.next() % simulatedGateways;
-  const auto answered = [this, order](int status, const std::string& body) {
+  const auto answered = [this, change](int status, const std::string& body) {
     if (cluster.trace)
-      cluster.trace((order.isPatch ? "patch of config " : "config based on ") +
-                    std::to_string(order.baseVersion) + ": " + std::to_string(status) + " " + body);
-    onAnswer(order, status);
+      cluster.trace((change.isPatch ? "patch of config " : "config based on ") +
+                    std::to_string(change.baseVersion) + ": " + std::to_string(status) + " " +
+                    body);
+    onAnswer(change, status);
   };
-  if (order.isPatch)
-    cluster.patchConfig(order.text, order.baseVersion, answered, gateway);
+  if (change.isPatch)
+    cluster.patchConfig(change.text, change.baseVersion, answered, gateway);
   else
-    cluster.applyConfig(order.text, order.baseVersion, answered, gateway);
+    cluster.applyConfig(change.text, change.baseVersion, answered, gateway);
 }
 
-void CampaignOperators::onAnswer(const Order& order, int status) {
+void CampaignOperators::onAnswer(const ConfigChange& change, int status) {
   if (status == 200) {
-    acknowledgedLater += newestApplied > order.baseVersion + 1;
-    newestApplied = std::max(newestApplied, order.baseVersion + 1);
-    patchesAcknowledged += order.isPatch;
+    lateResends += newestApplied > change.baseVersion + 1;
+    newestApplied = std::max(newestApplied, change.baseVersion + 1);
+    patchesAcknowledged += change.isPatch;
   }
-  const bool lost = !stopped && random.chance(lostAnswers);
-  if (!isClear(status) || lost)
-    return cluster.scheduleAfter(resendAfterMs, [this, order] { sendUntilAnswered(order); });
-  if (stopped || !random.chance(resentOrders))
+  const bool lost = !stopped && random.chance(lostAnswerShare);
+  if (!isDefinitive(status) || lost)
+    return cluster.scheduleAfter(resendAfterMs, [this, change] { sendUntilAnswered(change); });
+  if (stopped || !random.chance(resendShare))
     return;
-  cluster.scheduleAfter(random.between(500, 8000), [this, order] {
+  cluster.scheduleAfter(random.between(500, 8000), [this, change] {
     if (!stopped)
-      sendUntilAnswered(order);
+      sendUntilAnswered(change);
   });
 }
 
 void CampaignOperators::race() {
   const std::uint64_t base = newestApplied;
-  const bool identical = random.chance(identicalRaces);
+  const bool identical = random.chance(identicalRaceShare);
   ++races;
   for (int operatorNumber = 0; operatorNumber < 2; ++operatorNumber) {
     const std::string name =
         "extra" + std::to_string(races) + "x" + std::to_string(identical ? 0 : operatorNumber);
     const std::string queue = "\"" + name + "\":{\"retries\":1}";
-    if (base > 0 && random.chance(patchedOrders))
+    if (base > 0 && random.chance(patchShare))
       sendUntilAnswered({"{\"upsert\":{\"queues\":{" + queue + "}}}", base, true});
     else
       sendUntilAnswered({configText("," + queue), base, false});
@@ -84,7 +85,7 @@
 void CampaignOperators::scheduleRaces() {
   for (std::int64_t time = 500; time < options.duration; time += random.between(1500, 6000)) {
     cluster.scheduleAfter(time, [this] {
-      if (random.chance(racesWithLoss))
+      if (random.chance(leaderLossShare))
         loseLeaderSoon();
       race();
     });
@@ -100,12 +101,12 @@
   const auto leader = cluster.leader();
   if (!leader || stopped || !cluster.allReplicasIntact())
     return;
-  cluster.recordFault(leaderLoss, false);
+  cluster.recordFault(leaderLossFault, false);
   cluster.killController(*leader, false);
   ++lostLeaders;
-  cluster.scheduleAfter(leaderAwayMs, [this, lost = *leader] {
+  cluster.scheduleAfter(leaderOutageMs, [this, lost = *leader] {
     cluster.restartController(lost);
-    cluster.recordFault(leaderLoss, true);
+    cluster.recordFault(leaderLossFault, true);
   });
 }
 
--- a/source/simulator/campaign_operators.hpp
+++ b/source/simulator/campaign_operators.hpp
@@ -29,19 +29,19 @@
   // Returns the newest version that was acknowledged.
   std::uint64_t appliedVersion() const { return newestApplied; }
   // Returns how many changes were acknowledged again after a newer one had been applied.
-  std::uint64_t resentLater() const { return acknowledgedLater; }
+  std::uint64_t acknowledgedLateResends() const { return lateResends; }
   std::uint64_t acknowledgedPatches() const { return patchesAcknowledged; }
   std::size_t leadersLost() const { return lostLeaders; }
 
  private:
   // A whole configuration, or a patch of its base version.
-  struct Order {
+  struct ConfigChange {
     std::string text;
     std::uint64_t baseVersion = 0;
     bool isPatch = false;
   };
-  void sendUntilAnswered(const Order& order);
-  void onAnswer(const Order& order, int status);
+  void sendUntilAnswered(const ConfigChange& change);
+  void onAnswer(const ConfigChange& change, int status);
   void loseLeaderSoon();
   void loseLeader();
 
@@ -49,7 +49,7 @@
   const CampaignOptions& options;
   Random random;
   std::uint64_t newestApplied = 0;
-  std::uint64_t acknowledgedLater = 0;
+  std::uint64_t lateResends = 0;
   std::uint64_t patchesAcknowledged = 0;
   std::size_t races = 0;
   std::size_t lostLeaders = 0;
--- a/source/simulator/crowded_service.cpp
+++ b/source/simulator/crowded_service.cpp
@@ -46,9 +46,9 @@
   }
 
   CrowdedServiceResult run() {
-    form();
+    formCluster();
     cluster.runUntil(cluster.now + registrationsWithinMs);
-    fill();
+    submitFillers();
     cluster.runUntil(cluster.now + settleMs);
     scheduleUrgentJobs();
     scheduleOtherJobs();
@@ -63,7 +63,7 @@
   }
 
  private:
-  void form() {
+  void formCluster() {
     cluster.runUntilTrue([&] { return cluster.voterCount() == cluster.configuredVoters(); },
                          votersWithinMs);
     bool applied = false;
@@ -72,7 +72,7 @@
     cluster.runUntilTrue([&] { return applied; }, configWithinMs);
   }
 
-  void fill() {
+  void submitFillers() {
     const auto tasks = std::size_t(options.occupancy * poolCores / fillerCores);
     for (std::size_t index = 0; index < tasks; ++index) {
       submit("filler", "filler",
@@ -111,12 +111,12 @@
     submit("plain", queue, {.tasks = tasks, .cores = 2, .requestedMs = 2000, .actualMs = 2000});
   }
   void submitLongRunning() {
-    JobSubmission job = make("lasting", "bulk", {.tasks = 2});
+    JobSubmission job = makeJob("lasting", "bulk", {.tasks = 2});
     job.steps[0].requirements.longRunning = true;
     cluster.submit(job, random.between(10'000, 20'000));
   }
   void submitTimed() {
-    JobSubmission job = make("timed", "bulk", {.cores = 2, .requestedMs = 600, .actualMs = 600});
+    JobSubmission job = makeJob("timed", "bulk", {.cores = 2, .requestedMs = 600, .actualMs = 600});
     job.timetable.firstStart = ClusterTime{SimulatedCluster::epochMs + cluster.now + 1000};
     job.timetable.interval = Duration{1500};
     job.timetable.count = 4;
@@ -131,11 +131,12 @@
     submit("wide", "bulk", {.tasks = 6, .cores = 4, .requestedMs = 6000, .actualMs = 6000});
   }
 
-  JobSubmission make(const std::string& prefix, const std::string& queue, const StepShape& shape) {
-    return singleStepJob(prefix + std::to_string(++jobsMade), queue, shape);
+  JobSubmission makeJob(const std::string& prefix, const std::string& queue,
+                        const StepShape& shape) {
+    return singleStepJob(prefix + std::to_string(++jobCount), queue, shape);
   }
   void submit(const std::string& prefix, const std::string& queue, const StepShape& shape) {
-    cluster.submit(make(prefix, queue, shape));
+    cluster.submit(makeJob(prefix, queue, shape));
   }
 
   void scheduleDisturbances() {
@@ -162,12 +163,12 @@
   CrowdedServiceOptions options;
   Random random;
   SimulatedCluster cluster;
-  std::size_t jobsMade = 0;
+  std::size_t jobCount = 0;
 };
 
 }  // namespace
 
-CrowdedServiceOptions CrowdedServiceOptions::drawnBy(std::uint64_t seed) {
+CrowdedServiceOptions CrowdedServiceOptions::forSeed(std::uint64_t seed) {
   constexpr std::array<double, 4> occupancies{0.5, 0.7, 0.9, 0.97};
   CrowdedServiceOptions options;
   options.seed = seed;
--- a/source/simulator/crowded_service.hpp
+++ b/source/simulator/crowded_service.hpp
@@ -21,7 +21,7 @@
 
   /// Returns the options for a seed. Any 32 consecutive seeds cover every combination of occupancy,
   /// arrival and disturbance.
-  static CrowdedServiceOptions drawnBy(std::uint64_t seed);
+  static CrowdedServiceOptions forSeed(std::uint64_t seed);
 };
 
 struct CrowdedServiceResult {
--- a/source/simulator/fault_injector.cpp
+++ b/source/simulator/fault_injector.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 // Removed workers at most; the others must be able to run all remaining tasks.
-constexpr std::size_t mostGone = 4;
+constexpr std::size_t maxRemovedWorkers = 4;
 // The time until the consequences of a fault on an acknowledgement have passed.
 constexpr std::int64_t acknowledgementFaultMs = 6000;
 // The number of possible delays: the fault takes effect 0 to 3 ms after the answer.
-constexpr std::int64_t acknowledgementFaultDelays = 4;
+constexpr std::int64_t acknowledgementFaultDelayCount = 4;
 
 std::string workerName(std::size_t index) {
   return "m" + std::to_string(index + 1);
@@ -36,24 +36,24 @@
 
 }  // namespace
 
-FaultInjector::FaultInjector(SimulatedCluster& cluster, Random& drawFault)
-    : cluster(cluster), random(drawFault) {
+FaultInjector::FaultInjector(SimulatedCluster& cluster, Random& generator)
+    : cluster(cluster), random(generator) {
   cluster.onResponse = [this](std::size_t index, const ApiRequest& request,
                               const ApiResponse& answer) {
-    for (std::size_t at = 0; at < armedFaults.size(); ++at)
-      if (armedFaults[at].matches(request, answer)) {
-        auto strike = std::move(armedFaults[at].action);
-        armedFaults.erase(armedFaults.begin() + std::ptrdiff_t(at));
-        return strike(index);
+    for (std::size_t armed = 0; armed < armedFaults.size(); ++armed)
+      if (armedFaults[armed].matches(request, answer)) {
+        auto action = std::move(armedFaults[armed].action);
+        armedFaults.erase(armedFaults.begin() + std::ptrdiff_t(armed));
+        return action(index);
       }
   };
-  cluster.onLogEvent = [this](std::size_t index, const LogEvent& note) {
-    if (!std::holds_alternative<log_events::MembershipChanged>(note) ||
+  cluster.onLogEvent = [this](std::size_t index, const LogEvent& event) {
+    if (!std::holds_alternative<log_events::MembershipChanged>(event) ||
         armedMembershipFaults.empty())
       return;
-    auto strike = std::move(armedMembershipFaults.back());
+    auto action = std::move(armedMembershipFaults.back());
     armedMembershipFaults.pop_back();
-    strike(index);
+    action(index);
   };
 }
 
@@ -83,9 +83,9 @@
 // without the others they count as lost.
 bool FaultInjector::tryLoseDisk(std::size_t index, bool moves) {
   const auto lost = cluster.votersWithoutDisk();
-  const std::size_t unknown =
+  const std::size_t unreachableControllers =
       movingControllers > 1 && cluster.now < nextMoveAt ? movingControllers : 0;
-  if (!lost || *lost + unknown >= cluster.tolerableLosses())
+  if (!lost || *lost + unreachableControllers >= cluster.tolerableLosses())
     return false;
   cluster.loseDisk(index);
   if (moves)
@@ -95,7 +95,7 @@
 
 bool FaultInjector::tryRemoveForGood(std::size_t worker) {
   const std::string id = workerName(worker);
-  if (removed.size() >= mostGone || removed.count(id))
+  if (removed.size() >= maxRemovedWorkers || removed.count(id))
     return false;
   removed.insert(id);
   return true;
@@ -108,14 +108,14 @@
 // Waits for the next matching answer: the acknowledgement is sent, and right after it the machine
 // fails.
 void FaultInjector::faultOnAcknowledgement(Fault& fault, const FaultTargets& targets,
-                                           Matches matches, ControllerAction strike) {
-  auto took = std::make_shared<bool>(false);
-  fault.tookEffect = took;
-  const std::int64_t delay = std::abs(targets.clockJump % acknowledgementFaultDelays);
-  auto atAnswer = [this, strike = std::move(strike), took, delay](std::size_t index) {
-    *took = true;
+                                           Matches matches, ControllerAction action) {
+  auto tookEffect = std::make_shared<bool>(false);
+  fault.tookEffect = tookEffect;
+  const std::int64_t delay = std::abs(targets.clockJump % acknowledgementFaultDelayCount);
+  auto atAnswer = [this, action = std::move(action), tookEffect, delay](std::size_t index) {
+    *tookEffect = true;
     cluster.recordFault("aimed strike", false);
-    cluster.scheduleAfter(delay, [strike, index] { strike(index); });
+    cluster.scheduleAfter(delay, [action, index] { action(index); });
     cluster.scheduleAfter(acknowledgementFaultMs,
                           [this] { cluster.recordFault("aimed strike", true); });
   };
@@ -125,11 +125,11 @@
   };
 }
 
-std::vector<std::string> FaultInjector::kindNames(bool called, bool several) {
+std::vector<std::string> FaultInjector::kindNames(bool withCalledWorkers, bool withManyVoters) {
   std::vector<std::string> names;
-  for (const auto& kind : several ? severalVotersTable() : everyClusterTable())
+  for (const auto& kind : withManyVoters ? severalVotersTable() : everyClusterTable())
     names.emplace_back(kind.name);
-  if (called)
+  if (withCalledWorkers)
     for (const auto& kind : calledTable())
       names.emplace_back(kind.name);
   return names;
@@ -142,7 +142,7 @@
   return cluster.tolerableLosses() > 1 ? severalVotersTable() : everyClusterTable();
 }
 
-FaultTargets FaultInjector::drawTargets(std::int64_t length) {
+FaultTargets FaultInjector::drawTargets(std::int64_t duration) {
   FaultTargets targets;
   targets.controller = random.next() % cluster.controllerCount();
   targets.gateway = random.next() % simulatedGateways;
@@ -152,7 +152,7 @@
   targets.prefersLeader = random.chance(0.5);
   targets.coinFlip = random.chance(0.5);
   targets.clockJump = random.between(-600'000, 600'000);
-  targets.duration = length;
+  targets.duration = duration;
   if (cluster.calledWorkerCount() > 0)
     targets.calledWorker = random.next() % cluster.calledWorkerCount();
   if (cluster.tolerableLosses() > 1) {
@@ -162,11 +162,11 @@
   return targets;
 }
 
-Fault FaultInjector::drawFault(std::int64_t at) {
+Fault FaultInjector::drawFault(std::int64_t startsAt) {
   const auto& kinds = drawTable();
   const auto& kind = kinds[random.next() % kinds.size()];
   Fault fault;
-  fault.startsAt = at;
+  fault.startsAt = startsAt;
   fault.duration = random.between(300, 9000);
   fault.name = kind.name;
   kind.plan(*this, cluster, drawTargets(fault.duration), fault);
--- a/source/simulator/fault_injector.hpp
+++ b/source/simulator/fault_injector.hpp
@@ -29,11 +29,11 @@
 
   FaultInjector(SimulatedCluster& cluster, Random& random);
   // Callbacks of the campaign, which submit a flood of jobs and let two operators race.
-  std::function<void()> floodOfJobs;
-  std::function<void()> operatorRace;
+  std::function<void()> submitJobFlood;
+  std::function<void()> startOperatorRace;
   Fault drawFault(std::int64_t startsAt);
   // Returns the names of all kinds of fault, for the report.
-  static std::vector<std::string> kindNames(bool called, bool several);
+  static std::vector<std::string> kindNames(bool withCalledWorkers, bool withManyVoters);
   // Returns the ids of the workers that are removed for good.
   const std::set<std::string>& removedWorkers() const { return removed; }
   // Marks the worker as removed. Returns false if it already is, or if the remaining workers could
--- a/source/simulator/fault_kinds.hpp
+++ b/source/simulator/fault_kinds.hpp
@@ -64,10 +64,10 @@
 FaultKind faultOfControllers(const char* name, ControllerStep begin, ControllerRepair end);
 
 // Calls `use` with the index of each process in the zone, of a kind with `count` processes.
-template <class Use>
-void forEachInZone(std::size_t count, std::size_t zone, Use use) {
+template <class Action>
+void forEachInZone(std::size_t count, std::size_t zone, Action action) {
   for (std::size_t index = zone; index < count; index += simulatedZones) {
-    use(index);
+    action(index);
   }
 }
 void partitionPair(SimulatedCluster& cluster, std::size_t from, std::size_t to, bool cut);
--- a/source/simulator/faults_called_workers.cpp
+++ b/source/simulator/faults_called_workers.cpp
@@ -5,23 +5,23 @@
 
 namespace {
 
-constexpr std::int64_t backAtOnceMs = 60;  // a restart within any lease
-constexpr std::int64_t leavingLastsMs =
+constexpr std::int64_t quickRestartMs = 60;  // a restart within any lease
+constexpr std::int64_t minDrainFaultMs =
     5000;  // minimum, so that the drain deadline passes during the fault
-constexpr std::int64_t hastyNoticeMs = 600;
-constexpr std::int64_t lateOrdersMs = 12'000;  // until the last delayed order has arrived
+constexpr std::int64_t veryShortDrainMs = 600;
+constexpr std::int64_t delayedOrdersArriveMs = 12'000;  // until the last delayed order has arrived
 
-void comeBackAtOnce(SimulatedCluster& cluster, const FaultTargets& targets) {
+void restartQuickly(SimulatedCluster& cluster, const FaultTargets& targets) {
   cluster.killCalledWorker(targets.calledWorker);
-  cluster.scheduleAfter(backAtOnceMs,
+  cluster.scheduleAfter(quickRestartMs,
                         [&cluster, targets] { cluster.restartCalledWorker(targets.calledWorker); });
 }
 
-void leave(FaultInjector&, SimulatedCluster& cluster, const FaultTargets& targets, Fault& fault) {
-  fault.duration = std::max(fault.duration, leavingLastsMs);
+void drain(FaultInjector&, SimulatedCluster& cluster, const FaultTargets& targets, Fault& fault) {
+  fault.duration = std::max(fault.duration, minDrainFaultMs);
   fault.begin = [&cluster, targets] {
-    cluster.drainCalledWorker(targets.calledWorker, targets.coinFlip ? shortDrainMs : hastyNoticeMs,
-                              downtimeMs);
+    cluster.drainCalledWorker(targets.calledWorker,
+                              targets.coinFlip ? shortDrainMs : veryShortDrainMs, downtimeMs);
     return true;
   };
 }
@@ -61,17 +61,18 @@
 void deliverLateOrders(SimulatedCluster& cluster, const FaultTargets& targets) {
   cluster.setOrdersDelayed(targets.calledWorker, false);
   // The delayed orders that have not arrived yet still count as a fault.
-  const std::string still = "orders on their way " + std::to_string(cluster.now);
-  cluster.recordFault(still, false);
-  cluster.scheduleAfter(lateOrdersMs, [&cluster, still] { cluster.recordFault(still, true); });
+  const std::string pendingFault = "orders on their way " + std::to_string(cluster.now);
+  cluster.recordFault(pendingFault, false);
+  cluster.scheduleAfter(delayedOrdersArriveMs,
+                        [&cluster, pendingFault] { cluster.recordFault(pendingFault, true); });
 }
 
-template <SimulatedCluster::Malfunction sickness>
-FaultKind sick(const char* name) {
+template <SimulatedCluster::Malfunction malfunction>
+FaultKind malfunctionFault(const char* name) {
   return lastingFault(
       name,
       [](SimulatedCluster& cluster, const FaultTargets& targets) {
-        cluster.setCalledWorkerMalfunction(targets.calledWorker, sickness);
+        cluster.setCalledWorkerMalfunction(targets.calledWorker, malfunction);
       },
       [](SimulatedCluster& cluster, const FaultTargets& targets) {
         cluster.setCalledWorkerMalfunction(targets.calledWorker,
@@ -89,8 +90,8 @@
           [](SimulatedCluster& cluster, const FaultTargets& targets) {
             cluster.restartCalledWorker(targets.calledWorker);
           }),
-      momentaryFault("a called worker comes back at once", comeBackAtOnce),
-      {"a called worker leaves", leave},
+      momentaryFault("a called worker comes back at once", restartQuickly),
+      {"a called worker leaves", drain},
       {"kill an agent", killAgent},
       lastingFault(
           "freeze an agent",
@@ -113,12 +114,13 @@
   };
 }
 
-FaultTable sicknesses() {
+FaultTable malfunctionFaults() {
   return {
-      sick<SimulatedCluster::Malfunction::stalled>("a called worker stalls"),
-      sick<SimulatedCluster::Malfunction::rejecting>("a called worker turns starts away"),
-      sick<SimulatedCluster::Malfunction::unresponsive>("a called worker is mute"),
-      sick<SimulatedCluster::Malfunction::failing>("a called worker fails all"),
+      malfunctionFault<SimulatedCluster::Malfunction::stalled>("a called worker stalls"),
+      malfunctionFault<SimulatedCluster::Malfunction::rejecting>(
+          "a called worker turns starts away"),
+      malfunctionFault<SimulatedCluster::Malfunction::unresponsive>("a called worker is mute"),
+      malfunctionFault<SimulatedCluster::Malfunction::failing>("a called worker fails all"),
       lastingFault(
           "orders carried out late",
           [](SimulatedCluster& cluster, const FaultTargets& targets) {
@@ -131,7 +133,7 @@
 }  // namespace
 
 FaultTable calledWorkerFaults() {
-  return concatenate({processFaults(), sicknesses(), calledWorkerAcknowledgementFaults()});
+  return concatenate({processFaults(), malfunctionFaults(), calledWorkerAcknowledgementFaults()});
 }
 
 }  // namespace aniseline
--- a/source/simulator/faults_controllers.cpp
+++ b/source/simulator/faults_controllers.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 constexpr std::int64_t longestBriefOutageMs = 1000;  // outage of all controllers at once
-constexpr std::int64_t slowDiskMs = 80;     // delay of each sync, longer than a heartbeat round
-constexpr std::int64_t moveRestMs = 5000;   // until all processes know the new addresses
-constexpr std::int64_t clockRestMs = 1000;  // until another clock may be wrong
+constexpr std::int64_t slowDiskMs = 80;         // delay of each sync, longer than a heartbeat round
+constexpr std::int64_t moveCooldownMs = 5000;   // until all processes know the new addresses
+constexpr std::int64_t clockCooldownMs = 1000;  // until another clock may be wrong
 
 void restartController(SimulatedCluster& cluster, std::size_t index) {
   cluster.restartController(index);
@@ -23,7 +23,7 @@
     *moved = injector.chooseControllers(targets);
     if (cluster.now < injector.nextMoveAt || cluster.voterCount() != cluster.configuredVoters())
       return false;
-    injector.nextMoveAt = cluster.now + targets.duration + moveRestMs;
+    injector.nextMoveAt = cluster.now + targets.duration + moveCooldownMs;
     injector.movingControllers = moved->size();
     for (const std::size_t index : *moved) {
       cluster.killController(index, true);
@@ -41,21 +41,21 @@
 void jumpClock(FaultInjector& injector, SimulatedCluster& cluster, const FaultTargets& targets,
                Fault& fault) {
   auto chosen = std::make_shared<std::vector<std::size_t>>();
-  auto lying = std::make_shared<bool>(false);
-  fault.begin = [&injector, &cluster, targets, chosen, lying] {
+  auto tookEffect = std::make_shared<bool>(false);
+  fault.begin = [&injector, &cluster, targets, chosen, tookEffect] {
     *chosen = injector.chooseControllers(targets);
     for (const std::size_t index : *chosen) {
       if (cluster.now < injector.nextClockFaultAt)
         continue;
-      injector.nextClockFaultAt = cluster.now + targets.duration + clockRestMs;
+      injector.nextClockFaultAt = cluster.now + targets.duration + clockCooldownMs;
       cluster.setClockOffset(index, targets.clockJump);
-      *lying = true;
+      *tookEffect = true;
     }
-    return *lying;
+    return *tookEffect;
   };
-  fault.end = [&cluster, chosen, lying] {
+  fault.end = [&cluster, chosen, tookEffect] {
     for (const std::size_t index : *chosen)
-      if (*lying)
+      if (*tookEffect)
         cluster.setClockOffset(index, 0);
   };
 }
@@ -84,7 +84,7 @@
                         [&cluster] { powerOnControllers(cluster); });
 }
 
-void freeDisk(SimulatedCluster& cluster, std::size_t index) {
+void endDiskFull(SimulatedCluster& cluster, std::size_t index) {
   cluster.setDiskFull(index, false);
   cluster.restartController(index);
 }
@@ -147,7 +147,7 @@
       faultOfControllers("disk full", onAny([](SimulatedCluster& cluster, std::size_t index) {
                            cluster.setDiskFull(index, true);
                          }),
-                         freeDisk),
+                         endDiskFull),
       {"jump a clock", jumpClock},
   };
 }
--- a/source/simulator/faults_gateways.cpp
+++ b/source/simulator/faults_gateways.cpp
@@ -22,14 +22,14 @@
 
 void flood(FaultInjector& injector, SimulatedCluster&, const FaultTargets&, Fault& fault) {
   fault.begin = [&injector] {
-    injector.floodOfJobs();
+    injector.submitJobFlood();
     return true;
   };
 }
 
 void raceOperators(FaultInjector& injector, SimulatedCluster&, const FaultTargets&, Fault& fault) {
   fault.begin = [&injector] {
-    injector.operatorRace();
+    injector.startOperatorRace();
     return true;
   };
 }
--- a/source/simulator/faults_network.cpp
+++ b/source/simulator/faults_network.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-void cutOff(SimulatedCluster& cluster, std::size_t zone, bool cut) {
+void isolateZone(SimulatedCluster& cluster, std::size_t zone, bool cut) {
   for (std::size_t other = 0; other < simulatedZones; ++other)
     if (other != zone)
       partitionPair(cluster, zone, other, cut);
@@ -13,7 +13,7 @@
 
 void splitAll(SimulatedCluster& cluster, bool cut) {
   for (std::size_t zone = 0; zone < simulatedZones; ++zone)
-    cutOff(cluster, zone, cut);
+    isolateZone(cluster, zone, cut);
 }
 
 }  // namespace
@@ -39,10 +39,10 @@
       lastingFault(
           "a zone cut off",
           [](SimulatedCluster& cluster, const FaultTargets& targets) {
-            cutOff(cluster, targets.fromZone, true);
+            isolateZone(cluster, targets.fromZone, true);
           },
           [](SimulatedCluster& cluster, const FaultTargets& targets) {
-            cutOff(cluster, targets.fromZone, false);
+            isolateZone(cluster, targets.fromZone, false);
           }),
       lastingFault(
           "centre split three ways",
--- a/source/simulator/faults_on_acknowledgement.cpp
+++ b/source/simulator/faults_on_acknowledgement.cpp
@@ -77,7 +77,7 @@
   armForControllers(injector, cluster, targets, fault, acknowledgesConfig);
   fault.begin = [&injector, arm = fault.begin] {
     arm();
-    injector.operatorRace();
+    injector.startOperatorRace();
     return false;
   };
 }
@@ -106,9 +106,9 @@
 
 void failWhileMembersChange(FaultInjector& injector, SimulatedCluster& cluster,
                             const FaultTargets& targets, Fault& fault) {
-  auto took = std::make_shared<bool>(false);
-  fault.tookEffect = took;
-  fault.begin = [&injector, &cluster, targets, took] {
+  auto tookEffect = std::make_shared<bool>(false);
+  fault.tookEffect = tookEffect;
+  fault.begin = [&injector, &cluster, targets, tookEffect] {
     std::vector<std::size_t> lost = injector.chooseControllers(targets);
     std::erase_if(
         lost, [&](std::size_t index) { return !injector.tryLoseDisk(index, targets.coinFlip); });
@@ -118,8 +118,8 @@
       for (const std::size_t index : lost)
         cluster.restartController(index);
     });
-    injector.faultOnMembershipChange([&cluster, took](std::size_t index) {
-      *took = true;
+    injector.faultOnMembershipChange([&cluster, tookEffect](std::size_t index) {
+      *tookEffect = true;
       failOnMembershipChange(cluster, index);
     });
     return false;
--- a/source/simulator/faults_workers.cpp
+++ b/source/simulator/faults_workers.cpp
@@ -5,26 +5,26 @@
 
 namespace {
 
-constexpr std::int64_t leavingLastsMs =
+constexpr std::int64_t minDrainFaultMs =
     5000;                         // minimum, so that the drain deadline passes during the fault
 constexpr double slowFactor = 6;  // multiplies the runtime of the worker's tasks
-constexpr double quietFailures = 0.5;  // share of the worker's tasks that fail
+constexpr double quietFailureRate = 0.5;  // share of the worker's tasks that fail
 
 // Calls `use` with every worker in the rack of `worker`.
-template <class Use>
-void eachInRack(std::size_t worker, Use use) {
+template <class Action>
+void forEachInRack(std::size_t worker, Action action) {
   const std::size_t first = worker / workersPerRack * workersPerRack;
   for (std::size_t index = first; index < std::min(first + workersPerRack, simulatedWorkers);
        ++index)
-    use(index);
+    action(index);
 }
 
 void cutRack(SimulatedCluster& cluster, std::size_t worker, bool cut) {
-  eachInRack(worker, [&](auto index) { cluster.isolateWorker(index, cut); });
+  forEachInRack(worker, [&](auto index) { cluster.isolateWorker(index, cut); });
 }
 
-void vanish(FaultInjector& injector, SimulatedCluster& cluster, const FaultTargets& targets,
-            Fault& fault) {
+void removeForGood(FaultInjector& injector, SimulatedCluster& cluster, const FaultTargets& targets,
+                   Fault& fault) {
   fault.begin = [&injector, &cluster, targets] {
     if (!injector.tryRemoveForGood(targets.worker))
       return false;
@@ -33,9 +33,9 @@
   };
 }
 
-void leaveAtShortNotice(FaultInjector& injector, SimulatedCluster& cluster,
+void drainAtShortNotice(FaultInjector& injector, SimulatedCluster& cluster,
                         const FaultTargets& targets, Fault& fault) {
-  fault.duration = std::max(fault.duration, leavingLastsMs);
+  fault.duration = std::max(fault.duration, minDrainFaultMs);
   fault.begin = [&injector, &cluster, targets] {
     if (!injector.tryRemoveForGood(targets.worker))
       return false;
@@ -54,7 +54,7 @@
           [](SimulatedCluster& cluster, const FaultTargets& targets) {
             cluster.restartWorker(targets.worker);
           }),
-      {"a worker vanishes", vanish},
+      {"a worker vanishes", removeForGood},
       lastingFault(
           "freeze a worker",
           [](SimulatedCluster& cluster, const FaultTargets& targets) {
@@ -82,12 +82,12 @@
       lastingFault(
           "a worker fails its work quietly",
           [](SimulatedCluster& cluster, const FaultTargets& targets) {
-            cluster.setWorkerBehaviour(targets.worker, 1, quietFailures);
+            cluster.setWorkerBehaviour(targets.worker, 1, quietFailureRate);
           },
           [](SimulatedCluster& cluster, const FaultTargets& targets) {
             cluster.setWorkerBehaviour(targets.worker, 1, 0);
           }),
-      {"a worker emptied at short notice", leaveAtShortNotice},
+      {"a worker emptied at short notice", drainAtShortNotice},
   };
 }
 
@@ -104,10 +104,10 @@
       lastingFault(
           "a rack out",
           [](SimulatedCluster& cluster, const FaultTargets& targets) {
-            eachInRack(targets.worker, [&](auto index) { cluster.killWorker(index, false); });
+            forEachInRack(targets.worker, [&](auto index) { cluster.killWorker(index, false); });
           },
           [](SimulatedCluster& cluster, const FaultTargets& targets) {
-            eachInRack(targets.worker, [&](auto index) { cluster.restartWorker(index); });
+            forEachInRack(targets.worker, [&](auto index) { cluster.restartWorker(index); });
           }),
   };
 }
--- a/source/simulator/faults_zones.cpp
+++ b/source/simulator/faults_zones.cpp
@@ -5,11 +5,11 @@
 
 namespace {
 
-constexpr std::int64_t zoneNoticeMs = 2000;  // time that the workers of the zone have to drain
-constexpr std::int64_t zoneEmptyAfterMs =
+constexpr std::int64_t zoneDrainMs = 2000;  // time that the workers of the zone have to drain
+constexpr std::int64_t serversKilledAfterMs =
     4500;  // until the zone's controllers and gateways are killed
 // Minimum duration, so that all processes of the zone are down for a while.
-constexpr std::int64_t zoneEmptyLastsMs = 7000;
+constexpr std::int64_t minZoneDrainFaultMs = 7000;
 
 void freezeZone(SimulatedCluster& cluster, std::size_t zone, bool frozen) {
   forEachInZone(cluster.controllerCount(), zone,
@@ -20,20 +20,20 @@
                 [&](auto index) { cluster.freezeAgent(index, frozen); });
 }
 
-void killServersOf(SimulatedCluster& cluster, std::size_t zone) {
+void killServersIn(SimulatedCluster& cluster, std::size_t zone) {
   forEachInZone(cluster.controllerCount(), zone,
                 [&](auto index) { cluster.killController(index, true); });
   forEachInZone(simulatedGateways, zone, [&](auto index) { cluster.killGateway(index); });
 }
 
-void emptyZone(FaultInjector& injector, SimulatedCluster& cluster, const FaultTargets& targets,
+void drainZone(FaultInjector& injector, SimulatedCluster& cluster, const FaultTargets& targets,
                Fault& fault) {
-  fault.duration = std::max(fault.duration, zoneEmptyLastsMs);
+  fault.duration = std::max(fault.duration, minZoneDrainFaultMs);
   fault.begin = [&cluster, targets] {
     forEachInZone(simulatedWorkers, targets.fromZone,
-                  [&](auto index) { cluster.drainWorker(index, zoneNoticeMs); });
-    cluster.scheduleAfter(zoneEmptyAfterMs,
-                          [&cluster, targets] { killServersOf(cluster, targets.fromZone); });
+                  [&](auto index) { cluster.drainWorker(index, zoneDrainMs); });
+    cluster.scheduleAfter(serversKilledAfterMs,
+                          [&cluster, targets] { killServersIn(cluster, targets.fromZone); });
     return true;
   };
   fault.end = [&injector, &cluster, targets] {
@@ -65,7 +65,7 @@
           [](SimulatedCluster& cluster, const FaultTargets& targets) {
             freezeZone(cluster, targets.fromZone, false);
           }),
-      {"a zone emptied at short notice", emptyZone},
+      {"a zone emptied at short notice", drainZone},
   };
 }
 
--- a/source/simulator/last_fault.cpp
+++ b/source/simulator/last_fault.cpp
@@ -12,7 +12,7 @@
 constexpr std::int64_t intactWithinMs = 40'000;
 constexpr std::size_t jobsBeforeTheFault = 24;
 constexpr std::int64_t submittedOverMs = 600;
-constexpr std::int64_t justAcknowledgedMs = 1000;
+constexpr std::int64_t recentMs = 1000;
 // Bounds of the time from the power loss to its return in the first zone, and from one zone to the
 // next.
 constexpr std::int64_t shortestOutageMs = 300;
@@ -119,7 +119,7 @@
   }
 }
 
-void LastFault::loseEverything(const std::vector<std::size_t>& victims) {
+void LastFault::loseDisksAndPower(const std::vector<std::size_t>& victims) {
   for (const std::size_t index : victims) {
     cluster.loseDisk(index);
   }
@@ -144,13 +144,13 @@
   cluster.scheduleAfter(random.between(0, submittedOverMs), raceOperators);
   cluster.runUntil(cluster.now + random.between(submittedOverMs / 4, submittedOverMs));
   const auto victims = chooseVictims();
-  const std::int64_t from = SimulatedCluster::epochMs + cluster.now - justAcknowledgedMs;
-  acknowledgedRightBefore = std::size_t(
+  const std::int64_t from = SimulatedCluster::epochMs + cluster.now - recentMs;
+  acknowledgedJobs = std::size_t(
       std::count_if(cluster.history.begin(), cluster.history.end(), [&](const HistoryEvent& event) {
         return event.kind == HistoryEvent::Kind::accepted && event.timestamp >= from;
       }));
   cluster.recordFault(faultName, false);
-  loseEverything(victims);
+  loseDisksAndPower(victims);
   cluster.runUntil(cluster.now + random.between(shortestOutageMs, longestOutageMs));
   returnPower(victims);
   cluster.recordFault(faultName, true);
--- a/source/simulator/last_fault.hpp
+++ b/source/simulator/last_fault.hpp
@@ -31,18 +31,18 @@
   void injectEverywhere(const std::function<void()>& raceOperators);
 
   // Returns how many jobs were acknowledged within the last second before injectEverywhere's fault.
-  std::size_t justAcknowledged() const { return acknowledgedRightBefore; }
+  std::size_t jobsAcknowledgedBefore() const { return acknowledgedJobs; }
 
  private:
   std::vector<std::size_t> chooseVictims() const;
   void submitWork();
-  void loseEverything(const std::vector<std::size_t>& victims);
+  void loseDisksAndPower(const std::vector<std::size_t>& victims);
   void returnPower(const std::vector<std::size_t>& victims);
 
   SimulatedCluster& cluster;
   const CampaignOptions& options;
   Random random;  // its own generator, so that the run before it does not change
-  std::size_t acknowledgedRightBefore = 0;
+  std::size_t acknowledgedJobs = 0;
 };
 
 }  // namespace aniseline
--- a/source/simulator/measurements.cpp
+++ b/source/simulator/measurements.cpp
@@ -15,14 +15,14 @@
   auto config = ClusterConfig::parse(standardConfig());
   config.value().version = ConfigVersion{1};
   apply(ConfigCommitted{config.value()});
-  LastContactAges heard;
+  LastContactAges lastContactAges;
   for (std::size_t index = 0; index < workers; ++index) {
     const WorkerId id{"m" + std::to_string(index)};
     Capacity capacity;
     capacity.cores = 16'000;
     capacity.memory = 32 * 1024;
     apply(WorkerRegistered{id, Incarnation{1}, capacity});
-    heard[id] = Duration{0};
+    lastContactAges[id] = Duration{0};
   }
   Planner planner;
   Random random(1);
@@ -39,24 +39,24 @@
   };
   for (std::size_t count = 0; count < workers * 4; ++count)
     submit(count, "long", 4);
-  apply(planner.makePlan(clusterState, ClusterTime{now}, heard).record);
+  apply(planner.makePlan(clusterState, ClusterTime{now}, lastContactAges).record);
   for (const auto& [id, worker] : clusterState.workers())
     apply(WorkerSynced{id, worker.lastIssuedOrder, {}});
   now = 500;
   for (std::size_t count = 0; count < waiting; ++count)
     submit(count, "plates", std::uint32_t(random.between(1, 8)));
-  std::vector<double> costs;
+  std::vector<double> times;
   for (int round = 0; round < 31; ++round) {
-    const auto begun = std::clock();
-    planner.makePlan(clusterState, ClusterTime{now + round}, heard);
-    costs.push_back(double(std::clock() - begun) * 1000.0 / CLOCKS_PER_SEC);
+    const auto startedAt = std::clock();
+    planner.makePlan(clusterState, ClusterTime{now + round}, lastContactAges);
+    times.push_back(double(std::clock() - startedAt) * 1000.0 / CLOCKS_PER_SEC);
   }
-  std::sort(costs.begin(), costs.end());
+  std::sort(times.begin(), times.end());
   return {{"waiting", json(waiting)},
           {"workers", json(workers)},
-          {"plan_p50_ms", json(costs[15])},
-          {"plan_min_ms", json(costs[0])},
-          {"plan_max_ms", json(costs[30])}};
+          {"plan_p50_ms", json(times[15])},
+          {"plan_min_ms", json(times[0])},
+          {"plan_max_ms", json(times[30])}};
 }
 
 picojson::object measureFailover(std::int64_t from, std::int64_t seeds, bool freezes) {
@@ -65,18 +65,19 @@
     SimulatedClusterOptions options;
     options.seed = std::uint64_t(seed);
     options.gateways = options.workers = 1;
-    SimulatedCluster world(options);
-    if (!world.runUntilTrue([&] { return world.voterCount() == world.configuredVoters(); }, 20'000))
+    SimulatedCluster cluster(options);
+    if (!cluster.runUntilTrue([&] { return cluster.voterCount() == cluster.configuredVoters(); },
+                              20'000))
       continue;
-    world.runUntil(world.now + seed % 997);
-    const std::size_t lost = *world.leader();
-    const std::int64_t begun = world.now;
+    cluster.runUntil(cluster.now + seed % 997);
+    const std::size_t lost = *cluster.leader();
+    const std::int64_t startedAt = cluster.now;
     if (freezes)
-      world.freezeController(lost, true);
+      cluster.freezeController(lost, true);
     else
-      world.killController(lost, true);
-    world.runUntilTrue([&] { return world.leader().has_value(); }, 20'000);
-    spans.push_back(world.now - begun);
+      cluster.killController(lost, true);
+    cluster.runUntilTrue([&] { return cluster.leader().has_value(); }, 20'000);
+    spans.push_back(cluster.now - startedAt);
   }
   std::sort(spans.begin(), spans.end());
   return {{"leader", json(freezes ? "frozen" : "killed")},
@@ -86,7 +87,7 @@
           {"max_ms", json(spans.back())}};
 }
 
-picojson::object measureSnapshot(std::size_t kept, bool whole) {
+picojson::object measureSnapshot(std::size_t kept, bool keepWhole) {
   ClusterState clusterState;
   auto config = ClusterConfig::parse(standardConfig());
   config.value().version = ConfigVersion{1};
@@ -105,24 +106,25 @@
     clusterState.apply(LogRecord{ClusterTime{2}, JobCancelled{job.id}});
     shortened.compacted.push_back(job.id);
   }
-  if (!whole)
+  if (!keepWhole)
     clusterState.apply(LogRecord{ClusterTime{3}, shortened});
-  auto spent = [](const std::function<void()>& work) {
+  auto medianMs = [](const std::function<void()>& work) {
     std::vector<double> spans;
     for (int round = 0; round < 5; ++round) {
-      const auto begun = std::clock();
+      const auto startedAt = std::clock();
       work();
-      spans.push_back(double(std::clock() - begun) * 1000.0 / CLOCKS_PER_SEC);
+      spans.push_back(double(std::clock() - startedAt) * 1000.0 / CLOCKS_PER_SEC);
     }
     std::sort(spans.begin(), spans.end());
     return spans[2];
   };
   std::string packed;
-  const double packing = spent([&] { packed = pack(clusterState); });
-  const double copying = spent([&] { ClusterState copy = clusterState; });
-  const double reading = spent([&] { auto read = unpack<ClusterState>(packed); });
-  return {{"kept", json(kept)},       {"shortened", json(!whole)}, {"bytes", json(packed.size())},
-          {"pack_ms", json(packing)}, {"copy_ms", json(copying)},  {"read_ms", json(reading)}};
+  const double packing = medianMs([&] { packed = pack(clusterState); });
+  const double copying = medianMs([&] { ClusterState copy = clusterState; });
+  const double reading = medianMs([&] { auto read = unpack<ClusterState>(packed); });
+  return {{"kept", json(kept)},           {"shortened", json(!keepWhole)},
+          {"bytes", json(packed.size())}, {"pack_ms", json(packing)},
+          {"copy_ms", json(copying)},     {"read_ms", json(reading)}};
 }
 
 }  // namespace aniseline
--- a/source/simulator/measurements.hpp
+++ b/source/simulator/measurements.hpp
@@ -13,7 +13,7 @@
 picojson::object measureFailover(std::int64_t from, std::int64_t seeds, bool freezes);
 // Measures the CPU time in ms of packing, copying and reading a cluster state with `kept` ended
 // jobs, which are kept whole or shortened.
-picojson::object measureSnapshot(std::size_t kept, bool whole);
+picojson::object measureSnapshot(std::size_t kept, bool keepWhole);
 
 }  // namespace aniseline
 
--- a/source/simulator/simulated_called_workers.cpp
+++ b/source/simulator/simulated_called_workers.cpp
@@ -60,29 +60,29 @@
   schedule(now + 5, [this, &node, generation] { tickAgent(node, generation); });
 }
 
-void SimulatedCluster::syncAgent(AgentNode& node, bool patient) {
-  (patient ? node.longPollInFlight : node.urgentSyncInFlight) = true;
+void SimulatedCluster::syncAgent(AgentNode& node, bool longPoll) {
+  (longPoll ? node.longPollInFlight : node.urgentSyncInFlight) = true;
   ApiRequest request;
   request.kind = RequestKind::syncWorker;
   request.report = node.core->makeSyncReport(MonotonicTime{now});
-  request.report.longPollTimeout = patient ? Duration{1000} : Duration{0};
+  request.report.longPollTimeout = longPoll ? Duration{1000} : Duration{0};
   request.targetId = request.report.id.value;
   const std::int64_t sentAt = now;
   callLeader(node, request,
-             [this, &node, patient, sentAt, report = request.report](const ApiResponse& answer) {
-               auto& busy = patient ? node.longPollInFlight : node.urgentSyncInFlight;
+             [this, &node, longPoll, sentAt, report = request.report](const ApiResponse& answer) {
+               auto& inFlight = longPoll ? node.longPollInFlight : node.urgentSyncInFlight;
                if (answer.status == 200) {
-                 if (auto notified = unpack<SyncResponse>(answer.body))
-                   node.core->onSyncResponse(report, notified.value(), MonotonicTime{sentAt},
+                 if (auto response = unpack<SyncResponse>(answer.body))
+                   node.core->onSyncResponse(report, response.value(), MonotonicTime{sentAt},
                                              MonotonicTime{now});
-                 busy = false;
+                 inFlight = false;
                  return;
                }
                if (answer.status == 410 && report.id == node.core->workerInstance())
                  node.core->onDeclaredGone(MonotonicTime{now});
-               schedule(now + 100, [&node, patient, generation = node.generation] {
+               schedule(now + 100, [&node, longPoll, generation = node.generation] {
                  if (node.generation == generation)
-                   (patient ? node.longPollInFlight : node.urgentSyncInFlight) = false;
+                   (longPoll ? node.longPollInFlight : node.urgentSyncInFlight) = false;
                });
              });
 }
@@ -92,18 +92,18 @@
 void SimulatedCluster::callWorker(AgentNode& node, const WorkerCall& call) {
   auto& to = *calledWorkers[node.index];
   const std::uint64_t generation = node.generation;
-  auto notified = std::make_shared<bool>(false);
-  auto respond = [this, &node, generation, notified, call](WorkerReply reply) {
-    if (*notified || !node.up || node.generation != generation)
+  auto answered = std::make_shared<bool>(false);
+  auto respond = [this, &node, generation, answered, call](WorkerReply reply) {
+    if (*answered || !node.up || node.generation != generation)
       return;
-    *notified = true;
-    auto hear = [this, &node, call, reply] {
+    *answered = true;
+    auto deliverReply = [this, &node, call, reply] {
       node.core->onWorkerReply(call, reply, MonotonicTime{now});
     };
     if (node.frozen)
-      node.deferredWork.push_back(hear);
+      node.deferredWork.push_back(deliverReply);
     else
-      hear();
+      deliverReply();
   };
   if (!to.up)
     return schedule(now + 1, [respond] { respond({}); });
@@ -113,8 +113,8 @@
     // of the delayed calls still arrive within the lease.
     const std::int64_t delay =
         random.chance(0.3) ? 0 : random.between(2000, random.chance(0.5) ? 3200 : 12'000);
-    return schedule(now + delay, [this, &to, call, delay, life = to.worker->workerInstance()] {
-      if (to.up && to.worker->workerInstance() == life)
+    return schedule(now + delay, [this, &to, call, delay, instance = to.worker->workerInstance()] {
+      if (to.up && to.worker->workerInstance() == instance)
         to.worker->handleCall(call, now, delay > 0);
     });
   }
@@ -122,8 +122,8 @@
     WorkerReply reply = to.worker->handleCall(call, now, false);
     if (to.worker->malfunction == CalledWorker::Malfunction::unresponsive)
       return;
-    auto answer = [this, &node, respond](const WorkerReply& event) {
-      deliverLocally(node, [respond, event] { respond(event); });
+    auto answer = [this, &node, respond](const WorkerReply& workerReply) {
+      deliverLocally(node, [respond, workerReply] { respond(workerReply); });
     };
     if (call.kind != WorkerCall::Kind::poll || reply.status != WorkerReply::Status::ok)
       return answer(reply);
@@ -145,28 +145,28 @@
   node.pendingPolls.clear();
   node.drain.reset();
   node.heartbeats = 0;
-  CalledWorkerOptions event;
-  event.workerInstance =
+  CalledWorkerOptions workerOptions;
+  workerOptions.workerInstance =
       WorkerId{"w" + std::to_string(node.index + 1) + "." + std::to_string(++node.instanceCount)};
-  event.capacity = node.capacity;
-  event.clockRate = 0.98 + 0.02 * double(random.between(0, 1000)) / 1000.0;
-  event.clockOrigin = random.between(1000, 1'000'000);
-  event.gangTimeout = Duration{options.seed % 3 ? 3000 : 1500};
-  event.maxResultsPerPoll = std::size_t(std::array<int, 3>{500, 3, 40}[node.index % 3]);
+  workerOptions.capacity = node.capacity;
+  workerOptions.clockRate = 0.98 + 0.02 * double(random.between(0, 1000)) / 1000.0;
+  workerOptions.clockOrigin = random.between(1000, 1'000'000);
+  workerOptions.gangTimeout = Duration{options.seed % 3 ? 3000 : 1500};
+  workerOptions.maxResultsPerPoll = std::size_t(std::array<int, 3>{500, 3, 40}[node.index % 3]);
   node.worker = std::make_unique<CalledWorker>(
-      event, gangState->rendezvous, random.next(),
+      workerOptions, gangState->rendezvous, random.next(),
       [this](const JobId& id) {
         auto found = submissions.find(id.value);
         return found == submissions.end() ? nullptr : &found->second;
       },
-      [this](HistoryEvent notified) {
-        notified.timestamp = epochMs + now;
-        recordEvent(std::move(notified));
+      [this](HistoryEvent event) {
+        event.timestamp = epochMs + now;
+        recordEvent(std::move(event));
       },
       now);
   node.worker->malfunction = node.malfunction;
   auto capacity = makeEvent(HistoryEvent::Kind::capacityReported, epochMs + now);
-  capacity.worker = event.workerInstance.value;
+  capacity.worker = workerOptions.workerInstance.value;
   capacity.cores = node.capacity.cores;
   capacity.memory = node.capacity.memory;
   capacity.accelerators = node.capacity.accelerators;
@@ -205,17 +205,17 @@
 // ended.
 void SimulatedCluster::sendHeartbeat(CalledWorkerNode& node) {
   constexpr double lateShare = 0.06;
-  auto account = node.worker->accountAt(now);
-  account.sequence = ++node.heartbeats;
+  auto registration = node.worker->registrationAt(now);
+  registration.sequence = ++node.heartbeats;
   const std::int64_t delay = random.chance(lateShare) ? random.between(500, 6000) : 0;
-  schedule(now + delay, [this, &agent = *agents[node.index], account] {
+  schedule(now + delay, [this, &agent = *agents[node.index], registration] {
     if (!agent.up)
       return;
-    deliverLocally(agent, [this, &agent, account] {
-      if (!agent.core->onRegistration(account, MonotonicTime{now}))
+    deliverLocally(agent, [this, &agent, registration] {
+      if (!agent.core->onRegistration(registration, MonotonicTime{now}))
         return;
-      if (account.draining)
-        awaitDrainAcknowledgement(agent, account.workerInstance);
+      if (registration.draining)
+        awaitDrainAcknowledgement(agent, registration.workerInstance);
     });
   });
 }
@@ -227,9 +227,9 @@
   node.up = false;
   ++node.generation;
   node.pendingPolls.clear();
-  auto vanished = makeEvent(HistoryEvent::Kind::workerLost, epochMs + now);
-  vanished.worker = node.worker->workerInstance().value;
-  recordEvent(vanished);
+  auto event = makeEvent(HistoryEvent::Kind::workerLost, epochMs + now);
+  event.worker = node.worker->workerInstance().value;
+  recordEvent(event);
 }
 
 void SimulatedCluster::killAgent(std::size_t index) {
@@ -257,9 +257,9 @@
   if (!calledWorkers[index]->up)
     bootCalledWorker(*calledWorkers[index]);
 }
-void SimulatedCluster::setCalledWorkerMalfunction(std::size_t index, Malfunction sickness) {
+void SimulatedCluster::setCalledWorkerMalfunction(std::size_t index, Malfunction malfunction) {
   auto& node = *calledWorkers[index];
-  node.malfunction = CalledWorker::Malfunction(sickness);
+  node.malfunction = CalledWorker::Malfunction(malfunction);
   node.worker->malfunction = node.malfunction;
 }
 void SimulatedCluster::setOrdersDelayed(std::size_t index, bool delayed) {
@@ -272,18 +272,18 @@
 // Without an acknowledgement it exits 5 s after the announcement. A new instance starts later.
 // docs/design.md 12.4.
 void SimulatedCluster::drainCalledWorker(std::size_t index, std::int64_t within,
-                                         std::int64_t awayFor) {
+                                         std::int64_t downtime) {
   auto& node = *calledWorkers[index];
   if (!node.up || node.drain)
     return;
-  CalledWorkerNode::Drain leaving;
-  leaving.byRequest = random.chance(0.5);
-  leaving.announcedAt = leaving.nextAnnouncementAt = now;
-  leaving.servesAfterAcknowledgement =
+  CalledWorkerNode::Drain drain;
+  drain.byRequest = random.chance(0.5);
+  drain.announcedAt = drain.nextAnnouncementAt = now;
+  drain.servesAfterAcknowledgement =
       within + (random.chance(0.3) ? random.between(2000, 9000) : random.between(0, 1500));
-  leaving.downtime = awayFor;
-  node.drain = leaving;
-  if (!leaving.byRequest) {
+  drain.downtime = downtime;
+  node.drain = drain;
+  if (!drain.byRequest) {
     node.worker->draining = true;
     node.worker->drainTimeout = Duration{within};
     node.nextHeartbeatAt = now;
@@ -291,38 +291,38 @@
 }
 
 void SimulatedCluster::advanceDrain(CalledWorkerNode& node) {
-  constexpr std::int64_t endsWithoutAnswerAfter = 5000, saysAgainAfter = 1000;
-  auto& leaving = *node.drain;
-  if (leaving.byRequest && !node.drainAcknowledged && now >= leaving.nextAnnouncementAt) {
-    leaving.nextAnnouncementAt = now + saysAgainAfter;
+  constexpr std::int64_t exitWithoutAcknowledgementMs = 5000, announcementRetryMs = 1000;
+  auto& drain = *node.drain;
+  if (drain.byRequest && !node.drainAcknowledged && now >= drain.nextAnnouncementAt) {
+    drain.nextAnnouncementAt = now + announcementRetryMs;
     announceDrain(node);
   }
-  if (!leaving.endsAt && node.drainAcknowledged)
-    leaving.endsAt = now + leaving.servesAfterAcknowledgement;
-  if (!leaving.endsAt && now - leaving.announcedAt >= endsWithoutAnswerAfter)
-    leaving.endsAt = now;
-  if (!leaving.endsAt || now < leaving.endsAt)
+  if (!drain.endsAt && node.drainAcknowledged)
+    drain.endsAt = now + drain.servesAfterAcknowledgement;
+  if (!drain.endsAt && now - drain.announcedAt >= exitWithoutAcknowledgementMs)
+    drain.endsAt = now;
+  if (!drain.endsAt || now < drain.endsAt)
     return;
-  if (!leaving.byRequest && !leaving.finalAnnouncementSent) {
-    leaving.finalAnnouncementSent = true;
-    leaving.endsAt = now + random.between(0, 400);
+  if (!drain.byRequest && !drain.finalAnnouncementSent) {
+    drain.finalAnnouncementSent = true;
+    drain.endsAt = now + random.between(0, 400);
     return announceDrain(node);
   }
-  const std::int64_t awayFor = leaving.downtime;
-  const std::string what = "the end of a called worker that leaves " + std::to_string(now);
+  const std::int64_t downtime = drain.downtime;
+  const std::string fault = "the end of a called worker that leaves " + std::to_string(now);
   endCalledWorker(node);
-  recordFault(what, false);
-  scheduleAfter(awayFor, [this, &node, what] {
+  recordFault(fault, false);
+  scheduleAfter(downtime, [this, &node, fault] {
     restartCalledWorker(node.index);
-    recordFault(what, true);
+    recordFault(fault, true);
   });
 }
 
 void SimulatedCluster::announceDrain(CalledWorkerNode& node) {
   auto& agent = *agents[node.index];
   if (agent.up)
-    deliverLocally(agent, [this, &agent, life = node.worker->workerInstance()] {
-      receiveDrainAnnouncement(agent, life);
+    deliverLocally(agent, [this, &agent, instance = node.worker->workerInstance()] {
+      receiveDrainAnnouncement(agent, instance);
     });
 }
 
@@ -330,11 +330,11 @@
   const Duration within{2000};
   if (agent.core->onDrainNotice(instance, within, MonotonicTime{now}))
     return awaitDrainAcknowledgement(agent, instance);
-  ApiRequest leaving;
-  leaving.kind = RequestKind::workerShutdown;
-  leaving.targetId = instance.value;
-  leaving.drainTimeout = within;
-  callLeader(agent, leaving, [this, &agent, instance](const ApiResponse& answer) {
+  ApiRequest request;
+  request.kind = RequestKind::workerShutdown;
+  request.targetId = instance.value;
+  request.drainTimeout = within;
+  callLeader(agent, request, [this, &agent, instance](const ApiResponse& answer) {
     if (answer.status < 500)
       acknowledgeDrain(agent.index, instance);
   });
@@ -342,8 +342,8 @@
 
 // A drain announcement is acknowledged once it is in the log, or not at all.
 void SimulatedCluster::awaitDrainAcknowledgement(AgentNode& agent, const WorkerId& instance) {
-  constexpr std::int64_t tellWithin = 900;
-  agent.drainAcknowledgementDueBy = now + tellWithin;
+  constexpr std::int64_t acknowledgeWithinMs = 900;
+  agent.drainAcknowledgementDueBy = now + acknowledgeWithinMs;
   agent.drainingWorker = instance;
 }
 
@@ -353,9 +353,9 @@
     if (node.drainAcknowledged || node.worker->workerInstance() != instance)
       return;
     node.drainAcknowledged = true;
-    auto leaving = makeEvent(HistoryEvent::Kind::draining, epochMs + now);
-    leaving.worker = instance.value;
-    recordEvent(leaving);
+    auto event = makeEvent(HistoryEvent::Kind::draining, epochMs + now);
+    event.worker = instance.value;
+    recordEvent(event);
   });
 }
 
--- a/source/simulator/simulated_callers.cpp
+++ b/source/simulator/simulated_callers.cpp
@@ -9,8 +9,8 @@
 
 void SimulatedCluster::sendRequest(std::size_t gateway, const std::string& method,
                                    const std::string& target, const std::string& body,
-                                   ResponseHandler follower, std::int64_t within) {
-  askGateway(*clients, gateway, method, target, body, within, std::move(follower));
+                                   ResponseHandler handler, std::int64_t within) {
+  askGateway(*clients, gateway, method, target, body, within, std::move(handler));
 }
 
 void SimulatedCluster::submit(const JobSubmission& job, std::int64_t cancelAfter,
@@ -85,9 +85,9 @@
   if (state->ended)
     return;
   const std::int64_t askedAt = epochMs + now;
-  auto asked = makeEvent(HistoryEvent::Kind::cancelSubmitted, askedAt);
-  asked.job = state->job.id.value;
-  recordEvent(asked);
+  auto event = makeEvent(HistoryEvent::Kind::cancelSubmitted, askedAt);
+  event.job = state->job.id.value;
+  recordEvent(event);
   askGateway(
       *clients, state->gateway, "DELETE", "/v1/jobs/" + state->job.id.value, "", 3000,
       [this, state, askedAt](int status, const std::string& body) {
@@ -116,30 +116,31 @@
     const std::int64_t askedAt = epochMs + now;
     askGateway(*clients, state->gateway, "GET", "/v1/jobs/" + state->job.id.value, "", 3000,
                [this, state, askedAt](int status, const std::string& body) {
-                 std::string shown;
+                 std::string jobState;
                  if (status == 404)
-                   shown = "missing";
+                   jobState = "missing";
                  else if (status == 200) {
                    picojson::value root;
                    if (picojson::parse(root, body).empty())
-                     shown = root.get("state").to_str();
+                     jobState = root.get("state").to_str();
                  } else
                    state->gateway = (state->gateway + 1) % gateways.size();
-                 auto& last = lastObservedState[state->job.id.value];
-                 if (!shown.empty()) {
-                   auto event = makeEvent(shown == last ? HistoryEvent::Kind::stateUnchanged
-                                                        : HistoryEvent::Kind::stateObserved,
+                 auto& lastState = lastObservedState[state->job.id.value];
+                 if (!jobState.empty()) {
+                   auto event = makeEvent(jobState == lastState ? HistoryEvent::Kind::stateUnchanged
+                                                                : HistoryEvent::Kind::stateObserved,
                                           epochMs + now);
                    event.job = state->job.id.value;
-                   event.detail = shown;
+                   event.detail = jobState;
                    event.invokedAt = askedAt;
                    recordEvent(event);
-                   const bool isNew = shown != last;
-                   last = shown;
-                   if (trace && isNew)
-                     trace("show " + state->job.id.value + ": " + shown);
+                   const bool hasChanged = jobState != lastState;
+                   lastState = jobState;
+                   if (trace && hasChanged)
+                     trace("show " + state->job.id.value + ": " + jobState);
                  }
-                 state->ended = shown == "finished" || shown == "failed" || shown == "cancelled";
+                 state->ended =
+                     jobState == "finished" || jobState == "failed" || jobState == "cancelled";
                  if (!state->ended)
                    pollJob(state);
                });
@@ -147,54 +148,54 @@
 }
 
 void SimulatedCluster::applyConfig(const std::string& text, std::uint64_t baseVersion,
-                                   ResponseHandler follower, std::size_t gateway) {
+                                   ResponseHandler handler, std::size_t gateway) {
   const auto parsed = ClusterConfig::parse(text);
   if (parsed)
     notePools(parsed.value());
-  ConfigOrder order = makeConfigOrder("PUT", "config", text, baseVersion);
-  order.submitted.digest = configDigest(text);
+  ConfigRequest request = makeConfigRequest("PUT", "config", text, baseVersion);
+  request.submitted.digest = configDigest(text);
   // The answer to an invalid text tells nothing about the current configuration.
-  order.isValid = bool(parsed);
-  sendConfigOrder(
-      order, gateway,
-      [this, parsed, follower = std::move(follower)](int status, const std::string& body) {
+  request.isValid = bool(parsed);
+  sendConfigRequest(
+      request, gateway,
+      [this, parsed, handler = std::move(handler)](int status, const std::string& body) {
         if (status == 200 && parsed)
           noteAttemptLimits(parsed.value());
-        if (follower)
-          follower(status, body);
+        if (handler)
+          handler(status, body);
       });
 }
 
 void SimulatedCluster::patchConfig(const std::string& text, std::uint64_t baseVersion,
-                                   ResponseHandler follower, std::size_t gateway) {
-  ConfigOrder order = makeConfigOrder("PATCH", "patch", text, baseVersion);
-  order.submitted.digest = configPatchDigest(text);
-  order.submitted.detail = configPatchDetail;
-  order.isValid = bool(ConfigPatch::parse(text));
-  sendConfigOrder(order, gateway, std::move(follower));
+                                   ResponseHandler handler, std::size_t gateway) {
+  ConfigRequest request = makeConfigRequest("PATCH", "patch", text, baseVersion);
+  request.submitted.digest = configPatchDigest(text);
+  request.submitted.detail = configPatchDetail;
+  request.isValid = bool(ConfigPatch::parse(text));
+  sendConfigRequest(request, gateway, std::move(handler));
 }
 
-SimulatedCluster::ConfigOrder SimulatedCluster::makeConfigOrder(const char* method,
-                                                                const std::string& field,
-                                                                const std::string& text,
-                                                                std::uint64_t baseVersion) const {
-  ConfigOrder order;
-  order.method = method;
-  order.body = "{\"based_on\":" + std::to_string(baseVersion) + ",\"" + field + "\":" + text + "}";
-  order.submitted = makeEvent(HistoryEvent::Kind::configSubmitted, epochMs + now);
-  order.submitted.baseVersion = baseVersion;
-  return order;
+SimulatedCluster::ConfigRequest SimulatedCluster::makeConfigRequest(
+    const char* method, const std::string& field, const std::string& text,
+    std::uint64_t baseVersion) const {
+  ConfigRequest request;
+  request.method = method;
+  request.body =
+      "{\"based_on\":" + std::to_string(baseVersion) + ",\"" + field + "\":" + text + "}";
+  request.submitted = makeEvent(HistoryEvent::Kind::configSubmitted, epochMs + now);
+  request.submitted.baseVersion = baseVersion;
+  return request;
 }
 
-void SimulatedCluster::sendConfigOrder(const ConfigOrder& order, std::size_t gateway,
-                                       ResponseHandler follower) {
-  recordEvent(order.submitted);
-  askGateway(*clients, gateway, order.method, "/v1/config", order.body, 3000,
-             [this, order, follower = std::move(follower)](int status, const std::string& body) {
-               if (status == 200 || status == 409 || (status == 400 && order.isValid))
-                 recordConfigAnswer(order.submitted, status, body);
-               if (follower)
-                 follower(status, body);
+void SimulatedCluster::sendConfigRequest(const ConfigRequest& request, std::size_t gateway,
+                                         ResponseHandler handler) {
+  recordEvent(request.submitted);
+  askGateway(*clients, gateway, request.method, "/v1/config", request.body, 3000,
+             [this, request, handler = std::move(handler)](int status, const std::string& body) {
+               if (status == 200 || status == 409 || (status == 400 && request.isValid))
+                 recordConfigAnswer(request.submitted, status, body);
+               if (handler)
+                 handler(status, body);
              });
 }
 
@@ -221,28 +222,28 @@
 
 void SimulatedCluster::noteAttemptLimits(const ClusterConfig& config) {
   for (const auto& [name, queue] : config.queues) {
-    auto& most = queue.maxFailures ? maxAttemptsByQueue[name.value] : retriesByQueue[name.value];
-    most = std::max(most, queue.maxFailures ? queue.maxFailures : queue.maxRetries);
+    auto& limit = queue.maxFailures ? maxAttemptsByQueue[name.value] : retriesByQueue[name.value];
+    limit = std::max(limit, queue.maxFailures ? queue.maxFailures : queue.maxRetries);
   }
 }
 
-std::vector<std::string> SimulatedCluster::misjudgedConfigOrders() const {
-  const auto leading = leader();
-  if (!leading)
+std::vector<std::string> SimulatedCluster::wronglyAnsweredConfigChanges() const {
+  const auto leaderIndex = leader();
+  if (!leaderIndex)
     return {"nobody leads"};
-  std::set<std::pair<std::uint64_t, std::string>> held;
-  for (const auto& order : controllers[*leading]->core->committed().configHistory().updates())
-    held.insert({order.baseVersion.value, order.digest.text()});
-  std::vector<std::string> found;
+  std::set<std::pair<std::uint64_t, std::string>> storedUpdates;
+  for (const auto& update : controllers[*leaderIndex]->core->committed().configHistory().updates())
+    storedUpdates.insert({update.baseVersion.value, update.digest.text()});
+  std::vector<std::string> findings;
   for (const auto& event : history) {
-    const bool isHeld = held.count({event.baseVersion, event.digest}) > 0;
-    const std::string order = event.digest + " on " + std::to_string(event.baseVersion);
-    if (event.kind == HistoryEvent::Kind::configRejected && isHeld)
-      found.push_back("the config " + order + " was taken and refused");
-    if (event.kind == HistoryEvent::Kind::configAcknowledged && !isHeld)
-      found.push_back("the config " + order + " was acknowledged and is not held");
+    const bool isStored = storedUpdates.count({event.baseVersion, event.digest}) > 0;
+    const std::string update = event.digest + " on " + std::to_string(event.baseVersion);
+    if (event.kind == HistoryEvent::Kind::configRejected && isStored)
+      findings.push_back("the config " + update + " was taken and refused");
+    if (event.kind == HistoryEvent::Kind::configAcknowledged && !isStored)
+      findings.push_back("the config " + update + " was acknowledged and is not held");
   }
-  return found;
+  return findings;
 }
 
 std::optional<std::size_t> SimulatedCluster::leader() const {
@@ -267,10 +268,10 @@
 }
 bool SimulatedCluster::isVoter(std::size_t index) const {
   const auto& node = *controllers[index];
-  const auto leading = leader();
-  if (!node.up || !leading)
+  const auto leaderIndex = leader();
+  if (!node.up || !leaderIndex)
     return false;
-  for (const auto& member : controllers[*leading]->core->raftNode().membership())
+  for (const auto& member : controllers[*leaderIndex]->core->raftNode().membership())
     if (member.id == node.identity)
       return member.voter;
   return false;
@@ -282,28 +283,28 @@
   return count;
 }
 std::vector<std::string> SimulatedCluster::unfinishedJobs() const {
-  std::vector<std::string> left;
+  std::vector<std::string> unfinished;
   for (const auto& state : callers)
     if (!state->ended && !state->rejected)
-      left.push_back(
+      unfinished.push_back(
           state->job.id.value + (state->accepted ? " accepted, last shown " : " never accepted ") +
           (lastObservedState.count(state->job.id.value) ? lastObservedState.at(state->job.id.value)
                                                         : ""));
-  return left;
+  return unfinished;
 }
 bool SimulatedCluster::allJobsEnded() const {
   return unfinishedJobs().empty();
 }
 CheckReport SimulatedCluster::checkHistory() const {
-  InvariantOptions promises;
-  promises.clockSlackMs = 50;
-  promises.retriesByQueue = retriesByQueue;
-  promises.maxAttemptsByQueue = maxAttemptsByQueue;
-  promises.poolsByQueue = poolsByQueue;
-  promises.reservedTrialMemory = reservedTrialMemory;
-  promises.tenantByJob = tenantByJob;
-  promises.lowestCaps = lowestCaps;
-  return checkInvariants(history, submissions, promises);
+  InvariantOptions invariantOptions;
+  invariantOptions.clockSlackMs = 50;
+  invariantOptions.retriesByQueue = retriesByQueue;
+  invariantOptions.maxAttemptsByQueue = maxAttemptsByQueue;
+  invariantOptions.poolsByQueue = poolsByQueue;
+  invariantOptions.reservedTrialMemory = reservedTrialMemory;
+  invariantOptions.tenantByJob = tenantByJob;
+  invariantOptions.lowestCaps = lowestCaps;
+  return checkInvariants(history, submissions, invariantOptions);
 }
 
 }  // namespace aniseline
--- a/source/simulator/simulated_cluster.cpp
+++ b/source/simulator/simulated_cluster.cpp
@@ -3,8 +3,8 @@
 
 namespace aniseline {
 
-SimulatedCluster::SimulatedCluster(SimulatedClusterOptions given)
-    : options(given), random(given.seed * 7919 + 13) {
+SimulatedCluster::SimulatedCluster(SimulatedClusterOptions simulationOptions)
+    : options(simulationOptions), random(simulationOptions.seed * 7919 + 13) {
   clients = std::make_unique<Node>();
   for (std::size_t index = 0; index < options.controllers; ++index) {
     auto node = std::make_unique<ControllerNode>();
@@ -95,17 +95,17 @@
   return condition();
 }
 
-void SimulatedCluster::recordEvent(HistoryEvent given) {
-  if (!given.timestamp)
-    given.timestamp = epochMs + now;
-  const std::string line = given.toJsonLine();
+void SimulatedCluster::recordEvent(HistoryEvent event) {
+  if (!event.timestamp)
+    event.timestamp = epochMs + now;
+  const std::string line = event.toJsonLine();
   transcriptHash = hashBytes(transcriptHash, line);
-  if (trace && !given.worker.empty())
+  if (trace && !event.worker.empty())
     trace("witness " + line);
-  history.push_back(std::move(given));
+  history.push_back(std::move(event));
 }
 
-bool SimulatedCluster::cutBetween(const Node& from, const Node& to) const {
+bool SimulatedCluster::isCutBetween(const Node& from, const Node& to) const {
   if (from.isolated || to.isolated)
     return true;
   return &from != clients.get() && &to != clients.get() &&
@@ -113,7 +113,7 @@
 }
 
 void SimulatedCluster::deliver(Node& from, Node& to, std::function<void()> work) {
-  if (cutBetween(from, to) || (options.messageLoss > 0 && random.chance(options.messageLoss)))
+  if (isCutBetween(from, to) || (options.messageLoss > 0 && random.chance(options.messageLoss)))
     return;
   deliverAt(to, now + (from.zone == to.zone ? 0 : 1) + random.between(0, 1), std::move(work));
 }
@@ -136,12 +136,12 @@
   node.frozen = frozen;
   if (frozen)
     return;
-  auto inbox = std::exchange(node.deferredWork, {});
+  auto pendingWork = std::exchange(node.deferredWork, {});
   const std::uint64_t generation = node.generation;
   Node* target = &node;
-  schedule(now, [target, generation, inbox = std::move(inbox)] {
+  schedule(now, [target, generation, pendingWork = std::move(pendingWork)] {
     if (target->up && target->generation == generation)
-      for (auto& work : inbox)
+      for (auto& work : pendingWork)
         work();
   });
 }
@@ -188,29 +188,31 @@
 }
 
 void SimulatedCluster::recordFault(const std::string& fault, bool ends) {
-  auto given = makeEvent(ends ? HistoryEvent::Kind::faultEnded : HistoryEvent::Kind::faultBegan,
+  auto event = makeEvent(ends ? HistoryEvent::Kind::faultEnded : HistoryEvent::Kind::faultBegan,
                          epochMs + now);
-  given.detail = fault;
-  recordEvent(given);
+  event.detail = fault;
+  recordEvent(event);
 }
 
 void SimulatedCluster::observeConfigs() {
-  auto poll = [this](const std::string& process, ConfigVersion version) {
+  auto recordVersion = [this](const std::string& process, ConfigVersion version) {
     if (!version.value)
       return;  // the process has just started and has no configuration yet
-    auto given = makeEvent(HistoryEvent::Kind::configObserved, epochMs + now);
-    given.detail = process;
-    given.version = version.value;
-    recordEvent(given);
+    auto event = makeEvent(HistoryEvent::Kind::configObserved, epochMs + now);
+    event.detail = process;
+    event.version = version.value;
+    recordEvent(event);
   };
   for (const auto& node : controllers)
     if (node->up && !node->frozen)
-      poll("controller" + std::to_string(node->index) + "." + std::to_string(node->generation),
-           node->core->committed().config().version);
+      recordVersion(
+          "controller" + std::to_string(node->index) + "." + std::to_string(node->generation),
+          node->core->committed().config().version);
   for (const auto& node : gateways)
     if (node->up && !node->frozen)
-      poll("gateway" + std::to_string(node->index) + "." + std::to_string(node->generation),
-           node->route.config);
+      recordVersion(
+          "gateway" + std::to_string(node->index) + "." + std::to_string(node->generation),
+          node->route.config);
 }
 
 }  // namespace aniseline
--- a/source/simulator/simulated_cluster.hpp
+++ b/source/simulator/simulated_cluster.hpp
@@ -59,7 +59,7 @@
   void slowDisk(std::size_t index, std::int64_t extra);
   std::vector<WriteAheadRecord> copyDisk(std::size_t index) const;
   void replaceDisk(std::size_t index, std::vector<WriteAheadRecord> records);
-  void setClockOffset(std::size_t index, std::int64_t wrongBy);
+  void setClockOffset(std::size_t index, std::int64_t offset);
   // While the disk is full, a write fails and ends the process.
   void setDiskFull(std::size_t index, bool full);
   void transferLeadership(std::size_t index);
@@ -75,7 +75,7 @@
   void freezeWorker(std::size_t index, bool frozen);
   void isolateWorker(std::size_t index, bool cut);
   void drainWorker(std::size_t index, std::int64_t within);
-  void setWorkerBehaviour(std::size_t index, double slow, double fail);
+  void setWorkerBehaviour(std::size_t index, double slowdown, double failureRate);
   // Called workers and their agents; both have the same index.
   void killAgent(std::size_t index);
   void restartAgent(std::size_t index);
@@ -83,7 +83,7 @@
   void isolateAgent(std::size_t index, bool cut);
   void killCalledWorker(std::size_t index);
   void restartCalledWorker(std::size_t index);  // as a new instance
-  void drainCalledWorker(std::size_t index, std::int64_t within, std::int64_t awayFor);
+  void drainCalledWorker(std::size_t index, std::int64_t within, std::int64_t downtime);
   enum class Malfunction : std::uint8_t { none, stalled, rejecting, unresponsive, failing };
   void setCalledWorkerMalfunction(std::size_t index, Malfunction malfunction);
   // While delayed, calls get no answer and are carried out much later.
@@ -101,16 +101,16 @@
   // Called once, with the answer, or with status 0 if there was none.
   using ResponseHandler = std::function<void(int status, const std::string& body)>;
   void sendRequest(std::size_t gateway, const std::string& method, const std::string& target,
-                   const std::string& body, ResponseHandler follower, std::int64_t within = 3000);
+                   const std::string& body, ResponseHandler handler, std::int64_t within = 3000);
   // Starts a caller that resends when it gets no answer, polls until its job has ended, and records
   // everything it observes. A negative `cancelAfter` means that it never cancels.
   void submit(const JobSubmission& job, std::int64_t cancelAfter = -1,
               const std::string& apiKey = "");
   void resubmit(const JobSubmission& job);
-  void applyConfig(const std::string& text, std::uint64_t baseVersion, ResponseHandler follower,
+  void applyConfig(const std::string& text, std::uint64_t baseVersion, ResponseHandler handler,
                    std::size_t gateway = 0);
   // `text` is a patch of the configuration.
-  void patchConfig(const std::string& text, std::uint64_t baseVersion, ResponseHandler follower,
+  void patchConfig(const std::string& text, std::uint64_t baseVersion, ResponseHandler handler,
                    std::size_t gateway = 0);
 
   // --- observations ---
@@ -130,7 +130,7 @@
   bool allReplicasIntact() const { return votersWithoutDisk() == std::size_t(0); }
   // Returns, by digest and base version, the configuration changes that were answered with a
   // refusal although the cluster applied them, and those that were acknowledged but are not stored.
-  std::vector<std::string> misjudgedConfigOrders() const;
+  std::vector<std::string> wronglyAnsweredConfigChanges() const;
   // Reports whether every accepted job has been shown to its caller as ended.
   bool allJobsEnded() const;
   std::vector<std::string> unfinishedJobs() const;
@@ -170,14 +170,14 @@
   struct CalledWorkerNode;
   struct Call;
   struct CallerState;
-  struct ConfigOrder {
+  struct ConfigRequest {
     const char* method = "";
     std::string body;
     HistoryEvent submitted;
     bool isValid = false;  // as far as that is known without the base configuration
   };
   void schedule(std::int64_t time, std::function<void()> work);
-  bool cutBetween(const Node& from, const Node& to) const;
+  bool isCutBetween(const Node& from, const Node& to) const;
   void deliver(Node& from, Node& to, std::function<void()> work);
   void processOutputs(ControllerNode& node);
   void finishWrite(ControllerNode& node, std::uint64_t generation);
@@ -194,16 +194,16 @@
                      std::function<void(std::optional<ApiResponse>, LeaderCall::Failure)> reply);
   void askGateway(Node& from, std::size_t gateway, const std::string& method,
                   const std::string& target, const std::string& body, std::int64_t within,
-                  ResponseHandler follower, const std::string& apiKey = "");
+                  ResponseHandler handler, const std::string& apiKey = "");
   void bootWorker(WorkerNode& node);
   void tickWorker(WorkerNode& node, std::uint64_t generation);
-  void syncWorker(WorkerNode& node, bool patient);
-  void learnContacts(WorkerNode& node, std::size_t index);
+  void syncWorker(WorkerNode& node, bool longPoll);
+  void discoverGateways(WorkerNode& node, std::size_t index);
   void applyWorkerEffects(WorkerNode& node);
   void bootAgent(AgentNode& node);
   void tickAgent(AgentNode& node, std::uint64_t generation);
   void learnRoute(AgentNode& node, std::uint64_t generation);
-  void syncAgent(AgentNode& node, bool patient);
+  void syncAgent(AgentNode& node, bool longPoll);
   void callWorker(AgentNode& node, const WorkerCall& call);
   void bootCalledWorker(CalledWorkerNode& node);
   void tickCalledWorker(CalledWorkerNode& node, std::uint64_t generation);
@@ -218,9 +218,9 @@
   // Runs `work` at a process that is still up; a frozen one runs it when it is thawed.
   void deliverAt(Node& to, std::int64_t at, std::function<void()> work);
   // Makes a request that carries a whole configuration or a patch in the body's `field`.
-  ConfigOrder makeConfigOrder(const char* method, const std::string& field, const std::string& text,
-                              std::uint64_t baseVersion) const;
-  void sendConfigOrder(const ConfigOrder& order, std::size_t gateway, ResponseHandler follower);
+  ConfigRequest makeConfigRequest(const char* method, const std::string& field,
+                                  const std::string& text, std::uint64_t baseVersion) const;
+  void sendConfigRequest(const ConfigRequest& order, std::size_t gateway, ResponseHandler handler);
   void recordConfigAnswer(const HistoryEvent& submitted, int status, const std::string& body);
   // Note the parts of a configuration that the history checkers need.
   void notePools(const ClusterConfig& config);
--- a/source/simulator/simulated_controllers.cpp
+++ b/source/simulator/simulated_controllers.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-std::string lineOf(const LogEvent& event) {
+std::string formatLogEvent(const LogEvent& event) {
   const RenderedLogEvent rendered = render(event);
   if (rendered.fields.empty())
     return rendered.name;
@@ -28,11 +28,11 @@
   settings.voterCount = node.votersOverride.value_or(settings.voterCount);
   node.core = std::make_unique<Controller>(self, settings, random.next(), node.disk,
                                            MonotonicTime{now + node.monotonicBase});
-  node.core->logEvent.connect([this, &node](const LogEvent& note) {
+  node.core->logEvent.connect([this, &node](const LogEvent& event) {
     if (onLogEvent)
-      schedule(now, [this, index = node.index, note] { onLogEvent(index, note); });
+      schedule(now, [this, index = node.index, event] { onLogEvent(index, event); });
     if (trace)
-      trace(node.identity.value + " " + lineOf(note));
+      trace(node.identity.value + " " + formatLogEvent(event));
   });
   schedule(now, [this, &node, generation = node.generation] { tickController(node, generation); });
 }
@@ -45,7 +45,7 @@
     if (node.core->raftNode().isBlank() && now >= node.nextJoinAttemptAt) {
       node.nextJoinAttemptAt = now + 200;
       for (auto& other : controllers)
-        if (other.get() != &node && other->up && !other->frozen && !cutBetween(node, *other) &&
+        if (other.get() != &node && other->up && !other->frozen && !isCutBetween(node, *other) &&
             !other->core->raftNode().isBlank()) {
           const auto route = other->core->route(MonotonicTime{now + other->monotonicBase});
           if (!route.leader.value.empty())
@@ -109,10 +109,10 @@
   if (auto record = node.core->takeWrite()) {
     node.writeInFlight = std::move(*record);
     writesDigest = hashBytes(writesDigest, pack(*node.writeInFlight));
-    const std::int64_t done =
+    const std::int64_t finishedAt =
         std::max(now, node.diskStalledUntil) + random.between(1, 4) + node.diskDelay;
     const std::uint64_t generation = node.generation;
-    schedule(done, [this, &node, generation] { finishWrite(node, generation); });
+    schedule(finishedAt, [this, &node, generation] { finishWrite(node, generation); });
   }
   if (auto work = node.core->takeSnapshotWork(); !work.empty())
     if (auto view = node.snapshotWriter.process(work))
@@ -164,8 +164,8 @@
   ++node.generation;
   node.deferredWork.clear();
   node.stepScheduled = false;
-  auto dead = std::exchange(node.onExit, {});
-  for (auto& [key, respond] : dead)
+  auto exitCallbacks = std::exchange(node.onExit, {});
+  for (auto& [key, respond] : exitCallbacks)
     respond();
 }
 void SimulatedCluster::restartController(std::size_t index) {
@@ -211,23 +211,23 @@
 void SimulatedCluster::replaceDisk(std::size_t index, std::vector<WriteAheadRecord> records) {
   controllers[index]->disk = std::move(records);
 }
-void SimulatedCluster::setClockOffset(std::size_t index, std::int64_t wrongBy) {
-  controllers[index]->clockOffset = wrongBy;
+void SimulatedCluster::setClockOffset(std::size_t index, std::int64_t offset) {
+  controllers[index]->clockOffset = offset;
 }
 void SimulatedCluster::setDiskFull(std::size_t index, bool full) {
   controllers[index]->diskFull = full;
 }
 void SimulatedCluster::traceControllers() const {
   for (const auto& node : controllers) {
-    const auto& agreed = node->core->raftNode();
+    const auto& raft = node->core->raftNode();
     std::string text =
         node->identity.value + " at " + node->address.value + (node->up ? "" : " down") +
-        (node->frozen ? " frozen" : "") + ": " + name(agreed.role()) + " of term " +
-        std::to_string(agreed.term().value) + ", leader '" + agreed.leaderId().value + "', last " +
-        std::to_string(agreed.lastIndex().value) + ", commit " +
-        std::to_string(agreed.commitIndex().value) + ", disk " + std::to_string(node->disk.size()) +
+        (node->frozen ? " frozen" : "") + ": " + name(raft.role()) + " of term " +
+        std::to_string(raft.term().value) + ", leader '" + raft.leaderId().value + "', last " +
+        std::to_string(raft.lastIndex().value) + ", commit " +
+        std::to_string(raft.commitIndex().value) + ", disk " + std::to_string(node->disk.size()) +
         (node->writeInFlight ? " writing" : "") + ", members";
-    for (const auto& member : agreed.membership())
+    for (const auto& member : raft.membership())
       text += " " + member.id.value + "@" + member.address.value + (member.voter ? "*" : "");
     trace(text);
   }
@@ -235,11 +235,11 @@
 std::optional<std::size_t> SimulatedCluster::votersWithoutDisk() const {
   const RaftNode* latest = nullptr;
   for (const auto& node : controllers) {
-    const auto& agreed = node->core->raftNode();
-    if (!agreed.membershipCommitted())
+    const auto& raft = node->core->raftNode();
+    if (!raft.membershipCommitted())
       return std::nullopt;
-    if (!latest || agreed.commitIndex() > latest->commitIndex())
-      latest = &agreed;
+    if (!latest || raft.commitIndex() > latest->commitIndex())
+      latest = &raft;
   }
   std::size_t voters = 0, lost = 0;
   for (const auto& member : latest->membership()) {
--- a/source/simulator/simulated_gateways.cpp
+++ b/source/simulator/simulated_gateways.cpp
@@ -28,24 +28,24 @@
     Node& from, const Address& target, const ApiRequest& request, std::int64_t within,
     std::function<void(std::optional<ApiResponse>, LeaderCall::Failure)> reply) {
   const std::uint64_t generation = from.generation;
-  auto notified = std::make_shared<bool>(false);
-  auto respond = [this, &from, generation, notified, reply](std::optional<ApiResponse> answer,
-                                                            LeaderCall::Failure loss) {
-    if (*notified)
+  auto answered = std::make_shared<bool>(false);
+  auto respond = [this, &from, generation, answered, reply](std::optional<ApiResponse> answer,
+                                                            LeaderCall::Failure failure) {
+    if (*answered)
       return;
-    *notified = true;
+    *answered = true;
     if (!from.up || from.generation != generation)
       return;
     if (from.frozen)
-      from.deferredWork.push_back([reply, answer, loss] { reply(answer, loss); });
+      from.deferredWork.push_back([reply, answer, failure] { reply(answer, failure); });
     else
-      reply(answer, loss);
+      reply(answer, failure);
   };
   auto* to = controllerAt(target);
   if (!to || !to->up)
     return schedule(now + 1,
                     [respond] { respond(std::nullopt, LeaderCall::Failure::unreachable); });
-  if (cutBetween(from, *to) || cutBetween(*to, from))
+  if (isCutBetween(from, *to) || isCutBetween(*to, from))
     return schedule(now + 1000,
                     [respond] { respond(std::nullopt, LeaderCall::Failure::unreachable); });
   schedule(now + within, [respond] { respond(std::nullopt, LeaderCall::Failure::timedOut); });
@@ -67,68 +67,66 @@
   });
 }
 
-void SimulatedCluster::continueLeaderCall(RoutedNode& node, std::shared_ptr<LeaderCall> course,
+void SimulatedCluster::continueLeaderCall(RoutedNode& node, std::shared_ptr<LeaderCall> call,
                                           ApiRequest request, LeaderCall::Step step,
                                           std::function<void(const ApiResponse&)> reply) {
   if (step.kind == LeaderCall::Step::Kind::complete)
     return reply(step.response);
   if (step.kind == LeaderCall::Step::Kind::backOff) {
     const std::uint64_t generation = node.generation;
-    return schedule(now + step.timeout.milliseconds,
-                    [this, &node, generation, course, request, reply] {
-                      if (!node.up || node.generation != generation)
-                        return;
-                      auto go = [this, &node, course, request, reply] {
-                        continueLeaderCall(node, course, request,
-                                           course->onBackoffElapsed(MonotonicTime{now}), reply);
-                      };
-                      if (node.frozen)
-                        node.deferredWork.push_back(go);
-                      else
-                        go();
-                    });
+    return schedule(now + step.timeout.milliseconds, [this, &node, generation, call, request,
+                                                      reply] {
+      if (!node.up || node.generation != generation)
+        return;
+      auto resume = [this, &node, call, request, reply] {
+        continueLeaderCall(node, call, request, call->onBackoffElapsed(MonotonicTime{now}), reply);
+      };
+      if (node.frozen)
+        node.deferredWork.push_back(resume);
+      else
+        resume();
+    });
   }
   askController(node, step.target, request, step.timeout.milliseconds,
-                [this, &node, course, request, reply](std::optional<ApiResponse> answer,
-                                                      LeaderCall::Failure loss) {
-                  continueLeaderCall(node, course, request,
-                                     answer ? course->onResponse(*answer, MonotonicTime{now})
-                                            : course->onFailure(loss, MonotonicTime{now}),
+                [this, &node, call, request, reply](std::optional<ApiResponse> answer,
+                                                    LeaderCall::Failure failure) {
+                  continueLeaderCall(node, call, request,
+                                     answer ? call->onResponse(*answer, MonotonicTime{now})
+                                            : call->onFailure(failure, MonotonicTime{now}),
                                      reply);
                 });
 }
 
 void SimulatedCluster::callLeader(RoutedNode& node, ApiRequest request,
                                   std::function<void(const ApiResponse&)> reply) {
-  auto course = std::make_shared<LeaderCall>(
+  auto call = std::make_shared<LeaderCall>(
       request, [&node] { return node.route; }, seedAddresses, MonotonicTime{now});
-  auto step = course->begin(MonotonicTime{now});
-  continueLeaderCall(node, course, std::move(request), step, std::move(reply));
+  auto step = call->begin(MonotonicTime{now});
+  continueLeaderCall(node, call, std::move(request), step, std::move(reply));
 }
 
 void SimulatedCluster::askGateway(Node& from, std::size_t index, const std::string& method,
                                   const std::string& target, const std::string& body,
-                                  std::int64_t within, ResponseHandler follower,
+                                  std::int64_t within, ResponseHandler handler,
                                   const std::string& apiKey) {
   const bool known = index != gatewayNotFound;
   auto& node = *gateways[known ? index % gateways.size() : 0];
   const std::uint64_t generation = from.generation;
-  auto notified = std::make_shared<bool>(false);
-  auto respond = [this, &from, generation, notified, follower](int status,
-                                                               const std::string& text) {
-    if (*notified)
+  auto answered = std::make_shared<bool>(false);
+  auto respond = [this, &from, generation, answered, handler](int status, const std::string& text) {
+    if (*answered)
       return;
-    *notified = true;
+    *answered = true;
     if (!from.up || from.generation != generation)
       return;
     if (from.frozen)
-      from.deferredWork.push_back([follower, status, text] { follower(status, text); });
+      from.deferredWork.push_back([handler, status, text] { handler(status, text); });
     else
-      follower(status, text);
+      handler(status, text);
   };
   if (!known || !node.up)
     return schedule(now + 1, [respond] { respond(0, "unreachable"); });
-  if (cutBetween(from, node) || cutBetween(node, from))
+  if (isCutBetween(from, node) || isCutBetween(node, from))
     return schedule(now + std::min<std::int64_t>(within, 1000),
                     [respond] { respond(0, "unreachable"); });
   schedule(now + within, [respond] { respond(0, "late"); });
@@ -156,8 +154,8 @@
   node.up = node.frozen = false;
   ++node.generation;
   node.deferredWork.clear();
-  auto dead = std::exchange(node.onExit, {});
-  for (auto& [key, respond] : dead)
+  auto exitCallbacks = std::exchange(node.onExit, {});
+  for (auto& [key, respond] : exitCallbacks)
     respond();
 }
 void SimulatedCluster::restartGateway(std::size_t index) {
--- a/source/simulator/simulated_workers.cpp
+++ b/source/simulator/simulated_workers.cpp
@@ -7,10 +7,10 @@
   node.up = true;
   node.frozen = node.longPollInFlight = node.urgentSyncInFlight = false;
   ++node.generation;
-  WorkerSession::Options hand;
-  hand.id = WorkerId{node.id};
-  hand.capacity = node.capacity;
-  node.session = std::make_unique<WorkerSession>(hand, Incarnation{random.next() | 1});
+  WorkerSession::Options sessionOptions;
+  sessionOptions.id = WorkerId{node.id};
+  sessionOptions.capacity = node.capacity;
+  node.session = std::make_unique<WorkerSession>(sessionOptions, Incarnation{random.next() | 1});
   std::vector<Address> firstContacts;  // as in the worker's settings at its start
   for (std::size_t index = 0; index < std::min<std::size_t>(3, gateways.size()); ++index)
     firstContacts.push_back(gateways[index]->publicAddress);
@@ -38,16 +38,16 @@
         due.push_back(attempt);
     for (auto attempt : due) {
       auto& task = node.tasks[attempt];
-      const bool well = !random.chance(node.failureRate);
+      const bool succeeded = !random.chance(node.failureRate);
       auto ended = makeEvent(HistoryEvent::Kind::ended, epochMs + now);
       ended.worker = node.id;
       ended.job = task.order.job.value;
       ended.task = task.order.taskIndex;
       ended.attempt = std::to_string(attempt.value);
-      ended.detail = well ? "finished" : "failed";
+      ended.detail = succeeded ? "finished" : "failed";
       recordEvent(ended);
       node.tasks.erase(attempt);
-      node.session->onTaskEnded(attempt, well, MonotonicTime{now});
+      node.session->onTaskEnded(attempt, succeeded, MonotonicTime{now});
     }
     if (!node.longPollInFlight)
       syncWorker(node, true);
@@ -57,21 +57,21 @@
   schedule(now + 5, [this, &node, generation] { tickWorker(node, generation); });
 }
 
-void SimulatedCluster::syncWorker(WorkerNode& node, bool patient) {
+void SimulatedCluster::syncWorker(WorkerNode& node, bool longPoll) {
   auto report = node.session->makeSyncReport(MonotonicTime{now});
-  if (!patient)
+  if (!longPoll)
     report.longPollTimeout = Duration{0};
   const std::int64_t sentAt = now;
-  (patient ? node.longPollInFlight : node.urgentSyncInFlight) = true;
+  (longPoll ? node.longPollInFlight : node.urgentSyncInFlight) = true;
   const auto incarnation = report.incarnation;
   node.gatewayDirectory->update(node.session->gateways());
   askGateway(node, gatewayAt(node.gatewayDirectory->current(MonotonicTime{now})), "POST",
              "/v1/workers/" + node.id + "/sync", renderSyncReport(report),
              report.longPollTimeout.milliseconds + 300,
-             [this, &node, patient, sentAt, incarnation](int status, const std::string& body) {
-               auto& busy = patient ? node.longPollInFlight : node.urgentSyncInFlight;
+             [this, &node, longPoll, sentAt, incarnation](int status, const std::string& body) {
+               auto& inFlight = longPoll ? node.longPollInFlight : node.urgentSyncInFlight;
                if (node.session->currentIncarnation() != incarnation) {
-                 busy = false;
+                 inFlight = false;
                  return;
                }
                if (status == 200) {
@@ -84,47 +84,47 @@
                  applyWorkerEffects(node);
                } else {
                  if (!node.gatewayDirectory->hasDiscoveredPeers())
-                   learnContacts(node,
-                                 gatewayAt(node.gatewayDirectory->current(MonotonicTime{now})));
+                   discoverGateways(node,
+                                    gatewayAt(node.gatewayDirectory->current(MonotonicTime{now})));
                  node.gatewayDirectory->markFailed(MonotonicTime{now});
                }
-               if (status == 200 && patient) {
-                 busy = false;
+               if (status == 200 && longPoll) {
+                 inFlight = false;
                  return;
                }
                const std::uint64_t generation = node.generation;
-               schedule(now + (status == 200 ? 5 : 50), [&node, patient, generation] {
+               schedule(now + (status == 200 ? 5 : 50), [&node, longPoll, generation] {
                  if (node.generation == generation)
-                   (patient ? node.longPollInFlight : node.urgentSyncInFlight) = false;
+                   (longPoll ? node.longPollInFlight : node.urgentSyncInFlight) = false;
                });
              });
 }
 
 // Any gateway that answers lists the others, even while there is no leader.
-void SimulatedCluster::learnContacts(WorkerNode& node, std::size_t index) {
+void SimulatedCluster::discoverGateways(WorkerNode& node, std::size_t index) {
   if (index == gatewayNotFound || !gateways[index]->up)
     return;
   auto* from = gateways[index].get();
   deliver(node, *from, [this, &node, from] {
-    const auto inForce =
+    const auto knownGateways =
         orderedByZonePreference(from->route.gateways, node.capacity.zone, node.index);
-    deliver(*from, node, [&node, inForce] { node.gatewayDirectory->update(inForce); });
+    deliver(*from, node, [&node, knownGateways] { node.gatewayDirectory->update(knownGateways); });
   });
 }
 
 void SimulatedCluster::applyWorkerEffects(WorkerNode& node) {
   for (const auto& [order, kind] : node.session->takeConfirmedResults()) {
-    auto notified = makeEvent(HistoryEvent::Kind::resultConfirmed, epochMs + now);
-    notified.worker = node.id;
-    notified.job = order.job.value;
-    notified.task = order.taskIndex;
-    notified.attempt = std::to_string(order.attempt.value);
-    notified.detail = name(kind);
-    recordEvent(notified);
+    auto event = makeEvent(HistoryEvent::Kind::resultConfirmed, epochMs + now);
+    event.worker = node.id;
+    event.job = order.job.value;
+    event.task = order.taskIndex;
+    event.attempt = std::to_string(order.attempt.value);
+    event.detail = name(kind);
+    recordEvent(event);
   }
-  for (const auto& effect : node.session->takeCommands()) {
-    auto found = node.tasks.find(effect.attempt);
-    auto base = [&](HistoryEvent::Kind kind, const Order& order) {
+  for (const auto& command : node.session->takeCommands()) {
+    auto found = node.tasks.find(command.attempt);
+    auto makeTaskEvent = [&](HistoryEvent::Kind kind, const Order& order) {
       auto event = makeEvent(kind, epochMs + now);
       event.worker = node.id;
       event.job = order.job.value;
@@ -135,28 +135,28 @@
       event.trial = order.quantum.milliseconds > 0;
       return event;
     };
-    if (effect.kind == TaskCommand::Kind::start) {
-      std::int64_t run = effect.order.runtime.milliseconds;
-      if (effect.order.payload.starts_with("run="))
-        run = std::strtoll(effect.order.payload.c_str() + 4, nullptr, 10);
-      run = std::int64_t(double(run) * node.slowdown);
-      node.tasks[effect.attempt] = {effect.order, now, run, run, true};
-      recordEvent(base(HistoryEvent::Kind::started, effect.order));
+    if (command.kind == TaskCommand::Kind::start) {
+      std::int64_t runtime = command.order.runtime.milliseconds;
+      if (command.order.payload.starts_with("run="))
+        runtime = std::strtoll(command.order.payload.c_str() + 4, nullptr, 10);
+      runtime = std::int64_t(double(runtime) * node.slowdown);
+      node.tasks[command.attempt] = {command.order, now, runtime, runtime, true};
+      recordEvent(makeTaskEvent(HistoryEvent::Kind::started, command.order));
     } else if (found == node.tasks.end())
       continue;
-    else if (effect.kind == TaskCommand::Kind::suspend) {
+    else if (command.kind == TaskCommand::Kind::suspend) {
       found->second.remaining -= now - found->second.resumedAt;
       found->second.active = false;
-      recordEvent(base(HistoryEvent::Kind::suspended, found->second.order));
-    } else if (effect.kind == TaskCommand::Kind::resume) {
+      recordEvent(makeTaskEvent(HistoryEvent::Kind::suspended, found->second.order));
+    } else if (command.kind == TaskCommand::Kind::resume) {
       found->second.resumedAt = now;
       found->second.active = true;
-      recordEvent(base(HistoryEvent::Kind::resumed, found->second.order));
+      recordEvent(makeTaskEvent(HistoryEvent::Kind::resumed, found->second.order));
     } else {
       auto& task = found->second;
       const std::int64_t ran =
           task.total - task.remaining + (task.active ? now - task.resumedAt : 0);
-      auto ended = base(HistoryEvent::Kind::ended, task.order);
+      auto ended = makeTaskEvent(HistoryEvent::Kind::ended, task.order);
       ended.detail = task.order.quantum.milliseconds > 0 && ran >= task.order.quantum.milliseconds
                          ? "ran_out"
                          : "stopped";
@@ -175,9 +175,9 @@
   ++node.generation;
   node.deferredWork.clear();
   node.tasks.clear();
-  auto vanished = makeEvent(HistoryEvent::Kind::workerLost, epochMs + now);
-  vanished.worker = node.id;
-  recordEvent(vanished);
+  auto event = makeEvent(HistoryEvent::Kind::workerLost, epochMs + now);
+  event.worker = node.id;
+  recordEvent(event);
 }
 void SimulatedCluster::restartWorker(std::size_t index) {
   if (!workers[index]->up && !workers[index]->removed)
@@ -219,18 +219,18 @@
     node.frozen = false;
     node.session->tick(MonotonicTime{now});
     node.frozen = true;
-    for (const auto& effect : node.session->takeCommands()) {
-      auto found = node.tasks.find(effect.attempt);
+    for (const auto& command : node.session->takeCommands()) {
+      auto found = node.tasks.find(command.attempt);
       if (found == node.tasks.end())
         continue;
-      if (effect.kind == TaskCommand::Kind::suspend)
+      if (command.kind == TaskCommand::Kind::suspend)
         found->second.active = false;
-      else if (effect.kind == TaskCommand::Kind::stop) {
+      else if (command.kind == TaskCommand::Kind::stop) {
         auto ended = makeEvent(HistoryEvent::Kind::ended, epochMs + now);
         ended.worker = node.id;
         ended.job = found->second.order.job.value;
         ended.task = found->second.order.taskIndex;
-        ended.attempt = std::to_string(effect.attempt.value);
+        ended.attempt = std::to_string(command.attempt.value);
         ended.detail = "ran_out";
         recordEvent(ended);
         node.tasks.erase(found);
@@ -256,18 +256,18 @@
   auto& node = *workers[index];
   if (node.up && !node.frozen) {
     node.session->startDraining(Duration{within});
-    auto leaving = makeEvent(HistoryEvent::Kind::draining, epochMs + now);
-    leaving.worker = node.id;
-    recordEvent(leaving);
+    auto event = makeEvent(HistoryEvent::Kind::draining, epochMs + now);
+    event.worker = node.id;
+    recordEvent(event);
   }
   scheduleAfter(within + 2000, [this, index, generation = node.generation] {
     if (workers[index]->generation == generation)
       killWorker(index, true);  // otherwise the process has been replaced
   });
 }
-void SimulatedCluster::setWorkerBehaviour(std::size_t index, double slow, double fail) {
-  workers[index]->slowdown = slow;
-  workers[index]->failureRate = fail;
+void SimulatedCluster::setWorkerBehaviour(std::size_t index, double slowdown, double failureRate) {
+  workers[index]->slowdown = slowdown;
+  workers[index]->failureRate = failureRate;
 }
 void SimulatedCluster::partitionZones(std::size_t from, std::size_t to, bool cut) {
   if (cut)
--- a/source/simulator/tenant_service.cpp
+++ b/source/simulator/tenant_service.cpp
@@ -15,7 +15,7 @@
 constexpr std::int64_t settleMs = 30'000;  // time after the last fault in which all jobs must end
 constexpr std::int64_t lastFaultBeforeEndMs = 8000;
 constexpr std::int64_t resendAfterMs = 300;
-constexpr std::int64_t brieflyDownMs = 800;
+constexpr std::int64_t shortOutageMs = 800;
 
 // A tenant as the operator has configured it.
 struct DesiredTenant {
@@ -30,9 +30,9 @@
   cluster.seed = options.seed;
   cluster.workers = 0;
   cluster.calledWorkers = calledWorkers;
-  const bool tolerant = options.seed % 2 == 1;
-  cluster.controllers = tolerant ? 7 : 3;
-  cluster.controller.voterCount = tolerant ? 5 : 3;
+  const bool fiveVoters = options.seed % 2 == 1;
+  cluster.controllers = fiveVoters ? 7 : 3;
+  cluster.controller.voterCount = fiveVoters ? 5 : 3;
   cluster.controller.leaseMargin = Duration{350};
   cluster.controller.deadMemberTimeout = Duration{6000};
   cluster.controller.maxRecordsBetweenSnapshots = 60 + options.seed % 200;
@@ -51,7 +51,7 @@
   }
 
   TenantServiceResult run() {
-    form();
+    formCluster();
     scheduleJobs();
     scheduleChanges();
     if (options.withFaults)
@@ -59,14 +59,14 @@
     cluster.runUntil(cluster.now + options.duration);
     stopped = true;
     cluster.healAll();
-    healOwnFaults();
+    endActiveFaults();
     liftCaps();
     cluster.runUntil(cluster.now + settleMs);
-    return judge();
+    return makeResult();
   }
 
  private:
-  void form() {
+  void formCluster() {
     cluster.runUntilTrue([&] { return cluster.voterCount() == cluster.configuredVoters(); },
                          votersWithinMs);
     for (std::size_t index = 0; index < tenantCount; ++index) {
@@ -83,7 +83,7 @@
 
   static std::string tenantName(std::size_t index) { return "tenant" + std::to_string(index); }
   void addKey(const std::string& tenant) {
-    const std::string key = tenant + "-key" + std::to_string(++keysMade);
+    const std::string key = tenant + "-key" + std::to_string(++keyCount);
     tenants[tenant].keys.push_back(key);
     allKeys.emplace_back(key, tenant);
   }
@@ -118,7 +118,7 @@
     for (const auto& [name, tenant] : config.tenants.all())
       noteCap(name, tenant.cap);
     configs.push_back(std::move(config));
-    sendUntilTaken(text, appliedVersion);
+    sendUntilAcknowledged(text, appliedVersion);
   }
   void noteCap(const TenantName& name, const TenantCap& cap) {
     if (!cap.isLimited())
@@ -131,15 +131,16 @@
         TenantCap{lower(known->second.cores, cap.cores), lower(known->second.memory, cap.memory),
                   lower(known->second.accelerators, cap.accelerators)};
   }
-  void sendUntilTaken(const std::string& text, std::uint64_t baseVersion) {
+  void sendUntilAcknowledged(const std::string& text, std::uint64_t baseVersion) {
     cluster.applyConfig(
         text, baseVersion,
         [this, text, baseVersion](int status, const std::string& body) {
           if (configs.back().acknowledgedAt)
             return;
           if (status != 200)
-            return cluster.scheduleAfter(
-                resendAfterMs, [this, text, baseVersion] { sendUntilTaken(text, baseVersion); });
+            return cluster.scheduleAfter(resendAfterMs, [this, text, baseVersion] {
+              sendUntilAcknowledged(text, baseVersion);
+            });
           picojson::value root;
           picojson::parse(root, body);
           appliedVersion = std::uint64_t(root.get("version").get<double>());
@@ -150,9 +151,9 @@
 
   void scheduleChanges() {
     for (std::int64_t at = 500; at < options.duration; at += random.between(300, 2500))
-      cluster.scheduleAfter(at, [this] { change(); });
+      cluster.scheduleAfter(at, [this] { changeRandomTenant(); });
   }
-  void change() {
+  void changeRandomTenant() {
     if (stopped || !configs.back().acknowledgedAt)
       return;
     const std::string name = tenantName(random.next() % tenantCount);
@@ -207,9 +208,9 @@
       return;
     // Uses one of the newest keys in most cases; some of them have been revoked meanwhile.
     const std::size_t recent = std::min<std::size_t>(allKeys.size(), 8);
-    const std::size_t place = random.chance(0.85) ? allKeys.size() - 1 - random.next() % recent
-                                                  : random.next() % allKeys.size();
-    const auto [key, tenant] = allKeys[place];
+    const std::size_t keyIndex = random.chance(0.85) ? allKeys.size() - 1 - random.next() % recent
+                                                     : random.next() % allKeys.size();
+    const auto [key, tenant] = allKeys[keyIndex];
     StepShape shape;
     shape.tasks = std::size_t(random.between(1, 10));
     shape.cores = std::uint32_t(random.between(1, 4));
@@ -219,7 +220,7 @@
       shape.tasks = 2;
       shape.cores = 1;
     }
-    JobSubmission job = singleStepJob("job" + std::to_string(++jobsMade),
+    JobSubmission job = singleStepJob("job" + std::to_string(++jobCount),
                                       random.chance(0.5) ? "urgent" : "bulk", shape);
     StepRequirements& requirements = job.steps[0].requirements;
     requirements.redundant = !shape.gang && random.chance(0.2);
@@ -235,11 +236,11 @@
   void scheduleFaults() {
     const std::int64_t last = options.duration - lastFaultBeforeEndMs;
     for (std::int64_t at = 2000; at < last; at += random.between(500, 3500))
-      cluster.scheduleAfter(at, [this] { strike(); });
+      cluster.scheduleAfter(at, [this] { injectFault(); });
   }
-  void strike() {
-    using Strike = void (TenantService::*)(std::int64_t);
-    constexpr std::array<Strike, 9> kinds{
+  void injectFault() {
+    using InjectFault = void (TenantService::*)(std::int64_t);
+    constexpr std::array<InjectFault, 9> kinds{
         &TenantService::killLeader,   &TenantService::isolateLeader,
         &TenantService::freezeLeader, &TenantService::killControllers,
         &TenantService::isolateAgent, &TenantService::killAgent,
@@ -248,66 +249,76 @@
     (this->*kinds[random.next() % kinds.size()])(random.between(200, 6000));
   }
   // Begins a fault and schedules its end, unless the same target already has a fault.
-  void during(const std::string& kind, std::size_t index, std::int64_t lasts,
-              const std::function<void()>& begin, std::function<void()> end) {
+  void injectFaultOn(const std::string& kind, std::size_t index, std::int64_t duration,
+                     const std::function<void()>& begin, std::function<void()> end) {
     const std::string name = kind + " " + std::to_string(index);
     const std::string target = kind.substr(0, kind.find(' ')) + std::to_string(index);
-    if (stopped || !inTrouble.emplace(target, end).second)
+    if (stopped || !activeFaults.emplace(target, end).second)
       return;
     ++faults[kind];
     cluster.recordFault(name, false);
     begin();
-    cluster.scheduleAfter(lasts, [this, name, target] {
-      const auto found = inTrouble.find(target);
-      if (found == inTrouble.end())
+    cluster.scheduleAfter(duration, [this, name, target] {
+      const auto found = activeFaults.find(target);
+      if (found == activeFaults.end())
         return;
       found->second();
-      inTrouble.erase(found);
+      activeFaults.erase(found);
       cluster.recordFault(name, true);
     });
   }
-  std::size_t controllersInTrouble() const {
-    return std::size_t(std::count_if(inTrouble.begin(), inTrouble.end(), [](const auto& entry) {
-      return entry.first.starts_with("controller");
-    }));
+  std::size_t faultyControllerCount() const {
+    return std::size_t(
+        std::count_if(activeFaults.begin(), activeFaults.end(),
+                      [](const auto& entry) { return entry.first.starts_with("controller"); }));
   }
-  void troubleLeader(const std::string& kind, std::int64_t lasts,
-                     void (*begin)(SimulatedCluster&, std::size_t),
-                     void (*end)(SimulatedCluster&, std::size_t)) {
+  void injectLeaderFault(const std::string& kind, std::int64_t duration,
+                         void (*begin)(SimulatedCluster&, std::size_t),
+                         void (*end)(SimulatedCluster&, std::size_t)) {
     const auto leader = cluster.leader();
-    if (!leader || controllersInTrouble() >= cluster.tolerableLosses())
+    if (!leader || faultyControllerCount() >= cluster.tolerableLosses())
       return;
-    during(
-        kind, *leader, lasts, [this, begin, leader] { begin(cluster, *leader); },
+    injectFaultOn(
+        kind, *leader, duration, [this, begin, leader] { begin(cluster, *leader); },
         [this, end, leader] { end(cluster, *leader); });
   }
-  void killLeader(std::int64_t lasts) {
-    troubleLeader(
-        "controller killed", lasts,
-        [](SimulatedCluster& on, std::size_t index) { on.killController(index, true); },
-        [](SimulatedCluster& on, std::size_t index) { on.restartController(index); });
+  void killLeader(std::int64_t duration) {
+    injectLeaderFault(
+        "controller killed", duration,
+        [](SimulatedCluster& simulated, std::size_t index) {
+          simulated.killController(index, true);
+        },
+        [](SimulatedCluster& simulated, std::size_t index) { simulated.restartController(index); });
   }
-  void isolateLeader(std::int64_t lasts) {
-    troubleLeader(
-        "controller cut off", lasts,
-        [](SimulatedCluster& on, std::size_t index) { on.isolateController(index, true); },
-        [](SimulatedCluster& on, std::size_t index) { on.isolateController(index, false); });
+  void isolateLeader(std::int64_t duration) {
+    injectLeaderFault(
+        "controller cut off", duration,
+        [](SimulatedCluster& simulated, std::size_t index) {
+          simulated.isolateController(index, true);
+        },
+        [](SimulatedCluster& simulated, std::size_t index) {
+          simulated.isolateController(index, false);
+        });
   }
-  void freezeLeader(std::int64_t lasts) {
-    troubleLeader(
-        "controller frozen", lasts,
-        [](SimulatedCluster& on, std::size_t index) { on.freezeController(index, true); },
-        [](SimulatedCluster& on, std::size_t index) { on.freezeController(index, false); });
+  void freezeLeader(std::int64_t duration) {
+    injectLeaderFault(
+        "controller frozen", duration,
+        [](SimulatedCluster& simulated, std::size_t index) {
+          simulated.freezeController(index, true);
+        },
+        [](SimulatedCluster& simulated, std::size_t index) {
+          simulated.freezeController(index, false);
+        });
   }
   void killControllers(std::int64_t) {
-    if (controllersInTrouble() > 0)
+    if (faultyControllerCount() > 0)
       return;
     const auto restart = [this] {
       for (std::size_t index = 0; index < cluster.controllerCount(); ++index)
         cluster.restartController(index);
     };
-    during(
-        "controllers killed", 0, brieflyDownMs,
+    injectFaultOn(
+        "controllers killed", 0, shortOutageMs,
         [this] {
           for (std::size_t index = 0; index < cluster.controllerCount(); ++index)
             cluster.killController(index, false);
@@ -315,46 +326,48 @@
         restart);
   }
   std::size_t drawMachine() { return random.next() % calledWorkers; }
-  void isolateAgent(std::int64_t lasts) {
+  void isolateAgent(std::int64_t duration) {
     const std::size_t index = drawMachine();
-    during(
-        "machine cut off", index, lasts, [this, index] { cluster.isolateAgent(index, true); },
+    injectFaultOn(
+        "machine cut off", index, duration, [this, index] { cluster.isolateAgent(index, true); },
         [this, index] { cluster.isolateAgent(index, false); });
   }
-  void killAgent(std::int64_t lasts) {
+  void killAgent(std::int64_t duration) {
     const std::size_t index = drawMachine();
-    during(
-        "machine agent killed", index, lasts, [this, index] { cluster.killAgent(index); },
+    injectFaultOn(
+        "machine agent killed", index, duration, [this, index] { cluster.killAgent(index); },
         [this, index] { cluster.restartAgent(index); });
   }
-  void freezeAgent(std::int64_t lasts) {
+  void freezeAgent(std::int64_t duration) {
     const std::size_t index = drawMachine();
-    during(
-        "machine agent frozen", index, lasts, [this, index] { cluster.freezeAgent(index, true); },
+    injectFaultOn(
+        "machine agent frozen", index, duration,
+        [this, index] { cluster.freezeAgent(index, true); },
         [this, index] { cluster.freezeAgent(index, false); });
   }
-  void killWorker(std::int64_t lasts) {
+  void killWorker(std::int64_t duration) {
     const std::size_t index = drawMachine();
-    during(
-        "machine worker killed", index, lasts, [this, index] { cluster.killCalledWorker(index); },
+    injectFaultOn(
+        "machine worker killed", index, duration,
+        [this, index] { cluster.killCalledWorker(index); },
         [this, index] { cluster.restartCalledWorker(index); });
   }
-  void delayOrders(std::int64_t lasts) {
+  void delayOrders(std::int64_t duration) {
     const std::size_t index = drawMachine();
-    during(
-        "machine orders delayed", index, lasts,
+    injectFaultOn(
+        "machine orders delayed", index, duration,
         [this, index] { cluster.setOrdersDelayed(index, true); },
         [this, index] { cluster.setOrdersDelayed(index, false); });
   }
-  void healOwnFaults() {
-    for (auto& [target, end] : inTrouble)
+  void endActiveFaults() {
+    for (auto& [target, end] : activeFaults)
       end();
-    inTrouble.clear();
+    activeFaults.clear();
   }
 
   // --- result ---
 
-  TenantServiceResult judge() {
+  TenantServiceResult makeResult() {
     TenantServiceResult result;
     const TenantChecker checker(configs, cluster.tenantByJob);
     result.violations = cluster.checkHistory().violations;
@@ -381,21 +394,21 @@
   std::vector<std::pair<std::string, std::string>> allKeys;  // each key with its tenant
   std::vector<ObservedTenantConfig> configs;
   std::uint64_t appliedVersion = 0;
-  std::size_t keysMade = 0;
-  std::size_t jobsMade = 0;
+  std::size_t keyCount = 0;
+  std::size_t jobCount = 0;
   std::map<std::string, std::function<void()>>
-      inTrouble;  // by target: the function that ends its fault
+      activeFaults;  // by target: the function that ends its fault
   std::map<std::string, std::size_t> faults;
   bool stopped = false;
 };
 
 }  // namespace
 
-TenantServiceOptions TenantServiceOptions::drawnBy(std::uint64_t seed) {
-  constexpr std::uint64_t calmRunEvery = 6;
+TenantServiceOptions TenantServiceOptions::forSeed(std::uint64_t seed) {
+  constexpr std::uint64_t faultFreeRunInterval = 6;
   TenantServiceOptions options;
   options.seed = seed;
-  options.withFaults = seed % calmRunEvery != 0;
+  options.withFaults = seed % faultFreeRunInterval != 0;
   return options;
 }
 
--- a/source/simulator/tenant_service.hpp
+++ b/source/simulator/tenant_service.hpp
@@ -16,7 +16,7 @@
   bool verbose = false;            // writes a trace of the run to the standard error stream
 
   /// Returns the options for a seed. Every sixth run has no faults.
-  static TenantServiceOptions drawnBy(std::uint64_t seed);
+  static TenantServiceOptions forSeed(std::uint64_t seed);
 };
 
 struct TenantServiceResult {
--- a/tests/simulator/crowded_service_tests.cpp
+++ b/tests/simulator/crowded_service_tests.cpp
@@ -8,19 +8,19 @@
 TEST_GROUP(CrowdedServiceTests){};
 
 // Before waiting was bounded, these seeds left gangs and wide, long-running and plain jobs waiting.
-TEST(CrowdedServiceTests, nothingWaitsWhereThereIsRoom) {
+TEST(CrowdedServiceTests, noTaskWaitsWhileThereIsCapacity) {
   for (const std::uint64_t seed : {4, 5, 13, 29, 45}) {
-    const auto result = runCrowdedService(CrowdedServiceOptions::drawnBy(seed));
+    const auto result = runCrowdedService(CrowdedServiceOptions::forSeed(seed));
     for (const auto& violation : result.violations)
       FAIL(violation.description.c_str());
     CHECK(result.starts > 300);
   }
 }
 
-TEST(CrowdedServiceTests, seedsInARowCoverEveryCase) {
+TEST(CrowdedServiceTests, consecutiveSeedsCoverEveryCase) {
   std::set<std::tuple<double, UrgentArrival, bool, bool>> cases;
   for (std::uint64_t seed = 1; seed <= 32; ++seed) {
-    const auto options = CrowdedServiceOptions::drawnBy(seed);
+    const auto options = CrowdedServiceOptions::forSeed(seed);
     cases.emplace(options.occupancy, options.urgentArrival, options.drainsWorker,
                   options.losesLeader);
   }
--- a/tests/simulator/last_fault_tests.cpp
+++ b/tests/simulator/last_fault_tests.cpp
@@ -63,7 +63,7 @@
   CHECK(acknowledgedBefore({21, 4, options}) >= 20);
 }
 
-TEST(LastFaultTests, withoutTheOptionTheDrawnLastFaultStays) {
+TEST(LastFaultTests, withoutTheOptionTheDrawnLastFaultIsInjected) {
   CampaignOptions options = shortRun();
   options.seed = 5;  // a seed whose run ends with a drawn last fault
   options.lastFaultEverywhere = false;
--- a/tests/simulator/operators_tests.cpp
+++ b/tests/simulator/operators_tests.cpp
@@ -8,8 +8,8 @@
 
 TEST_GROUP(OperatorsCampaignTests){};
 
-TEST(OperatorsCampaignTests, oneIsConfirmedAndNoneThatWasTakenIsRefused) {
-  double resentLater = 0;
+TEST(OperatorsCampaignTests, oneOfCompetingChangesIsAcknowledgedAndNoAppliedOneRefused) {
+  double lateResends = 0;
   double patches = 0;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     CampaignOptions options;
@@ -21,9 +21,9 @@
     for (const auto& violation : result.violations)
       FAIL(violation.description.c_str());
     CHECK(result.unfinished.empty());
-    resentLater += result.counters.at("orders resent later");
+    lateResends += result.counters.at("orders resent later");
     patches += result.counters.at("patches acknowledged");
   }
-  CHECK(resentLater >= 4);
+  CHECK(lateResends >= 4);
   CHECK(patches >= 4);
 }
--- a/tests/simulator/tenant_service_tests.cpp
+++ b/tests/simulator/tenant_service_tests.cpp
@@ -7,23 +7,23 @@
 
 TEST_GROUP(TenantServiceTests){};
 
-TEST(TenantServiceTests, keysAndCapsHoldBesideFaults) {
-  TenantServiceResult sums;
+TEST(TenantServiceTests, keysAndCapsHoldDuringFaults) {
+  TenantServiceResult totals;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-    const auto result = runTenantService(TenantServiceOptions::drawnBy(seed));
+    const auto result = runTenantService(TenantServiceOptions::forSeed(seed));
     for (const auto& violation : result.violations)
       FAIL(violation.description.c_str());
     LONGS_EQUAL(0, result.unfinished.size());
-    sums.starts += result.starts;
-    sums.acceptedWithKey += result.acceptedWithKey;
-    sums.refusedForKey += result.refusedForKey;
-    sums.configurations += result.configurations;
+    totals.starts += result.starts;
+    totals.acceptedWithKey += result.acceptedWithKey;
+    totals.refusedForKey += result.refusedForKey;
+    totals.configurations += result.configurations;
     for (const auto& [kind, count] : result.faults)
-      sums.faults[kind] += count;
+      totals.faults[kind] += count;
   }
-  CHECK(sums.starts > 2000);
-  CHECK(sums.acceptedWithKey > 400);
-  CHECK(sums.refusedForKey > 100);
-  CHECK(sums.configurations > 100);
-  LONGS_EQUAL(9, sums.faults.size());  // every kind of fault occurred
+  CHECK(totals.starts > 2000);
+  CHECK(totals.acceptedWithKey > 400);
+  CHECK(totals.refusedForKey > 100);
+  CHECK(totals.configurations > 100);
+  LONGS_EQUAL(9, totals.faults.size());  // every kind of fault occurred
 }
--- a/tests/simulator/voters_tests.cpp
+++ b/tests/simulator/voters_tests.cpp
@@ -6,19 +6,20 @@
 
 namespace {
 
-SimulatedClusterOptions five() {
+SimulatedClusterOptions fiveVoterOptions() {
   SimulatedClusterOptions options;
   options.controllers = 7;
   options.controller.voterCount = 5;
   return options;
 }
 
-struct Centre : Scenario {
+struct FiveVoterScenario : Scenario {
   std::vector<std::string> changes;  // membership changes, as logged by the leaders
-  explicit Centre(std::int64_t replaceAfter = 5000) : Scenario(five(), replaceAfter) {
+  explicit FiveVoterScenario(std::int64_t replaceAfter = 5000)
+      : Scenario(fiveVoterOptions(), replaceAfter) {
     advance(8000);  // until the voters are spread over the zones
-    cluster->onLogEvent = [this](std::size_t, const LogEvent& note) {
-      const RenderedLogEvent rendered = render(note);
+    cluster->onLogEvent = [this](std::size_t, const LogEvent& event) {
+      const RenderedLogEvent rendered = render(event);
       if (rendered.name == "members change")
         changes.push_back(rendered.fields.at("change").to_str() + " " +
                           rendered.fields.at("member").to_str());
@@ -28,19 +29,19 @@
   std::string identity(std::size_t index) const {
     return cluster->controller(index)->raftNode().self().id.value;
   }
-  std::size_t membersThat(bool vote) const {
+  std::size_t memberCount(bool voting) const {
     if (!cluster->leader())
       return 0;
     return std::size_t(std::count_if(raftNode().membership().begin(), raftNode().membership().end(),
-                                     [&](const Member& member) { return member.voter == vote; }));
+                                     [&](const Member& member) { return member.voter == voting; }));
   }
-  std::size_t blanks() const {
+  std::size_t blankControllerCount() const {
     std::size_t count = 0;
     for (std::size_t index = 0; index < cluster->controllerCount(); ++index)
       count += cluster->controller(index) && cluster->controller(index)->raftNode().isBlank();
     return count;
   }
-  std::size_t mostInAnZone() const {
+  std::size_t maxVotersPerZone() const {
     std::map<ZoneName, std::size_t> zones;
     for (const auto& member : raftNode().membership())
       zones[member.zone] += member.voter;
@@ -57,225 +58,225 @@
         found.push_back(index);
     return found;
   }
-  void serves(const std::string& id, std::int64_t within) {
+  void checkJobFinishes(const std::string& id, std::int64_t within) {
     cluster->submit(parseJob(jobJson(id, 300)));
     waitForFinished(id, within);
   }
   // Reports whether there are five running voters and one learner. The seventh controller is not a
   // member; it is blank or keeps the state that it replicated earlier.
-  bool whole() const {
-    return cluster->allReplicasIntact() && cluster->voterCount() == 5 && membersThat(true) == 5 &&
-           membersThat(false) == 1;
+  bool isComplete() const {
+    return cluster->allReplicasIntact() && cluster->voterCount() == 5 && memberCount(true) == 5 &&
+           memberCount(false) == 1;
   }
-  void untilWhole(std::int64_t within) {
-    CHECK(cluster->runUntilTrue([&] { return whole(); }, within));
+  void waitUntilComplete(std::int64_t within) {
+    CHECK(cluster->runUntilTrue([&] { return isComplete(); }, within));
   }
-  void nothingBroken() {
-    for (const auto& promise : cluster->checkHistory().violations)
-      FAIL(promise.description.c_str());
+  void checkNoViolations() {
+    for (const auto& violation : cluster->checkHistory().violations)
+      FAIL(violation.description.c_str());
   }
 };
 
 }  // namespace
 
-TEST_GROUP(Voters){};
+TEST_GROUP(VoterTests){};
 
-TEST(Voters, fiveVoteOneStandsReadyTheOthersStayBlank) {
-  Centre centre;
-  CHECK(centre.whole());
-  LONGS_EQUAL(1, centre.blanks());
-  centre.advance(20'000);
-  CHECK(centre.whole());
-  LONGS_EQUAL(1, centre.blanks());
-  LONGS_EQUAL(0, centre.changes.size());
-  CHECK(centre.mostInAnZone() <= 2);
+TEST(VoterTests, fiveControllersVoteOneIsLearnerAndTheOthersStayBlank) {
+  FiveVoterScenario scenario;
+  CHECK(scenario.isComplete());
+  LONGS_EQUAL(1, scenario.blankControllerCount());
+  scenario.advance(20'000);
+  CHECK(scenario.isComplete());
+  LONGS_EQUAL(1, scenario.blankControllerCount());
+  LONGS_EQUAL(0, scenario.changes.size());
+  CHECK(scenario.maxVotersPerZone() <= 2);
 }
 
-TEST(Voters, twoKilledAtOnceAreReplacedAndStandByWhenBack) {
-  Centre centre;
-  const auto voters = centre.voters();
+TEST(VoterTests, twoVotersKilledAtOnceAreReplacedAndRejoinAsNonVoters) {
+  FiveVoterScenario scenario;
+  const auto voters = scenario.voters();
   const std::vector<std::size_t> lost{voters[0], voters[1]};
-  const std::vector<std::string> before{centre.identity(lost[0]), centre.identity(lost[1])};
-  centre.cluster->recordFault("two lost", false);
+  const std::vector<std::string> before{scenario.identity(lost[0]), scenario.identity(lost[1])};
+  scenario.cluster->recordFault("two lost", false);
   for (const auto index : lost)
-    centre.cluster->killController(index, true);
-  const std::int64_t begun = centre.cluster->now;
-  centre.serves("a", 4000);
+    scenario.cluster->killController(index, true);
+  const std::int64_t startedAt = scenario.cluster->now;
+  scenario.checkJobFinishes("a", 4000);
   // The new leader considers them dead 5 s after its election. Then the two other controllers are
   // promoted one by one.
-  CHECK(centre.cluster->runUntilTrue(
-      [&] { return centre.cluster->voterCount() == 5 && centre.membersThat(true) == 5; },
-      begun + 10'000 - centre.cluster->now));
-  centre.serves("b", 4000);
+  CHECK(scenario.cluster->runUntilTrue(
+      [&] { return scenario.cluster->voterCount() == 5 && scenario.memberCount(true) == 5; },
+      startedAt + 10'000 - scenario.cluster->now));
+  scenario.checkJobFinishes("b", 4000);
   for (const auto index : lost)
-    centre.cluster->restartController(index);
-  centre.untilWhole(8000);
+    scenario.cluster->restartController(index);
+  scenario.waitUntilComplete(8000);
   for (const auto index : {0, 1}) {
-    CHECK(centre.identity(lost[std::size_t(index)]) != before[std::size_t(index)]);
-    CHECK(!centre.cluster->isVoter(lost[std::size_t(index)]));
+    CHECK(scenario.identity(lost[std::size_t(index)]) != before[std::size_t(index)]);
+    CHECK(!scenario.cluster->isVoter(lost[std::size_t(index)]));
   }
-  centre.cluster->recordFault("two lost", true);
-  centre.advance(10'000);
-  CHECK(centre.whole());
-  centre.nothingBroken();
+  scenario.cluster->recordFault("two lost", true);
+  scenario.advance(10'000);
+  CHECK(scenario.isComplete());
+  scenario.checkNoViolations();
 }
 
-TEST(Voters, aJobAcknowledgedBeforeTwoDisksAreLostRunsOnce) {
+TEST(VoterTests, jobAcknowledgedBeforeTwoDisksAreLostRunsOnce) {
   for (const std::int64_t delay : {0, 1, 3}) {
-    Centre centre;
-    bool struck = false;
+    FiveVoterScenario scenario;
+    bool triggered = false;
     std::vector<std::size_t> lost;
-    centre.cluster->onResponse = [&](std::size_t, const ApiRequest& request,
-                                     const ApiResponse& answer) {
-      if (struck || request.kind != RequestKind::submitJob || answer.status >= 300)
+    scenario.cluster->onResponse = [&](std::size_t, const ApiRequest& request,
+                                       const ApiResponse& answer) {
+      if (triggered || request.kind != RequestKind::submitJob || answer.status >= 300)
         return;
-      struck = true;
-      centre.cluster->recordFault("two disks lost", false);
-      centre.cluster->scheduleAfter(delay, [&] {
-        const auto voters = centre.voters();
+      triggered = true;
+      scenario.cluster->recordFault("two disks lost", false);
+      scenario.cluster->scheduleAfter(delay, [&] {
+        const auto voters = scenario.voters();
         lost = {voters[0], voters[1]};
         for (const auto index : lost)
-          centre.cluster->loseDisk(index);
+          scenario.cluster->loseDisk(index);
       });
     };
-    centre.cluster->submit(parseJob(jobJson("a", 300)));
-    CHECK(centre.cluster->runUntilTrue([&] { return !lost.empty(); }, 2000));
-    centre.advance(1500);
+    scenario.cluster->submit(parseJob(jobJson("a", 300)));
+    CHECK(scenario.cluster->runUntilTrue([&] { return !lost.empty(); }, 2000));
+    scenario.advance(1500);
     for (const auto index : lost)
-      centre.cluster->restartController(index);
-    centre.waitForFinished("a");
-    centre.untilWhole(12'000);
-    centre.cluster->recordFault("two disks lost", true);
-    centre.advance(3000);
-    LONGS_EQUAL(1, centre.cluster->countStartsOf("a"));
-    centre.nothingBroken();
+      scenario.cluster->restartController(index);
+    scenario.waitForFinished("a");
+    scenario.waitUntilComplete(12'000);
+    scenario.cluster->recordFault("two disks lost", true);
+    scenario.advance(3000);
+    LONGS_EQUAL(1, scenario.cluster->countStartsOf("a"));
+    scenario.checkNoViolations();
   }
 }
 
 // Tries return times from before to after the time at which the voter is replaced.
-TEST(Voters, oneThatComesBackInTimeStaysAndSixNeverStay) {
-  for (std::int64_t away = 4600; away <= 5600; away += 50) {
-    Centre centre;
-    const auto victim = centre.voters()[2];
-    const std::string before = centre.identity(victim);
-    centre.cluster->killController(victim, true);
-    centre.advance(away);
-    centre.cluster->restartController(victim);
-    centre.advance(200);  // until the leader has heard from it
-    const bool replaced = !centre.changes.empty();
-    if (away <= 4700)
+TEST(VoterTests, voterThatReturnsInTimeStaysAndSixVotersNeverRemain) {
+  for (std::int64_t downtime = 4600; downtime <= 5600; downtime += 50) {
+    FiveVoterScenario scenario;
+    const auto victim = scenario.voters()[2];
+    const std::string before = scenario.identity(victim);
+    scenario.cluster->killController(victim, true);
+    scenario.advance(downtime);
+    scenario.cluster->restartController(victim);
+    scenario.advance(200);  // until the leader has heard from it
+    const bool replaced = !scenario.changes.empty();
+    if (downtime <= 4700)
       CHECK(!replaced);
-    if (away >= 5300)
+    if (downtime >= 5300)
       CHECK(replaced);
-    std::int64_t sixSince = 0;
-    for (const std::int64_t until = centre.cluster->now + 10'000; centre.cluster->now < until;
-         centre.advance(10)) {
-      if (centre.membersThat(true) <= 5)
-        sixSince = centre.cluster->now;
-      CHECK(centre.cluster->now - sixSince < 1500);
+    std::int64_t lastFiveVotersAt = 0;
+    for (const std::int64_t until = scenario.cluster->now + 10'000; scenario.cluster->now < until;
+         scenario.advance(10)) {
+      if (scenario.memberCount(true) <= 5)
+        lastFiveVotersAt = scenario.cluster->now;
+      CHECK(scenario.cluster->now - lastFiveVotersAt < 1500);
     }
-    CHECK(centre.whole());
+    CHECK(scenario.isComplete());
     if (!replaced) {
-      STRCMP_EQUAL(before.c_str(), centre.identity(victim).c_str());
-      CHECK(centre.cluster->isVoter(victim));
-      LONGS_EQUAL(0, centre.changes.size());
+      STRCMP_EQUAL(before.c_str(), scenario.identity(victim).c_str());
+      CHECK(scenario.cluster->isVoter(victim));
+      LONGS_EQUAL(0, scenario.changes.size());
     }
   }
 }
 
-TEST(Voters, threeAwayForLessThanTheWaitLoseNothingAndStay) {
-  Centre centre(30'000);
-  const auto voters = centre.voters();
+TEST(VoterTests, threeVotersAwayForLessThanTheWaitRemainVoters) {
+  FiveVoterScenario scenario(30'000);
+  const auto voters = scenario.voters();
   std::vector<std::string> before;
   for (const auto index : voters)
-    before.push_back(centre.identity(index));
-  centre.cluster->submit(parseJob(jobJson("a", 8000, "plates")));
-  CHECK(
-      centre.cluster->runUntilTrue([&] { return centre.cluster->countStartsOf("a") == 1; }, 3000));
-  centre.cluster->recordFault("three away", false);
-  centre.cluster->isolateController(voters[0], true);
-  centre.cluster->isolateController(voters[1], true);
-  centre.cluster->freezeController(voters[2], true);
-  centre.advance(2000);
-  CHECK(!centre.cluster->leader());
-  centre.cluster->submit(parseJob(jobJson("b", 300)));
-  centre.advance(18'000);
-  CHECK(!centre.cluster->leader());
-  centre.cluster->isolateController(voters[0], false);
-  centre.cluster->isolateController(voters[1], false);
-  centre.cluster->freezeController(voters[2], false);
-  centre.cluster->recordFault("three away", true);
-  centre.waitForFinished("a", 20'000);
-  centre.waitForFinished("b");
-  centre.advance(10'000);
-  CHECK(centre.whole());
-  LONGS_EQUAL(0, centre.changes.size());
+    before.push_back(scenario.identity(index));
+  scenario.cluster->submit(parseJob(jobJson("a", 8000, "plates")));
+  CHECK(scenario.cluster->runUntilTrue([&] { return scenario.cluster->countStartsOf("a") == 1; },
+                                       3000));
+  scenario.cluster->recordFault("three away", false);
+  scenario.cluster->isolateController(voters[0], true);
+  scenario.cluster->isolateController(voters[1], true);
+  scenario.cluster->freezeController(voters[2], true);
+  scenario.advance(2000);
+  CHECK(!scenario.cluster->leader());
+  scenario.cluster->submit(parseJob(jobJson("b", 300)));
+  scenario.advance(18'000);
+  CHECK(!scenario.cluster->leader());
+  scenario.cluster->isolateController(voters[0], false);
+  scenario.cluster->isolateController(voters[1], false);
+  scenario.cluster->freezeController(voters[2], false);
+  scenario.cluster->recordFault("three away", true);
+  scenario.waitForFinished("a", 20'000);
+  scenario.waitForFinished("b");
+  scenario.advance(10'000);
+  CHECK(scenario.isComplete());
+  LONGS_EQUAL(0, scenario.changes.size());
   for (std::size_t index = 0; index < voters.size(); ++index) {
-    CHECK(centre.cluster->isVoter(voters[index]));
-    STRCMP_EQUAL(before[index].c_str(), centre.identity(voters[index]).c_str());
+    CHECK(scenario.cluster->isVoter(voters[index]));
+    STRCMP_EQUAL(before[index].c_str(), scenario.identity(voters[index]).c_str());
   }
-  centre.nothingBroken();
+  scenario.checkNoViolations();
 }
 
-TEST(Voters, allPowerLostAndTwoDisksWiped) {
-  for (const bool leaderToo : {false, true}) {
-    Centre centre;
-    const auto voters = centre.voters();
+TEST(VoterTests, powerLossOfAllWithTwoDisksLostLosesNothing) {
+  for (const bool losesLeaderDisk : {false, true}) {
+    FiveVoterScenario scenario;
+    const auto voters = scenario.voters();
     for (int count = 0; count < 20; ++count)
-      centre.cluster->submit(parseJob(jobJson("j" + std::to_string(count), 1500)));
-    CHECK(centre.cluster->runUntilTrue([&] { return centre.cluster->countStartsOf("j19") == 1; },
-                                       5000));
-    centre.cluster->recordFault("all power lost", false);
-    for (std::size_t index = 0; index < centre.cluster->controllerCount(); ++index)
-      centre.cluster->killController(index, true);
-    centre.cluster->loseDisk(voters[leaderToo ? 0 : 1]);
-    centre.cluster->loseDisk(voters[2]);
-    centre.advance(1000);
-    for (std::size_t index = 0; index < centre.cluster->controllerCount(); ++index)
-      centre.cluster->restartController(index);
+      scenario.cluster->submit(parseJob(jobJson("j" + std::to_string(count), 1500)));
+    CHECK(scenario.cluster->runUntilTrue(
+        [&] { return scenario.cluster->countStartsOf("j19") == 1; }, 5000));
+    scenario.cluster->recordFault("all power lost", false);
+    for (std::size_t index = 0; index < scenario.cluster->controllerCount(); ++index)
+      scenario.cluster->killController(index, true);
+    scenario.cluster->loseDisk(voters[losesLeaderDisk ? 0 : 1]);
+    scenario.cluster->loseDisk(voters[2]);
+    scenario.advance(1000);
+    for (std::size_t index = 0; index < scenario.cluster->controllerCount(); ++index)
+      scenario.cluster->restartController(index);
     for (int count = 0; count < 20; ++count)
-      centre.waitForFinished("j" + std::to_string(count), 15'000);
-    centre.untilWhole(15'000);
-    centre.cluster->recordFault("all power lost", true);
-    centre.advance(3000);
-    centre.nothingBroken();
+      scenario.waitForFinished("j" + std::to_string(count), 15'000);
+    scenario.waitUntilComplete(15'000);
+    scenario.cluster->recordFault("all power lost", true);
+    scenario.advance(3000);
+    scenario.checkNoViolations();
   }
 }
 
 // The voters lost with a zone are replaced by controllers of the other zones. When the zone is
 // back, no zone keeps so many voters that its loss would stop the cluster.
-TEST(Voters, votersSpreadAgainWhenAnZoneIsBack) {
+TEST(VoterTests, votersSpreadAgainWhenAZoneIsBack) {
   for (std::size_t zone = 0; zone < 3; ++zone) {
-    Centre centre;
-    for (std::size_t index = zone; index < centre.cluster->controllerCount(); index += 3)
-      centre.cluster->killController(index, true);
-    CHECK(centre.cluster->runUntilTrue(
-        [&] { return centre.membersThat(true) == 5 && !centre.changes.empty(); }, 12'000));
-    centre.advance(8000);
-    for (std::size_t index = zone; index < centre.cluster->controllerCount(); index += 3)
-      centre.cluster->restartController(index);
-    centre.advance(15'000);
-    CHECK(centre.whole());
-    CHECK(centre.mostInAnZone() <= 2);
-    const auto changes = centre.changes.size();
-    centre.advance(20'000);
-    LONGS_EQUAL(changes, centre.changes.size());
+    FiveVoterScenario scenario;
+    for (std::size_t index = zone; index < scenario.cluster->controllerCount(); index += 3)
+      scenario.cluster->killController(index, true);
+    CHECK(scenario.cluster->runUntilTrue(
+        [&] { return scenario.memberCount(true) == 5 && !scenario.changes.empty(); }, 12'000));
+    scenario.advance(8000);
+    for (std::size_t index = zone; index < scenario.cluster->controllerCount(); index += 3)
+      scenario.cluster->restartController(index);
+    scenario.advance(15'000);
+    CHECK(scenario.isComplete());
+    CHECK(scenario.maxVotersPerZone() <= 2);
+    const auto changes = scenario.changes.size();
+    scenario.advance(20'000);
+    LONGS_EQUAL(changes, scenario.changes.size());
   }
 }
 
 // An operator requests the replacement of a running voter. That voter is removed, and not the
 // controller that replaces it.
-TEST(Voters, aLivingVoterThatIsNamedIsReplacedOnce) {
-  Centre centre;
-  const auto victim = centre.voters()[2];
-  const std::string named = centre.identity(victim);
+TEST(VoterTests, runningVoterNamedByOperatorIsReplacedOnce) {
+  FiveVoterScenario scenario;
+  const auto victim = scenario.voters()[2];
+  const std::string target = scenario.identity(victim);
   int status = 0;
-  centre.requestWithoutTranscript("POST", "/v1/controllers/" + named + "/replace", "",
-                                  [&](int given) { status = given; });
-  centre.advance(15'000);
+  scenario.requestWithoutTranscript("POST", "/v1/controllers/" + target + "/replace", "",
+                                    [&](int answer) { status = answer; });
+  scenario.advance(15'000);
   LONGS_EQUAL(202, status);
-  LONGS_EQUAL(1, std::count(centre.changes.begin(), centre.changes.end(), "removed " + named));
-  LONGS_EQUAL(2, centre.changes.size());
-  CHECK(centre.whole());
-  CHECK(centre.identity(victim) != named);
+  LONGS_EQUAL(1, std::count(scenario.changes.begin(), scenario.changes.end(), "removed " + target));
+  LONGS_EQUAL(2, scenario.changes.size());
+  CHECK(scenario.isComplete());
+  CHECK(scenario.identity(victim) != target);
 }
