--- a/source/simulator/called_worker.hpp
+++ b/source/simulator/called_worker.hpp
@@ -103,8 +103,8 @@
   Term fencingTerm;
   std::optional<WorkerTime> leaseExpiresAt;
   std::map<TaskRunId, ActiveRun> runs;
-  std::map<TaskRunId, std::uint32_t>
-      fencedRuns;  // by task: the highest run number stopped or ended here
+  // By task: the highest run number stopped or ended here.
+  std::map<TaskRunId, std::uint32_t> fencedRuns;
   std::deque<EndedRun> unconfirmedResults;
   std::uint64_t lastResultNumber = 0;
 };
--- a/source/simulator/campaign.cpp
+++ b/source/simulator/campaign.cpp
@@ -18,8 +18,8 @@
 // No fault begins while the cluster is forming, nor so late that it would end after the run.
 constexpr std::int64_t firstFaultMs = 3000;
 constexpr std::int64_t lastFaultBeforeEndMs = 8000;
-constexpr double simultaneousFaultShare =
-    0.25;  // share of the faults that begin with the one before
+// Share of the faults that begin at the same time as the previous one.
+constexpr double simultaneousFaultShare = 0.25;
 constexpr std::uint64_t minConfigAnswers = 10;
 
 SimulatedClusterOptions clusterOptions(const CampaignOptions& options) {
--- a/source/simulator/campaign.hpp
+++ b/source/simulator/campaign.hpp
@@ -34,8 +34,8 @@
   std::uint64_t durableDigest = 0;                    // of all durable writes and the final states
   std::size_t jobs = 0;
   std::size_t starts = 0;
-  std::int64_t recoveryTime =
-      0;  // ms of virtual time from the lifting of all faults to a served job
+  // Virtual time in ms from the lifting of all faults until a job is served.
+  std::int64_t recoveryTime = 0;
   std::map<std::string, double> counters;
   bool passed() const { return violations.empty() && unfinished.empty(); }
 };
--- a/source/simulator/campaign_operators.cpp
+++ b/source/simulator/campaign_operators.cpp
@@ -11,10 +11,10 @@
 constexpr double lostAnswerShare = 0.3;  // share of the answers that are lost
 constexpr double resendShare = 0.4;      // share of the answered requests that are sent again
 constexpr double leaderLossShare = 0.3;  // share of the races during which the leader is killed
-constexpr double identicalRaceShare =
-    0.2;  // share of the races in which both operators send the same change
-constexpr double patchShare =
-    0.5;  // share of the changes sent as a patch of the current configuration
+// Share of the races in which both operators send the same change.
+constexpr double identicalRaceShare = 0.2;
+// Share of the changes sent as a patch of the current configuration.
+constexpr double patchShare = 0.5;
 constexpr std::int64_t leaderOutageMs = 500;
 constexpr const char* leaderLossFault = "the operators' leader";  // the fault's name in the history
 
--- a/source/simulator/crowded_service.cpp
+++ b/source/simulator/crowded_service.cpp
@@ -9,8 +9,8 @@
 constexpr std::size_t calledWorkers = 12;  // every second one is in the crowded pool
 constexpr std::uint32_t poolCores = 120;   // total of the six workers of that pool
 constexpr std::uint32_t fillerCores = 2;
-constexpr std::int64_t registrationsWithinMs =
-    8000;                                // includes workers whose first registration is delayed
+// Time for all workers to register, including those whose first registration is delayed.
+constexpr std::int64_t registrationsWithinMs = 8000;
 constexpr std::int64_t settleMs = 4000;  // until the long jobs occupy their share
 constexpr std::int64_t votersWithinMs = 20'000;
 constexpr std::int64_t configWithinMs = 10'000;
--- a/source/simulator/faults_called_workers.cpp
+++ b/source/simulator/faults_called_workers.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr std::int64_t quickRestartMs = 60;  // a restart within any lease
-constexpr std::int64_t minDrainFaultMs =
-    5000;  // minimum, so that the drain deadline passes during the fault
+// Minimum duration, so that the drain deadline passes during the fault.
+constexpr std::int64_t minDrainFaultMs = 5000;
 constexpr std::int64_t veryShortDrainMs = 600;
 constexpr std::int64_t delayedOrdersArriveMs = 12'000;  // until the last delayed order has arrived
 
@@ -29,8 +29,8 @@
 void killAgent(FaultInjector&, SimulatedCluster& cluster, const FaultTargets& targets,
                Fault& fault) {
   if (targets.coinFlip)
-    fault.duration =
-        100 + fault.duration % 900;  // half of the agents are restarted within a second
+    // Half of the killed agents are restarted within a second.
+    fault.duration = 100 + fault.duration % 900;
   fault.begin = [&cluster, targets] {
     cluster.killAgent(targets.calledWorker);
     return true;
--- a/source/simulator/faults_on_acknowledgement.cpp
+++ b/source/simulator/faults_on_acknowledgement.cpp
@@ -8,8 +8,8 @@
 
 constexpr std::int64_t outageMs = 1500;         // until the failed controllers restart
 constexpr std::int64_t diskLossOutageMs = 500;  // until the controllers without their disk restart
-constexpr std::int64_t membershipFaultDelayMs =
-    2;  // lets the messages of the membership change be sent
+// The delay lets the messages of the membership change be sent.
+constexpr std::int64_t membershipFaultDelayMs = 2;
 
 bool acknowledged(const ApiResponse& answer) {
   return answer.status < 300;
--- a/source/simulator/faults_workers.cpp
+++ b/source/simulator/faults_workers.cpp
@@ -5,9 +5,9 @@
 
 namespace {
 
-constexpr std::int64_t minDrainFaultMs =
-    5000;                         // minimum, so that the drain deadline passes during the fault
-constexpr double slowFactor = 6;  // multiplies the runtime of the worker's tasks
+// Minimum duration, so that the drain deadline passes during the fault.
+constexpr std::int64_t minDrainFaultMs = 5000;
+constexpr double slowFactor = 6;          // multiplies the runtime of the worker's tasks
 constexpr double quietFailureRate = 0.5;  // share of the worker's tasks that fail
 
 // Calls `use` with every worker in the rack of `worker`.
--- a/source/simulator/faults_zones.cpp
+++ b/source/simulator/faults_zones.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr std::int64_t zoneDrainMs = 2000;  // time that the workers of the zone have to drain
-constexpr std::int64_t serversKilledAfterMs =
-    4500;  // until the zone's controllers and gateways are killed
+// Time until the zone's controllers and gateways are killed.
+constexpr std::int64_t serversKilledAfterMs = 4500;
 // Minimum duration, so that all processes of the zone are down for a while.
 constexpr std::int64_t minZoneDrainFaultMs = 7000;
 
--- a/source/simulator/simulated_cluster.hpp
+++ b/source/simulator/simulated_cluster.hpp
@@ -38,8 +38,8 @@
 
   // --- virtual time, in ms ---
   std::int64_t now = 0;
-  static constexpr std::int64_t epochMs =
-      1'800'000'000'000;  // the true wall-clock time at virtual time 0
+  // The true wall-clock time at virtual time 0.
+  static constexpr std::int64_t epochMs = 1'800'000'000'000;
   void scheduleAfter(std::int64_t delay, std::function<void()> work);
   void runUntil(std::int64_t time);
   bool runUntilTrue(const std::function<bool()>& condition, std::int64_t within);
@@ -220,7 +220,8 @@
   // Makes a request that carries a whole configuration or a patch in the body's `field`.
   ConfigRequest makeConfigRequest(const char* method, const std::string& field,
                                   const std::string& text, std::uint64_t baseVersion) const;
-  void sendConfigRequest(const ConfigRequest& order, std::size_t gateway, ResponseHandler handler);
+  void sendConfigRequest(const ConfigRequest& request, std::size_t gateway,
+                         ResponseHandler handler);
   void recordConfigAnswer(const HistoryEvent& submitted, int status, const std::string& body);
   // Note the parts of a configuration that the history checkers need.
   void notePools(const ClusterConfig& config);
--- a/source/simulator/tenant_service.cpp
+++ b/source/simulator/tenant_service.cpp
@@ -396,8 +396,8 @@
   std::uint64_t appliedVersion = 0;
   std::size_t keyCount = 0;
   std::size_t jobCount = 0;
-  std::map<std::string, std::function<void()>>
-      activeFaults;  // by target: the function that ends its fault
+  // By target: the function that ends its fault.
+  std::map<std::string, std::function<void()>> activeFaults;
   std::map<std::string, std::size_t> faults;
   bool stopped = false;
 };
