--- a/source/simulator/simulated_callers.cpp
+++ b/source/simulator/simulated_callers.cpp
@@ -85,9 +85,9 @@
   if (state->ended)
     return;
   const std::int64_t askedAt = epochMs + now;
-  auto event = makeEvent(HistoryEvent::Kind::cancelSubmitted, askedAt);
-  event.job = state->job.id.value;
-  recordEvent(event);
+  auto submitted = makeEvent(HistoryEvent::Kind::cancelSubmitted, askedAt);
+  submitted.job = state->job.id.value;
+  recordEvent(submitted);
   askGateway(
       *clients, state->gateway, "DELETE", "/v1/jobs/" + state->job.id.value, "", 3000,
       [this, state, askedAt](int status, const std::string& body) {
--- a/source/simulator/simulated_cluster.hpp
+++ b/source/simulator/simulated_cluster.hpp
@@ -103,7 +103,8 @@
   void sendRequest(std::size_t gateway, const std::string& method, const std::string& target,
                    const std::string& body, ResponseHandler handler, std::int64_t within = 3000);
   // Starts a caller that resends when it gets no answer, polls until its job has ended, and records
-  // everything it observes. A negative `cancelAfter` means that it never cancels.
+  // everything it observes. It cancels `cancelAfter` ms after the acceptance, or never if that is
+  // negative.
   void submit(const JobSubmission& job, std::int64_t cancelAfter = -1,
               const std::string& apiKey = "");
   void resubmit(const JobSubmission& job);
@@ -157,7 +158,7 @@
   // at that moment.
   std::function<void(std::size_t index, const ApiRequest& request, const ApiResponse& answer)>
       onResponse;
-  std::function<void(std::size_t index, const LogEvent& note)> onLogEvent;
+  std::function<void(std::size_t index, const LogEvent& event)> onLogEvent;
   void recordEvent(HistoryEvent event);
 
  private:
--- a/tests/golden_tests.cpp
+++ b/tests/golden_tests.cpp
@@ -199,8 +199,8 @@
   scenario.cluster->restartController(victim);
   CHECK(scenario.cluster->runUntilTrue(
       [&] { return notes.size() >= 2 && scenario.cluster->voterCount() == 3; }, 20'000));
-  for (const auto& event : notes)
-    scenario.appendLine(event);
+  for (const auto& note : notes)
+    scenario.appendLine(note);
   scenario.compareWithApproved("old-disk");
 }
 
--- a/tests/simulator/voter_replacement_tests.cpp
+++ b/tests/simulator/voter_replacement_tests.cpp
@@ -7,8 +7,8 @@
 
 struct ClusterSize {
   std::size_t voters, controllers;
-  std::int64_t replaceAfter;  // as platform/main.cpp derives it from the bound
-  std::int64_t replacedWithin;
+  std::int64_t replaceAfter;    // ms, as platform/main.cpp derives it from the bound
+  std::int64_t replacedWithin;  // ms
 };
 // Clusters of three and five voters, with spare controllers for a second loss of as many voters as
 // may be lost at once.
@@ -77,9 +77,9 @@
     return *voters().begin();
   }
   std::int64_t waitUntilReplaced(std::int64_t within) {
-    const std::int64_t startedAt = cluster->now;
+    const std::int64_t waitStartedAt = cluster->now;
     CHECK(cluster->runUntilTrue([&] { return replaced(); }, within));
-    return cluster->now - startedAt;
+    return cluster->now - waitStartedAt;
   }
   // Reports whether the leader's committed membership has the wanted number of voters and every one
   // of them is running.
