--- a/programs/simulate.cpp
+++ b/programs/simulate.cpp
@@ -288,7 +288,7 @@
 // Returns whether no work waited where there was room for it and no other invariant was violated.
 bool simulateCrowdedServices(const SimulateOptions& options) {
   const auto results = runSeeds<CrowdedServiceResult>(options, [&](std::uint64_t seed) {
-    CrowdedServiceOptions runOptions = CrowdedServiceOptions::drawnBy(seed);
+    CrowdedServiceOptions runOptions = CrowdedServiceOptions::forSeed(seed);
     runOptions.verbose = options.verbose;
     return runCrowdedService(runOptions);
   });
@@ -309,7 +309,7 @@
 // cap, no other invariant was violated, and every accepted job has ended.
 bool simulateTenantServices(const SimulateOptions& options) {
   const auto results = runSeeds<TenantServiceResult>(options, [&](std::uint64_t seed) {
-    TenantServiceOptions runOptions = TenantServiceOptions::drawnBy(seed);
+    TenantServiceOptions runOptions = TenantServiceOptions::forSeed(seed);
     runOptions.verbose = options.verbose;
     return runTenantService(runOptions);
   });
--- a/source/simulator/campaign.cpp
+++ b/source/simulator/campaign.cpp
@@ -1,3 +1,4 @@
+// Runs the phases of a campaign in order and reports its result.
 #include "simulator/campaign.hpp"
 #include "simulator/campaign_operators.hpp"
 #include "simulator/campaign_workload.hpp"
@@ -9,16 +10,17 @@
 
 namespace {
 
-// Limits of virtual time, in ms.
+// Timeouts in ms of virtual time.
 constexpr std::int64_t votersWithinMs = 20'000;
 constexpr std::int64_t firstConfigWithinMs = 10'000;
 constexpr std::int64_t servedWithinMs = 30'000;
 constexpr std::int64_t jobsEndWithinMs = 240'000;
-// No fault begins while the cluster settles, nor so late that its end would come after the run's.
+// No fault begins while the cluster is forming, nor so late that it would end after the run.
 constexpr std::int64_t firstFaultMs = 3000;
 constexpr std::int64_t lastFaultBeforeEndMs = 8000;
-constexpr double simultaneousFaults = 0.25;  // share of the faults that begin with the one before
-constexpr std::uint64_t fewestConfigAnswers = 10;
+// Share of the faults that begin at the same time as the previous one.
+constexpr double simultaneousFaultShare = 0.25;
+constexpr std::uint64_t minConfigAnswers = 10;
 
 SimulatedClusterOptions clusterOptions(const CampaignOptions& options) {
   const std::uint64_t seed = options.seed;
@@ -26,11 +28,12 @@
   cluster.calledWorkers = options.calledWorkers;
   cluster.controllers = options.controllers;
   cluster.controller.voterCount = options.voters;
-  // Agents of called workers need no more than a twentieth of the lease and 200 ms.
+  // Agents of called workers need a margin of at most a twentieth of the lease plus 200 ms.
   if (options.calledWorkers && seed % 2)
     cluster.controller.leaseMargin = Duration{350};
   cluster.seed = seed;
-  // Workers that ignore leases and workers that don't enforce their capacity, in every mix.
+  // The seeds cover every combination of the numbers of workers that ignore leases and of workers
+  // that do not enforce their capacity.
   cluster.workersIgnoringLeases =
       std::array<std::size_t, 4>{0, seed / 4 % 4 == 3 ? 0u : 2u, 0, 11}[seed % 4];
   cluster.workersNotEnforcingCapacity = std::array<std::size_t, 3>{6, 0, 11}[seed / 4 % 3];
@@ -54,10 +57,10 @@
       cluster.trace = [this](const std::string& text) {
         std::fprintf(stderr, "%8lld %s\n", (long long)cluster.now, text.c_str());
       };
-    injector.floodOfJobs = [this] {
+    injector.submitJobFlood = [this] {
       workload.submitFlood();
     };
-    injector.operatorRace = [this] {
+    injector.startOperatorRace = [this] {
       operators.race();
     };
   }
@@ -103,7 +106,7 @@
     std::vector<Fault> faults;
     std::int64_t startsAt = 0;
     for (std::size_t count = 0; count < options.faults; ++count) {
-      if (!count || !random.chance(simultaneousFaults))
+      if (!count || !random.chance(simultaneousFaultShare))
         startsAt = random.between(firstFaultMs, options.duration - lastFaultBeforeEndMs);
       faults.push_back(injector.drawFault(startsAt));
     }
@@ -162,7 +165,8 @@
     cluster.recordEvent(event);
   }
 
-  // Nothing is broken from now on: the ms of virtual time until a caller's job is served.
+  // Called once no fault is in effect any more. Returns the ms of virtual time until a caller's job
+  // is served.
   std::int64_t measureRecovery(const std::string& id) {
     recordEvent(HistoryEvent::Kind::clusterHealed);
     const std::int64_t healedAt = cluster.now;
@@ -185,7 +189,8 @@
                         });
   }
 
-  // Some runs end with one last fault, after which nothing else breaks: what is lost stays away.
+  // Ends some runs with one last fault. No other fault follows, and the processes that are lost in
+  // it do not come back.
   void endWithLastFault() {
     const bool drawn = options.seed % 4 == 1 && options.faults > 0;
     if (!options.lastFaultEverywhere && !drawn)
@@ -195,7 +200,7 @@
     if (options.lastFaultEverywhere) {
       lastFault.injectEverywhere([this] { operators.race(); });
       result.counters["acknowledged right before the last fault"] =
-          double(lastFault.justAcknowledged());
+          double(lastFault.jobsAcknowledgedBefore());
       ++result.effectsByFault["one last fault everywhere"];
     } else {
       lastFault.injectDrawnBySeed();
@@ -204,7 +209,7 @@
     measureRecovery("last-probe");
   }
 
-  // For whoever looks into a run: what the leader answers of jobs that are still open.
+  // Traces what the leader answers about jobs that are still open, for debugging.
   void traceOpenJobs() {
     cluster.traceControllers();
     if (cluster.allJobsEnded())
@@ -242,15 +247,15 @@
     result.starts = std::size_t(
         std::count_if(cluster.history.begin(), cluster.history.end(),
                       [](const auto& event) { return event.kind == HistoryEvent::Kind::started; }));
-    countLeadersWork();
-    result.counters["orders resent later"] = double(operators.resentLater());
+    countLeaderEvents();
+    result.counters["orders resent later"] = double(operators.acknowledgedLateResends());
     result.counters["patches acknowledged"] = double(operators.acknowledgedPatches());
     if (options.calledWorkers)
-      countCalledWorkersEvents();
+      countCalledWorkerEvents();
   }
 
   void reportHistory() {
-    if (configWatch.answers() < fewestConfigAnswers)
+    if (configWatch.answers() < minConfigAnswers)
       result.unfinished.push_back("too few looks at the config");
     CheckReport checked = cluster.checkHistory();
     result.violations = std::move(checked.violations);
@@ -259,13 +264,13 @@
     for (const auto& unfinished : cluster.unfinishedJobs()) {
       result.unfinished.push_back(unfinished);
     }
-    for (const auto& misjudged : cluster.misjudgedConfigOrders()) {
+    for (const auto& finding : cluster.wronglyAnsweredConfigChanges()) {
       result.violations.push_back(
-          {Invariant::configurationOrder, SimulatedCluster::epochMs + cluster.now, misjudged});
+          {Invariant::configurationOrder, SimulatedCluster::epochMs + cluster.now, finding});
     }
   }
 
-  void countLeadersWork() {
+  void countLeaderEvents() {
     const auto leader = cluster.leader();
     if (!leader)
       return;
@@ -281,12 +286,12 @@
     counted["term"] = double(controller.raftNode().term().value);
   }
 
-  // What workers that are called went through, so that a run which tries none of it is noticed.
-  void countCalledWorkersEvents() {
+  // Counts the events of called workers, so that a campaign that covers none of them is noticed.
+  void countCalledWorkerEvents() {
     auto& counted = result.counters;
-    for (const char* what : {"started late", "from a checkpoint", "ended lapsed", "ended alone",
+    for (const char* name : {"started late", "from a checkpoint", "ended lapsed", "ended alone",
                              "ended broken", "ended stopped", "ended failed"}) {
-      counted[what] = 0;
+      counted[name] = 0;
     }
     for (const auto& event : cluster.history) {
       if (event.kind == HistoryEvent::Kind::started) {
@@ -301,7 +306,7 @@
   }
 
   CampaignOptions options;
-  Random random;  // of the faults, the jobs and the watch
+  Random random;  // shared by the faults, the jobs and the configuration watch
   SimulatedCluster cluster;
   FaultInjector injector;
   CampaignOperators operators;
--- a/source/simulator/crowded_service.cpp
+++ b/source/simulator/crowded_service.cpp
@@ -1,3 +1,4 @@
+// Submits the jobs and injects the disturbances of a crowded run.
 #include "simulator/crowded_service.hpp"
 #include "simulator/campaign_workload.hpp"
 
@@ -5,11 +6,12 @@
 
 namespace {
 
-constexpr std::size_t calledWorkers = 12;  // every second one is in the pool that is crowded
-constexpr std::uint32_t poolCores = 120;   // of these six
+constexpr std::size_t calledWorkers = 12;  // every second one is in the crowded pool
+constexpr std::uint32_t poolCores = 120;   // total of the six workers of that pool
 constexpr std::uint32_t fillerCores = 2;
-constexpr std::int64_t registrationsWithinMs = 8000;  // also of a worker whose first one is late
-constexpr std::int64_t settleMs = 4000;               // until the long work has its share
+// Time for all workers to register, including those whose first registration is delayed.
+constexpr std::int64_t registrationsWithinMs = 8000;
+constexpr std::int64_t settleMs = 4000;  // until the long jobs occupy their share
 constexpr std::int64_t votersWithinMs = 20'000;
 constexpr std::int64_t configWithinMs = 10'000;
 constexpr std::int64_t neverEndsMs = 100'000'000;
@@ -44,9 +46,9 @@
   }
 
   CrowdedServiceResult run() {
-    form();
+    formCluster();
     cluster.runUntil(cluster.now + registrationsWithinMs);
-    fill();
+    submitFillers();
     cluster.runUntil(cluster.now + settleMs);
     scheduleUrgentJobs();
     scheduleOtherJobs();
@@ -61,7 +63,7 @@
   }
 
  private:
-  void form() {
+  void formCluster() {
     cluster.runUntilTrue([&] { return cluster.voterCount() == cluster.configuredVoters(); },
                          votersWithinMs);
     bool applied = false;
@@ -70,7 +72,7 @@
     cluster.runUntilTrue([&] { return applied; }, configWithinMs);
   }
 
-  void fill() {
+  void submitFillers() {
     const auto tasks = std::size_t(options.occupancy * poolCores / fillerCores);
     for (std::size_t index = 0; index < tasks; ++index) {
       submit("filler", "filler",
@@ -109,12 +111,12 @@
     submit("plain", queue, {.tasks = tasks, .cores = 2, .requestedMs = 2000, .actualMs = 2000});
   }
   void submitLongRunning() {
-    JobSubmission job = make("lasting", "bulk", {.tasks = 2});
+    JobSubmission job = makeJob("lasting", "bulk", {.tasks = 2});
     job.steps[0].requirements.longRunning = true;
     cluster.submit(job, random.between(10'000, 20'000));
   }
   void submitTimed() {
-    JobSubmission job = make("timed", "bulk", {.cores = 2, .requestedMs = 600, .actualMs = 600});
+    JobSubmission job = makeJob("timed", "bulk", {.cores = 2, .requestedMs = 600, .actualMs = 600});
     job.timetable.firstStart = ClusterTime{SimulatedCluster::epochMs + cluster.now + 1000};
     job.timetable.interval = Duration{1500};
     job.timetable.count = 4;
@@ -129,11 +131,12 @@
     submit("wide", "bulk", {.tasks = 6, .cores = 4, .requestedMs = 6000, .actualMs = 6000});
   }
 
-  JobSubmission make(const std::string& prefix, const std::string& queue, const StepShape& shape) {
-    return singleStepJob(prefix + std::to_string(++jobsMade), queue, shape);
+  JobSubmission makeJob(const std::string& prefix, const std::string& queue,
+                        const StepShape& shape) {
+    return singleStepJob(prefix + std::to_string(++jobCount), queue, shape);
   }
   void submit(const std::string& prefix, const std::string& queue, const StepShape& shape) {
-    cluster.submit(make(prefix, queue, shape));
+    cluster.submit(makeJob(prefix, queue, shape));
   }
 
   void scheduleDisturbances() {
@@ -160,12 +163,12 @@
   CrowdedServiceOptions options;
   Random random;
   SimulatedCluster cluster;
-  std::size_t jobsMade = 0;
+  std::size_t jobCount = 0;
 };
 
 }  // namespace
 
-CrowdedServiceOptions CrowdedServiceOptions::drawnBy(std::uint64_t seed) {
+CrowdedServiceOptions CrowdedServiceOptions::forSeed(std::uint64_t seed) {
   constexpr std::array<double, 4> occupancies{0.5, 0.7, 0.9, 0.97};
   CrowdedServiceOptions options;
   options.seed = seed;
--- a/source/simulator/fault_injector.cpp
+++ b/source/simulator/fault_injector.cpp
@@ -1,3 +1,4 @@
+// The draws of kinds and targets, and the limits on simultaneous losses.
 #include "simulator/fault_injector.hpp"
 #include "simulator/fault_kinds.hpp"
 
@@ -5,17 +6,19 @@
 
 namespace {
 
-constexpr std::size_t mostGone = 4;  // workers; the others must be able to do all that is left
-// Until the consequences of a fault on an acknowledgement are over.
+// Removed workers at most; the others must be able to run all remaining tasks.
+constexpr std::size_t maxRemovedWorkers = 4;
+// The time until the consequences of a fault on an acknowledgement have passed.
 constexpr std::int64_t acknowledgementFaultMs = 6000;
-// Such a fault comes 0 to 3 ms after the answer.
-constexpr std::int64_t acknowledgementFaultDelays = 4;
+// The number of possible delays: the fault takes effect 0 to 3 ms after the answer.
+constexpr std::int64_t acknowledgementFaultDelayCount = 4;
 
 std::string workerName(std::size_t index) {
   return "m" + std::to_string(index + 1);
 }
 
-// The order of kinds is part of what a seed means: a new kind goes to the end of its table.
+// The draws of a seed depend on the order of the kinds, so a new kind is added at the end of its
+// table.
 const FaultTable& everyClusterTable() {
   static const FaultTable kinds =
       concatenate({controllerFaults(), networkFaults(), machineFaults(), workerFaults(),
@@ -33,34 +36,35 @@
 
 }  // namespace
 
-FaultInjector::FaultInjector(SimulatedCluster& cluster, Random& drawFault)
-    : cluster(cluster), random(drawFault) {
+FaultInjector::FaultInjector(SimulatedCluster& cluster, Random& generator)
+    : cluster(cluster), random(generator) {
   cluster.onResponse = [this](std::size_t index, const ApiRequest& request,
                               const ApiResponse& answer) {
-    for (std::size_t at = 0; at < armedFaults.size(); ++at)
-      if (armedFaults[at].matches(request, answer)) {
-        auto strike = std::move(armedFaults[at].action);
-        armedFaults.erase(armedFaults.begin() + std::ptrdiff_t(at));
-        return strike(index);
+    for (std::size_t armed = 0; armed < armedFaults.size(); ++armed)
+      if (armedFaults[armed].matches(request, answer)) {
+        auto action = std::move(armedFaults[armed].action);
+        armedFaults.erase(armedFaults.begin() + std::ptrdiff_t(armed));
+        return action(index);
       }
   };
-  cluster.onLogEvent = [this](std::size_t index, const LogEvent& note) {
-    if (!std::holds_alternative<log_events::MembershipChanged>(note) ||
+  cluster.onLogEvent = [this](std::size_t index, const LogEvent& event) {
+    if (!std::holds_alternative<log_events::MembershipChanged>(event) ||
         armedMembershipFaults.empty())
       return;
-    auto strike = std::move(armedMembershipFaults.back());
+    auto action = std::move(armedMembershipFaults.back());
     armedMembershipFaults.pop_back();
-    strike(index);
+    action(index);
   };
 }
 
-// The leader is as likely as any.
+// Prefers the leader for half of the faults.
 std::vector<std::size_t> FaultInjector::chooseControllers(const FaultTargets& targets) const {
   return chooseControllersBeside(
       targets.prefersLeader ? cluster.leader().value_or(targets.controller) : targets.controller,
       targets);
 }
-// Those beside the first are voters while there are any: there lies what can be lost.
+// Chooses voters in addition to the first while there are any, since only they hold data that can
+// be lost.
 std::vector<std::size_t> FaultInjector::chooseControllersBeside(std::size_t first,
                                                                 const FaultTargets& targets) const {
   std::vector<std::size_t> chosen{first};
@@ -74,14 +78,14 @@
   return chosen;
 }
 
-// Two of three copies, or three of five, may never be lost before the first are replaced: that is
-// beyond what they can bear. Two that moved know only each other's old address, so without the
-// others they count as lost.
+// Two of three replicas, or three of five, must not be lost before the first ones are replaced, as
+// Raft does not tolerate that. Two controllers that moved know only each other's old address, so
+// without the others they count as lost.
 bool FaultInjector::tryLoseDisk(std::size_t index, bool moves) {
   const auto lost = cluster.votersWithoutDisk();
-  const std::size_t unknown =
+  const std::size_t unreachableControllers =
       movingControllers > 1 && cluster.now < nextMoveAt ? movingControllers : 0;
-  if (!lost || *lost + unknown >= cluster.tolerableLosses())
+  if (!lost || *lost + unreachableControllers >= cluster.tolerableLosses())
     return false;
   cluster.loseDisk(index);
   if (moves)
@@ -91,7 +95,7 @@
 
 bool FaultInjector::tryRemoveForGood(std::size_t worker) {
   const std::string id = workerName(worker);
-  if (removed.size() >= mostGone || removed.count(id))
+  if (removed.size() >= maxRemovedWorkers || removed.count(id))
     return false;
   removed.insert(id);
   return true;
@@ -101,17 +105,17 @@
   removed.erase(workerName(worker));
 }
 
-// Waits for the very next answer of its kind: the acknowledgement leaves, and the machine
-// with it.
+// Waits for the next matching answer: the acknowledgement is sent, and right after it the machine
+// fails.
 void FaultInjector::faultOnAcknowledgement(Fault& fault, const FaultTargets& targets,
-                                           Matches matches, ControllerAction strike) {
-  auto took = std::make_shared<bool>(false);
-  fault.tookEffect = took;
-  const std::int64_t delay = std::abs(targets.clockJump % acknowledgementFaultDelays);
-  auto atAnswer = [this, strike = std::move(strike), took, delay](std::size_t index) {
-    *took = true;
+                                           Matches matches, ControllerAction action) {
+  auto tookEffect = std::make_shared<bool>(false);
+  fault.tookEffect = tookEffect;
+  const std::int64_t delay = std::abs(targets.clockJump % acknowledgementFaultDelayCount);
+  auto atAnswer = [this, action = std::move(action), tookEffect, delay](std::size_t index) {
+    *tookEffect = true;
     cluster.recordFault("aimed strike", false);
-    cluster.scheduleAfter(delay, [strike, index] { strike(index); });
+    cluster.scheduleAfter(delay, [action, index] { action(index); });
     cluster.scheduleAfter(acknowledgementFaultMs,
                           [this] { cluster.recordFault("aimed strike", true); });
   };
@@ -121,24 +125,24 @@
   };
 }
 
-std::vector<std::string> FaultInjector::kindNames(bool called, bool several) {
+std::vector<std::string> FaultInjector::kindNames(bool withCalledWorkers, bool withManyVoters) {
   std::vector<std::string> names;
-  for (const auto& kind : several ? severalVotersTable() : everyClusterTable())
+  for (const auto& kind : withManyVoters ? severalVotersTable() : everyClusterTable())
     names.emplace_back(kind.name);
-  if (called)
+  if (withCalledWorkers)
     for (const auto& kind : calledTable())
       names.emplace_back(kind.name);
   return names;
 }
 
-// Where there are workers that are called, half of the faults are theirs.
+// In clusters with called workers, half of the faults are drawn from their table.
 const std::vector<FaultKind>& FaultInjector::drawTable() {
   if (cluster.calledWorkerCount() > 0 && random.chance(0.5))
     return calledTable();
   return cluster.tolerableLosses() > 1 ? severalVotersTable() : everyClusterTable();
 }
 
-FaultTargets FaultInjector::drawTargets(std::int64_t length) {
+FaultTargets FaultInjector::drawTargets(std::int64_t duration) {
   FaultTargets targets;
   targets.controller = random.next() % cluster.controllerCount();
   targets.gateway = random.next() % simulatedGateways;
@@ -148,7 +152,7 @@
   targets.prefersLeader = random.chance(0.5);
   targets.coinFlip = random.chance(0.5);
   targets.clockJump = random.between(-600'000, 600'000);
-  targets.duration = length;
+  targets.duration = duration;
   if (cluster.calledWorkerCount() > 0)
     targets.calledWorker = random.next() % cluster.calledWorkerCount();
   if (cluster.tolerableLosses() > 1) {
@@ -158,11 +162,11 @@
   return targets;
 }
 
-Fault FaultInjector::drawFault(std::int64_t at) {
+Fault FaultInjector::drawFault(std::int64_t startsAt) {
   const auto& kinds = drawTable();
   const auto& kind = kinds[random.next() % kinds.size()];
   Fault fault;
-  fault.startsAt = at;
+  fault.startsAt = startsAt;
   fault.duration = random.between(300, 9000);
   fault.name = kind.name;
   kind.plan(*this, cluster, drawTargets(fault.duration), fault);
--- a/source/simulator/faults_called_workers.cpp
+++ b/source/simulator/faults_called_workers.cpp
@@ -1,26 +1,27 @@
-// Faults of workers that are called, and of their agents. docs/design.md 12.3.
+// Faults of called workers and of their agents. docs/design.md 12.3.
 #include "simulator/fault_kinds.hpp"
 
 namespace aniseline {
 
 namespace {
 
-constexpr std::int64_t backAtOnceMs = 60;      // a restart faster than any lease
-constexpr std::int64_t leavingLastsMs = 5000;  // at least, so that the notice runs out within it
-constexpr std::int64_t hastyNoticeMs = 600;
-constexpr std::int64_t lateOrdersMs = 12'000;  // until the last order held back has arrived
+constexpr std::int64_t quickRestartMs = 60;  // a restart within any lease
+// Minimum duration, so that the drain deadline passes during the fault.
+constexpr std::int64_t minDrainFaultMs = 5000;
+constexpr std::int64_t veryShortDrainMs = 600;
+constexpr std::int64_t delayedOrdersArriveMs = 12'000;  // until the last delayed order has arrived
 
-void comeBackAtOnce(SimulatedCluster& cluster, const FaultTargets& targets) {
+void restartQuickly(SimulatedCluster& cluster, const FaultTargets& targets) {
   cluster.killCalledWorker(targets.calledWorker);
-  cluster.scheduleAfter(backAtOnceMs,
+  cluster.scheduleAfter(quickRestartMs,
                         [&cluster, targets] { cluster.restartCalledWorker(targets.calledWorker); });
 }
 
-void leave(FaultInjector&, SimulatedCluster& cluster, const FaultTargets& targets, Fault& fault) {
-  fault.duration = std::max(fault.duration, leavingLastsMs);
+void drain(FaultInjector&, SimulatedCluster& cluster, const FaultTargets& targets, Fault& fault) {
+  fault.duration = std::max(fault.duration, minDrainFaultMs);
   fault.begin = [&cluster, targets] {
-    cluster.drainCalledWorker(targets.calledWorker, targets.coinFlip ? shortDrainMs : hastyNoticeMs,
-                              downtimeMs);
+    cluster.drainCalledWorker(targets.calledWorker,
+                              targets.coinFlip ? shortDrainMs : veryShortDrainMs, downtimeMs);
     return true;
   };
 }
@@ -28,7 +29,8 @@
 void killAgent(FaultInjector&, SimulatedCluster& cluster, const FaultTargets& targets,
                Fault& fault) {
   if (targets.coinFlip)
-    fault.duration = 100 + fault.duration % 900;  // most are started again at once
+    // Half of the killed agents are restarted within a second.
+    fault.duration = 100 + fault.duration % 900;
   fault.begin = [&cluster, targets] {
     cluster.killAgent(targets.calledWorker);
     return true;
@@ -58,18 +60,19 @@
 
 void deliverLateOrders(SimulatedCluster& cluster, const FaultTargets& targets) {
   cluster.setOrdersDelayed(targets.calledWorker, false);
-  // What is still on its way is trouble too.
-  const std::string still = "orders on their way " + std::to_string(cluster.now);
-  cluster.recordFault(still, false);
-  cluster.scheduleAfter(lateOrdersMs, [&cluster, still] { cluster.recordFault(still, true); });
+  // The delayed orders that have not arrived yet still count as a fault.
+  const std::string pendingFault = "orders on their way " + std::to_string(cluster.now);
+  cluster.recordFault(pendingFault, false);
+  cluster.scheduleAfter(delayedOrdersArriveMs,
+                        [&cluster, pendingFault] { cluster.recordFault(pendingFault, true); });
 }
 
-template <SimulatedCluster::Malfunction sickness>
-FaultKind sick(const char* name) {
+template <SimulatedCluster::Malfunction malfunction>
+FaultKind malfunctionFault(const char* name) {
   return lastingFault(
       name,
       [](SimulatedCluster& cluster, const FaultTargets& targets) {
-        cluster.setCalledWorkerMalfunction(targets.calledWorker, sickness);
+        cluster.setCalledWorkerMalfunction(targets.calledWorker, malfunction);
       },
       [](SimulatedCluster& cluster, const FaultTargets& targets) {
         cluster.setCalledWorkerMalfunction(targets.calledWorker,
@@ -87,8 +90,8 @@
           [](SimulatedCluster& cluster, const FaultTargets& targets) {
             cluster.restartCalledWorker(targets.calledWorker);
           }),
-      momentaryFault("a called worker comes back at once", comeBackAtOnce),
-      {"a called worker leaves", leave},
+      momentaryFault("a called worker comes back at once", restartQuickly),
+      {"a called worker leaves", drain},
       {"kill an agent", killAgent},
       lastingFault(
           "freeze an agent",
@@ -111,12 +114,13 @@
   };
 }
 
-FaultTable sicknesses() {
+FaultTable malfunctionFaults() {
   return {
-      sick<SimulatedCluster::Malfunction::stalled>("a called worker stalls"),
-      sick<SimulatedCluster::Malfunction::rejecting>("a called worker turns starts away"),
-      sick<SimulatedCluster::Malfunction::unresponsive>("a called worker is mute"),
-      sick<SimulatedCluster::Malfunction::failing>("a called worker fails all"),
+      malfunctionFault<SimulatedCluster::Malfunction::stalled>("a called worker stalls"),
+      malfunctionFault<SimulatedCluster::Malfunction::rejecting>(
+          "a called worker turns starts away"),
+      malfunctionFault<SimulatedCluster::Malfunction::unresponsive>("a called worker is mute"),
+      malfunctionFault<SimulatedCluster::Malfunction::failing>("a called worker fails all"),
       lastingFault(
           "orders carried out late",
           [](SimulatedCluster& cluster, const FaultTargets& targets) {
@@ -129,7 +133,7 @@
 }  // namespace
 
 FaultTable calledWorkerFaults() {
-  return concatenate({processFaults(), sicknesses(), calledWorkerAcknowledgementFaults()});
+  return concatenate({processFaults(), malfunctionFaults(), calledWorkerAcknowledgementFaults()});
 }
 
 }  // namespace aniseline
--- a/source/simulator/faults_on_acknowledgement.cpp
+++ b/source/simulator/faults_on_acknowledgement.cpp
@@ -1,4 +1,4 @@
-// Faults aimed at the moment after an acknowledgement: it leaves, and the machine with it.
+// Faults right after an acknowledgement: the answer is sent, and then its sender fails.
 // docs/design.md 12.3.
 #include "simulator/fault_kinds.hpp"
 
@@ -6,9 +6,10 @@
 
 namespace {
 
-constexpr std::int64_t outageMs = 1500;             // until those that were struck come back
-constexpr std::int64_t diskLossOutageMs = 500;      // until those without their disk come back
-constexpr std::int64_t membershipFaultDelayMs = 2;  // so that the change of members is on its way
+constexpr std::int64_t outageMs = 1500;         // until the failed controllers restart
+constexpr std::int64_t diskLossOutageMs = 500;  // until the controllers without their disk restart
+// The delay lets the messages of the membership change be sent.
+constexpr std::int64_t membershipFaultDelayMs = 2;
 
 bool acknowledged(const ApiResponse& answer) {
   return answer.status < 300;
@@ -38,7 +39,8 @@
          request.report.draining && acknowledged(answer);
 }
 
-// By turns: disks are lost, all controllers lose power, the struck controllers lose power.
+// How the controllers fail: the targets lose their disks, all controllers lose power, or the
+// targets lose power.
 enum class FailureMode { diskLoss, powerOffAll, powerOffTargets };
 
 void failControllers(FaultInjector& injector, SimulatedCluster& cluster,
@@ -75,7 +77,7 @@
   armForControllers(injector, cluster, targets, fault, acknowledgesConfig);
   fault.begin = [&injector, arm = fault.begin] {
     arm();
-    injector.operatorRace();
+    injector.startOperatorRace();
     return false;
   };
 }
@@ -104,9 +106,9 @@
 
 void failWhileMembersChange(FaultInjector& injector, SimulatedCluster& cluster,
                             const FaultTargets& targets, Fault& fault) {
-  auto took = std::make_shared<bool>(false);
-  fault.tookEffect = took;
-  fault.begin = [&injector, &cluster, targets, took] {
+  auto tookEffect = std::make_shared<bool>(false);
+  fault.tookEffect = tookEffect;
+  fault.begin = [&injector, &cluster, targets, tookEffect] {
     std::vector<std::size_t> lost = injector.chooseControllers(targets);
     std::erase_if(
         lost, [&](std::size_t index) { return !injector.tryLoseDisk(index, targets.coinFlip); });
@@ -116,8 +118,8 @@
       for (const std::size_t index : lost)
         cluster.restartController(index);
     });
-    injector.faultOnMembershipChange([&cluster, took](std::size_t index) {
-      *took = true;
+    injector.faultOnMembershipChange([&cluster, tookEffect](std::size_t index) {
+      *tookEffect = true;
       failOnMembershipChange(cluster, index);
     });
     return false;
--- a/source/simulator/simulated_cluster.cpp
+++ b/source/simulator/simulated_cluster.cpp
@@ -1,9 +1,10 @@
+// Sets up the nodes, and implements the event queue, message delivery and the lifting of faults.
 #include "simulator/simulated_nodes.hpp"
 
 namespace aniseline {
 
-SimulatedCluster::SimulatedCluster(SimulatedClusterOptions given)
-    : options(given), random(given.seed * 7919 + 13) {
+SimulatedCluster::SimulatedCluster(SimulatedClusterOptions simulationOptions)
+    : options(simulationOptions), random(simulationOptions.seed * 7919 + 13) {
   clients = std::make_unique<Node>();
   for (std::size_t index = 0; index < options.controllers; ++index) {
     auto node = std::make_unique<ControllerNode>();
@@ -46,15 +47,16 @@
     auto node = std::make_unique<CalledWorkerNode>();
     agent->index = node->index = index;
     agent->zone = node->zone = index % options.zones;
-    // Two pools, of guarded and of unguarded workers; sizes, kinds and racks differ within each.
+    // There are two pools: workers that enforce their capacity and workers that do not. Sizes,
+    // labels and racks differ within each pool.
     Capacity& capacity = node->capacity;
     capacity.cores = index % 4 < 2 ? options.cores : options.cores * 3 / 2;
     capacity.memory = options.memory;
     capacity.accelerators = index % 4 == 3 ? 2 : 0;
     capacity.zone = ZoneName{"zone" + std::to_string(node->zone + 1)};
     capacity.rack = "shelf" + std::to_string(index / 4 + 1);
-    capacity.labels = {index / 2 % 2 ? "plain" : "fine",
-                       capacity.rack};  // of each kind in two zones
+    // Workers with each label stand in two zones.
+    capacity.labels = {index / 2 % 2 ? "plain" : "fine", capacity.rack};
     capacity.pool = index % 2 ? "open" : "guarded";
     capacity.enforcesCapacity = index % 2 == 0;
     capacity.host = "host" + std::to_string(index + 1);
@@ -93,17 +95,17 @@
   return condition();
 }
 
-void SimulatedCluster::recordEvent(HistoryEvent given) {
-  if (!given.timestamp)
-    given.timestamp = epochMs + now;
-  const std::string line = given.toJsonLine();
+void SimulatedCluster::recordEvent(HistoryEvent event) {
+  if (!event.timestamp)
+    event.timestamp = epochMs + now;
+  const std::string line = event.toJsonLine();
   transcriptHash = hashBytes(transcriptHash, line);
-  if (trace && !given.worker.empty())
+  if (trace && !event.worker.empty())
     trace("witness " + line);
-  history.push_back(std::move(given));
+  history.push_back(std::move(event));
 }
 
-bool SimulatedCluster::cutBetween(const Node& from, const Node& to) const {
+bool SimulatedCluster::isCutBetween(const Node& from, const Node& to) const {
   if (from.isolated || to.isolated)
     return true;
   return &from != clients.get() && &to != clients.get() &&
@@ -111,7 +113,7 @@
 }
 
 void SimulatedCluster::deliver(Node& from, Node& to, std::function<void()> work) {
-  if (cutBetween(from, to) || (options.messageLoss > 0 && random.chance(options.messageLoss)))
+  if (isCutBetween(from, to) || (options.messageLoss > 0 && random.chance(options.messageLoss)))
     return;
   deliverAt(to, now + (from.zone == to.zone ? 0 : 1) + random.between(0, 1), std::move(work));
 }
@@ -134,12 +136,12 @@
   node.frozen = frozen;
   if (frozen)
     return;
-  auto inbox = std::exchange(node.deferredWork, {});
+  auto pendingWork = std::exchange(node.deferredWork, {});
   const std::uint64_t generation = node.generation;
   Node* target = &node;
-  schedule(now, [target, generation, inbox = std::move(inbox)] {
+  schedule(now, [target, generation, pendingWork = std::move(pendingWork)] {
     if (target->up && target->generation == generation)
-      for (auto& work : inbox)
+      for (auto& work : pendingWork)
         work();
   });
 }
@@ -151,8 +153,7 @@
   return nullptr;
 }
 
-// --- as a whole
-// --------------------------------------------------------------------------------------------------
+// --- operations on the whole cluster ---
 
 void SimulatedCluster::healAll() {
   partitions.clear();
@@ -187,29 +188,31 @@
 }
 
 void SimulatedCluster::recordFault(const std::string& fault, bool ends) {
-  auto given = makeEvent(ends ? HistoryEvent::Kind::faultEnded : HistoryEvent::Kind::faultBegan,
+  auto event = makeEvent(ends ? HistoryEvent::Kind::faultEnded : HistoryEvent::Kind::faultBegan,
                          epochMs + now);
-  given.detail = fault;
-  recordEvent(given);
+  event.detail = fault;
+  recordEvent(event);
 }
 
 void SimulatedCluster::observeConfigs() {
-  auto poll = [this](const std::string& process, ConfigVersion version) {
+  auto recordVersion = [this](const std::string& process, ConfigVersion version) {
     if (!version.value)
-      return;  // it has just begun and knows of none
-    auto given = makeEvent(HistoryEvent::Kind::configObserved, epochMs + now);
-    given.detail = process;
-    given.version = version.value;
-    recordEvent(given);
+      return;  // the process has just started and has no configuration yet
+    auto event = makeEvent(HistoryEvent::Kind::configObserved, epochMs + now);
+    event.detail = process;
+    event.version = version.value;
+    recordEvent(event);
   };
   for (const auto& node : controllers)
     if (node->up && !node->frozen)
-      poll("controller" + std::to_string(node->index) + "." + std::to_string(node->generation),
-           node->core->committed().config().version);
+      recordVersion(
+          "controller" + std::to_string(node->index) + "." + std::to_string(node->generation),
+          node->core->committed().config().version);
   for (const auto& node : gateways)
     if (node->up && !node->frozen)
-      poll("gateway" + std::to_string(node->index) + "." + std::to_string(node->generation),
-           node->route.config);
+      recordVersion(
+          "gateway" + std::to_string(node->index) + "." + std::to_string(node->generation),
+          node->route.config);
 }
 
 }  // namespace aniseline
