--- a/source/net/options.cpp
+++ b/source/net/options.cpp
@@ -253,7 +253,7 @@
   std::ifstream stream(file);
   const std::string bytes((std::istreambuf_iterator<char>(stream)), {});
   picojson::value root;
-  const std::string error = stream.is_open() ? parseJson(root, bytes) : "could not be read";
+  const std::string error = stream.is_open() ? parseJson(root, bytes) : "can't be read";
   if (!error.empty())
     return errors.push_back(file + ": " + error);
   if (!root.is<picojson::object>())
