--- a/benchmarks/agent_benchmark.cpp
+++ b/benchmarks/agent_benchmark.cpp
@@ -11,93 +11,98 @@
 class AgentBenchmark {
  public:
   AgentBenchmark(const Sizes& sizes, std::uint64_t seed) : sizes(sizes), random(seed) {
-    WorkerRegistration account;
-    account.workerInstance = workerIdOf(0);
-    account.capacity = capacityOf(Sizes{}, 0);
-    account.clockReading = WorkerTime{now};
-    core->onRegistration(account, MonotonicTime{now});
-  }
-  Values measure() {
-    run(warmLength - tick);
+    WorkerRegistration registration;
+    registration.workerInstance = workerIdOf(0);
+    registration.capacity = capacityOf(Sizes{}, 0);
+    registration.clockReading = WorkerTime{now};
+    agent->onRegistration(registration, MonotonicTime{now});
+  }
+  Metrics measure() {
+    run(warmUpMs - tickMs);
     costs = {};
     measuring = true;
-    turn();  // the last turn of the warm-up counts already
+    runTick();  // the last turn of the warm-up counts already
     const std::int64_t begin = now;
-    run(measuredLength);
+    run(measuredMs);
     return summary(double(now - begin) / 1000);
   }
 
  private:
   // Virtual milliseconds.
-  static constexpr std::int64_t tick = 5, warmLength = 4000, measuredLength = 20'000;
-  static constexpr std::int64_t patientWait = 1000, heapEvery = 500, longRuntime = 3'600'000;
+  static constexpr std::int64_t tickMs = 5, warmUpMs = 4000, measuredMs = 20'000;
+  static constexpr std::int64_t longPollMs = 1000, heapSampleIntervalMs = 500,
+                                longRuntimeMs = 3'600'000;
   struct Task {
-    TaskRunId name;
-    std::int64_t ends;
+    TaskRunId runId;
+    std::int64_t endsAt;
   };
-  struct Look {
+  struct Poll {
     WorkerCall call;
     std::int64_t until;  // when the hollow worker answers though nothing ended
   };
   struct Costs {
-    double coreMicros = 0, packMicros = 0, tasksDone = 0, calls = 0, syncs = 0, sentBytes = 0,
-           tookBytes = 0;
+    double agentMicros = 0, serializationMicros = 0, tasksDone = 0, calls = 0, syncs = 0,
+           sentBytes = 0, receivedBytes = 0;
   };
 
   void run(std::int64_t length) {
     for (const std::int64_t end = now + length; now < end;)
-      turn();
+      runTick();
   }
-  void turn() {
-    now += tick;
+  void runTick() {
+    now += tickMs;
     endTasks();
-    if (look && (now >= look->until || hasNews()))
-      answerLook();
+    if (poll && (now >= poll->until || hasUnconfirmedResults()))
+      answerPoll();
     takeCalls();
     syncWhenDue();
-    if (measuring && now % heapEvery == 0)
-      peakHeap = std::max(peakHeap, heapBytes() - empty);
+    if (measuring && now % heapSampleIntervalMs == 0)
+      peakHeap = std::max(peakHeap, heapBytes() - baselineHeap);
   }
-  std::int64_t drawTask() { return sizes.starts > 0 ? drawRuntime(random) : longRuntime; }
-  bool hasNews() const {
-    return !ended.empty() && ended.back().sequenceNumber > look->call.confirmedUpTo;
+  std::int64_t randomTaskRuntimeMs() {
+    return sizes.starts > 0 ? randomRuntimeMs(random) : longRuntimeMs;
+  }
+  bool hasUnconfirmedResults() const {
+    return !unconfirmedResults.empty() &&
+           unconfirmedResults.back().sequenceNumber > poll->call.confirmedUpTo;
   }
   void endTasks() {
     std::erase_if(tasks, [&](const Task& task) {
-      if (task.ends > now)
+      if (task.endsAt > now)
         return false;
-      ended.push_back({++endings, task.name,
-                       random.chance(0.05) ? AttemptOutcome::failed : AttemptOutcome::succeeded,
-                       ""});
+      unconfirmedResults.push_back(
+          {++lastSequenceNumber, task.runId,
+           random.chance(0.05) ? AttemptOutcome::failed : AttemptOutcome::succeeded, ""});
       return true;
     });
   }
-  WorkerReply done() const {
+  WorkerReply okReply() const {
     WorkerReply reply;
     reply.status = WorkerReply::Status::ok;
     reply.clockReading = WorkerTime{now};
     return reply;
   }
   void reply(const WorkerCall& call, const WorkerReply& reply) {
-    costs.coreMicros += timed([&] { core->onWorkerReply(call, reply, MonotonicTime{now}); });
+    costs.agentMicros +=
+        measureCpuMicros([&] { agent->onWorkerReply(call, reply, MonotonicTime{now}); });
   }
-  void answerLook() {
-    WorkerReply answer = done();
-    std::erase_if(ended, [&](const auto& ending) {
-      return ending.sequenceNumber <= look->call.confirmedUpTo;
+  void answerPoll() {
+    WorkerReply response = okReply();
+    std::erase_if(unconfirmedResults, [&](const auto& ending) {
+      return ending.sequenceNumber <= poll->call.confirmedUpTo;
     });
-    answer.runningTasks.reserve(tasks.size());
+    response.runningTasks.reserve(tasks.size());
     for (const auto& task : tasks)
-      answer.runningTasks.push_back({task.name, ""});
-    answer.results = ended;
-    reply(look->call, answer);
-    look.reset();
+      response.runningTasks.push_back({task.runId, ""});
+    response.results = unconfirmedResults;
+    reply(poll->call, response);
+    poll.reset();
   }
   void takeCalls() {
     std::vector<WorkerCall> made;
-    costs.coreMicros += timed([&] {
-      made = core->takeCalls(MonotonicTime{now});
-      core->nextWakeUp(MonotonicTime{now});
+    costs.agentMicros += measureCpuMicros([&] {
+      made = agent->takeCalls(MonotonicTime{now});
+      agent->nextWakeUp(MonotonicTime{now});
     });
     for (auto& call : made)
       answerCall(call);
@@ -105,86 +110,89 @@
   void answerCall(const WorkerCall& call) {
     ++costs.calls;
     if (call.kind == WorkerCall::Kind::poll) {
-      look = Look{call, now + call.longPollTimeout.milliseconds};
+      poll = Poll{call, now + call.longPollTimeout.milliseconds};
       if (call.longPollTimeout.milliseconds == 0)
-        answerLook();
+        answerPoll();
       return;
     }
     if (call.kind == WorkerCall::Kind::start)
-      tasks.push_back({call.runId, now + drawTask()});
-    reply(call, done());
+      tasks.push_back({call.runId, now + randomTaskRuntimeMs()});
+    reply(call, okReply());
   }
   void syncWhenDue() {
     bool urgent = false;
-    costs.coreMicros += timed([&] { urgent = core->hasUrgentReport(MonotonicTime{now}); });
+    costs.agentMicros +=
+        measureCpuMicros([&] { urgent = agent->hasUrgentReport(MonotonicTime{now}); });
     if (urgent)
       sync(false);
-    else if (MonotonicTime{now} >= patientUntil) {
+    else if (MonotonicTime{now} >= nextLongPollAt) {
       sync(true);
-      patientUntil = MonotonicTime{now + patientWait};
+      nextLongPollAt = MonotonicTime{now + longPollMs};
     }
   }
-  void sync(bool patient) {
+  void sync(bool longPoll) {
     SyncReport report;
-    costs.coreMicros += timed([&] { report = core->makeSyncReport(MonotonicTime{now}); });
-    send(report, patient);
-    SyncResponse answer = lead(report);
-    take(answer);
-    costs.coreMicros += timed(
-        [&] { core->onSyncResponse(report, answer, MonotonicTime{now - 2}, MonotonicTime{now}); });
-  }
-  void send(const SyncReport& report, bool patient) {
+    costs.agentMicros +=
+        measureCpuMicros([&] { report = agent->makeSyncReport(MonotonicTime{now}); });
+    send(report, longPoll);
+    SyncResponse response = leaderResponse(report);
+    receive(response);
+    costs.agentMicros += measureCpuMicros([&] {
+      agent->onSyncResponse(report, response, MonotonicTime{now - 2}, MonotonicTime{now});
+    });
+  }
+  void send(const SyncReport& report, bool longPoll) {
     ApiRequest request;
     request.kind = RequestKind::syncWorker;
     request.targetId = report.id.value;
     request.report = report;
-    request.report.longPollTimeout = Duration{patient ? patientWait : 0};
+    request.report.longPollTimeout = Duration{longPoll ? longPollMs : 0};
     std::string bytes;
-    costs.packMicros += timed([&] { bytes = encode(WireMessage{1, request}); });
+    costs.serializationMicros += measureCpuMicros([&] { bytes = encode(WireMessage{1, request}); });
     costs.sentBytes += double(bytes.size());
     ++costs.syncs;
   }
   // What the leader answers: all endings are closed, and as many tasks ordered.
-  SyncResponse lead(const SyncReport& report) {
-    SyncResponse answer;
-    answer.term = Term{2};
-    answer.lease = Duration{3000};
-    answer.finalResultCount = std::uint32_t(report.runResults.size());
-    open -= std::min<std::size_t>(open, answer.finalResultCount);
-    costs.tasksDone += answer.finalResultCount;
-    for (; open < sizes.running; ++open)
-      answer.orders.push_back(nextOrder());
-    return answer;
+  SyncResponse leaderResponse(const SyncReport& report) {
+    SyncResponse response;
+    response.term = Term{2};
+    response.lease = Duration{3000};
+    response.finalResultCount = std::uint32_t(report.runResults.size());
+    openTasks -= std::min<std::size_t>(openTasks, response.finalResultCount);
+    costs.tasksDone += response.finalResultCount;
+    for (; openTasks < sizes.runningTasks; ++openTasks)
+      response.orders.push_back(nextOrder());
+    return response;
   }
   Order nextOrder() {
     Order next;
-    next.number = OrderNumber{++order};
+    next.number = OrderNumber{++lastOrder};
     next.job = JobId{"job-0123456789-" + std::to_string(taskNumber / 30)};
     next.indexInStep = std::uint32_t(taskNumber % 30);
     next.runNumber = 1;
-    next.runtime = Duration{drawTask()};
+    next.runtime = Duration{randomTaskRuntimeMs()};
     next.payload = R"({"work":"separation","plate":"cyan"})";
     ++taskNumber;
     return next;
   }
   // The answer as the agent reads it off the wire.
-  void take(SyncResponse& answer) {
-    ApiResponse packedAnswer;
-    packedAnswer.body = pack(answer);
-    const std::string bytes = encode(WireMessage{1, packedAnswer});
-    costs.tookBytes += double(bytes.size());
-    costs.packMicros += timed([&] {
+  void receive(SyncResponse& response) {
+    ApiResponse packedResponse;
+    packedResponse.body = pack(response);
+    const std::string bytes = encode(WireMessage{1, packedResponse});
+    costs.receivedBytes += double(bytes.size());
+    costs.serializationMicros += measureCpuMicros([&] {
       auto message = unpack<WireMessage>(bytes.substr(16)).value();
-      answer = unpack<SyncResponse>(boost::get<ApiResponse>(message.body).body).value();
+      response = unpack<SyncResponse>(boost::get<ApiResponse>(message.body).body).value();
     });
   }
-  Values summary(double seconds) const {
-    Values values;
-    values["core_percent"] = costs.coreMicros / seconds / 1e4;
-    values["pack_percent"] = costs.packMicros / seconds / 1e4;
+  Metrics summary(double seconds) const {
+    Metrics values;
+    values["core_percent"] = costs.agentMicros / seconds / 1e4;
+    values["pack_percent"] = costs.serializationMicros / seconds / 1e4;
     if (costs.tasksDone > 0) {
-      values["core_us_per_task"] = costs.coreMicros / costs.tasksDone;
-      values["pack_us_per_task"] = costs.packMicros / costs.tasksDone;
+      values["core_us_per_task"] = costs.agentMicros / costs.tasksDone;
+      values["pack_us_per_task"] = costs.serializationMicros / costs.tasksDone;
       values["calls_per_task"] = costs.calls / costs.tasksDone;
       values["syncs_per_task"] = costs.syncs / costs.tasksDone;
     }
@@ -192,30 +200,31 @@
     values["calls_per_s"] = costs.calls / seconds;
     values["syncs_per_s"] = costs.syncs / seconds;
     values["sent_bytes_per_s"] = costs.sentBytes / seconds;
-    values["taken_bytes_per_s"] = costs.tookBytes / seconds;
+    values["taken_bytes_per_s"] = costs.receivedBytes / seconds;
     values["heap_bytes"] = peakHeap;
     return values;
   }
 
-  const double empty = heapBytes();  // the first: what the agent holds is measured against it
-  std::unique_ptr<NodeAgent> core = std::make_unique<NodeAgent>(NodeAgentOptions{});
+  const double baselineHeap =
+      heapBytes();  // the first: what the agent holds is measured against it
+  std::unique_ptr<NodeAgent> agent = std::make_unique<NodeAgent>(NodeAgentOptions{});
   Sizes sizes;
   Random random;
   std::int64_t now = 1000, taskNumber = 0;
   std::vector<Task> tasks;
-  std::vector<WorkerReply::RunResult> ended;
-  std::optional<Look> look;
-  std::uint64_t endings = 0, order = 0;
+  std::vector<WorkerReply::RunResult> unconfirmedResults;
+  std::optional<Poll> poll;
+  std::uint64_t lastSequenceNumber = 0, lastOrder = 0;
   Costs costs;
   double peakHeap = 0;
   bool measuring = false;
-  MonotonicTime patientUntil{0};
-  std::size_t open = 0;
+  MonotonicTime nextLongPollAt{0};
+  std::size_t openTasks = 0;
 };
 
 }  // namespace
 
-Values measureAgent(const Sizes& sizes, std::uint64_t seed) {
+Metrics measureAgent(const Sizes& sizes, std::uint64_t seed) {
   return AgentBenchmark(sizes, seed).measure();
 }
 
--- a/benchmarks/benchmark_runner.cpp
+++ b/benchmarks/benchmark_runner.cpp
@@ -6,14 +6,14 @@
 namespace {
 
 // Values of five digits and more are printed whole.
-std::string formatted(double value) {
+std::string formatNumber(double value) {
   char text[40];
   std::snprintf(text, sizeof text, "%.*g", std::abs(value) >= 10'000 ? 8 : 4, value);
   return text;
 }
 
 void appendValue(std::string& json, const std::string& name, double value) {
-  json += (json.empty() ? "\"" : ",\"") + name + "\":" + formatted(value);
+  json += (json.empty() ? "\"" : ",\"") + name + "\":" + formatNumber(value);
 }
 
 }  // namespace
@@ -23,18 +23,18 @@
   if (!options.only.empty() && options.only != part)
     return;
   ++pointCount;
-  picojson::object shown{
-      {"part", json(part)}, {"grows", json(varied)}, {"sizes", json(sizes.shown())}};
-  if (processorMicros() > double(options.budgetSeconds) * 1e6) {
-    shown["skipped"] = json("the budget of processor time is used up");
-    std::cout << json(shown).serialize() << "\n";
+  picojson::object report{
+      {"part", json(part)}, {"grows", json(varied)}, {"sizes", json(sizes.toJson())}};
+  if (threadCpuMicros() > double(options.budgetSeconds) * 1e6) {
+    report["skipped"] = json("the budget of processor time is used up");
+    std::cout << json(report).serialize() << "\n";
     return;
   }
-  const double begun = processorMicros();
+  const double startMicros = threadCpuMicros();
   Samples samples;
   std::int64_t failed = 0;
-  for (std::int64_t round = 0; round < options.repeats; ++round) {
-    const Values values = measure(sizes, std::uint64_t(options.seed + round));
+  for (std::int64_t repeat = 0; repeat < options.repeats; ++repeat) {
+    const Metrics values = measure(sizes, std::uint64_t(options.seed + repeat));
     failed += values.empty();
     for (const auto& [name, value] : values) {
       samples[name].push_back(value);
@@ -46,11 +46,11 @@
     appendValue(median, name, values[values.size() / 2]);
     appendValue(spread, name, values.back() - values.front());
   }
-  shown["repeats"] = json(options.repeats);
-  shown["took_ms"] = json(std::round((processorMicros() - begun) / 1000));
+  report["repeats"] = json(options.repeats);
+  report["took_ms"] = json(std::round((threadCpuMicros() - startMicros) / 1000));
   if (failed)
-    shown["runs_without_a_steady_leader"] = json(failed);
-  std::string line = json(shown).serialize();
+    report["runs_without_a_steady_leader"] = json(failed);
+  std::string line = json(report).serialize();
   line.pop_back();  // the closing brace
   std::cout << line << ",\"median\":{" << median << "},\"spread\":{" << spread << "}}" << std::endl;
 }
@@ -63,7 +63,7 @@
 }
 
 BenchmarkRunner::Measurement BenchmarkRunner::flow() const {
-  FlowLengths lengths;
+  FlowDurations lengths;
   lengths.tickMs = options.tickMs;
   lengths.measuredMs = options.measuredMs;
   return [lengths](const Sizes& sizes, std::uint64_t seed) {
@@ -97,17 +97,17 @@
     measurePoint(
         "flow", "workers", [&](Sizes& sizes) { sizes.workers = workers; }, flow());
   }
-  for (const std::size_t running : {100, 1000, 10'000}) {
+  for (const std::size_t runningTasks : {100, 1000, 10'000}) {
     measurePoint(
-        "flow", "running", [&](Sizes& sizes) { sizes.running = running; }, flow());
+        "flow", "running", [&](Sizes& sizes) { sizes.runningTasks = runningTasks; }, flow());
   }
-  for (const std::size_t waiting : {100, 1000, 10'000}) {
+  for (const std::size_t waitingTasks : {100, 1000, 10'000}) {
     measurePoint(
-        "flow", "waiting", [&](Sizes& sizes) { sizes.waiting = waiting; }, flow());
+        "flow", "waiting", [&](Sizes& sizes) { sizes.waitingTasks = waitingTasks; }, flow());
   }
-  for (const std::size_t kept : {1000, 5000, 20'000}) {
+  for (const std::size_t keptJobs : {1000, 5000, 20'000}) {
     measurePoint(
-        "flow", "kept", [&](Sizes& sizes) { sizes.kept = kept; }, flow());
+        "flow", "kept", [&](Sizes& sizes) { sizes.keptJobs = keptJobs; }, flow());
   }
   for (const std::size_t queues : {10, 100, 830}) {
     measurePoint(
@@ -125,11 +125,11 @@
         },
         flow());
   }
-  for (const std::size_t running : {100, 1000, 10'000}) {
+  for (const std::size_t runningTasks : {100, 1000, 10'000}) {
     measurePoint(
         "idle", "running",
         [&](Sizes& sizes) {
-          sizes.running = running;
+          sizes.runningTasks = runningTasks;
           sizes.starts = 0;
         },
         flow());
@@ -142,24 +142,24 @@
         "plan", "workers",
         [&](Sizes& sizes) {
           sizes.workers = workers;
-          sizes.waiting = 100;
+          sizes.waitingTasks = 100;
         },
         measurePlan);
   }
-  for (const std::size_t waiting : {100, 1000, 10'000}) {
+  for (const std::size_t waitingTasks : {100, 1000, 10'000}) {
     measurePoint(
-        "plan", "waiting", [&](Sizes& sizes) { sizes.waiting = waiting; }, measurePlan);
+        "plan", "waiting", [&](Sizes& sizes) { sizes.waitingTasks = waitingTasks; }, measurePlan);
   }
-  for (const std::size_t running : {100, 1000, 10'000}) {
+  for (const std::size_t runningTasks : {100, 1000, 10'000}) {
     measurePoint(
-        "plan", "running", [&](Sizes& sizes) { sizes.running = running; }, measurePlan);
+        "plan", "running", [&](Sizes& sizes) { sizes.runningTasks = runningTasks; }, measurePlan);
   }
-  for (const std::size_t running : {100, 1000, 10'000}) {
+  for (const std::size_t runningTasks : {100, 1000, 10'000}) {
     measurePoint(
         "plan", "running, one waits",
         [&](Sizes& sizes) {
-          sizes.running = running;
-          sizes.waiting = 1;
+          sizes.runningTasks = runningTasks;
+          sizes.waitingTasks = 1;
         },
         measurePlan);
   }
@@ -187,17 +187,17 @@
 }
 
 void BenchmarkRunner::measureStates() {
-  for (const std::size_t kept : {1000, 10'000, 50'000}) {
+  for (const std::size_t keptJobs : {1000, 10'000, 50'000}) {
     measurePoint(
-        "state", "kept", [&](Sizes& sizes) { sizes.kept = kept; }, measureState);
+        "state", "kept", [&](Sizes& sizes) { sizes.keptJobs = keptJobs; }, measureState);
   }
-  for (const std::size_t running : {1000, 10'000, 100'000}) {
+  for (const std::size_t runningTasks : {1000, 10'000, 100'000}) {
     measurePoint(
-        "state", "running", [&](Sizes& sizes) { sizes.running = running; }, measureState);
+        "state", "running", [&](Sizes& sizes) { sizes.runningTasks = runningTasks; }, measureState);
   }
-  for (const std::size_t waiting : {100, 1000, 10'000}) {
+  for (const std::size_t waitingTasks : {100, 1000, 10'000}) {
     measurePoint(
-        "state", "waiting", [&](Sizes& sizes) { sizes.waiting = waiting; }, measureState);
+        "state", "waiting", [&](Sizes& sizes) { sizes.waitingTasks = waitingTasks; }, measureState);
   }
   for (const std::size_t workers : {60, 1000, 18'000}) {
     measurePoint(
@@ -224,15 +224,15 @@
 }
 
 void BenchmarkRunner::measureAgents() {
-  for (const std::size_t running : {8, 26, 128}) {
+  for (const std::size_t runningTasks : {8, 26, 128}) {
     measurePoint(
-        "agent", "running", [&](Sizes& sizes) { sizes.running = running; }, measureAgent);
+        "agent", "running", [&](Sizes& sizes) { sizes.runningTasks = runningTasks; }, measureAgent);
   }
-  for (const std::size_t running : {8, 26, 128}) {
+  for (const std::size_t runningTasks : {8, 26, 128}) {
     measurePoint(
         "agent", "running, none ends",
         [&](Sizes& sizes) {
-          sizes.running = running;
+          sizes.runningTasks = runningTasks;
           sizes.starts = 0;
         },
         measureAgent);
--- a/benchmarks/benchmark_runner.hpp
+++ b/benchmarks/benchmark_runner.hpp
@@ -29,7 +29,7 @@
   std::size_t points() const { return pointCount; }
 
  private:
-  using Measurement = std::function<Values(const Sizes&, std::uint64_t seed)>;
+  using Measurement = std::function<Metrics(const Sizes&, std::uint64_t seed)>;
   using Samples = std::map<std::string, std::vector<double>>;
   using ChangeSizes = std::function<void(Sizes&)>;
 
--- a/benchmarks/benchmarks.hpp
+++ b/benchmarks/benchmarks.hpp
@@ -8,7 +8,7 @@
 namespace aniseline::benchmarks {
 
 // Virtual times of a flow, in ms.
-struct FlowLengths {
+struct FlowDurations {
   std::int64_t tickMs = 5;       // between two steps of a controller
   std::int64_t warmUpMs = 1500;  // before it is measured
   std::int64_t measuredMs = 4000;
@@ -16,14 +16,14 @@
 
 // Each measures once, with the draws of one seed. The values' names say their units; those of a
 // flow are empty if it had no steady leader.
-Values measureFlow(const Sizes& sizes, std::uint64_t seed, const FlowLengths& lengths);
-Values measurePlan(const Sizes& sizes, std::uint64_t seed);
-Values measureGang(const Sizes& sizes, std::uint64_t seed);
-Values measureState(const Sizes& sizes, std::uint64_t seed);
-Values measureConfig(const Sizes& sizes, std::uint64_t seed);
-Values measureRoute(const Sizes& sizes, std::uint64_t seed);
-Values measureGateway(const Sizes& sizes, std::uint64_t seed);
-Values measureAgent(const Sizes& sizes, std::uint64_t seed);
+Metrics measureFlow(const Sizes& sizes, std::uint64_t seed, const FlowDurations& lengths);
+Metrics measurePlan(const Sizes& sizes, std::uint64_t seed);
+Metrics measureGang(const Sizes& sizes, std::uint64_t seed);
+Metrics measureState(const Sizes& sizes, std::uint64_t seed);
+Metrics measureConfig(const Sizes& sizes, std::uint64_t seed);
+Metrics measureRoute(const Sizes& sizes, std::uint64_t seed);
+Metrics measureGateway(const Sizes& sizes, std::uint64_t seed);
+Metrics measureAgent(const Sizes& sizes, std::uint64_t seed);
 
 }  // namespace aniseline::benchmarks
 
--- a/benchmarks/gateway_benchmark.cpp
+++ b/benchmarks/gateway_benchmark.cpp
@@ -7,22 +7,22 @@
 
 // What a gateway does with a request besides HTTP: reads the caller's JSON, packs it, unpacks the
 // answer.
-Values measureGateway(const Sizes&, std::uint64_t seed) {
-  Values values;
+Metrics measureGateway(const Sizes&, std::uint64_t seed) {
+  Metrics values;
   Random random(seed);
   constexpr int rounds = 300;
   std::vector<std::string> bodies, packed;
   for (int round = 0; round < rounds; ++round)
     bodies.push_back(
-        renderJobSubmission(drawJob(random, "job-" + std::to_string(round), queueName(0))));
+        renderJobSubmission(randomJob(random, "job-" + std::to_string(round), queueName(0))));
   std::vector<ApiRequest> requests;
   values["parse_submission_us"] =
-      timed([&] {
+      measureCpuMicros([&] {
         for (const auto& body : bodies)
           requests.push_back(ApiRequest::parse("POST", "/v1/jobs", body).value());
       }) /
       rounds;
-  values["pack_submission_us"] = timed([&] {
+  values["pack_submission_us"] = measureCpuMicros([&] {
                                    for (const auto& request : requests)
                                      packed.push_back(encode(WireMessage{1, request}));
                                  }) /
@@ -36,20 +36,20 @@
   poll.host = "jobs.example";
   poll.path = "/team-0/job-0123456789-1";
   std::string bytes;
-  values["pack_look_us"] = timed([&] {
+  values["pack_look_us"] = measureCpuMicros([&] {
                              for (int round = 0; round < rounds; ++round)
                                bytes = encode(WireMessage{1, poll});
                            }) /
                            rounds;
   values["look_bytes"] = double(bytes.size());
-  const std::string answer = encode(WireMessage{
+  const std::string response = encode(WireMessage{
       1, ApiResponse::of(202, {{"id", json("job-0123456789-1")}, {"accepted", json(true)}})});
-  values["unpack_answer_us"] = timed([&] {
+  values["unpack_answer_us"] = measureCpuMicros([&] {
                                  for (int round = 0; round < rounds; ++round)
-                                   unpack<WireMessage>(answer.substr(16)).value();
+                                   unpack<WireMessage>(response.substr(16)).value();
                                }) /
                                rounds;
-  values["answer_bytes"] = double(answer.size());
+  values["answer_bytes"] = double(response.size());
   return values;
 }
 
--- a/benchmarks/hollow_worker.cpp
+++ b/benchmarks/hollow_worker.cpp
@@ -6,7 +6,7 @@
 
 constexpr Duration longPollTimeout{1000};
 constexpr std::int64_t reportAppliedWithinMs = 400;
-constexpr double failingTasks = 0.05;  // share
+constexpr double taskFailureRate = 0.05;  // share
 
 }  // namespace
 
@@ -65,11 +65,11 @@
   const auto job = jobs.find(order.job);
   const bool gang = job != jobs.end() && job->second->steps[order.stepIndex].gang;
   // Of a gang the first member alone may fail, so that gangs fail as often as tasks.
-  const bool fails = (!gang || order.indexInStep == 0) && random.chance(failingTasks);
+  const bool fails = (!gang || order.indexInStep == 0) && random.chance(taskFailureRate);
   // Tasks take about what was requested, each its own time; the members of a gang end together.
   const std::int64_t requested = order.runtime.milliseconds;
-  const std::int64_t takes = gang ? requested : requested * random.between(80, 120) / 100;
-  running[TaskRunId::of(order)] = {now + takes, fails};
+  const std::int64_t actual = gang ? requested : requested * random.between(80, 120) / 100;
+  running[TaskRunId::of(order)] = {now + actual, fails};
 }
 
 void HollowWorker::endTasks(std::int64_t now) {
--- a/benchmarks/meter.cpp
+++ b/benchmarks/meter.cpp
@@ -4,7 +4,7 @@
 
 namespace aniseline::benchmarks {
 
-double processorMicros() {
+double threadCpuMicros() {
   timespec now{};
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &now);
   return double(now.tv_sec) * 1e6 + double(now.tv_nsec) / 1e3;
--- a/benchmarks/meter.hpp
+++ b/benchmarks/meter.hpp
@@ -6,32 +6,33 @@
 namespace aniseline::benchmarks {
 
 // This thread's processor time, in microseconds.
-double processorMicros();
+double threadCpuMicros();
 // What the process holds on its heap, in bytes.
 double heapBytes();
 
 // Measured values by name.
-using Values = std::map<std::string, double>;
+using Metrics = std::map<std::string, double>;
 
 // Adds the processor time of a scope to one of the values.
-class Meter {
+class CpuMeter {
  public:
-  Meter(Values& values, const char* name) : target(values[name]), begun(processorMicros()) {}
-  ~Meter() { target += processorMicros() - begun; }
-  Meter(const Meter&) = delete;
-  Meter& operator=(const Meter&) = delete;
+  CpuMeter(Metrics& values, const char* name)
+      : total(values[name]), startMicros(threadCpuMicros()) {}
+  ~CpuMeter() { total += threadCpuMicros() - startMicros; }
+  CpuMeter(const CpuMeter&) = delete;
+  CpuMeter& operator=(const CpuMeter&) = delete;
 
  private:
-  double& target;
-  double begun;
+  double& total;
+  double startMicros;
 };
 
 // The processor time of one call, in microseconds.
 template <class Work>
-double timed(Work work) {
-  const double begun = processorMicros();
+double measureCpuMicros(Work work) {
+  const double startMicros = threadCpuMicros();
   work();
-  return processorMicros() - begun;
+  return threadCpuMicros() - startMicros;
 }
 
 }  // namespace aniseline::benchmarks
--- a/benchmarks/plan_benchmark.cpp
+++ b/benchmarks/plan_benchmark.cpp
@@ -3,20 +3,22 @@
 
 namespace aniseline::benchmarks {
 
-Values measurePlan(const Sizes& sizes, std::uint64_t seed) {
+Metrics measurePlan(const Sizes& sizes, std::uint64_t seed) {
   const ClusterState clusterState = presetClusterState(sizes, Random(seed));
-  const auto heard = noSilence(sizes);
+  const auto contactAges = zeroContactAges(sizes);
   Planner planner;
-  Values values;
-  planner.makePlan(ClusterState{}, ClusterTime{0}, heard);
-  planner.makePlan(presetClusterState(Sizes{}, Random(1)), ClusterTime{0}, heard);
-  values["plan_us"] = timed([&] { planner.makePlan(clusterState, ClusterTime{5000}, heard); });
-  values["next_due_us"] = timed([&] { Planner::nextPlanTime(clusterState, ClusterTime{5000}); });
+  Metrics values;
+  planner.makePlan(ClusterState{}, ClusterTime{0}, contactAges);
+  planner.makePlan(presetClusterState(Sizes{}, Random(1)), ClusterTime{0}, contactAges);
+  values["plan_us"] =
+      measureCpuMicros([&] { planner.makePlan(clusterState, ClusterTime{5000}, contactAges); });
+  values["next_due_us"] =
+      measureCpuMicros([&] { Planner::nextPlanTime(clusterState, ClusterTime{5000}); });
   return values;
 }
 
 // One gang, and room for it: the plan that starts it.
-Values measureGang(const Sizes& sizes, std::uint64_t seed) {
+Metrics measureGang(const Sizes& sizes, std::uint64_t seed) {
   ClusterState clusterState = presetClusterState(sizes, Random(seed));
   JobSubmission job;
   job.id = JobId{"gang"};
@@ -25,19 +27,21 @@
       {"together",
        {},
        true,
-       std::vector<TaskRequest>(sizes.gang, TaskRequest{taskCores, 64, Duration{6000}, ""})}};
-  const auto heard = noSilence(sizes);
+       std::vector<TaskRequest>(sizes.gang, TaskRequest{taskMillicores, 64, Duration{6000}, ""})}};
+  const auto contactAges = zeroContactAges(sizes);
   Planner planner;
-  Values values;
-  planner.makePlan(clusterState, ClusterTime{5000}, heard);
+  Metrics values;
+  planner.makePlan(clusterState, ClusterTime{5000}, contactAges);
   values["plan_without_us"] =
-      timed([&] { planner.makePlan(clusterState, ClusterTime{5000}, heard); });
+      measureCpuMicros([&] { planner.makePlan(clusterState, ClusterTime{5000}, contactAges); });
   clusterState.apply(LogRecord{ClusterTime{5000}, JobAccepted{job}});
   Plan plan;
-  values["plan_us"] =
-      timed([&] { plan = planner.makePlan(clusterState, ClusterTime{5000}, heard); });
+  values["plan_us"] = measureCpuMicros(
+      [&] { plan = planner.makePlan(clusterState, ClusterTime{5000}, contactAges); });
   values["parts_started"] = double(plan.record.actions.size());
-  values["fold_us"] = timed([&] { clusterState.apply(LogRecord{ClusterTime{5000}, plan.record}); });
+  values["fold_us"] = measureCpuMicros([&] {
+    clusterState.apply(LogRecord{ClusterTime{5000}, plan.record});
+  });
   return values;
 }
 
--- a/benchmarks/route_benchmark.cpp
+++ b/benchmarks/route_benchmark.cpp
@@ -5,8 +5,8 @@
 
 namespace aniseline::benchmarks {
 
-Values measureRoute(const Sizes& sizes, std::uint64_t seed) {
-  Values values;
+Metrics measureRoute(const Sizes& sizes, std::uint64_t seed) {
+  Metrics values;
   WriteAheadRecord record;
   record.version = DiskVersion{1};
   record.holdsSnapshot = true;
@@ -18,28 +18,28 @@
                {self},
                pack(presetClusterState(Sizes{11, 0, 0, 0, sizes.queues, 0, 0, 10}, Random(seed)))};
   record.firstIndex = LogIndex{2};
-  Controller core(self, {}, seed, {record}, MonotonicTime{0});
+  Controller controller(self, {}, seed, {record}, MonotonicTime{0});
   for (std::size_t gateway = 0; gateway < sizes.gateways; ++gateway)
-    core.recordGateway({Address{"10.0." + std::to_string(gateway / 250) + "." +
-                                std::to_string(gateway % 250) + ":8080"},
-                        ZoneName{"zone" + std::to_string(gateway % 3)}},
-                       MonotonicTime{0});
+    controller.recordGateway({Address{"10.0." + std::to_string(gateway / 250) + "." +
+                                      std::to_string(gateway % 250) + ":8080"},
+                              ZoneName{"zone" + std::to_string(gateway % 3)}},
+                             MonotonicTime{0});
   std::string bytes;
   constexpr int rounds = 200;
-  values["tell_us"] = timed([&] {
+  values["tell_us"] = measureCpuMicros([&] {
                         for (int round = 0; round < rounds; ++round) {
-                          RouteReply notified;
-                          notified.view = core.route(MonotonicTime{100});
-                          bytes = encode(WireMessage{1, notified});
+                          RouteReply reply;
+                          reply.view = controller.route(MonotonicTime{100});
+                          bytes = encode(WireMessage{1, reply});
                         }
                       }) /
                       rounds;
   values["tell_bytes"] = double(bytes.size());
-  LeaderRoute view;
-  values["take_us"] = timed([&] {
+  LeaderRoute route;
+  values["take_us"] = measureCpuMicros([&] {
                         for (int round = 0; round < rounds; ++round) {
                           auto message = unpack<WireMessage>(bytes.substr(16)).value();
-                          view.mergeNewer(std::move(boost::get<RouteReply>(message.body).view));
+                          route.mergeNewer(std::move(boost::get<RouteReply>(message.body).view));
                         }
                       }) /
                       rounds;
--- a/benchmarks/state_benchmark.cpp
+++ b/benchmarks/state_benchmark.cpp
@@ -4,20 +4,21 @@
 
 namespace aniseline::benchmarks {
 
-Values measureState(const Sizes& sizes, std::uint64_t seed) {
-  Values values;
-  const double empty = heapBytes();
+Metrics measureState(const Sizes& sizes, std::uint64_t seed) {
+  Metrics values;
+  const double baselineHeap = heapBytes();
   const ClusterState clusterState = presetClusterState(sizes, Random(seed));
-  const double once = heapBytes();
+  const double heapWithOneState = heapBytes();
   std::optional<ClusterState> copy;
-  values["copy_ms"] = timed([&] { copy = clusterState; }) / 1000;
-  values["cluster_state_bytes"] = heapBytes() - once;
-  values["heap_bytes_after_folding"] = once - empty;
+  values["copy_ms"] = measureCpuMicros([&] { copy = clusterState; }) / 1000;
+  values["cluster_state_bytes"] = heapBytes() - heapWithOneState;
+  values["heap_bytes_after_folding"] = heapWithOneState - baselineHeap;
   copy.reset();
   std::string packed;
-  values["view_pack_ms"] = timed([&] { packed = pack(clusterState); }) / 1000;
+  values["view_pack_ms"] = measureCpuMicros([&] { packed = pack(clusterState); }) / 1000;
   values["view_bytes"] = double(packed.size());
-  values["view_read_ms"] = timed([&] { copy = unpack<ClusterState>(packed).value(); }) / 1000;
+  values["view_read_ms"] =
+      measureCpuMicros([&] { copy = unpack<ClusterState>(packed).value(); }) / 1000;
   copy.reset();
   {
     WriteAheadRecord record;
@@ -28,27 +29,28 @@
     record.snapshot = Snapshot{LogIndex{1}, Term{1}, {self}, packed};
     record.firstIndex = LogIndex{2};
     const double before = heapBytes();
-    Controller core(self, {}, seed, {record}, MonotonicTime{0});
-    core.takeSnapshotWork();
+    Controller controller(self, {}, seed, {record}, MonotonicTime{0});
+    controller.takeSnapshotWork();
     values["follower_heap_bytes"] =
         heapBytes() -
         before;  // one cluster state and the view it came from; a leader has one cluster state more
   }
   {
     ClusterState changed = clusterState;
-    const LogRecord seen{changed.now(), WorkerRegistered{WorkerId{"another"}, Incarnation{1},
-                                                         capacityOf(sizes, sizes.workers)}};
-    values["fold_seen_us"] = timed([&] { changed.apply(seen); });
+    const LogRecord registration{
+        changed.now(),
+        WorkerRegistered{WorkerId{"another"}, Incarnation{1}, capacityOf(sizes, sizes.workers)}};
+    values["fold_seen_us"] = measureCpuMicros([&] { changed.apply(registration); });
   }
   // An ending that is closed already is looked for among all attempts; so is a job that settles.
-  const TaskRunId closed{JobId{"running-0"}, 0, 0, 0, 99};
-  values["closed_ending_us"] = timed([&] {
+  const TaskRunId finishedRun{JobId{"running-0"}, 0, 0, 0, 99};
+  values["closed_ending_us"] = measureCpuMicros([&] {
                                  for (int round = 0; round < 20; ++round)
-                                   clusterState.findAttempt(workerIdOf(0), closed);
+                                   clusterState.findAttempt(workerIdOf(0), finishedRun);
                                }) /
                                20;
   values["attempts_of_job_us"] =
-      timed([&] {
+      measureCpuMicros([&] {
         for (int round = 0; round < 20; ++round)
           clusterState.attemptsOf(JobId{"running-0"}, AttemptScope::withoutAbandoned);
       }) /
--- a/benchmarks/workload.cpp
+++ b/benchmarks/workload.cpp
@@ -5,20 +5,20 @@
 
 namespace {
 
-constexpr double meanRuntime = 0.6 * 250 + 0.25 * 900 + 0.15 * 6000;  // of drawRuntime, in ms
+constexpr double meanRuntimeMs = 0.6 * 250 + 0.25 * 900 + 0.15 * 6000;  // of randomRuntimeMs, in ms
 
 }  // namespace
 
-std::int64_t drawRuntime(Random& random) {
+std::int64_t randomRuntimeMs(Random& random) {
   const auto kind = random.between(0, 99);
   return kind < 60 ? random.between(200, 300) : kind < 85 ? random.between(700, 1100) : 6000;
 }
 
 std::size_t shortTasksPerWorker(const Sizes& sizes) {
-  return std::size_t(1.6 * sizes.starts * meanRuntime / 1000.0 / double(sizes.workers)) + 4;
+  return std::size_t(1.6 * sizes.starts * meanRuntimeMs / 1000.0 / double(sizes.workers)) + 4;
 }
 
-JobSubmission drawJob(Random& random, const std::string& id, const QueueName& queue) {
+JobSubmission randomJob(Random& random, const std::string& id, const QueueName& queue) {
   JobSubmission job;
   job.id = JobId{id};
   job.queue = queue;
@@ -32,7 +32,7 @@
       request.dependencies = {"step" + std::to_string(step - 1)};
     request.gang = gang;
     request.tasks.assign(std::size_t(random.between(14, 46)),
-                         TaskRequest{taskCores, 64, Duration{drawRuntime(random)}, ""});
+                         TaskRequest{taskMillicores, 64, Duration{randomRuntimeMs(random)}, ""});
     job.steps.push_back(std::move(request));
   }
   return job;
@@ -77,9 +77,10 @@
 
 Capacity capacityOf(const Sizes& sizes, std::size_t index) {
   Capacity capacity;
-  const std::size_t held = sizes.running / sizes.workers + 2;
-  capacity.cores = std::uint32_t((shortTasksPerWorker(sizes) + held) * taskCores + 16'000);
-  capacity.memory = 64 * (shortTasksPerWorker(sizes) + held) + 32 * 1024;
+  const std::size_t longTasks = sizes.runningTasks / sizes.workers + 2;
+  capacity.cores =
+      std::uint32_t((shortTasksPerWorker(sizes) + longTasks) * taskMillicores + 16'000);
+  capacity.memory = 64 * (shortTasksPerWorker(sizes) + longTasks) + 32 * 1024;
   capacity.zone = ZoneName{"zone" + std::to_string(index % 3)};
   capacity.rack = "rack" + std::to_string(index / 3);
   capacity.honoursLeases = capacity.enforcesCapacity = capacity.killsOnLeaseExpiry =
@@ -93,7 +94,7 @@
 namespace {
 
 constexpr std::size_t longTasksPerJob = 30;
-constexpr std::size_t compactedAtOnce = 1000;  // jobs in one record
+constexpr std::size_t jobsPerCompaction = 1000;  // jobs in one record
 
 // Makes a cluster state by applying events to an empty one.
 class PresetBuilder {
@@ -103,7 +104,7 @@
   ClusterState build() {
     commitConfig();
     registerWorkers();
-    keepEndedJobs();
+    addFinishedJobs();
     startLongTasks();
     submitWaitingTasks();
     return std::move(clusterState);
@@ -128,15 +129,15 @@
     }
   }
 
-  void keepEndedJobs() {
+  void addFinishedJobs() {
     JobsExpired expired;
-    for (std::size_t index = 0; index < sizes.kept; ++index) {
-      const auto job = drawJob(random, "kept-0123456789-" + std::to_string(index),
-                               queueName(index % sizes.queues));
+    for (std::size_t index = 0; index < sizes.keptJobs; ++index) {
+      const auto job = randomJob(random, "kept-0123456789-" + std::to_string(index),
+                                 queueName(index % sizes.queues));
       apply(JobAccepted{job});
       apply(JobCancelled{job.id});
       expired.compacted.push_back(job.id);
-      if (expired.compacted.size() >= compactedAtOnce)
+      if (expired.compacted.size() >= jobsPerCompaction)
         apply(std::exchange(expired, {}));
     }
     apply(expired);
@@ -145,9 +146,9 @@
   void startLongTasks() {
     PlanMade plan;
     plan.number = PlanNumber{1};
-    startLongTasks(plan, sizes.running, "running-", taskCores);
+    startLongTasks(plan, sizes.runningTasks, "running-", taskMillicores);
     // One large task a worker leaves the room of the short tasks.
-    startLongTasks(plan, sizes.workers, "filling-", taskCores + 16'000);
+    startLongTasks(plan, sizes.workers, "filling-", taskMillicores + 16'000);
     apply(plan);
     for (std::size_t index = 0; index < sizes.workers; ++index) {
       const WorkerId id = workerIdOf(index);
@@ -156,39 +157,39 @@
   }
 
   void startLongTasks(PlanMade& plan, std::size_t count, const char* prefix, std::uint32_t cores) {
-    for (std::size_t begun = 0; begun < count;) {
+    for (std::size_t created = 0; created < count;) {
       JobSubmission job;
-      job.id = JobId{prefix + std::to_string(begun)};
-      job.queue = queueName(begun % sizes.queues);
+      job.id = JobId{prefix + std::to_string(created)};
+      job.queue = queueName(created % sizes.queues);
       job.steps = {{"long", {}, false, {}}};
-      for (std::size_t task = 0; task < longTasksPerJob && begun + task < count; ++task) {
+      for (std::size_t task = 0; task < longTasksPerJob && created + task < count; ++task) {
         job.steps[0].tasks.push_back(
             TaskRequest{cores, 64, Duration{random.between(600'000, 7'200'000)}, ""});
         Action action;
         action.attempt = lastAttempt = lastAttempt.next();
         action.job = job.id;
         action.taskIndex = std::uint32_t(task);
-        action.worker = workerIdOf((begun + task) % sizes.workers);
+        action.worker = workerIdOf((created + task) % sizes.workers);
         action.memory = 64;
         plan.actions.push_back(std::move(action));
       }
-      begun += job.steps[0].tasks.size();
+      created += job.steps[0].tasks.size();
       apply(JobAccepted{std::move(job)});
     }
   }
 
   // Each is larger than what any worker has left.
   void submitWaitingTasks() {
-    const std::uint32_t worker = std::uint32_t(shortTasksPerWorker(sizes)) * taskCores;
-    for (std::size_t begun = 0; begun < sizes.waiting;) {
+    const std::uint32_t worker = std::uint32_t(shortTasksPerWorker(sizes)) * taskMillicores;
+    for (std::size_t created = 0; created < sizes.waitingTasks;) {
       JobSubmission job;
-      job.id = JobId{"waiting-" + std::to_string(begun)};
+      job.id = JobId{"waiting-" + std::to_string(created)};
       job.queue = QueueName{"patient"};
       job.steps = {{"wide", {}, false, {}}};
       const TaskRequest request{worker + std::uint32_t(random.between(2000, 16'000)), 64,
                                 Duration{random.between(200, 600'000)}, ""};
-      job.steps[0].tasks.assign(std::min(longTasksPerJob, sizes.waiting - begun), request);
-      begun += job.steps[0].tasks.size();
+      job.steps[0].tasks.assign(std::min(longTasksPerJob, sizes.waitingTasks - created), request);
+      created += job.steps[0].tasks.size();
       apply(JobAccepted{std::move(job)});
     }
   }
@@ -206,11 +207,11 @@
   return PresetBuilder(sizes, random).build();
 }
 
-LastContactAges noSilence(const Sizes& sizes) {
-  LastContactAges heard;
+LastContactAges zeroContactAges(const Sizes& sizes) {
+  LastContactAges contactAges;
   for (std::size_t index = 0; index < sizes.workers; ++index)
-    heard[workerIdOf(index)] = Duration{0};
-  return heard;
+    contactAges[workerIdOf(index)] = Duration{0};
+  return contactAges;
 }
 
 }  // namespace aniseline::benchmarks
--- a/programs/core_benchmark.cpp
+++ b/programs/core_benchmark.cpp
@@ -11,14 +11,15 @@
 // The sizes of a single flow, as options.
 struct FlowOptions {
   bool single = false;
-  std::int64_t workers = 60, kept = 0, waiting = 0, running = 0, queues = 10, starts = 100;
+  std::int64_t workers = 60, keptJobs = 0, waitingTasks = 0, runningTasks = 0, queues = 10,
+               starts = 100;
 
   void addTo(OptionSet& options) {
     options.addFlag("one", single, "measure one flow of the sizes given below only");
     options.addInteger("workers", workers, "of that flow", 1, 100'000);
-    options.addInteger("jobs-kept", kept, "of that flow", 0, 1'000'000);
-    options.addInteger("tasks-waiting", waiting, "of that flow", 0, 1'000'000);
-    options.addInteger("tasks-running", running, "of that flow, beside those it starts", 0,
+    options.addInteger("jobs-kept", keptJobs, "of that flow", 0, 1'000'000);
+    options.addInteger("tasks-waiting", waitingTasks, "of that flow", 0, 1'000'000);
+    options.addInteger("tasks-running", runningTasks, "of that flow, beside those it starts", 0,
                        1'000'000);
     options.addInteger("queues", queues, "of that flow", 1, 2000);
     options.addInteger("starts", starts, "of that flow, a second", 0, 100'000);
@@ -26,9 +27,9 @@
   benchmarks::Sizes sizes() const {
     benchmarks::Sizes sizes;
     sizes.workers = std::size_t(workers);
-    sizes.kept = std::size_t(kept);
-    sizes.waiting = std::size_t(waiting);
-    sizes.running = std::size_t(running);
+    sizes.keptJobs = std::size_t(keptJobs);
+    sizes.waitingTasks = std::size_t(waitingTasks);
+    sizes.runningTasks = std::size_t(runningTasks);
     sizes.queues = std::size_t(queues);
     sizes.starts = double(starts);
     return sizes;
