--- a/benchmarks/agent_benchmark.cpp
+++ b/benchmarks/agent_benchmark.cpp
@@ -1,4 +1,4 @@
-// One agent beside a worker.
+// Measures the CPU time and the heap memory of one agent.
 #include "benchmarks/benchmarks.hpp"
 #include "agent/node_agent.hpp"
 #include "net/wire.hpp"
@@ -7,7 +7,8 @@
 
 namespace {
 
-// One agent, its worker hollow, its leader a script that orders the next task when one is closed.
+// Runs one agent with a simulated worker and a scripted leader. The leader issues a start order for
+// each task whose result it has received.
 class AgentBenchmark {
  public:
   AgentBenchmark(const Sizes& sizes, std::uint64_t seed) : sizes(sizes), random(seed) {
@@ -21,14 +22,14 @@
     run(warmUpMs - tickMs);
     costs = {};
     measuring = true;
-    runTick();  // the last turn of the warm-up counts already
+    runTick();  // the costs of the last warm-up tick are counted already
     const std::int64_t begin = now;
     run(measuredMs);
     return summary(double(now - begin) / 1000);
   }
 
  private:
-  // Virtual milliseconds.
+  // Durations in virtual milliseconds.
   static constexpr std::int64_t tickMs = 5, warmUpMs = 4000, measuredMs = 20'000;
   static constexpr std::int64_t longPollMs = 1000, heapSampleIntervalMs = 500,
                                 longRuntimeMs = 3'600'000;
@@ -38,7 +39,7 @@
   };
   struct Poll {
     WorkerCall call;
-    std::int64_t until;  // when the hollow worker answers though nothing ended
+    std::int64_t until;  // when the simulated worker answers even if no task ended
   };
   struct Costs {
     double agentMicros = 0, serializationMicros = 0, tasksDone = 0, calls = 0, syncs = 0,
@@ -152,7 +153,8 @@
     costs.sentBytes += double(bytes.size());
     ++costs.syncs;
   }
-  // What the leader answers: all endings are closed, and as many tasks ordered.
+  // Returns the leader's response: it accepts all reported results as final and issues start orders
+  // until `sizes.runningTasks` tasks are open.
   SyncResponse leaderResponse(const SyncReport& report) {
     SyncResponse response;
     response.term = Term{2};
@@ -175,7 +177,8 @@
     ++taskNumber;
     return next;
   }
-  // The answer as the agent reads it off the wire.
+  // Replaces the response by what the agent decodes from its wire format, and measures the
+  // decoding.
   void receive(SyncResponse& response) {
     ApiResponse packedResponse;
     packedResponse.body = pack(response);
@@ -206,7 +209,7 @@
   }
 
   const double baselineHeap =
-      heapBytes();  // the first: what the agent holds is measured against it
+      heapBytes();  // first member, so that it is read before the agent allocates
   std::unique_ptr<NodeAgent> agent = std::make_unique<NodeAgent>(NodeAgentOptions{});
   Sizes sizes;
   Random random;
--- a/benchmarks/benchmark_runner.cpp
+++ b/benchmarks/benchmark_runner.cpp
@@ -1,3 +1,4 @@
+// Lists the measured points of each part and formats their report lines.
 #include "benchmarks/benchmark_runner.hpp"
 #include <iostream>
 
@@ -5,7 +6,7 @@
 
 namespace {
 
-// Values of five digits and more are printed whole.
+// Formats a value with 4 significant digits, or 8 if it has five or more integer digits.
 std::string formatNumber(double value) {
   char text[40];
   std::snprintf(text, sizeof text, "%.*g", std::abs(value) >= 10'000 ? 8 : 4, value);
--- a/benchmarks/benchmark_runner.hpp
+++ b/benchmarks/benchmark_runner.hpp
@@ -1,5 +1,6 @@
-// Runs the benchmarks over their sizes and prints one JSON line for each point: the medians and the
-// spreads of some repeats. Owned by the core_benchmark program, on its one thread.
+// Runs the benchmarks with a range of sizes and prints one JSON line for each measured point, with
+// the median and the spread of each metric over the repeats. The core_benchmark program owns the
+// runner and calls it on its only thread.
 // docs/CAPACITY.md.
 #ifndef ANISELINE_BENCHMARKS_BENCHMARK_RUNNER_HPP
 #define ANISELINE_BENCHMARKS_BENCHMARK_RUNNER_HPP
@@ -9,23 +10,23 @@
 
 struct RunnerOptions {
   std::int64_t repeats = 3;
-  std::int64_t seed = 1;  // the first; each repeat takes the next
-  // Seconds of processor time past which the rest is skipped, and printed as skipped.
+  std::int64_t seed = 1;  // seed of the first repeat; each further repeat uses the next number
+  // Limits the CPU time, in seconds. Points that start after it are reported as skipped.
   std::int64_t budgetSeconds = 230;
-  std::int64_t tickMs = 5;         // virtual, between two steps of a controller
-  std::int64_t measuredMs = 4000;  // virtual, of a flow
-  std::string only;                // the part to measure; empty: all
+  std::int64_t tickMs = 5;         // virtual time between two steps of a controller
+  std::int64_t measuredMs = 4000;  // measured virtual time of a flow
+  std::string only;                // name of the only part to measure; empty for all parts
 };
 
 class BenchmarkRunner {
  public:
   explicit BenchmarkRunner(RunnerOptions options) : options(std::move(options)) {}
 
-  // Every part, in the order of the report.
+  // Measures all parts, in the order of the report.
   void measureAll();
-  // One flow of these sizes, whatever part the options name.
+  // Measures one flow with these sizes and ignores the part that the options name.
   void measureOneFlow(const Sizes& sizes);
-  // The points that were measured or skipped.
+  // Returns the number of points that were measured or skipped.
   std::size_t points() const { return pointCount; }
 
  private:
@@ -33,10 +34,11 @@
   using Samples = std::map<std::string, std::vector<double>>;
   using ChangeSizes = std::function<void(Sizes&)>;
 
-  // Measures one point. `varied` names the size that differs between the points of a part.
+  // Measures one point and prints its line. `varied` names the size that differs between the points
+  // of a part.
   void measurePoint(const char* part, const char* varied, const Sizes& sizes,
                     const Measurement& measure);
-  // The same, with the default sizes changed.
+  // Measures one point with the default sizes, modified by `change`.
   void measurePoint(const char* part, const char* varied, const ChangeSizes& change,
                     const Measurement& measure);
   Measurement flow() const;
--- a/benchmarks/benchmarks.hpp
+++ b/benchmarks/benchmarks.hpp
@@ -1,5 +1,5 @@
-// The benchmarks of single roles, on the core alone: no sockets, no files, virtual time. Called by
-// the runner. docs/CAPACITY.md.
+// Declares the benchmarks of the single roles. They run the core alone, in virtual time, without
+// sockets or files. Called by BenchmarkRunner. docs/CAPACITY.md.
 #ifndef ANISELINE_BENCHMARKS_BENCHMARKS_HPP
 #define ANISELINE_BENCHMARKS_BENCHMARKS_HPP
 #include "benchmarks/meter.hpp"
@@ -7,15 +7,15 @@
 
 namespace aniseline::benchmarks {
 
-// Virtual times of a flow, in ms.
+// Holds the virtual durations of a flow benchmark, in ms.
 struct FlowDurations {
   std::int64_t tickMs = 5;       // between two steps of a controller
-  std::int64_t warmUpMs = 1500;  // before it is measured
+  std::int64_t warmUpMs = 1500;  // runs before measuring starts
   std::int64_t measuredMs = 4000;
 };
 
-// Each measures once, with the draws of one seed. The values' names say their units; those of a
-// flow are empty if it had no steady leader.
+// Each function measures once, with random numbers from one seed. The names of the metrics end with
+// their units. `measureFlow` returns no metrics if there was no leader or the leader changed.
 Metrics measureFlow(const Sizes& sizes, std::uint64_t seed, const FlowDurations& lengths);
 Metrics measurePlan(const Sizes& sizes, std::uint64_t seed);
 Metrics measureGang(const Sizes& sizes, std::uint64_t seed);
--- a/benchmarks/config_benchmark.cpp
+++ b/benchmarks/config_benchmark.cpp
@@ -1,4 +1,4 @@
-// A change of configuration: read, packed, applied and compiled.
+// Measures a change of the configuration: parsing, serializing, applying and compiling it.
 #include "benchmarks/benchmarks.hpp"
 
 namespace aniseline::benchmarks {
--- a/benchmarks/flow_benchmark.cpp
+++ b/benchmarks/flow_benchmark.cpp
@@ -1,4 +1,4 @@
-// A flow of jobs through three controllers that are joined in memory.
+// Measures a flow of jobs through three controllers that exchange messages in memory.
 #include "benchmarks/benchmarks.hpp"
 #include "benchmarks/hollow_worker.hpp"
 #include "controller/controller.hpp"
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Three controllers joined in memory, hollow workers and callers. A tick carries messages, syncs
-// disks and takes one step.
+// Runs three controllers with simulated workers and clients in one thread. Each tick delivers
+// messages, completes disk writes and steps every controller once.
 class InMemoryCluster {
  public:
   InMemoryCluster(const Sizes& sizes, std::uint64_t seed, std::int64_t tickMs)
@@ -79,7 +79,7 @@
     std::unique_ptr<Controller> controller;
     std::optional<DiskVersion> syncingVersion;
     std::vector<std::string> inbox;
-    std::vector<std::pair<RequestNumber, std::string>> requests;  // encoded, as they come in
+    std::vector<std::pair<RequestNumber, std::string>> requests;  // encoded, in order of arrival
   };
   struct PendingRequest {
     std::size_t worker = 0;
@@ -165,7 +165,8 @@
   double& countOf(const Controller& controller, const std::string& what) {
     return counts[(controller.raftNode().isLeader() ? "leader_" : "follower_") + what];
   }
-  // One step of a controller: what its disk and the network brought, the step, and its effects.
+  // Runs one step of a controller: its finished write, received messages and requests, the step
+  // itself, then the writes, messages and responses that it produced.
   void stepController(Node& node) {
     Controller& controller = *node.controller;
     Metrics& costs = costsOf(controller);
@@ -206,7 +207,8 @@
                                      MonotonicTime{now});
     }
   }
-  // What a plan costs is timed at every eighth step, by a planner beside the leader's own.
+  // Measures the cost of a plan at every eighth step, with a planner separate from the leader's
+  // own.
   void measurePlanSometimes(const Controller& controller) {
     constexpr std::size_t stepsBetween = 8;
     if (!controller.raftNode().canServe() || sizes.starts <= 0 ||
@@ -289,7 +291,8 @@
         }
   }
 
-  // What the records of a run cost, measured apart by applying them once more; in microseconds.
+  // Holds the CPU time of the records of a run, in microseconds. It is measured separately, by
+  // applying the records once more after the run.
   struct RecordCosts {
     double unpacking = 0;
     double packing = 0;
@@ -303,7 +306,7 @@
                            [](double total, const auto& entry) { return total + entry.second; });
   }
   RecordCosts replayRecords(const ClusterState& before) const {
-    // By the order of the kinds in Event.
+    // In the order of the alternatives of Event.
     static const char* const kinds[] = {
         "opened", "config",     "allowed", "cancelled", "fired", "forgotten", "seen",  "synced",
         "leaves", "leave_over", "back",    "silent",    "gone",  "plan",      "named", "failed"};
@@ -325,7 +328,7 @@
     const double tasks = double(to.starts - from.starts);
     const double jobsDone = double(to.succeeded + to.failed - from.succeeded - from.failed);
     const RecordCosts costs = replayRecords(before);
-    // A plan is made in each period in which there was anything new.
+    // The leader makes a plan in each period in which records were committed.
     const double plansMade = double(busyPlanPeriods.size());
     const double planMean = planMicros.empty()
                                 ? 0
@@ -347,8 +350,8 @@
     values["step_us"] = leaderCosts["step"] / (seconds * 1000.0 / double(tickMs));
     return values;
   }
-  // Where the processor time of the leader and of one follower went, as a share of a core and by
-  // task. A leader applies each record twice: to its working state and to the committed one.
+  // Adds the CPU time of the leader and of one follower by activity, as a percentage of a core and
+  // per task. A leader applies each record twice: to its working state and to the committed state.
   void addCpuShares(Metrics& values, const RecordCosts& costs, double planningMicros, double tasks,
                     double seconds) {
     constexpr double followers = 2;
--- a/benchmarks/gateway_benchmark.cpp
+++ b/benchmarks/gateway_benchmark.cpp
@@ -1,12 +1,12 @@
-// The requests that pass a gateway.
+// Measures what a gateway does with the requests that it forwards.
 #include "benchmarks/benchmarks.hpp"
 #include "net/wire.hpp"
 #include <numeric>
 
 namespace aniseline::benchmarks {
 
-// What a gateway does with a request besides HTTP: reads the caller's JSON, packs it, unpacks the
-// answer.
+// Measures the work of a gateway on a request without HTTP: parsing the client's JSON, serializing
+// the request and deserializing the response.
 Metrics measureGateway(const Sizes&, std::uint64_t seed) {
   Metrics values;
   Random random(seed);
--- a/benchmarks/hollow_worker.cpp
+++ b/benchmarks/hollow_worker.cpp
@@ -1,3 +1,4 @@
+// Simulates task execution and builds sync reports.
 #include "benchmarks/hollow_worker.hpp"
 
 namespace aniseline::benchmarks {
@@ -6,7 +7,7 @@
 
 constexpr Duration longPollTimeout{1000};
 constexpr std::int64_t reportAppliedWithinMs = 400;
-constexpr double taskFailureRate = 0.05;  // share
+constexpr double taskFailureRate = 0.05;
 
 }  // namespace
 
@@ -64,9 +65,9 @@
                          std::int64_t now) {
   const auto job = jobs.find(order.job);
   const bool gang = job != jobs.end() && job->second->steps[order.stepIndex].gang;
-  // Of a gang the first member alone may fail, so that gangs fail as often as tasks.
+  // Only the first member of a gang may fail, so that gangs fail as often as single tasks.
   const bool fails = (!gang || order.indexInStep == 0) && random.chance(taskFailureRate);
-  // Tasks take about what was requested, each its own time; the members of a gang end together.
+  // Single tasks take 80 % to 120 % of the requested runtime; the members of a gang end together.
   const std::int64_t requested = order.runtime.milliseconds;
   const std::int64_t actual = gang ? requested : requested * random.between(80, 120) / 100;
   running[TaskRunId::of(order)] = {now + actual, fails};
--- a/benchmarks/hollow_worker.hpp
+++ b/benchmarks/hollow_worker.hpp
@@ -1,5 +1,6 @@
-// Stands in for a worker with its agent, as the leader sees them: which orders it received, when
-// its tasks end, and which results it has yet to report. Driven by the flow benchmark.
+// Simulates a worker and its agent as the leader sees them: which orders it received, when its
+// tasks end, and which results it still has to report. It runs no processes. Called by the flow
+// benchmark.
 #ifndef ANISELINE_BENCHMARKS_HOLLOW_WORKER_HPP
 #define ANISELINE_BENCHMARKS_HOLLOW_WORKER_HPP
 #include "benchmarks/workload.hpp"
@@ -18,12 +19,14 @@
         applied(lastOrder),
         reportedApplied(lastOrder) {}
 
+  // Returns the next report for the leader and records its contents as reported.
   SyncReport makeReport(bool longPoll, std::int64_t now);
+  // Reports whether there are unreported results, or applied orders that were not reported in time.
   bool hasUrgentReport(std::int64_t now) const;
-  // The answer to a report that was sent: results that are final, and new orders.
+  // Handles the response to a report: drops the results that are final, and executes new orders.
   void onResponse(const SyncReport& report, const SyncResponse& response, const JobsById& jobs,
                   Random& random, std::int64_t now);
-  // Ends the tasks whose time has come.
+  // Ends the tasks whose runtime has elapsed.
   void endTasks(std::int64_t now);
 
   const std::size_t index;
@@ -41,8 +44,8 @@
   Capacity capacity;
   OrderNumber received, applied, reportedApplied;
   std::map<TaskRunId, RunningTask> running;
-  std::vector<TaskRunResult> results;  // that are not yet final
-  std::size_t reportedResults = 0;     // of these, from the first on
+  std::vector<TaskRunResult> results;  // not yet final
+  std::size_t reportedResults = 0;     // number of results, from the first on, that were reported
   std::int64_t appliedReportedAt = 0;
 };
 
--- a/benchmarks/meter.cpp
+++ b/benchmarks/meter.cpp
@@ -1,3 +1,4 @@
+// Reads the thread's CPU clock and the allocator's statistics.
 #include "benchmarks/meter.hpp"
 #include <ctime>
 #include <malloc.h>
--- a/benchmarks/meter.hpp
+++ b/benchmarks/meter.hpp
@@ -1,19 +1,19 @@
-// Measures processor time and memory for the benchmarks. docs/CAPACITY.md.
+// Measures CPU time and heap memory for the benchmarks. docs/CAPACITY.md.
 #ifndef ANISELINE_BENCHMARKS_METER_HPP
 #define ANISELINE_BENCHMARKS_METER_HPP
 #include "base/types.hpp"
 
 namespace aniseline::benchmarks {
 
-// This thread's processor time, in microseconds.
+// Returns the CPU time that this thread has used, in microseconds.
 double threadCpuMicros();
-// What the process holds on its heap, in bytes.
+// Returns the number of bytes allocated on the heap of this process.
 double heapBytes();
 
-// Measured values by name.
+// Maps the names of metrics to their values.
 using Metrics = std::map<std::string, double>;
 
-// Adds the processor time of a scope to one of the values.
+// Adds the CPU time of a scope, in microseconds, to one metric.
 class CpuMeter {
  public:
   CpuMeter(Metrics& values, const char* name)
@@ -27,7 +27,7 @@
   double startMicros;
 };
 
-// The processor time of one call, in microseconds.
+// Calls a function and returns the CPU time of the call, in microseconds.
 template <class Work>
 double measureCpuMicros(Work work) {
   const double startMicros = threadCpuMicros();
--- a/benchmarks/plan_benchmark.cpp
+++ b/benchmarks/plan_benchmark.cpp
@@ -1,4 +1,4 @@
-// Single plans, of many tasks and of one gang.
+// Measures single plans: one over many waiting and running tasks, and one that starts a gang.
 #include "benchmarks/benchmarks.hpp"
 
 namespace aniseline::benchmarks {
@@ -17,7 +17,7 @@
   return values;
 }
 
-// One gang, and room for it: the plan that starts it.
+// Measures the plan that starts one gang in a cluster with enough free capacity for it.
 Metrics measureGang(const Sizes& sizes, std::uint64_t seed) {
   ClusterState clusterState = presetClusterState(sizes, Random(seed));
   JobSubmission job;
--- a/benchmarks/route_benchmark.cpp
+++ b/benchmarks/route_benchmark.cpp
@@ -1,4 +1,4 @@
-// The way to the leader, as a controller sends it to gateways.
+// Measures how a controller sends the route to the leader, and how a gateway reads it.
 #include "benchmarks/benchmarks.hpp"
 #include "controller/controller.hpp"
 #include "net/wire.hpp"
--- a/benchmarks/state_benchmark.cpp
+++ b/benchmarks/state_benchmark.cpp
@@ -1,4 +1,4 @@
-// The memory of a cluster state, and what packing, copying and searching it cost.
+// Measures the memory of a cluster state and the cost of serializing, copying and searching it.
 #include "benchmarks/benchmarks.hpp"
 #include "controller/controller.hpp"
 
@@ -32,8 +32,8 @@
     Controller controller(self, {}, seed, {record}, MonotonicTime{0});
     controller.takeSnapshotWork();
     values["follower_heap_bytes"] =
-        heapBytes() -
-        before;  // one cluster state and the view it came from; a leader has one cluster state more
+        heapBytes() - before;  // one cluster state and the snapshot it was read from; a leader has
+                               // a second cluster state
   }
   {
     ClusterState changed = clusterState;
@@ -42,7 +42,8 @@
         WorkerRegistered{WorkerId{"another"}, Incarnation{1}, capacityOf(sizes, sizes.workers)}};
     values["fold_seen_us"] = measureCpuMicros([&] { changed.apply(registration); });
   }
-  // An ending that is closed already is looked for among all attempts; so is a job that settles.
+  // A result that is already final is searched among all attempts, and so are the attempts of a job
+  // that ends.
   const TaskRunId finishedRun{JobId{"running-0"}, 0, 0, 0, 99};
   values["closed_ending_us"] = measureCpuMicros([&] {
                                  for (int round = 0; round < 20; ++round)
--- a/benchmarks/workload.cpp
+++ b/benchmarks/workload.cpp
@@ -1,3 +1,4 @@
+// Draws jobs and builds cluster states by applying events.
 #include "benchmarks/workload.hpp"
 #include <iostream>
 
@@ -5,7 +6,8 @@
 
 namespace {
 
-constexpr double meanRuntimeMs = 0.6 * 250 + 0.25 * 900 + 0.15 * 6000;  // of randomRuntimeMs, in ms
+constexpr double meanRuntimeMs =
+    0.6 * 250 + 0.25 * 900 + 0.15 * 6000;  // expected value of randomRuntimeMs
 
 }  // namespace
 
@@ -46,7 +48,7 @@
   picojson::object listed;
   picojson::array entrances;
   for (std::size_t index = 0; index <= queues; ++index) {
-    // The last one is less urgent than all others: its work only waits.
+    // The last queue has a lower urgency than all others, so that its tasks only wait.
     const std::string name = index < queues ? queueName(index).value : "patient";
     listed[name] = json(picojson::object{
         {"urgency", json(index < queues ? std::int64_t(1 + index % 3) : std::int64_t(0))},
@@ -94,9 +96,9 @@
 namespace {
 
 constexpr std::size_t longTasksPerJob = 30;
-constexpr std::size_t jobsPerCompaction = 1000;  // jobs in one record
+constexpr std::size_t jobsPerCompaction = 1000;  // in one JobsExpired record
 
-// Makes a cluster state by applying events to an empty one.
+// Builds a cluster state by applying events to an empty state.
 class PresetBuilder {
  public:
   PresetBuilder(const Sizes& sizes, Random random) : sizes(sizes), random(random) {}
@@ -147,7 +149,7 @@
     PlanMade plan;
     plan.number = PlanNumber{1};
     startLongTasks(plan, sizes.runningTasks, "running-", taskMillicores);
-    // One large task a worker leaves the room of the short tasks.
+    // One large task on each worker leaves free capacity for the short tasks only.
     startLongTasks(plan, sizes.workers, "filling-", taskMillicores + 16'000);
     apply(plan);
     for (std::size_t index = 0; index < sizes.workers; ++index) {
@@ -178,7 +180,7 @@
     }
   }
 
-  // Each is larger than what any worker has left.
+  // Submits tasks that each request more CPU than any worker has free.
   void submitWaitingTasks() {
     const std::uint32_t worker = std::uint32_t(shortTasksPerWorker(sizes)) * taskMillicores;
     for (std::size_t created = 0; created < sizes.waitingTasks;) {
