--- a/tests/soak/connection.py
+++ b/tests/soak/connection.py
@@ -21,7 +21,7 @@
 
 
 @dataclass
-class Answer:
+class Response:
     status: int
     headers: dict
     body: bytes
@@ -30,7 +30,7 @@
         return json.loads(self.body or b"null")
 
     @property
-    def closes(self):
+    def announces_close(self):
         return self.headers.get("connection", "").lower() == "close"
 
 
@@ -39,17 +39,17 @@
     """What became of one request. Times are seconds of the monotonic clock."""
 
     outcome: Outcome
-    answer: Answer = None
+    response: Response = None
     completed_at: float = 0.0  # the last byte was sent
     ended_at: float = 0.0
-    answers_before: int = 0  # that this connection had given
+    responses_before: int = 0  # that this connection had given
     partial_bytes: int = 0  # of the answer that was cut
     detail: str = ""
     local_port: int = 0
 
     @property
     def status(self):
-        return self.answer.status if self.answer else 0
+        return self.response.status if self.response else 0
 
 
 @dataclass
@@ -61,10 +61,10 @@
     headers: dict = field(default_factory=dict)
 
     def encoded(self):
-        lines = [f"{self.method} {self.target} HTTP/1.1", f"Host: {self.host}", "Content-Type: application/json"]
-        lines += [f"{name}: {value}" for name, value in self.headers.items()]
-        lines.append(f"Content-Length: {len(self.body)}")
-        return ("\r\n".join(lines) + "\r\n\r\n").encode() + self.body
+        head_lines = [f"{self.method} {self.target} HTTP/1.1", f"Host: {self.host}", "Content-Type: application/json"]
+        head_lines += [f"{name}: {value}" for name, value in self.headers.items()]
+        head_lines.append(f"Content-Length: {len(self.body)}")
+        return ("\r\n".join(head_lines) + "\r\n\r\n").encode() + self.body
 
 
 class ConnectionEnded(Exception):
@@ -77,8 +77,8 @@
     def __init__(self, reader, writer):
         self.reader = reader
         self.writer = writer
-        self.answers = 0
-        self.told_to_close = False
+        self.responses = 0
+        self.close_announced = False
         self.ended = False
         self.partial_bytes = 0
         self.local_port = writer.get_extra_info("sockname")[1]
@@ -106,15 +106,15 @@
     async def exchange_all(self, requests, timeout, pause_before_last_bytes=0.0):
         """Sends all requests at once (pipelined) and reads one answer for each, in order."""
         data = b"".join(request.encoded() for request in requests)
-        before = self.answers
+        responses_before = self.responses
         try:
             completed_at = await self._send(data, pause_before_last_bytes)
         except (OSError, ConnectionEnded) as error:
             self.abort()
-            return [self._result(Outcome.REFUSED, before, detail=f"not sent: {error}") for _ in requests]
+            return [self._result(Outcome.REFUSED, responses_before, detail=f"not sent: {error}") for _ in requests]
         results = []
         for _ in requests:
-            results.append(await self._receive(before, completed_at, timeout))
+            results.append(await self._receive(responses_before, completed_at, timeout))
         return results
 
     async def _send(self, data, pause):
@@ -132,27 +132,27 @@
         await self.writer.drain()
         return time.monotonic()
 
-    async def _receive(self, before, completed_at, timeout):
-        if self.told_to_close:
-            return self._result(Outcome.REFUSED, before, completed_at, detail="behind an announced close")
+    async def _receive(self, responses_before, completed_at, timeout):
+        if self.close_announced:
+            return self._result(Outcome.REFUSED, responses_before, completed_at, detail="behind an announced close")
         if self.ended:
-            return self._result(Outcome.CUT, before, completed_at, detail="the connection had ended")
+            return self._result(Outcome.CUT, responses_before, completed_at, detail="the connection had ended")
         self.partial_bytes = 0
         left = completed_at + timeout - time.monotonic()
         try:
-            answer = await asyncio.wait_for(self._read_answer(), max(0.01, left))
+            response = await asyncio.wait_for(self._read_response(), max(0.01, left))
         except asyncio.TimeoutError:
             self.abort()
-            return self._result(Outcome.TIMED_OUT, before, completed_at)
+            return self._result(Outcome.TIMED_OUT, responses_before, completed_at)
         except (OSError, ConnectionEnded, asyncio.IncompleteReadError) as error:
             self.abort()
-            return self._result(Outcome.CUT, before, completed_at, detail=f"{type(error).__name__}: {error}")
-        self.answers += 1
-        if answer.closes:
-            self.told_to_close = True
-        return self._result(Outcome.ANSWERED, before, completed_at, answer)
+            return self._result(Outcome.CUT, responses_before, completed_at, detail=f"{type(error).__name__}: {error}")
+        self.responses += 1
+        if response.announces_close:
+            self.close_announced = True
+        return self._result(Outcome.ANSWERED, responses_before, completed_at, response)
 
-    async def _read_answer(self):
+    async def _read_response(self):
         head = b""
         while not head.endswith(b"\r\n\r\n"):
             line = await self.reader.readline()
@@ -160,21 +160,21 @@
                 raise ConnectionEnded("end of stream")
             head += line
             self.partial_bytes += len(line)
-        lines = head.decode("latin-1").split("\r\n")
+        head_lines = head.decode("latin-1").split("\r\n")
         headers = {}
-        for line in lines[1:]:
+        for line in head_lines[1:]:
             name, _, value = line.partition(":")
             headers[name.strip().lower()] = value.strip()
         body = await self.reader.readexactly(int(headers.get("content-length", "0")))
-        return Answer(int(lines[0].split(" ")[1]), headers, body)
+        return Response(int(head_lines[0].split(" ")[1]), headers, body)
 
-    def _result(self, outcome, before, completed_at=0.0, answer=None, detail=""):
+    def _result(self, outcome, responses_before, completed_at=0.0, response=None, detail=""):
         return Exchange(
             outcome,
-            answer,
+            response,
             completed_at,
             time.monotonic(),
-            before,
+            responses_before,
             self.partial_bytes if outcome is Outcome.CUT else 0,
             detail,
             self.local_port,
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -52,12 +52,12 @@
     process: asyncio.subprocess.Process = None
     process_handle: int = -1  # a file descriptor of that process
     started_at: float = 0.0
-    stop_asked_at: float = 0.0  # the first SIGTERM to the process that runs now; 0: none
+    stop_requested_at: float = 0.0  # the first SIGTERM to the process that runs now; 0: none
     killed: bool = False
-    ended: list = field(default_factory=list)  # (seconds of the run, status, asked, seconds the stop took)
+    exits: list = field(default_factory=list)  # (seconds of the run, status, asked, seconds the stop took)
     busy: bool = False  # a disturbance is at work on it
-    terms: list = field(default_factory=list)  # when its processes were asked to stop
-    kills: list = field(default_factory=list)
+    sigterm_times: list = field(default_factory=list)  # when its processes were asked to stop
+    kill_times: list = field(default_factory=list)
 
     @property
     def running(self):
@@ -129,9 +129,9 @@
             lines["datadir"] = str(member.data_folder)
         member.folder.mkdir(parents=True, exist_ok=True)
         path = self.settings_path(member)
-        aside = path.with_suffix(".new")
-        aside.write_text("".join(f"{name}={value}\n" for name, value in lines.items()))
-        os.replace(aside, path)
+        temporary_path = path.with_suffix(".new")
+        temporary_path.write_text("".join(f"{name}={value}\n" for name, value in lines.items()))
+        os.replace(temporary_path, path)
 
     # --- processes ---
 
@@ -149,55 +149,55 @@
         # takes its status away from whoever waits for it: an end in that instant was reported as status 255.
         member.process_handle = os.pidfd_open(member.process.pid)
         member.started_at = time.monotonic()
-        member.stop_asked_at = 0.0
+        member.stop_requested_at = 0.0
         member.killed = False
-        self.ledger.note(f"start {member.name} pid {member.process.pid}")
+        self.ledger.write_log(f"start {member.name} pid {member.process.pid}")
         asyncio.create_task(self._watch(member, member.process, member.process_handle))
 
     async def _watch(self, member, process, handle):
         status = await process.wait()
         os.close(handle)
         now = time.monotonic()
-        asked = member.stop_asked_at > 0
-        took = now - member.stop_asked_at if asked else 0.0
-        member.ended.append((now - self.began_at, status, asked, took))
-        self.ledger.note(f"end {member.name} pid {process.pid} status {status} asked {asked} took {took:.2f}")
+        requested = member.stop_requested_at > 0
+        stop_seconds = now - member.stop_requested_at if requested else 0.0
+        member.exits.append((now - self.began_at, status, requested, stop_seconds))
+        self.ledger.write_log(f"end {member.name} pid {process.pid} status {status} asked {requested} took {stop_seconds:.2f}")
         if member.killed:
             return
-        if not asked:
-            self.ledger.fail("ended_by_itself", f"{member.name} status {status}")
+        if not requested:
+            self.ledger.record_failure("ended_by_itself", f"{member.name} status {status}")
         else:
-            self.ledger.stopped(member.role, took)
+            self.ledger.record_stop(member.role, stop_seconds)
             if status != 0:
-                self.ledger.fail("stop_with_bad_status", f"{member.name} status {status}")
+                self.ledger.record_failure("stop_with_bad_status", f"{member.name} status {status}")
 
-    def send(self, member, number):
+    def send(self, member, signal_number):
         if not member.running:
             return
-        if number == signal.SIGTERM and not member.stop_asked_at:
-            member.stop_asked_at = time.monotonic()
-            member.terms.append(member.stop_asked_at)
-        if number == signal.SIGKILL:
+        if signal_number == signal.SIGTERM and not member.stop_requested_at:
+            member.stop_requested_at = time.monotonic()
+            member.sigterm_times.append(member.stop_requested_at)
+        if signal_number == signal.SIGKILL:
             member.killed = True
-            member.kills.append(time.monotonic())
-        self.ledger.note(f"signal {signal.Signals(number).name} {member.name}")
+            member.kill_times.append(time.monotonic())
+        self.ledger.write_log(f"signal {signal.Signals(signal_number).name} {member.name}")
         try:
-            signal.pidfd_send_signal(member.process_handle, number)
+            signal.pidfd_send_signal(member.process_handle, signal_number)
         except ProcessLookupError:
-            self.ledger.note(f"{member.name} had ended")
+            self.ledger.write_log(f"{member.name} had ended")
 
-    async def wait_for_main(self, member, seconds):
+    async def wait_for_sighup_handler(self, member, seconds):
         """Until the process blocks or handles SIGHUP. Before its main begins the kernel's default action is in force, which ends it and
         which no program can change from inside. False: it has ended, or did not come so far in time."""
         until = time.monotonic() + seconds
-        hangup = 1 << (signal.SIGHUP - 1)
+        sighup_bit = 1 << (signal.SIGHUP - 1)
         while member.running and time.monotonic() < until:
             try:
                 status = Path(f"/proc/{member.process.pid}/status").read_text()
             except OSError:
                 return False
             masks = [int(line.split()[1], 16) for line in status.splitlines() if line.startswith(("SigBlk", "SigCgt"))]
-            if any(mask & hangup for mask in masks):
+            if any(mask & sighup_bit for mask in masks):
                 return True
             await asyncio.sleep(0.001)
         return False
@@ -209,7 +209,7 @@
         try:
             await asyncio.wait_for(asyncio.shield(member.process.wait()), self.grace_seconds)
         except asyncio.TimeoutError:
-            self.ledger.fail("stop_took_longer_than_grace", member.name)
+            self.ledger.record_failure("stop_took_longer_than_grace", member.name)
             self.send(member, signal.SIGKILL)
             await member.process.wait()
         await asyncio.sleep(0)
@@ -228,7 +228,7 @@
 
     def wipe(self, member):
         shutil.rmtree(member.data_folder)
-        self.ledger.note(f"wipe {member.name}")
+        self.ledger.write_log(f"wipe {member.name}")
 
     def memory_megabytes(self):
         """Resident memory of all processes; what they share is counted in each."""
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -10,7 +10,7 @@
 
 from connection import Outcome
 
-KILL_SHADOW_SECONDS = 1.0  # around the kill of a process its clients may lose answers
+KILL_TOLERANCE_SECONDS = 1.0  # around the kill of a process its clients may lose answers
 
 
 @dataclass
@@ -18,7 +18,7 @@
     id: str
     prefix: str
     tenant: str
-    maybe_taken: bool = False  # some try had no clear answer
+    possibly_accepted: bool = False  # some try had no clear answer
     accepted_at: float = 0.0
     cancel_sent: bool = False
     tries: list = field(default_factory=list)  # (seconds, gateway, outcome, status)
@@ -37,98 +37,98 @@
         self.confirmed_done = set()
         self.started_jobs = set()
         self.starts = Counter()
-        self.member_of = {}  # address -> member, for the times of its signals
+        self.member_by_address = {}  # address -> member, for the times of its signals
         self.connections = Counter()
         self.tenants = None  # set by whoever makes them: Tenants
 
     # --- notes and failures ---
 
-    def seconds(self):
+    def elapsed_seconds(self):
         return time.monotonic() - self.began_at
 
-    def note(self, text):
-        self.log.write(f"{self.seconds():9.3f} {text}\n")
+    def write_log(self, text):
+        self.log.write(f"{self.elapsed_seconds():9.3f} {text}\n")
 
-    def fail(self, kind, text):
+    def record_failure(self, kind, text):
         self.failures[kind] += 1
-        self.note(f"FAILED {kind}: {text}")
+        self.write_log(f"FAILED {kind}: {text}")
 
-    def stopped(self, role, took):
+    def record_stop(self, role, took):
         self.stop_times[role].append(took)
 
     # --- requests ---
 
-    def exchanged(self, side, address, kind, exchange):
-        self.outcomes[(side, exchange.outcome.value)] += 1
+    def record_exchange(self, caller, address, kind, exchange):
+        self.outcomes[(caller, exchange.outcome.value)] += 1
         if exchange.outcome is Outcome.ANSWERED:
-            self.statuses[(side, kind, exchange.status)] += 1
+            self.statuses[(caller, kind, exchange.status)] += 1
             return
         if exchange.outcome is Outcome.REFUSED:
             return
-        member = self.member_of.get(address)
-        asked = member.stop_asked_at if member else 0.0
+        member = self.member_by_address.get(address)
+        requested = member.stop_requested_at if member else 0.0
         text = (
-            f"{side} {kind} at {member.name if member else address}: {exchange.detail}; last byte sent "
-            f"{(exchange.ended_at - exchange.completed_at) * 1000:.0f} ms before the end, {exchange.answers_before} answers before on "
+            f"{caller} {kind} at {member.name if member else address}: {exchange.detail}; last byte sent "
+            f"{(exchange.ended_at - exchange.completed_at) * 1000:.0f} ms before the end, {exchange.responses_before} answers before on "
             f"this connection, {exchange.partial_bytes} bytes of the answer came, port {exchange.local_port}, SIGTERM "
-            + (f"{exchange.ended_at - member.terms[-1]:.3f} s before" if member and member.terms else "never")
+            + (f"{exchange.ended_at - member.sigterm_times[-1]:.3f} s before" if member and member.sigterm_times else "never")
         )
         if member and any(
-            exchange.completed_at - KILL_SHADOW_SECONDS <= at <= exchange.ended_at + KILL_SHADOW_SECONDS for at in member.kills
+            exchange.completed_at - KILL_TOLERANCE_SECONDS <= at <= exchange.ended_at + KILL_TOLERANCE_SECONDS for at in member.kill_times
         ):
-            self.outcomes[(side, exchange.outcome.value + "_by_kill")] += 1
-            self.outcomes[(side, exchange.outcome.value)] -= 1
+            self.outcomes[(caller, exchange.outcome.value + "_by_kill")] += 1
+            self.outcomes[(caller, exchange.outcome.value)] -= 1
             return
-        self.fail(f"{side}_{exchange.outcome.value}", text)
+        self.record_failure(f"{caller}_{exchange.outcome.value}", text)
 
     # --- jobs ---
 
-    def job_tried(self, job, address, exchange):
+    def record_try(self, job, address, exchange):
         status = exchange.status
-        job.tries.append((round(self.seconds(), 3), f"{address[0]}:{address[1]}", exchange.outcome.value, status))
+        job.tries.append((round(self.elapsed_seconds(), 3), f"{address[0]}:{address[1]}", exchange.outcome.value, status))
         if 200 <= status < 300:
             job.accepted_at = job.accepted_at or time.monotonic()
         elif exchange.outcome in (Outcome.CUT, Outcome.TIMED_OUT) or status in (502, 504):
-            job.maybe_taken = True
+            job.possibly_accepted = True
 
     # --- tasks, as the workers see them ---
 
-    def task_started(self, worker, task, attempt, cpu):
+    def record_task_start(self, worker, task, attempt, cpu):
         job = task.split(".")[0]
         self.started_jobs.add(job)
         self.starts[task] += 1
         present = self.running.setdefault(task, set())
         if present:
-            self.fail("task_runs_twice", f"{task} attempt {attempt} at {worker} beside {present}")
+            self.record_failure("task_runs_twice", f"{task} attempt {attempt} at {worker} beside {present}")
         if task in self.confirmed_done:
-            self.fail("task_started_after_its_end", f"{task} attempt {attempt} at {worker}")
+            self.record_failure("task_started_after_its_end", f"{task} attempt {attempt} at {worker}")
         present.add((worker, attempt))
         if job not in self.jobs:
-            self.fail("task_of_unknown_job", task)
+            self.record_failure("task_of_unknown_job", task)
         else:
-            self.tenants.task_started(self.jobs[job].tenant, task, worker, attempt, cpu)
+            self.tenants.record_task_start(self.jobs[job].tenant, task, worker, attempt, cpu)
 
-    def task_ended(self, worker, task, attempt, how):
-        self.tenants.task_ended(task, worker, attempt)
+    def record_task_end(self, worker, task, attempt, end_kind):
+        self.tenants.record_task_end(task, worker, attempt)
         self.running.get(task, set()).discard((worker, attempt))
-        if how != "done":
-            self.outcomes[("task", how)] += 1
+        if end_kind != "done":
+            self.outcomes[("task", end_kind)] += 1
 
-    def end_confirmed(self, task, attempt, how, hold_lapsed):
-        if how == "done" and hold_lapsed:
+    def record_confirmed_end(self, task, attempt, end_kind, hold_lapsed):
+        if end_kind == "done" and hold_lapsed:
             self.outcomes[("task", "done_before_a_lapse")] += 1
-        elif how == "done":
+        elif end_kind == "done":
             self.confirmed_done.add(task)
 
-    def hold_lapsed(self, worker, ends, late_ms):
-        self.note(f"hold lapsed at {worker} {late_ms} ms ago with {ends} unconfirmed ends")
+    def record_lapsed_hold(self, worker, ends, late_ms):
+        self.write_log(f"hold lapsed at {worker} {late_ms} ms ago with {ends} unconfirmed ends")
 
     # --- verdict ---
 
-    def judge_rejected_jobs(self):
+    def check_rejected_jobs(self):
         for job in self.jobs.values():
-            if job.tries and not job.accepted_at and not job.maybe_taken and job.id in self.started_jobs:
-                self.fail("rejected_job_ran", f"{job.id} {job.tries}")
+            if job.tries and not job.accepted_at and not job.possibly_accepted and job.id in self.started_jobs:
+                self.record_failure("rejected_job_ran", f"{job.id} {job.tries}")
 
     def write_jobs(self, folder):
         with open(f"{folder}/jobs.jsonl", "w") as file:
@@ -154,7 +154,7 @@
             "jobs": {
                 "submitted": len(self.jobs),
                 "accepted": sum(1 for job in self.jobs.values() if job.accepted_at),
-                "rejected": sum(1 for job in self.jobs.values() if not job.accepted_at and not job.maybe_taken),
+                "rejected": sum(1 for job in self.jobs.values() if not job.accepted_at and not job.possibly_accepted),
             },
             "connections": dict(sorted(self.connections.items())),
             "keys": dict(sorted(self.tenants.counts.items())),
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -13,9 +13,9 @@
 import time
 from pathlib import Path
 
-from clients import HOST, Client, Front, Operator
+from clients import HOST, Client, LoadBalancer, Operator
 from connection import Connection, Outcome, Request
-from disturbances import Disturbances, Pace
+from disturbances import Disturbances, DisturbanceOptions
 from fleet import APP_PORT, CONTROL_PORT, HTTP_PORT, READY_PORT, Fleet
 from ledger import Ledger
 from tenants import Tenants
@@ -24,9 +24,9 @@
 START_SECONDS = 30.0
 RECOVER_SECONDS = 12.0
 FINISH_SECONDS = 14.0
-QUESTION_TIMEOUT_SECONDS = 3.0
-QUESTIONS_AT_ONCE = 8  # connections to each gateway
-ENDS = ("none", "kill_all", "kill_all_and_wipe_one")
+QUERY_TIMEOUT_SECONDS = 3.0
+QUERY_CONNECTIONS_PER_GATEWAY = 8  # connections to each gateway
+FINAL_FAULTS = ("none", "kill_all", "kill_all_and_wipe_one")
 
 
 def parse_arguments():
@@ -42,7 +42,7 @@
     parser.add_argument("--think-ms", type=float, default=120.0, help="a steady client's mean pause between requests")
     parser.add_argument("--gap-ms", type=float, default=800.0, help="mean pause between the beginnings of two disturbances")
     parser.add_argument("--kills", choices=("no", "yes", "drawn"), default="drawn", help="SIGKILL among the disturbances")
-    parser.add_argument("--end", choices=ENDS + ("drawn",), default="drawn")
+    parser.add_argument("--end", choices=FINAL_FAULTS + ("drawn",), default="drawn")
     parser.add_argument(
         "--network", type=int, default=60, help="processes take 127.NETWORK.zone.machine; runs side by side need different ones"
     )
@@ -54,7 +54,7 @@
 class Soak:
     def __init__(self, arguments):
         self.arguments = arguments
-        self.chance = random.Random(arguments.seed)
+        self.rng = random.Random(arguments.seed)
         self.folder = arguments.folder
         (self.folder / "logs").mkdir(parents=True)
         self.ledger = Ledger(self.folder)
@@ -70,24 +70,24 @@
             self.ledger,
             arguments.grace,
         )
-        self.kills = self.chance.random() < 0.3 if arguments.kills == "drawn" else arguments.kills == "yes"
-        self.end = self.chance.choice(ENDS) if arguments.end == "drawn" else arguments.end
+        self.kills = self.rng.random() < 0.3 if arguments.kills == "drawn" else arguments.kills == "yes"
+        self.final_fault = self.rng.choice(FINAL_FAULTS) if arguments.end == "drawn" else arguments.end
         for member in self.fleet.members:
             for port in (HTTP_PORT, READY_PORT, CONTROL_PORT):
                 if member.role == {HTTP_PORT: "gateway", READY_PORT: "gateway"}.get(port, member.role):
                     if not (port == CONTROL_PORT and member.role == "gateway"):
-                        self.ledger.member_of[(member.ip, port)] = member
+                        self.ledger.member_by_address[(member.ip, port)] = member
         self.workers = [
             StandInWorker(member.name, member.ip, APP_PORT, (member.ip, CONTROL_PORT), member.zone, self.fleet.service, self.ledger)
             for member in self.fleet.agents
         ]
-        self.front = Front(self.fleet.gateways, HTTP_PORT, READY_PORT, self.source_ip, self.ledger)
+        self.load_balancer = LoadBalancer(self.fleet.gateways, HTTP_PORT, READY_PORT, self.source_ip, self.ledger)
         self.operator = Operator(
             self.fleet.controllers,
             CONTROL_PORT,
             self.fleet.service,
             self.source_ip,
-            self.chance.getrandbits(32),
+            self.rng.getrandbits(32),
             self.tenants,
             self.ledger,
         )
@@ -95,11 +95,11 @@
         self.memory_megabytes = 0.0
 
     async def run(self):
-        self.ledger.note(f"seed {self.arguments.seed} kills {self.kills} end {self.end}")
+        self.ledger.write_log(f"seed {self.arguments.seed} kills {self.kills} end {self.final_fault}")
         try:
             await self._start()
-            await self._disturb()
-            await self._closing_fault()
+            await self._run_disturbances()
+            await self._inject_final_fault()
             await self._verify()
         finally:
             for process in self.busy_processes:
@@ -116,57 +116,59 @@
             await worker.start()
         for member in self.fleet.members:
             await self.fleet.start(member)
-        if not await self.operator.change(self.operator.configuration(whole=True), START_SECONDS):
+        if not await self.operator.change(self.operator.configuration(complete=True), START_SECONDS):
             raise SystemExit("soak: the first configuration was not acknowledged")
         self.fleet.bootstrap = False
-        if not await self._serves(START_SECONDS):
+        if not await self._serves_jobs(START_SECONDS):
             raise SystemExit("soak: the fleet does not serve")
 
-    async def _serves(self, seconds):
+    async def _serves_jobs(self, seconds):
         """A job handed in and done."""
         until = time.monotonic() + seconds
-        client = Client(0, "fresh", self.front, self.tenants, self.ledger, self.chance.getrandbits(32), self.source_ip, 0.05)
+        client = Client(0, "fresh", self.load_balancer, self.tenants, self.ledger, self.rng.getrandbits(32), self.source_ip, 0.05)
         while time.monotonic() < until:
             job = client._new_job()
             await client._submit(job)
-            if job.accepted_at and await self._ends_done(job, until):
+            if job.accepted_at and await self._wait_until_done(job, until):
                 return True
             await asyncio.sleep(0.1)
         return False
 
-    async def _ends_done(self, job, until):
+    async def _wait_until_done(self, job, until):
         while time.monotonic() < until:
-            exchange = await self._ask_once(self.front.choose(self.chance), job)
-            if exchange and exchange.status == 200 and exchange.answer.json().get("phase") == "done":
+            exchange = await self._query_once(self.load_balancer.choose(self.rng), job)
+            if exchange and exchange.status == 200 and exchange.response.json().get("phase") == "done":
                 return True
             await asyncio.sleep(0.1)
         return False
 
-    def _question(self, job):
-        key = self.tenants.good_key(job.tenant)
+    def _status_request(self, job):
+        key = self.tenants.valid_key(job.tenant)
         return Request("GET", job.prefix + job.id, HOST, headers={"Authorization": f"Bearer {key}"})
 
-    async def _ask_once(self, address, job):
+    async def _query_once(self, address, job):
         try:
-            connection = await Connection.open(address, self.source_ip, QUESTION_TIMEOUT_SECONDS)
+            connection = await Connection.open(address, self.source_ip, QUERY_TIMEOUT_SECONDS)
         except (OSError, asyncio.TimeoutError):
             return None
-        exchange = await connection.exchange(self._question(job), QUESTION_TIMEOUT_SECONDS)
+        exchange = await connection.exchange(self._status_request(job), QUERY_TIMEOUT_SECONDS)
         connection.close()
         return exchange
 
-    async def _disturb(self):
+    async def _run_disturbances(self):
         until = time.monotonic() + self.arguments.seconds
-        disturbances = Disturbances(self.fleet, self.operator, self.chance.getrandbits(32), Pace(self.arguments.gap_ms / 1000, self.kills))
-        front = asyncio.create_task(self.front.run())
+        disturbances = Disturbances(
+            self.fleet, self.operator, self.rng.getrandbits(32), DisturbanceOptions(self.arguments.gap_ms / 1000, self.kills)
+        )
+        load_balancer = asyncio.create_task(self.load_balancer.run())
         clients = [
             Client(
                 number + 1,
-                Client.MANNERS[number % len(Client.MANNERS)],
-                self.front,
+                Client.BEHAVIOURS[number % len(Client.BEHAVIOURS)],
+                self.load_balancer,
                 self.tenants,
                 self.ledger,
-                self.chance.getrandbits(32),
+                self.rng.getrandbits(32),
                 self.source_ip,
                 self.arguments.think_ms / 1000,
             )
@@ -178,35 +180,35 @@
         await disturbances.run(until)
         await asyncio.gather(*work, operator)
         self.memory_megabytes = self.fleet.memory_megabytes()
-        front.cancel()
-        self.disturbances = disturbances.begun
+        load_balancer.cancel()
+        self.disturbances = disturbances.started
 
-    async def _closing_fault(self):
+    async def _inject_final_fault(self):
         """Right after an acknowledgement, every process is killed; one disk may be lost with it."""
-        await self.operator.change(self.operator.configuration(whole=True))
-        if self.end != "none":
-            self.ledger.note(f"closing fault {self.end}")
+        await self.operator.change(self.operator.configuration(complete=True))
+        if self.final_fault != "none":
+            self.ledger.write_log(f"closing fault {self.final_fault}")
             await self.fleet.kill_all()
-            if self.end == "kill_all_and_wipe_one":
-                self.fleet.wipe(self.chance.choice(self.fleet.controllers[:3]))
+            if self.final_fault == "kill_all_and_wipe_one":
+                self.fleet.wipe(self.rng.choice(self.fleet.controllers[:3]))
             for member in self.fleet.members:
                 await self.fleet.start(member)
-        self.front.misses = {member.name: 0 for member in self.fleet.gateways}
+        self.load_balancer.missed_checks = {member.name: 0 for member in self.fleet.gateways}
         began = time.monotonic()
-        if not await self._serves(RECOVER_SECONDS):
-            self.ledger.fail("service_not_back", f"within {RECOVER_SECONDS} s")
-        self.ledger.note(f"service is back after {time.monotonic() - began:.3f} s")
+        if not await self._serves_jobs(RECOVER_SECONDS):
+            self.ledger.record_failure("service_not_back", f"within {RECOVER_SECONDS} s")
+        self.ledger.write_log(f"service is back after {time.monotonic() - began:.3f} s")
 
     # --- the last questions ---
 
     async def _verify(self):
         await self._wait_for_ends()
         accepted = [job for job in self.ledger.jobs.values() if job.accepted_at]
-        self.ledger.note(f"asking for {len(accepted)} accepted jobs on {len(self.fleet.gateways)} gateways")
-        await asyncio.gather(*(self._ask_gateway(member, accepted) for member in self.fleet.gateways))
+        self.ledger.write_log(f"asking for {len(accepted)} accepted jobs on {len(self.fleet.gateways)} gateways")
+        await asyncio.gather(*(self._query_gateway(member, accepted) for member in self.fleet.gateways))
         for member in self.fleet.controllers:
             await self._read_configuration(member)
-        self.ledger.judge_rejected_jobs()
+        self.ledger.check_rejected_jobs()
 
     async def _wait_for_ends(self):
         """Until every accepted job has ended, by the first gateway's answers."""
@@ -214,7 +216,7 @@
         waiting = [job for job in self.ledger.jobs.values() if job.accepted_at]
         while waiting and time.monotonic() < until:
             open_jobs = []
-            await self._ask_all(
+            await self._query_all(
                 self.fleet.gateways[0],
                 waiting,
                 lambda job, phase, status: open_jobs.append(job) if phase in ("pending", "running", None) else None,
@@ -222,48 +224,48 @@
             waiting = open_jobs
             await asyncio.sleep(0.2)
         for job in waiting:
-            self.ledger.fail("accepted_job_not_ended", f"{job.id} {job.prefix} tries {job.tries}")
+            self.ledger.record_failure("accepted_job_not_ended", f"{job.id} {job.prefix} tries {job.tries}")
 
-    async def _ask_gateway(self, member, jobs):
-        def judge(job, phase, status):
+    async def _query_gateway(self, member, jobs):
+        def check(job, phase, status):
             if status == 410:
-                self.ledger.fail("accepted_job_unknown", f"{job.id} at {member.name}, tries {job.tries}")
+                self.ledger.record_failure("accepted_job_unknown", f"{job.id} at {member.name}, tries {job.tries}")
             elif status != 200:
-                self.ledger.fail("accepted_job_not_answered", f"{job.id} at {member.name}: status {status}")
+                self.ledger.record_failure("accepted_job_not_answered", f"{job.id} at {member.name}: status {status}")
             elif phase == "failed" or (phase == "canceled" and not job.cancel_sent):
-                self.ledger.fail("accepted_job_ended_badly", f"{job.id} at {member.name}: {phase}")
+                self.ledger.record_failure("accepted_job_ended_badly", f"{job.id} at {member.name}: {phase}")
 
-        await self._ask_all(member, jobs, judge)
+        await self._query_all(member, jobs, check)
 
-    async def _ask_all(self, member, jobs, judge):
+    async def _query_all(self, member, jobs, check):
         queue = list(jobs)
 
-        async def ask():
+        async def query_jobs():
             connection = None
             while queue:
                 job = queue.pop()
                 phase, status = None, 0
                 for _ in range(3):
-                    if connection is None or connection.ended or connection.told_to_close:
+                    if connection is None or connection.ended or connection.close_announced:
                         try:
-                            connection = await Connection.open((member.ip, HTTP_PORT), self.source_ip, QUESTION_TIMEOUT_SECONDS)
+                            connection = await Connection.open((member.ip, HTTP_PORT), self.source_ip, QUERY_TIMEOUT_SECONDS)
                         except (OSError, asyncio.TimeoutError):
                             connection = None
                             await asyncio.sleep(0.2)
                             continue
-                    exchange = await connection.exchange(self._question(job), QUESTION_TIMEOUT_SECONDS)
-                    self.ledger.exchanged("question", (member.ip, HTTP_PORT), "show", exchange)
+                    exchange = await connection.exchange(self._status_request(job), QUERY_TIMEOUT_SECONDS)
+                    self.ledger.record_exchange("question", (member.ip, HTTP_PORT), "show", exchange)
                     status = exchange.status
                     if status == 200:
-                        phase = exchange.answer.json().get("phase")
+                        phase = exchange.response.json().get("phase")
                     if status in (200, 410):
                         break
                     await asyncio.sleep(0.3)
-                judge(job, phase, status)
+                check(job, phase, status)
             if connection:
                 connection.close()
 
-        await asyncio.gather(*(ask() for _ in range(QUESTIONS_AT_ONCE)))
+        await asyncio.gather(*(query_jobs() for _ in range(QUERY_CONNECTIONS_PER_GATEWAY)))
 
     async def _read_configuration(self, member):
         wanted = self.operator.acknowledged
@@ -273,21 +275,23 @@
                 break
             await asyncio.sleep(0.3)
         if not exchange or exchange.status != 200:
-            self.ledger.fail("configuration_not_read", f"{member.name}: {exchange.status if exchange else 'no connection'}")
-        elif exchange.answer.json().get("version") != wanted["version"]:
-            self.ledger.fail("configuration_lost", f"{member.name}: {exchange.answer.json().get('version')}, not {wanted['version']}")
+            self.ledger.record_failure("configuration_not_read", f"{member.name}: {exchange.status if exchange else 'no connection'}")
+        elif exchange.response.json().get("version") != wanted["version"]:
+            self.ledger.record_failure(
+                "configuration_lost", f"{member.name}: {exchange.response.json().get('version')}, not {wanted['version']}"
+            )
 
     def _report(self):
         self.ledger.write_jobs(self.folder)
         summary = {
             "seed": self.arguments.seed,
             "kills": self.kills,
-            "end": self.end,
+            "end": self.final_fault,
             "processes": len(self.fleet.members),
             "memory_mb": round(self.memory_megabytes),
             "disturbances": len(getattr(self, "disturbances", [])),
             "configurations": self.operator.changes,
-            "ends": sum(worker.numbered for worker in self.workers),
+            "ends": sum(worker.last_end_number for worker in self.workers),
             "unconfirmed_ends": sum(worker.unconfirmed_ends for worker in self.workers),
             **self.ledger.summary(),
         }
--- a/tests/soak/stand_in_worker.py
+++ b/tests/soak/stand_in_worker.py
@@ -28,11 +28,11 @@
         self.deadline_ms = 0
         self.running = {}  # task -> (attempt, cpu, timer)
         self.highest_ended = {}  # task -> highest attempt that ended or was stopped here
-        self.finished = []  # [number, task, attempt, how, checkpoint]
-        self.lapsed_ends = set()  # numbers of ends listed and not confirmed when a hold lapsed
-        self.numbered = 0
+        self.unconfirmed_results = []  # [number, task, attempt, how, checkpoint]
+        self.ends_before_lapse = set()  # numbers of ends listed and not confirmed when a hold lapsed
+        self.last_end_number = 0
         self.sequence = 0
-        self.changed = asyncio.Event()
+        self.result_available = asyncio.Event()
         self.server = None
         self.tasks = []
 
@@ -43,7 +43,7 @@
     @property
     def unconfirmed_ends(self):
         """Ends that the agent has not confirmed by `last_seen`."""
-        return len(self.finished)
+        return len(self.unconfirmed_results)
 
     async def stop(self):
         for task in self.tasks:
@@ -62,8 +62,8 @@
                     name, _, value = line.partition(":")
                     headers[name.strip().lower()] = value.strip()
                 body = await reader.readexactly(int(headers.get("content-length", "0")))
-                status, answer = await self._handle(lines[0].split(" ")[1], headers, json.loads(body or b"{}"))
-                data = json.dumps(answer).encode()
+                status, response = await self._handle(lines[0].split(" ")[1], headers, json.loads(body or b"{}"))
+                data = json.dumps(response).encode()
                 number = headers.get("request-number")
                 echo = f"Request-Number: {number}\r\n" if number else ""
                 writer.write(f"HTTP/1.1 {status} X\r\n{echo}Content-Length: {len(data)}\r\n\r\n".encode() + data)
@@ -86,20 +86,20 @@
             return self._stop(call)
         return await self._hold(call)
 
-    def _extend(self, call):
-        self._note_lapse()
+    def _extend_lease(self, call):
+        self._record_lapse()
         self.deadline_ms = max(self.deadline_ms, call.get("deadline_ms", 0))
 
     # By the users' page an end that is taken note of stands "unless the minion's hold lapsed in between".
-    def _note_lapse(self):
-        unconfirmed = {row[0] for row in self.finished} - self.lapsed_ends
+    def _record_lapse(self):
+        unconfirmed = {row[0] for row in self.unconfirmed_results} - self.ends_before_lapse
         if unconfirmed and now_ms() > self.deadline_ms:
-            self.lapsed_ends |= unconfirmed
-            self.ledger.hold_lapsed(self.id, len(unconfirmed), now_ms() - self.deadline_ms)
+            self.ends_before_lapse |= unconfirmed
+            self.ledger.record_lapsed_hold(self.id, len(unconfirmed), now_ms() - self.deadline_ms)
 
     def _start(self, call):
         task, attempt = call["task"], call["attempt"]
-        self._extend(call)
+        self._extend_lease(call)
         present = self.running.get(task)
         if present and present[0] == attempt:
             return 200, {"now_ms": now_ms()}
@@ -113,7 +113,7 @@
             return 409, {"now_ms": now_ms(), "reason": "room"}
         timer = asyncio.get_running_loop().call_later(spec["ms"] / 1000, self._end, task, attempt, "done")
         self.running[task] = (attempt, spec["cpu"], timer)
-        self.ledger.task_started(self.id, task, attempt, spec["cpu"])
+        self.ledger.record_task_start(self.id, task, attempt, spec["cpu"])
         return 200, {"now_ms": now_ms()}
 
     def _stop(self, call):
@@ -124,39 +124,39 @@
         return 200, {"now_ms": now_ms()}
 
     async def _hold(self, call):
-        self._extend(call)
+        self._extend_lease(call)
         seen = call.get("last_seen", 0)
-        for row in self.finished:
+        for row in self.unconfirmed_results:
             if row[0] <= seen:
-                self.ledger.end_confirmed(row[1], row[2], row[3], row[0] in self.lapsed_ends)
-        self.lapsed_ends = {number for number in self.lapsed_ends if number > seen}
-        self.finished = [row for row in self.finished if row[0] > seen]
+                self.ledger.record_confirmed_end(row[1], row[2], row[3], row[0] in self.ends_before_lapse)
+        self.ends_before_lapse = {number for number in self.ends_before_lapse if number > seen}
+        self.unconfirmed_results = [row for row in self.unconfirmed_results if row[0] > seen]
         wait_ms = call.get("wait_ms", 0)
-        if wait_ms and not self.finished:
-            self.changed.clear()
+        if wait_ms and not self.unconfirmed_results:
+            self.result_available.clear()
             try:
-                await asyncio.wait_for(self.changed.wait(), wait_ms / 1000)
+                await asyncio.wait_for(self.result_available.wait(), wait_ms / 1000)
             except asyncio.TimeoutError:
                 pass
         active = [[task, entry[0], "", 0] for task, entry in self.running.items()]
-        return 200, {"now_ms": now_ms(), "active": active, "finished": self.finished[:MAX_LISTED_RESULTS]}
+        return 200, {"now_ms": now_ms(), "active": active, "finished": self.unconfirmed_results[:MAX_LISTED_RESULTS]}
 
-    def _end(self, task, attempt, how):
+    def _end(self, task, attempt, end_kind):
         entry = self.running.get(task)
         if not entry or entry[0] != attempt:
             return
         entry[2].cancel()
         del self.running[task]
         self.highest_ended[task] = max(self.highest_ended.get(task, 0), attempt)
-        self.numbered += 1
-        self.finished.append([self.numbered, task, attempt, how, ""])
-        self.ledger.task_ended(self.id, task, attempt, how)
-        self.changed.set()
+        self.last_end_number += 1
+        self.unconfirmed_results.append([self.last_end_number, task, attempt, end_kind, ""])
+        self.ledger.record_task_end(self.id, task, attempt, end_kind)
+        self.result_available.set()
 
     async def _expire_leases(self):
         while True:
             await asyncio.sleep(0.05)
-            self._note_lapse()
+            self._record_lapse()
             if self.running and now_ms() > self.deadline_ms:
                 for task, entry in list(self.running.items()):
                     self._end(task, entry[0], "lapsed")
@@ -173,8 +173,8 @@
                     await asyncio.sleep(0.2)
                     continue
             exchange = await connection.exchange(self._heartbeat(), HEARTBEAT_TIMEOUT_SECONDS)
-            self.ledger.exchanged("agent", self.agent_address, "heartbeat", exchange)
-            if exchange.outcome is not Outcome.ANSWERED or connection.told_to_close:
+            self.ledger.record_exchange("agent", self.agent_address, "heartbeat", exchange)
+            if exchange.outcome is not Outcome.ANSWERED or connection.close_announced:
                 connection.close()
                 connection = None
                 if exchange.outcome is not Outcome.ANSWERED:
--- a/tests/soak/tenants.py
+++ b/tests/soak/tenants.py
@@ -12,8 +12,8 @@
 TENANTS = ("north", "south", "east")
 KEYS_OF_EACH = 2
 CAPS = (0, 800, 1500, 3000, 6000)  # thousandths of a core; 0: no limit
-OLD_KEY_SHARE = 0.1  # of the requests
-ORDER_ARRIVES_WITHIN_SECONDS = 2.5  # after a lower cap was acknowledged
+REVOKED_KEY_SHARE = 0.1  # of the requests
+MAX_ORDER_DELAY_SECONDS = 2.5  # after a lower cap was acknowledged
 
 
 @dataclass
@@ -25,22 +25,22 @@
     revoked_sent: float = 0.0
     revoked_acknowledged: float = 0.0
 
-    def surely_good(self, since, until):
+    def certainly_valid(self, since, until):
         return 0 < self.added_acknowledged < since and not 0 < self.revoked_sent < until
 
-    def surely_revoked(self, since):
+    def certainly_revoked(self, since):
         return 0 < self.revoked_acknowledged < since
 
 
 class Tenants:
     def __init__(self, seed, ledger):
-        self.chance = random.Random(f"tenants {seed}")
+        self.rng = random.Random(f"tenants {seed}")
         self.ledger = ledger
         self.keys = {}  # text -> Key
         self.current = {name: [] for name in TENANTS}  # texts of keys, as the operator wants them
         self.caps = {name: 0 for name in TENANTS}
-        self.caps_since = {name: [(0.0, 0)] for name in TENANTS}  # (acknowledged at, cap), and at last one that may be in force
-        self.held = {}  # (task, worker, attempt) -> (tenant, cpu)
+        self.cap_history = {name: [(0.0, 0)] for name in TENANTS}  # (acknowledged at, cap), and at last one that may be in force
+        self.running_tasks = {}  # (task, worker, attempt) -> (tenant, cpu)
         self.used = Counter()  # by tenant
         self.counts = Counter()
         for name in TENANTS:
@@ -48,27 +48,27 @@
                 self._add_key(name)
 
     def _add_key(self, name):
-        key = Key(name, f"{name}-{len(self.keys)}-{self.chance.getrandbits(48):012x}")
+        key = Key(name, f"{name}-{len(self.keys)}-{self.rng.getrandbits(48):012x}")
         self.keys[key.text] = key
         self.current[name].append(key.text)
 
     # --- the operator ---
 
-    def draw_change(self):
-        name = self.chance.choice(TENANTS)
-        what = self.chance.random()
-        if what < 0.3:
+    def apply_random_change(self):
+        name = self.rng.choice(TENANTS)
+        draw = self.rng.random()
+        if draw < 0.3:
             self._add_key(name)
-        elif what < 0.6:
+        elif draw < 0.6:
             self.current[name].pop(0)
-        elif what < 0.7:
+        elif draw < 0.7:
             self.current[name].clear()
         else:
-            self.caps[name] = self.chance.choice(CAPS)
+            self.caps[name] = self.rng.choice(CAPS)
         if not self.current[name]:
             self._add_key(name)
 
-    def lift_caps(self):
+    def remove_caps(self):
         self.caps = {name: 0 for name in TENANTS}
 
     def configuration(self):
@@ -77,7 +77,7 @@
             for name in TENANTS
         ]
 
-    def sent(self, tenants, at):
+    def record_sent_change(self, tenants, at):
         listed = {key for tenant in tenants for key in tenant["api_keys"]}
         for text, key in self.keys.items():
             if text in listed:
@@ -85,9 +85,9 @@
             elif key.added_sent:
                 key.revoked_sent = key.revoked_sent or at
         for tenant in tenants:
-            self.caps_since[tenant["name"]].append((float("inf"), tenant["cap"]["cpu"]))
+            self.cap_history[tenant["name"]].append((float("inf"), tenant["cap"]["cpu"]))
 
-    def acknowledged(self, tenants, at):
+    def record_acknowledged_change(self, tenants, at):
         listed = {key for tenant in tenants for key in tenant["api_keys"]}
         for text, key in self.keys.items():
             if text in listed:
@@ -95,52 +95,58 @@
             elif key.revoked_sent:
                 key.revoked_acknowledged = key.revoked_acknowledged or at
         for tenant in tenants:
-            self.caps_since[tenant["name"]][-1] = (at, tenant["cap"]["cpu"])
+            self.cap_history[tenant["name"]][-1] = (at, tenant["cap"]["cpu"])
 
     # --- clients ---
 
-    def choose_key(self, tenant, chance):
+    def choose_key(self, tenant, rng):
         """A key that was acknowledged for the most part, at times one that is revoked."""
-        old = [key for key in self.keys.values() if key.tenant == tenant and key.revoked_sent]
-        if old and chance.random() < OLD_KEY_SHARE:
-            return chance.choice(old[-4:]).text
-        return self.good_key(tenant)
+        revoked = [key for key in self.keys.values() if key.tenant == tenant and key.revoked_sent]
+        if revoked and rng.random() < REVOKED_KEY_SHARE:
+            return rng.choice(revoked[-4:]).text
+        return self.valid_key(tenant)
 
-    def good_key(self, tenant):
+    def valid_key(self, tenant):
         known = [text for text in self.current[tenant] if self.keys[text].added_sent]
         return known[-1] if known else self.current[tenant][-1]
 
-    def judge(self, text, exchange):
+    def check_key_use(self, text, exchange):
         key = self.keys[text]
         status = exchange.status
         if not status:
             return
         self.counts["refused" if status == 401 else "passed"] += 1
-        if status == 401 and key.surely_good(exchange.completed_at, exchange.ended_at):
-            self.ledger.fail("good_key_refused", f"{text}, acknowledged {exchange.completed_at - key.added_acknowledged:.3f} s before")
-        if 200 <= status < 300 and key.surely_revoked(exchange.completed_at):
-            self.ledger.fail("revoked_key_used", f"{text}, revoked {exchange.completed_at - key.revoked_acknowledged:.3f} s before")
+        if status == 401 and key.certainly_valid(exchange.completed_at, exchange.ended_at):
+            self.ledger.record_failure(
+                "good_key_refused", f"{text}, acknowledged {exchange.completed_at - key.added_acknowledged:.3f} s before"
+            )
+        if 200 <= status < 300 and key.certainly_revoked(exchange.completed_at):
+            self.ledger.record_failure(
+                "revoked_key_used", f"{text}, revoked {exchange.completed_at - key.revoked_acknowledged:.3f} s before"
+            )
 
     # --- workers ---
 
-    def _highest_cap(self, tenant):
+    def _highest_cap_in_force(self, tenant):
         """Of those that may be in force, 0 for none."""
         now = time.monotonic()
-        since = self.caps_since[tenant]
-        settled = [index for index, (at, _) in enumerate(since) if at < now - ORDER_ARRIVES_WITHIN_SECONDS]
-        caps = [cap for _, cap in since[settled[-1] if settled else 0 :]]
+        history = self.cap_history[tenant]
+        settled = [index for index, (at, _) in enumerate(history) if at < now - MAX_ORDER_DELAY_SECONDS]
+        caps = [cap for _, cap in history[settled[-1] if settled else 0 :]]
         return 0 if 0 in caps else max(caps)
 
-    def task_started(self, tenant, task, worker, attempt, cpu):
-        cap = self._highest_cap(tenant)
+    def record_task_start(self, tenant, task, worker, attempt, cpu):
+        cap = self._highest_cap_in_force(tenant)
         if cap and self.used[tenant] > cap:
-            self.ledger.fail("cap_passed", f"{task} attempt {attempt} at {worker} finds {tenant} with {self.used[tenant]} of {cap}")
+            self.ledger.record_failure(
+                "cap_passed", f"{task} attempt {attempt} at {worker} finds {tenant} with {self.used[tenant]} of {cap}"
+            )
         if cap and self.used[tenant] + cpu > cap / 2:
             self.counts["starts_near_cap"] += 1
-        self.held[(task, worker, attempt)] = (tenant, cpu)
+        self.running_tasks[(task, worker, attempt)] = (tenant, cpu)
         self.used[tenant] += cpu
 
-    def task_ended(self, task, worker, attempt):
-        held = self.held.pop((task, worker, attempt), None)
-        if held:
-            self.used[held[0]] -= held[1]
+    def record_task_end(self, task, worker, attempt):
+        ended = self.running_tasks.pop((task, worker, attempt), None)
+        if ended:
+            self.used[ended[0]] -= ended[1]
