--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,7 +1,7 @@
-"""Stand-in clients, the platform's front, which hands them gateways, and the operator.
+"""Simulated clients, the load balancer that selects gateways for them, and the operator.
 
-Clients keep using an open connection until its end is announced or it ends. They follow the users' page: after silence, a cut, 502 or 504
-the same job is submitted again, to any gateway; 429 and 503 mean that it was not taken.
+Clients keep an open connection until the server announces the close or the connection ends. They retry as the users' documentation says:
+after a timeout, a cut, 502 or 504 they submit the same job again, to any gateway; 429 and 503 mean that the job was not accepted.
 """
 
 import asyncio
@@ -19,12 +19,12 @@
 MAX_TRIES = 5
 HOST = "proofs.example"
 PREFIXES = ("/quick/", "/plates/", "/checks/")
-FLAPPING_PREFIX = "/extra/"  # a route that changes of configuration take away and give back
+FLAPPING_PREFIX = "/extra/"  # a route that configuration changes remove and restore
 READY_INTERVAL_SECONDS = 1.0
 
 
 class LoadBalancer:
-    """Asks each gateway each second whether it is ready; two misses take it out until it answers 200 again."""
+    """Checks the readiness of each gateway every second; two failed checks exclude a gateway until it responds with 200 again."""
 
     def __init__(self, gateways, http_port, ready_port, source_ip, ledger):
         self.gateways, self.http_port, self.ready_port = gateways, http_port, ready_port
@@ -52,13 +52,14 @@
         return exchange.status == 200
 
     def choose(self, rng):
+        """Returns the address of a random ready gateway, or of any gateway while fewer than half of them are ready."""
         ready = [member for member in self.gateways if self.missed_checks[member.name] < 2]
         chosen = rng.choice(ready if 2 * len(ready) >= len(self.gateways) else self.gateways)
         return (chosen.ip, self.http_port)
 
 
 class Client:
-    """One caller with at most one connection. The manner says how it uses it."""
+    """A client with at most one connection. `behaviour` selects how it uses the connection; see BEHAVIOURS."""
 
     BEHAVIOURS = ("steady", "steady", "late", "pipelining", "rude", "slow", "fresh")
 
@@ -131,7 +132,7 @@
         return True
 
     async def _exchange(self, kind, requests):
-        """One answer or failure for each request; an empty list where no connection was made."""
+        """Returns one Exchange for each request, or an empty list if no connection could be made."""
         if not await self._ensure_connected():
             await asyncio.sleep(0.05)
             return []
@@ -154,7 +155,7 @@
                 return
 
     async def _record_submission(self, job, exchange):
-        """Notes the answer to a submission. True: no further try."""
+        """Records the outcome of a submission. Returns whether the client is finished with it, that is, must not retry."""
         self.ledger.record_try(job, self.address, exchange)
         if job.accepted_at:
             self.accepted_jobs.append(job)
@@ -186,7 +187,8 @@
 
 
 class Operator:
-    """Changes the configuration in series, each change on the newest acknowledged one, sent again until it has a clear answer."""
+    """Changes the configuration repeatedly. Each change is based on the newest acknowledged version and is resent until it is
+    acknowledged or rejected."""
 
     def __init__(self, controllers, port, service, source_ip, seed, tenants, ledger):
         self.addresses = [(member.ip, port) for member in controllers]
@@ -265,7 +267,8 @@
         return await self._call("read", request, address)
 
     async def _call(self, kind, request, address=None):
-        """On a connection that is kept, as long as that goes; else to any controller."""
+        """Sends a request and returns its Exchange, or None if no connection could be made. Reuses the open connection unless `address`
+        is given; without an open connection it connects to a random controller."""
         if address or not self.connection or self.connection.ended or self.connection.close_announced:
             if self.connection:
                 self.connection.close()
--- a/tests/soak/connection.py
+++ b/tests/soak/connection.py
@@ -1,7 +1,7 @@
 """One HTTP/1.1 connection of a stand-in client, on which every complete request is accounted for.
 
-A request is complete once its last byte was handed to the kernel. From then on it ends in exactly one way: a whole answer, a refusal
-(the server had told before that it closes this connection), a cut (the connection ended without a whole answer) or a time-out.
+A request is complete once its last byte was handed to the kernel. From then on it has exactly one outcome: a complete response, a refusal
+(the server had already announced that it closes this connection), a cut (the connection ended without a complete response) or a timeout.
 """
 
 import asyncio
@@ -15,8 +15,8 @@
 
 class Outcome(enum.Enum):
     ANSWERED = "answered"
-    REFUSED = "refused"  # never completely sent, or sent behind an announced close
-    CUT = "cut"  # completely sent; the connection ended without a whole answer
+    REFUSED = "refused"  # never sent completely, or sent after the server announced the close
+    CUT = "cut"  # sent completely, but the connection ended without a complete response
     TIMED_OUT = "timed_out"
 
 
@@ -36,14 +36,14 @@
 
 @dataclass
 class Exchange:
-    """What became of one request. Times are seconds of the monotonic clock."""
+    """The outcome of one request. Times are in seconds of the monotonic clock."""
 
     outcome: Outcome
     response: Response = None
-    completed_at: float = 0.0  # the last byte was sent
+    completed_at: float = 0.0  # when the last byte was sent
     ended_at: float = 0.0
-    responses_before: int = 0  # that this connection had given
-    partial_bytes: int = 0  # of the answer that was cut
+    responses_before: int = 0  # responses received earlier on this connection
+    partial_bytes: int = 0  # bytes received of the response that was cut
     detail: str = ""
     local_port: int = 0
 
@@ -68,11 +68,11 @@
 
 
 class ConnectionEnded(Exception):
-    """The server's end of the stream, or a reset."""
+    """Raised when the server closes or resets the connection."""
 
 
 class Connection:
-    """Opened with `open`. `told_to_close`: the server has announced the end, nothing more may be sent."""
+    """A client connection, made by `open`. Nothing more may be sent once `close_announced` is set by a `Connection: close` response."""
 
     def __init__(self, reader, writer):
         self.reader = reader
@@ -85,7 +85,7 @@
 
     @staticmethod
     async def open(address, source_ip, timeout):
-        """Raises OSError or asyncio.TimeoutError where no connection is made."""
+        """Opens a connection. Raises OSError or asyncio.TimeoutError if it cannot be made within `timeout` seconds."""
         host, port = address
         reader, writer = await asyncio.wait_for(
             asyncio.open_connection(host, port, local_addr=(source_ip, 0), limit=READ_LIMIT_BYTES), timeout
@@ -104,7 +104,7 @@
         return (await self.exchange_all([request], timeout, pause_before_last_bytes))[0]
 
     async def exchange_all(self, requests, timeout, pause_before_last_bytes=0.0):
-        """Sends all requests at once (pipelined) and reads one answer for each, in order."""
+        """Sends all requests at once (pipelined) and returns one Exchange for each, in order."""
         data = b"".join(request.encoded() for request in requests)
         responses_before = self.responses
         try:
--- a/tests/soak/disturbances.py
+++ b/tests/soak/disturbances.py
@@ -1,7 +1,7 @@
-"""Planned work and kills, drawn from a seed: series of signals, restarts and changes of settings that overlap, at every role.
+"""Random disturbances from a seed: overlapping series of signals, restarts and settings changes for the processes of every role.
 
-A disturbance takes members that no other one is at work on, so each process is stopped and started by one at a time; everything else
-overlaps. Kills come only in runs that ask for them.
+A disturbance that stops processes reserves them, so that only one disturbance at a time stops and starts a process; everything else
+overlaps. Processes are killed with SIGKILL only if the run enables it.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 
 @dataclass
 class DisturbanceOptions:
-    mean_gap_seconds: float = 0.8  # between the beginnings of two disturbances
+    mean_gap_seconds: float = 0.8  # between the starts of two disturbances
     kills: bool = False
 
 
@@ -47,7 +47,7 @@
             tasks.append(asyncio.create_task(kind()))
         await asyncio.gather(*tasks)
 
-    # --- choice of members ---
+    # --- selecting members ---
 
     def _reserve(self, count, roles=("gateway", "gateway", "controller", "agent")):
         role = self.rng.choice(roles)
@@ -62,7 +62,7 @@
         await self.fleet.restart(member, self.rng.uniform(0.05, 1.5) if down_seconds is None else down_seconds)
         member.busy = False
 
-    # --- kinds ---
+    # --- kinds of disturbances; their names are logged ---
 
     async def stop_one(self):
         for member in self._reserve(1):
@@ -77,7 +77,7 @@
         await asyncio.gather(*tasks)
 
     async def stop_machines(self):
-        """Both roles of a machine at once, as a platform stops it; several machines with a gap."""
+        """Stops the gateway and the controller of a machine at once, as the platform does, for several machines with a gap between them."""
         gap = self.rng.choice((0.0, 0.3, 1.2))
         tasks = []
         for gateway in self._reserve(self.rng.randint(1, 3), roles=("gateway",)):
@@ -118,7 +118,7 @@
             await asyncio.sleep(gap)
 
     async def reload_while_starting(self):
-        """SIGHUP from the first moment on at which a process can answer for it."""
+        """Sends SIGHUPs to a starting process from the moment on at which it can handle them."""
         for member in self._reserve(1):
             self.fleet.send(member, signal.SIGTERM)
             await self.fleet.restart(member, 0.1)
@@ -132,7 +132,7 @@
             member.busy = False
 
     async def exchange_seeds(self):
-        """The operator's list has changed: other controllers are named, in the files of all, with or without a signal."""
+        """Replaces the seed controllers in all settings files, in most cases followed by SIGHUP."""
         chosen = self.rng.sample(self.fleet.controllers, 3)
         self.fleet.seeds = [member.ip for member in chosen]
         signalled = self.rng.random() < 0.7
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -1,6 +1,6 @@
-"""The real processes of a run: `aniseline-platform` as controllers, gateways and agents, each with its own loopback address.
+"""Manages the real processes of a run: `aniseline-platform` as controllers, gateways and agents, each with its own loopback address.
 
-Kept here: settings files, process ids, when each was signalled, how each ended. Only what was started here is signalled, by its id.
+Holds settings files, process ids, the times of signals and the exits of processes. Signals only processes that it started.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
     "visible_ms": 3000,
     "early_ms": 250,
     "finish_s": 14,
-    "status_s": 900,  # longer than a run with all its last questions
+    "status_s": 900,  # longer than a run with all its final queries
     "spread": 1.5,
     "checkpoint_s": 2,
     "restore_ms": 600,
@@ -41,7 +41,7 @@
 
 @dataclass
 class Member:
-    """One role on one machine, and the process that runs it now."""
+    """One role on one machine, and its current process."""
 
     name: str
     role: str
@@ -50,13 +50,15 @@
     folder: Path
     data_folder: Path = None
     process: asyncio.subprocess.Process = None
-    process_handle: int = -1  # a file descriptor of that process
+    process_handle: int = -1  # pidfd of the process
     started_at: float = 0.0
-    stop_requested_at: float = 0.0  # the first SIGTERM to the process that runs now; 0: none
+    stop_requested_at: float = 0.0  # time of the first SIGTERM to the current process; 0 if none
     killed: bool = False
-    exits: list = field(default_factory=list)  # (seconds of the run, status, asked, seconds the stop took)
-    busy: bool = False  # a disturbance is at work on it
-    sigterm_times: list = field(default_factory=list)  # when its processes were asked to stop
+    exits: list = field(
+        default_factory=list
+    )  # (seconds since the start of the run, exit status, whether a stop was requested, seconds that the stop took)
+    busy: bool = False  # reserved by a disturbance
+    sigterm_times: list = field(default_factory=list)  # of all its processes so far
     kill_times: list = field(default_factory=list)
 
     @property
@@ -97,7 +99,7 @@
         return member.folder / f"{member.name}.conf"
 
     def write_settings(self, member):
-        """Written aside and renamed, as a platform would."""
+        """Writes the settings file to a temporary file and renames it, as the platform does."""
         lines = {
             "node": member.name,
             "role": member.role,
@@ -145,8 +147,8 @@
             str(self.programs / "aniseline-platform"), member.role, stdout=log, stderr=log, env=environment, start_new_session=True
         )
         log.close()
-        # Signals go by this, which never means another process. asyncio's own send_signal asks first whether the child has ended, and
-        # takes its status away from whoever waits for it: an end in that instant was reported as status 255.
+        # Signals are sent through a pidfd, which never refers to a different process. The send_signal of asyncio first polls whether the
+        # child has exited, which takes the exit status away from a pending wait(): an exit at that moment was reported as status 255.
         member.process_handle = os.pidfd_open(member.process.pid)
         member.started_at = time.monotonic()
         member.stop_requested_at = 0.0
@@ -187,8 +189,8 @@
             self.ledger.write_log(f"{member.name} had ended")
 
     async def wait_for_sighup_handler(self, member, seconds):
-        """Until the process blocks or handles SIGHUP. Before its main begins the kernel's default action is in force, which ends it and
-        which no program can change from inside. False: it has ended, or did not come so far in time."""
+        """Waits until the process blocks or handles SIGHUP. Before its main function runs, SIGHUP has the default action, which terminates
+        the process and which the program cannot prevent. Returns False if the process exited or the time ran out."""
         until = time.monotonic() + seconds
         sighup_bit = 1 << (signal.SIGHUP - 1)
         while member.running and time.monotonic() < until:
@@ -203,7 +205,7 @@
         return False
 
     async def wait_for_end(self, member):
-        """After a SIGTERM: the platform kills what has not ended within the time of grace, which is a failure."""
+        """Waits for the exit after SIGTERM. Like the platform, kills the process after the grace period, and records that as a failure."""
         if not member.process:
             return
         try:
@@ -231,7 +233,7 @@
         self.ledger.write_log(f"wipe {member.name}")
 
     def memory_megabytes(self):
-        """Resident memory of all processes; what they share is counted in each."""
+        """Returns the resident memory of all processes in MB; shared pages count in each process."""
         total = 0
         for member in self.members:
             if not member.running:
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -1,6 +1,6 @@
-"""What clients, workers and the operator have seen, and the verdict over it. Nothing here asks aniseline.
+"""Records what clients, workers and the operator observe, and checks it. Sends no requests to aniseline itself.
 
-Kept here: each request's outcome, each job's tries and answers, each task's starts and ends, each failure with its time.
+Holds the outcome of each request, the tries of each job and their responses, the starts and ends of each task, and each failure.
 """
 
 import json
@@ -10,7 +10,7 @@
 
 from connection import Outcome
 
-KILL_TOLERANCE_SECONDS = 1.0  # around the kill of a process its clients may lose answers
+KILL_TOLERANCE_SECONDS = 1.0  # before and after a process is killed its clients may lose responses
 
 
 @dataclass
@@ -18,10 +18,10 @@
     id: str
     prefix: str
     tenant: str
-    possibly_accepted: bool = False  # some try had no clear answer
+    possibly_accepted: bool = False  # a try was cut, timed out, or had 502 or 504
     accepted_at: float = 0.0
     cancel_sent: bool = False
-    tries: list = field(default_factory=list)  # (seconds, gateway, outcome, status)
+    tries: list = field(default_factory=list)  # (seconds since the start of the run, gateway, outcome, status)
 
 
 class Ledger:
@@ -37,11 +37,11 @@
         self.confirmed_done = set()
         self.started_jobs = set()
         self.starts = Counter()
-        self.member_by_address = {}  # address -> member, for the times of its signals
+        self.member_by_address = {}  # address -> fleet member; gives the times of signals to its process
         self.connections = Counter()
-        self.tenants = None  # set by whoever makes them: Tenants
+        self.tenants = None  # a Tenants object; set by its creator
 
-    # --- notes and failures ---
+    # --- log and failures ---
 
     def elapsed_seconds(self):
         return time.monotonic() - self.began_at
@@ -91,7 +91,7 @@
         elif exchange.outcome in (Outcome.CUT, Outcome.TIMED_OUT) or status in (502, 504):
             job.possibly_accepted = True
 
-    # --- tasks, as the workers see them ---
+    # --- tasks, as reported by the workers ---
 
     def record_task_start(self, worker, task, attempt, cpu):
         job = task.split(".")[0]
@@ -123,7 +123,7 @@
     def record_lapsed_hold(self, worker, ends, late_ms):
         self.write_log(f"hold lapsed at {worker} {late_ms} ms ago with {ends} unconfirmed ends")
 
-    # --- verdict ---
+    # --- final checks and summary ---
 
     def check_rejected_jobs(self):
         for job in self.jobs.values():
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
-"""A seeded soak over real processes and sockets: `python3 tests/soak/soak.py --programs build --folder DIR --seed 1`; README.md beside it.
+"""Seeded soak test with real processes and sockets: `python3 tests/soak/soak.py --programs build --folder DIR --seed 1`; see README.md.
 
-Ends with status 0 where every complete request was answered or refused, every accepted job was known on every gateway at the end and ended,
-every acknowledged configuration was in force, and every process ended in order within its time.
+Exits with status 0 if every complete request was answered or refused, every accepted job was known to every gateway at the end and
+finished, the last acknowledged configuration was in force, and every process exited cleanly within its grace period.
 """
 
 import argparse
@@ -25,29 +25,32 @@
 RECOVER_SECONDS = 12.0
 FINISH_SECONDS = 14.0
 QUERY_TIMEOUT_SECONDS = 3.0
-QUERY_CONNECTIONS_PER_GATEWAY = 8  # connections to each gateway
+QUERY_CONNECTIONS_PER_GATEWAY = 8  # concurrent connections
 FINAL_FAULTS = ("none", "kill_all", "kill_all_and_wipe_one")
 
 
 def parse_arguments():
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--programs", type=Path, required=True, help="the folder with aniseline-platform")
-    parser.add_argument("--folder", type=Path, required=True, help="for data, logs and histories; must be new or empty")
+    parser.add_argument("--programs", type=Path, required=True, help="folder that contains aniseline-platform")
+    parser.add_argument("--folder", type=Path, required=True, help="folder for data, logs and results; must be new or empty")
     parser.add_argument("--seed", type=int, required=True)
-    parser.add_argument("--seconds", type=float, default=30.0, help="of disturbances")
+    parser.add_argument("--seconds", type=float, default=30.0, help="duration of the disturbances")
     parser.add_argument("--gateways", type=int, default=7)
-    parser.add_argument("--controllers", type=int, default=6, help="the first three have disks")
+    parser.add_argument("--controllers", type=int, default=6, help="number of controllers; the first three have disks")
     parser.add_argument("--workers", type=int, default=11)
     parser.add_argument("--clients", type=int, default=40)
-    parser.add_argument("--think-ms", type=float, default=120.0, help="a steady client's mean pause between requests")
-    parser.add_argument("--gap-ms", type=float, default=800.0, help="mean pause between the beginnings of two disturbances")
-    parser.add_argument("--kills", choices=("no", "yes", "drawn"), default="drawn", help="SIGKILL among the disturbances")
+    parser.add_argument("--think-ms", type=float, default=120.0, help="mean pause of a steady client between requests")
+    parser.add_argument("--gap-ms", type=float, default=800.0, help="mean pause between the starts of two disturbances")
+    parser.add_argument("--kills", choices=("no", "yes", "drawn"), default="drawn", help="whether disturbances include SIGKILL")
     parser.add_argument("--end", choices=FINAL_FAULTS + ("drawn",), default="drawn")
     parser.add_argument(
-        "--network", type=int, default=60, help="processes take 127.NETWORK.zone.machine; runs side by side need different ones"
+        "--network",
+        type=int,
+        default=60,
+        help="processes use the addresses 127.NETWORK.zone.machine; concurrent runs need different networks",
     )
     parser.add_argument("--grace", type=int, default=6, help="seconds from SIGTERM until a process is killed")
-    parser.add_argument("--busy", type=int, default=0, help="busy processes beside")
+    parser.add_argument("--busy", type=int, default=0, help="number of additional processes that use the CPU all the time")
     return parser.parse_args()
 
 
@@ -123,7 +126,7 @@
             raise SystemExit("soak: the fleet does not serve")
 
     async def _serves_jobs(self, seconds):
-        """A job handed in and done."""
+        """Submits jobs until one is accepted and done. Returns False if the time runs out first."""
         until = time.monotonic() + seconds
         client = Client(0, "fresh", self.load_balancer, self.tenants, self.ledger, self.rng.getrandbits(32), self.source_ip, 0.05)
         while time.monotonic() < until:
@@ -174,7 +177,7 @@
             )
             for number in range(self.arguments.clients)
         ]
-        # Clients and operator go on until the last disturbance has ended.
+        # Clients run for 2 s after the last disturbance was started.
         work = [asyncio.create_task(client.run(until + 2.0)) for client in clients]
         operator = asyncio.create_task(self.operator.run(until))
         await disturbances.run(until)
@@ -184,7 +187,7 @@
         self.disturbances = disturbances.started
 
     async def _inject_final_fault(self):
-        """Right after an acknowledgement, every process is killed; one disk may be lost with it."""
+        """Kills every process right after an acknowledged configuration change, possibly wipes one disk, and restarts all processes."""
         await self.operator.change(self.operator.configuration(complete=True))
         if self.final_fault != "none":
             self.ledger.write_log(f"closing fault {self.final_fault}")
@@ -199,7 +202,7 @@
             self.ledger.record_failure("service_not_back", f"within {RECOVER_SECONDS} s")
         self.ledger.write_log(f"service is back after {time.monotonic() - began:.3f} s")
 
-    # --- the last questions ---
+    # --- final checks ---
 
     async def _verify(self):
         await self._wait_for_ends()
@@ -211,7 +214,7 @@
         self.ledger.check_rejected_jobs()
 
     async def _wait_for_ends(self):
-        """Until every accepted job has ended, by the first gateway's answers."""
+        """Waits until the first gateway reports every accepted job as ended."""
         until = time.monotonic() + FINISH_SECONDS
         waiting = [job for job in self.ledger.jobs.values() if job.accepted_at]
         while waiting and time.monotonic() < until:
--- a/tests/soak/stand_in_worker.py
+++ b/tests/soak/stand_in_worker.py
@@ -1,6 +1,6 @@
-"""Stand-in workers of the users' platform, in this process: each is called by the agent beside it and registers there by heartbeats.
+"""Simulated workers of the users' platform, in this process. Each is called by its agent and registers there with heartbeats.
 
-Kept here: what runs, what has ended, the highest fencing token, the lease. Every start and end goes into the ledger.
+Holds the running tasks, the results not yet confirmed, the highest fencing token and the lease. Records every start and end in the ledger.
 """
 
 import asyncio
@@ -27,9 +27,9 @@
         self.fence = 0
         self.deadline_ms = 0
         self.running = {}  # task -> (attempt, cpu, timer)
-        self.highest_ended = {}  # task -> highest attempt that ended or was stopped here
+        self.highest_ended = {}  # task -> highest attempt that ended or was stopped on this worker
         self.unconfirmed_results = []  # [number, task, attempt, how, checkpoint]
-        self.ends_before_lapse = set()  # numbers of ends listed and not confirmed when a hold lapsed
+        self.ends_before_lapse = set()  # numbers of ends that were unconfirmed when the lease expired
         self.last_end_number = 0
         self.sequence = 0
         self.result_available = asyncio.Event()
@@ -42,7 +42,7 @@
 
     @property
     def unconfirmed_ends(self):
-        """Ends that the agent has not confirmed by `last_seen`."""
+        """Returns the number of ends that the agent has not confirmed with `last_seen`."""
         return len(self.unconfirmed_results)
 
     async def stop(self):
@@ -50,7 +50,7 @@
             task.cancel()
         self.server.close()
 
-    # --- the agent's calls ---
+    # --- calls from the agent ---
 
     async def _serve(self, reader, writer):
         try:
@@ -90,7 +90,8 @@
         self._record_lapse()
         self.deadline_ms = max(self.deadline_ms, call.get("deadline_ms", 0))
 
-    # By the users' page an end that is taken note of stands "unless the minion's hold lapsed in between".
+    # The users' documentation says that a recorded end is final "unless the minion's hold lapsed in between": a lease expiry between the
+    # end and its confirmation allows another start of the task.
     def _record_lapse(self):
         unconfirmed = {row[0] for row in self.unconfirmed_results} - self.ends_before_lapse
         if unconfirmed and now_ms() > self.deadline_ms:
--- a/tests/soak/tenants.py
+++ b/tests/soak/tenants.py
@@ -1,7 +1,7 @@
-"""Tenants of the soak: keys that are added and revoked, caps that are raised and lowered, and what was seen of both.
+"""Tenants of the soak test: changes API keys and caps, and checks that they are enforced.
 
-The operator notes when each key was sent and acknowledged, added and revoked; clients choose keys new and old; workers tell of each start
-and end. Keys are judged without any allowance in time: the leader decides after a request has come whole.
+The operator records when the addition and the revocation of each key was sent and acknowledged; clients use valid and revoked keys; workers
+report each start and end. Keys are checked without a time tolerance, because the leader checks the key after the complete request arrived.
 """
 
 import random
@@ -11,9 +11,9 @@
 
 TENANTS = ("north", "south", "east")
 KEYS_OF_EACH = 2
-CAPS = (0, 800, 1500, 3000, 6000)  # thousandths of a core; 0: no limit
-REVOKED_KEY_SHARE = 0.1  # of the requests
-MAX_ORDER_DELAY_SECONDS = 2.5  # after a lower cap was acknowledged
+CAPS = (0, 800, 1500, 3000, 6000)  # thousandths of a core; 0 means no limit
+REVOKED_KEY_SHARE = 0.1  # share of the requests that use a revoked key
+MAX_ORDER_DELAY_SECONDS = 2.5  # from the acknowledgement of a lower cap until all start orders made before it have arrived
 
 
 @dataclass
@@ -37,11 +37,13 @@
         self.rng = random.Random(f"tenants {seed}")
         self.ledger = ledger
         self.keys = {}  # text -> Key
-        self.current = {name: [] for name in TENANTS}  # texts of keys, as the operator wants them
+        self.current = {name: [] for name in TENANTS}  # texts of the keys in the newest configuration
         self.caps = {name: 0 for name in TENANTS}
-        self.cap_history = {name: [(0.0, 0)] for name in TENANTS}  # (acknowledged at, cap), and at last one that may be in force
+        self.cap_history = {
+            name: [(0.0, 0)] for name in TENANTS
+        }  # (acknowledged at, cap); infinity while the change is unacknowledged, when either cap may be in force
         self.running_tasks = {}  # (task, worker, attempt) -> (tenant, cpu)
-        self.used = Counter()  # by tenant
+        self.used = Counter()  # CPU in use by tenant
         self.counts = Counter()
         for name in TENANTS:
             for _ in range(KEYS_OF_EACH):
@@ -100,7 +102,7 @@
     # --- clients ---
 
     def choose_key(self, tenant, rng):
-        """A key that was acknowledged for the most part, at times one that is revoked."""
+        """Returns a current key of the tenant, or with the probability REVOKED_KEY_SHARE one of those revoked last."""
         revoked = [key for key in self.keys.values() if key.tenant == tenant and key.revoked_sent]
         if revoked and rng.random() < REVOKED_KEY_SHARE:
             return rng.choice(revoked[-4:]).text
@@ -128,7 +130,7 @@
     # --- workers ---
 
     def _highest_cap_in_force(self, tenant):
-        """Of those that may be in force, 0 for none."""
+        """Returns the highest of the caps that may be in force, or 0 if there may be no limit."""
         now = time.monotonic()
         history = self.cap_history[tenant]
         settled = [index for index, (at, _) in enumerate(history) if at < now - MAX_ORDER_DELAY_SECONDS]
