--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -51,8 +51,8 @@
         self.ledger.record_exchange("readiness", (member.ip, self.ready_port), "ready", exchange)
         return exchange.status == 200
 
+    # Returns the address of a random ready gateway, or of any gateway while fewer than half of them are ready.
     def choose(self, rng):
-        """Returns the address of a random ready gateway, or of any gateway while fewer than half of them are ready."""
         ready = [member for member in self.gateways if self.missed_checks[member.name] < 2]
         chosen = rng.choice(ready if 2 * len(ready) >= len(self.gateways) else self.gateways)
         return (chosen.ip, self.http_port)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -44,10 +44,7 @@
     parser.add_argument("--kills", choices=("no", "yes", "drawn"), default="drawn", help="whether disturbances include SIGKILL")
     parser.add_argument("--end", choices=FINAL_FAULTS + ("drawn",), default="drawn")
     parser.add_argument(
-        "--network",
-        type=int,
-        default=60,
-        help="processes use the addresses 127.NETWORK.zone.machine; concurrent runs need different networks",
+        "--network", type=int, default=60, help="processes use 127.NETWORK.zone.machine; concurrent runs need different networks"
     )
     parser.add_argument("--grace", type=int, default=6, help="seconds from SIGTERM until a process is killed")
     parser.add_argument("--busy", type=int, default=0, help="number of additional processes that use the CPU all the time")
