--- a/tests/days/days_test.py
+++ b/tests/days/days_test.py
@@ -9,7 +9,7 @@
 import families
 import troubles
 from make_days import to_toml
-from play_days import Outcome, describe, kinds_left_out
+from play_days import Outcome, describe, kinds_not_played
 from site_file import read_site
 
 SMALL_SITE = """
@@ -91,11 +91,11 @@
         for family in families.FAMILIES:
             for day in days_of(family, self.site):
                 self.assertTrue(day.faults + day.plan, day.name)
-                self.assertLessEqual(len(day.faults), day.most_faults)
-                self.assertLessEqual(len(day.plan), day.most_plans)
+                self.assertLessEqual(len(day.faults), day.max_faults)
+                self.assertLessEqual(len(day.plan), day.max_plans)
                 for entry in day.faults + day.plan:
                     self.assertGreater(entry["at"], 0)
-                    self.assertLessEqual(entry["at"], day.length_s - families.CALM_END_S)
+                    self.assertLessEqual(entry["at"], day.length_s - families.QUIET_END_S)
 
     def test_planned_work_stands_under_plan(self):
         for family in families.FAMILIES:
@@ -183,7 +183,7 @@
         self.site = site_of(SMALL_SITE)
         self.day = families.Day("cut-1", seed=1, length_s=self.site.length_s)
         for kind in ("core_cut", "node_cut", "config_change"):
-            self.day.add(5, {"kind": kind})
+            self.day.add_trouble(5, {"kind": kind})
         self.report = {
             "G": 0.7,
             "served": 0.9,
@@ -212,7 +212,7 @@
         self.assertIn("BROKEN", line)
         self.assertIn("LOST", line)
         self.assertIn("left out: node_cut", line)
-        self.assertEqual(kinds_left_out(self.day, self.report), ["node_cut"])
+        self.assertEqual(kinds_not_played(self.day, self.report), ["node_cut"])
 
 
 if __name__ == "__main__":
--- a/tests/days/draw.py
+++ b/tests/days/draw.py
@@ -3,7 +3,7 @@
 import random
 
 
-class Draw:
+class RandomSource:
     """A random generator with the few operations that the generator of days needs."""
 
     def __init__(self, *key):
@@ -13,7 +13,7 @@
         """A number between low and high, rounded as people write it."""
         return round(self._random.uniform(low, high), 2)
 
-    def whole(self, low: int, high: int) -> int:
+    def integer(self, low: int, high: int) -> int:
         """A whole number from low to high, both included."""
         return self._random.randint(low, high)
 
--- a/tests/days/families.py
+++ b/tests/days/families.py
@@ -7,14 +7,14 @@
 from dataclasses import dataclass, field
 
 import troubles
-from draw import Draw
+from draw import RandomSource
 from site_file import Site
 
 # More troubles than these and the bench spends the day making entries wait for one another.
-MOST_FAULTS = 12
-MOST_PLANS = 12
+MAX_FAULTS = 12
+MAX_PLANS = 12
 # Nothing begins in the last seconds of the traffic, so that the day's end is still a recovery.
-CALM_END_S = 3.0
+QUIET_END_S = 3.0
 # The bench judges a long day by the same rules; its processor time is what limits the length.
 LONG_DAY_EVERY = 6
 LONG_DAY_S = (90, 180, 300, 600)
@@ -30,15 +30,15 @@
     faults: list = field(default_factory=list)
     plan: list = field(default_factory=list)
     closing: dict | None = None
-    most_faults: int = MOST_FAULTS
-    most_plans: int = MOST_PLANS
+    max_faults: int = MAX_FAULTS
+    max_plans: int = MAX_PLANS
 
-    def add(self, at: float, trouble: dict) -> None:
+    def add_trouble(self, at: float, trouble: dict) -> None:
         """Places a trouble at a time, unless the day is full or about to end."""
         planned = trouble["kind"] in troubles.PLANNED_KINDS
         entries = self.plan if planned else self.faults
-        most = self.most_plans if planned else self.most_faults
-        if len(entries) < most and 0.5 <= at <= self.length_s - CALM_END_S:
+        most = self.max_plans if planned else self.max_faults
+        if len(entries) < most and 0.5 <= at <= self.length_s - QUIET_END_S:
             entries.append({"at": round(at, 2)} | trouble)
 
     def kinds(self) -> set:
@@ -47,28 +47,28 @@
         return found | ({self.closing["kind"]} if self.closing else set())
 
 
-def _closing(draw: Draw) -> dict | None:
+def _random_closing_fault(rng: RandomSource) -> dict | None:
     """A closing fault in two of three days."""
-    kind = draw.pick(("", "kill_all", "power_off_all", "wipe_after_ack"))
+    kind = rng.pick(("", "kill_all", "power_off_all", "wipe_after_ack"))
     if not kind:
         return None
-    return _closing_of(kind, draw)
+    return _closing_fault(kind, rng)
 
 
-def _closing_of(kind: str, draw: Draw) -> dict:
-    closing = {"kind": kind, "down_s": draw.number(0.4, 2)}
+def _closing_fault(kind: str, rng: RandomSource) -> dict:
+    closing = {"kind": kind, "down_s": rng.number(0.4, 2)}
     if kind == "wipe_after_ack":
-        closing["how"] = draw.pick(("", "aimed", "oldest", "timed", "taken"))
+        closing["how"] = rng.pick(("", "aimed", "oldest", "timed", "taken"))
     return closing
 
 
-def _turn(choices, number: int):
+def _cycle(choices, number: int):
     """The choice whose turn it is on this day."""
     return choices[number % len(choices)]
 
 
-def _change(draw: Draw) -> dict:
-    return {"kind": "config_change", "how": draw.pick(troubles.CONFIG_CHANGES)}
+def _config_change(rng: RandomSource) -> dict:
+    return {"kind": "config_change", "how": rng.pick(troubles.CONFIG_CHANGES)}
 
 
 # --- cut: a control machine is cut off for about twenty seconds ---
@@ -96,76 +96,76 @@
 NODE_CUTS = ("", "all", "servers", "one_way", "reset", "refuse")
 
 
-def fill_cut(day: Day, draw: Draw, site: Site, number: int) -> None:
+def fill_cut(day: Day, rng: RandomSource, site: Site, number: int) -> None:
     """One long cut of a counted machine, by the variant whose turn it is, with life going on round it."""
-    begin = draw.number(2, 7)
-    length = draw.number(17, 22)
-    how = _turn(CORE_CUTS, number)
-    if draw.chance(0.4):
-        how = " ".join(word for word in (how, _missing_return_words(how, draw)) if word)
-    day.add(begin, {"kind": "core_cut", "count": 1, "for_s": length, "how": how})
-    _other_cut(day, draw, begin, number)
-    for _ in range(draw.whole(1, 3)):
-        day.add(begin + draw.number(1, length + 2), _change(draw))
-    if draw.chance(0.5):
-        _kill_leader(day, draw, begin + length + draw.number(0.1, site.sync_s + 2))
-    if draw.chance(0.5):
-        day.add(begin + draw.number(2, length), troubles.draw_trouble("scale_in", draw, site))
-    day.closing = _closing(draw)
-
-
-def _missing_return_words(how: str, draw: Draw) -> str:
+    begin = rng.number(2, 7)
+    length = rng.number(17, 22)
+    how = _cycle(CORE_CUTS, number)
+    if rng.chance(0.4):
+        how = " ".join(word for word in (how, _missing_return_words(how, rng)) if word)
+    day.add_trouble(begin, {"kind": "core_cut", "count": 1, "for_s": length, "how": how})
+    _add_node_cut(day, rng, begin, number)
+    for _ in range(rng.integer(1, 3)):
+        day.add_trouble(begin + rng.number(1, length + 2), _config_change(rng))
+    if rng.chance(0.5):
+        _add_leader_kill(day, rng, begin + length + rng.number(0.1, site.sync_s + 2))
+    if rng.chance(0.5):
+        day.add_trouble(begin + rng.number(2, length), troubles.draw_trouble("scale_in", rng, site))
+    day.closing = _random_closing_fault(rng)
+
+
+def _missing_return_words(how: str, rng: RandomSource) -> str:
     """Events on return, where the variant brings none by itself."""
-    already = {"meet", "race", "hard", "drain"} & set(how.split())
-    return "" if already else troubles.return_words(draw)
+    present = {"meet", "race", "hard", "drain"} & set(how.split())
+    return "" if present else troubles.return_words(rng)
 
 
-def _other_cut(day: Day, draw: Draw, begin: float, number: int) -> None:
+def _add_node_cut(day: Day, rng: RandomSource, begin: float, number: int) -> None:
     """Machines that are not counted are cut off too, for as long or for a part of that time."""
     cut = {
         "kind": "node_cut",
-        "on": draw.pick(("front", "side")),
-        "share": draw.number(0.1, 0.25),
-        "for_s": draw.number(4, 20),
-        "how": _turn(NODE_CUTS, number),
+        "on": rng.pick(("front", "side")),
+        "share": rng.number(0.1, 0.25),
+        "for_s": rng.number(4, 20),
+        "how": _cycle(NODE_CUTS, number),
     }
-    day.add(begin + draw.number(0, 8), cut)
+    day.add_trouble(begin + rng.number(0, 8), cut)
 
 
-def _kill_leader(day: Day, draw: Draw, at: float) -> None:
-    how = draw.words(("leader",), ("", "power"), ("", "meet", "race"), ("", "hard"), ("", "drain"))
-    day.add(at, {"kind": "node_kill", "on": "core", "count": 1, "for_s": draw.number(1, 4), "how": how})
+def _add_leader_kill(day: Day, rng: RandomSource, at: float) -> None:
+    how = rng.words(("leader",), ("", "power"), ("", "meet", "race"), ("", "hard"), ("", "drain"))
+    day.add_trouble(at, {"kind": "node_kill", "on": "core", "count": 1, "for_s": rng.number(1, 4), "how": how})
 
 
 # --- operators: many orders at once, lost acknowledgements, invalid configurations ---
 
 
-def fill_operators(day: Day, draw: Draw, site: Site, number: int) -> None:
+def fill_operators(day: Day, rng: RandomSource, site: Site, number: int) -> None:
     """Up to eight orders at once while their acknowledgements get lost and leaders are killed."""
-    begin = draw.number(1, 6)
-    day.add(begin, {"kind": "ack_lost", "x": draw.number(0.4, 0.95), "for_s": draw.number(10, 26)})
-    for _ in range(draw.whole(2, 4)):
-        day.add(begin + draw.number(0, 24), _race(draw))
-    for _ in range(draw.whole(1, 4)):
-        day.add(begin + draw.number(0, 24), _change(draw))
-    for _ in range(draw.whole(1, 2)):
-        day.add(begin + draw.number(0, 24), _same_version(draw))
-    day.add(begin + draw.number(0, 20), troubles.draw_trouble("bad_config", draw, site))
-    for _ in range(draw.whole(1, 3)):
-        _kill_leader(day, draw, begin + draw.number(0.5, 22))
-    if draw.chance(0.5):
-        day.add(begin + draw.number(0, 20), troubles.draw_trouble("after_ack_kill", draw, site))
-    day.closing = _closing(draw)
-
-
-def _race(draw: Draw) -> dict:
+    begin = rng.number(1, 6)
+    day.add_trouble(begin, {"kind": "ack_lost", "x": rng.number(0.4, 0.95), "for_s": rng.number(10, 26)})
+    for _ in range(rng.integer(2, 4)):
+        day.add_trouble(begin + rng.number(0, 24), _config_race(rng))
+    for _ in range(rng.integer(1, 4)):
+        day.add_trouble(begin + rng.number(0, 24), _config_change(rng))
+    for _ in range(rng.integer(1, 2)):
+        day.add_trouble(begin + rng.number(0, 24), _same_version_config(rng))
+    day.add_trouble(begin + rng.number(0, 20), troubles.draw_trouble("bad_config", rng, site))
+    for _ in range(rng.integer(1, 3)):
+        _add_leader_kill(day, rng, begin + rng.number(0.5, 22))
+    if rng.chance(0.5):
+        day.add_trouble(begin + rng.number(0, 20), troubles.draw_trouble("after_ack_kill", rng, site))
+    day.closing = _random_closing_fault(rng)
+
+
+def _config_race(rng: RandomSource) -> dict:
     """Pairs of changes on one version; four pairs without a pause are eight orders at once."""
-    gap = draw.pick((0.01, 0.05, 0.2, 0.8))
-    return {"kind": "config_race", "count": draw.whole(3, 8), "gap_s": gap}
+    gap = rng.pick((0.01, 0.05, 0.2, 0.8))
+    return {"kind": "config_race", "count": rng.integer(3, 8), "gap_s": gap}
 
 
-def _same_version(draw: Draw) -> dict:
-    return {"kind": "bad_config", "how": "same_version", "count": draw.whole(2, 6), "gap_s": draw.number(0.1, 1)}
+def _same_version_config(rng: RandomSource) -> dict:
+    return {"kind": "bad_config", "how": "same_version", "count": rng.integer(2, 6), "gap_s": rng.number(0.1, 1)}
 
 
 # --- second-loss: a machine is lost, and another as soon as the rules allow, or sooner ---
@@ -174,121 +174,121 @@
 SECOND_LOSSES = ("after_ack_wipe", "after_ack_kill", "node_kill", "core_cut", "node_freeze", "replace_core")
 
 
-def fill_second_loss(day: Day, draw: Draw, site: Site, number: int) -> None:
+def fill_second_loss(day: Day, rng: RandomSource, site: Site, number: int) -> None:
     """A loss, a second one just before or after the first has had its time to catch up, then a third."""
-    at = draw.number(2, 6)
-    first = _first_loss(_turn(FIRST_LOSSES, number), draw)
-    day.add(at, first)
+    at = rng.number(2, 6)
+    first = _first_loss(_cycle(FIRST_LOSSES, number), rng)
+    day.add_trouble(at, first)
     for _ in range(2):
-        at += _until_next_loss(first, draw, site)
-        second = _second_loss(draw.pick(SECOND_LOSSES), draw, site)
-        day.add(at, second)
+        at += _until_next_loss(first, rng, site)
+        second = _second_loss(rng.pick(SECOND_LOSSES), rng, site)
+        day.add_trouble(at, second)
         first = second
-    for _ in range(draw.whole(1, 3)):
-        day.add(draw.number(1, day.length_s - CALM_END_S), _change(draw))
-    if draw.chance(0.5):
-        day.add(draw.number(8, 28), _race(draw))
-    closing = draw.pick(("wipe_after_ack", "wipe_after_ack", "power_off_all"))
-    day.closing = _closing_of(closing, draw)
+    for _ in range(rng.integer(1, 3)):
+        day.add_trouble(rng.number(1, day.length_s - QUIET_END_S), _config_change(rng))
+    if rng.chance(0.5):
+        day.add_trouble(rng.number(8, 28), _config_race(rng))
+    closing = rng.pick(("wipe_after_ack", "wipe_after_ack", "power_off_all"))
+    day.closing = _closing_fault(closing, rng)
 
 
-def _first_loss(variant: str, draw: Draw) -> dict:
+def _first_loss(variant: str, rng: RandomSource) -> dict:
     kind, _, how = variant.partition(" ")
     if kind == "replace_core":
-        return {"kind": kind, "x": draw.number(0.5, 2.5), "how": how}
+        return {"kind": kind, "x": rng.number(0.5, 2.5), "how": how}
     if kind == "roll_term":
-        return {"kind": kind, "on": "core", "share": 0.34, "x": 1, "gap_s": draw.number(0.8, 2), "how": "remove"}
-    return {"kind": kind, "for_s": draw.number(0.5, 2.5), "how": how}
+        return {"kind": kind, "on": "core", "share": 0.34, "x": 1, "gap_s": rng.number(0.8, 2), "how": "remove"}
+    return {"kind": kind, "for_s": rng.number(0.5, 2.5), "how": how}
 
 
-def _second_loss(kind: str, draw: Draw, site: Site) -> dict:
-    trouble = troubles.draw_trouble(kind, draw, site)
+def _second_loss(kind: str, rng: RandomSource, site: Site) -> dict:
+    trouble = troubles.draw_trouble(kind, rng, site)
     if kind in ("node_kill", "node_freeze"):
         trouble.pop("share", None)
         trouble |= {"on": "core", "count": 1}
     return trouble
 
 
-def _until_next_loss(loss: dict, draw: Draw, site: Site) -> float:
+def _until_next_loss(loss: dict, rng: RandomSource, site: Site) -> float:
     """Seconds from a loss to the next: around the end of `sync_s`, or well within it."""
     absent = loss.get("for_s", loss.get("x", 1))
-    if draw.chance(0.25):
-        return absent + draw.number(0.2, site.sync_s)
-    return absent + site.sync_s + draw.number(-0.6, 0.8)
+    if rng.chance(0.25):
+        return absent + rng.number(0.2, site.sync_s)
+    return absent + site.sync_s + rng.number(-0.6, 0.8)
 
 
 # --- many-changes: long days with hundreds of changes, restarts and disk trouble ---
 
 
-def fill_many_changes(day: Day, draw: Draw, site: Site, number: int) -> None:
+def fill_many_changes(day: Day, rng: RandomSource, site: Site, number: int) -> None:
     """Changes without end while machines restart; some days last up to ten minutes."""
     if number % LONG_DAY_EVERY == 0:
-        day.length_s = float(_turn(LONG_DAY_S, number // LONG_DAY_EVERY))
-    day.most_faults = day.most_plans = max(MOST_FAULTS, int(day.length_s / 6))
-    last = day.length_s - CALM_END_S
+        day.length_s = float(_cycle(LONG_DAY_S, number // LONG_DAY_EVERY))
+    day.max_faults = day.max_plans = max(MAX_FAULTS, int(day.length_s / 6))
+    last = day.length_s - QUIET_END_S
     for _ in range(max(3, int(day.length_s / 12))):
-        changes = {"kind": "config_race", "count": draw.whole(6, 12), "gap_s": draw.number(0.3, 1)}
-        day.add(draw.number(1, last), changes)
+        changes = {"kind": "config_race", "count": rng.integer(6, 12), "gap_s": rng.number(0.3, 1)}
+        day.add_trouble(rng.number(1, last), changes)
     for _ in range(max(2, int(day.length_s / 15))):
-        day.add(draw.number(1, last), _change(draw))
+        day.add_trouble(rng.number(1, last), _config_change(rng))
     for _ in range(max(1, int(day.length_s / 40))):
-        day.add(draw.number(2, last - 6), troubles.draw_trouble("roll_term", draw, site))
-        day.add(draw.number(1, last), {"kind": "seed_turnover"})
+        day.add_trouble(rng.number(2, last - 6), troubles.draw_trouble("roll_term", rng, site))
+        day.add_trouble(rng.number(1, last), {"kind": "seed_turnover"})
     for _ in range(max(3, int(day.length_s / 12))):
-        _restart_or_disk_trouble(day, draw, site, last)
-    day.closing = _closing(draw)
+        _restart_or_disk_trouble(day, rng, site, last)
+    day.closing = _random_closing_fault(rng)
 
 
-def _restart_or_disk_trouble(day: Day, draw: Draw, site: Site, last: float) -> None:
-    at = draw.number(2, last)
-    if draw.chance(0.5):
-        how = draw.words(("", "leader", "turn"), ("", "power"), ("", "meet", "race"))
-        restart = {"kind": "node_kill", "on": "core", "count": 1, "for_s": draw.number(0.5, 2), "how": how}
-        day.add(at, restart)
+def _restart_or_disk_trouble(day: Day, rng: RandomSource, site: Site, last: float) -> None:
+    at = rng.number(2, last)
+    if rng.chance(0.5):
+        how = rng.words(("", "leader", "turn"), ("", "power"), ("", "meet", "race"))
+        restart = {"kind": "node_kill", "on": "core", "count": 1, "for_s": rng.number(0.5, 2), "how": how}
+        day.add_trouble(at, restart)
         return
-    day.add(at, troubles.draw_trouble(draw.pick(("disk_stall", "disk_slow", "disk_full")), draw, site))
+    day.add_trouble(at, troubles.draw_trouble(rng.pick(("disk_stall", "disk_slow", "disk_full")), rng, site))
 
 
 # --- wrong-caller: orders and answers that go astray between control machines and workers ---
 
 
-def fill_wrong_caller(day: Day, draw: Draw, site: Site, number: int) -> None:
+def fill_wrong_caller(day: Day, rng: RandomSource, site: Site, number: int) -> None:
     """Lost answers, late orders, resets, cuts and machines that mute, hang or leave."""
-    strikes = (
-        {"kind": "applied_late", "x": draw.number(0.1, 0.5), "for_s": draw.number(6, 15), "how": _turn(troubles.LATE_ORDERS, number)},
-        {"kind": "srv_cut", "share": draw.number(0.1, 0.3), "for_s": draw.number(3, 12), "how": _turn(troubles.SERVER_CUTS, number)},
+    entries = (
+        {"kind": "applied_late", "x": rng.number(0.1, 0.5), "for_s": rng.number(6, 15), "how": _cycle(troubles.LATE_ORDERS, number)},
+        {"kind": "srv_cut", "share": rng.number(0.1, 0.3), "for_s": rng.number(3, 12), "how": _cycle(troubles.SERVER_CUTS, number)},
         {
             "kind": "srv_grey",
-            "share": draw.number(0.1, 0.2),
-            "x": draw.number(0.3, 1),
-            "for_s": draw.number(4, 10),
-            "how": _turn(("mute", "hang", "reset"), number),
+            "share": rng.number(0.1, 0.2),
+            "x": rng.number(0.3, 1),
+            "for_s": rng.number(4, 10),
+            "how": _cycle(("mute", "hang", "reset"), number),
         },
-        {"kind": "scale_in", "share": draw.number(0.1, 0.25), "how": _turn(("spot", ""), number)},
+        {"kind": "scale_in", "share": rng.number(0.1, 0.25), "how": _cycle(("spot", ""), number)},
     )
-    for strike in strikes:
-        day.add(draw.number(4, 22), strike)
-    for kind in draw.sample(("reset_conns", "node_freeze", "ack_lost", "reset_conns", "node_cut"), 4):
-        day.add(draw.number(4, 26), troubles.draw_trouble(kind, draw, site))
-    if draw.chance(0.5):
-        _kill_leader(day, draw, draw.number(6, 24))
-    if draw.chance(0.5):
-        day.add(draw.number(2, 26), _change(draw))
-    day.closing = _closing(draw)
+    for entry in entries:
+        day.add_trouble(rng.number(4, 22), entry)
+    for kind in rng.sample(("reset_conns", "node_freeze", "ack_lost", "reset_conns", "node_cut"), 4):
+        day.add_trouble(rng.number(4, 26), troubles.draw_trouble(kind, rng, site))
+    if rng.chance(0.5):
+        _add_leader_kill(day, rng, rng.number(6, 24))
+    if rng.chance(0.5):
+        day.add_trouble(rng.number(2, 26), _config_change(rng))
+    day.closing = _random_closing_fault(rng)
 
 
 # --- mix: anything at any moment ---
 
 
-def fill_mix(day: Day, draw: Draw, site: Site, number: int) -> None:
+def fill_mix(day: Day, rng: RandomSource, site: Site, number: int) -> None:
     """Troubles of all kinds that apply, several of them at one moment."""
     kinds = troubles.applicable_kinds(site)
-    moment = draw.number(2, 12)
-    for _ in range(draw.whole(6, 12)):
-        if draw.chance(0.6):
-            moment = draw.number(1, day.length_s - CALM_END_S)
-        day.add(moment, troubles.draw_trouble(draw.pick(kinds), draw, site))
-    day.closing = _closing(draw)
+    moment = rng.number(2, 12)
+    for _ in range(rng.integer(6, 12)):
+        if rng.chance(0.6):
+            moment = rng.number(1, day.length_s - QUIET_END_S)
+        day.add_trouble(moment, troubles.draw_trouble(rng.pick(kinds), rng, site))
+    day.closing = _random_closing_fault(rng)
 
 
 FAMILIES = {
@@ -303,9 +303,9 @@
 
 def make_day(family: str, site: Site, seed: int, number: int) -> Day:
     """Day `number` of a family: the same for the same site and seed."""
-    draw = Draw(seed, site.name, family, number)
-    day = Day(name=f"{family}-{number}", seed=draw.whole(1, 2**28), length_s=site.length_s)
-    FAMILIES[family](day, draw, site, number)
+    rng = RandomSource(seed, site.name, family, number)
+    day = Day(name=f"{family}-{number}", seed=rng.integer(1, 2**28), length_s=site.length_s)
+    FAMILIES[family](day, rng, site, number)
     day.faults.sort(key=lambda entry: entry["at"])
     day.plan.sort(key=lambda entry: entry["at"])
     return day
--- a/tests/days/play_days.py
+++ b/tests/days/play_days.py
@@ -36,7 +36,7 @@
         return self.report["breaks"] if self.report else {}
 
     @property
-    def missed_gates(self) -> list:
+    def failed_gates(self) -> list:
         """What else fails the gate, a fault for which the day counts nothing included."""
         if not self.report:
             return []
@@ -48,7 +48,7 @@
         """One word for the day."""
         if not self.report:
             return "NOT PLAYED"
-        return "BROKEN" if self.broken_rules or self.missed_gates else "passed"
+        return "BROKEN" if self.broken_rules or self.failed_gates else "passed"
 
 
 def play(bench: str, site_path: str, day_path: Path, jobs: int, *more: str) -> Outcome:
@@ -62,7 +62,7 @@
     return Outcome(report, exit_code)
 
 
-def kinds_left_out(day: Day, report: dict) -> list[str]:
+def kinds_not_played(day: Day, report: dict) -> list[str]:
     """Drawn kinds of which the bench played none: they don't apply, or waited until the day was over."""
     played = {event["kind"].partition(" ")[0] for event in report["events"]}
     drawn = {entry["kind"] for entry in day.faults + day.plan}
@@ -77,15 +77,15 @@
     drawn = len(day.faults) + len(day.plan)
     parts.append(f"worth {outcome.report['G']:.3f} served {outcome.report['served']:.3f}")
     parts.append(f"{drawn} troubles")
-    left_out = kinds_left_out(day, outcome.report)
-    if left_out:
-        parts.append("left out: " + ", ".join(left_out))
+    not_played = kinds_not_played(day, outcome.report)
+    if not_played:
+        parts.append("left out: " + ", ".join(not_played))
     if outcome.report["exits_n"]:
         parts.append(f"{outcome.report['exits_n']} exits of its own")
     if outcome.broken_rules:
         parts.append("rules: " + json.dumps(outcome.broken_rules))
-    if outcome.missed_gates:
-        parts.append("gates: " + json.dumps(outcome.missed_gates))
+    if outcome.failed_gates:
+        parts.append("gates: " + json.dumps(outcome.failed_gates))
     return "; ".join(parts)
 
 
@@ -96,24 +96,24 @@
     for number in range(arguments.first, arguments.last + 1):
         day = make_day(arguments.family, site, arguments.seed, number)
         day_path = write_day(day, site, arguments.out)
-        why = f"day {day.name} of our own, seed {arguments.seed}"
+        reason = f"day {day.name} of our own, seed {arguments.seed}"
         log_options = ("--log", "all") if arguments.logs else ()
-        outcome = play(arguments.bench, arguments.site, day_path, arguments.jobs, "--why", why, *log_options)
+        outcome = play(arguments.bench, arguments.site, day_path, arguments.jobs, "--why", reason, *log_options)
         print(describe(day, site, outcome), flush=True)
         if outcome.verdict == "BROKEN":
             result = BROKEN
-            _play_again_with_logs(arguments, day_path)
+            _replay_with_logs(arguments, day_path)
         elif outcome.verdict == "NOT PLAYED":
             result = result or NOT_PLAYED
     return result
 
 
-def _play_again_with_logs(arguments: argparse.Namespace, day_path: Path) -> None:
-    again = day_path.with_name(day_path.stem + "-again.toml")
-    again.write_text(day_path.read_text())
+def _replay_with_logs(arguments: argparse.Namespace, day_path: Path) -> None:
+    replay_path = day_path.with_name(day_path.stem + "-again.toml")
+    replay_path.write_text(day_path.read_text())
     """Not every fault shows again: processor time is measured, so two plays of a day differ a little."""
-    why = f"day {day_path.stem} once more, with logs"
-    outcome = play(arguments.bench, arguments.site, again, arguments.jobs, "--why", why, "--log", "all")
+    reason = f"day {day_path.stem} once more, with logs"
+    outcome = play(arguments.bench, arguments.site, replay_path, arguments.jobs, "--why", reason, "--log", "all")
     print(f"  once more with logs: {outcome.verdict} {json.dumps(outcome.broken_rules)}", flush=True)
 
 
--- a/tests/days/site_file.py
+++ b/tests/days/site_file.py
@@ -17,11 +17,11 @@
     tolerated_machines: int
     zones: tuple[str, ...]
     request_classes: tuple[str, ...]
-    own_kinds: frozenset[str]
+    listed_kinds: frozenset[str]
 
-    def knows(self, kind: str) -> bool:
+    def supports(self, kind: str) -> bool:
         """Whether troubles of this kind apply to the deployment."""
-        return kind not in SITE_SPECIFIC_KINDS or kind in self.own_kinds
+        return kind not in SITE_SPECIFIC_KINDS or kind in self.listed_kinds
 
 
 def read_site(path: str) -> Site:
@@ -35,5 +35,5 @@
         tolerated_machines=content["tolerate"]["machines"],
         zones=tuple(zone["name"] for zone in content["zones"]),
         request_classes=tuple(entry["name"] for entry in content["classes"]),
-        own_kinds=frozenset(trouble["kind"] for trouble in content["troubles"]),
+        listed_kinds=frozenset(trouble["kind"] for trouble in content["troubles"]),
     )
--- a/tests/days/troubles.py
+++ b/tests/days/troubles.py
@@ -4,7 +4,7 @@
 are kept within what the bench plays: long enough to hurt, short enough for a day of half a minute.
 """
 
-from draw import Draw
+from draw import RandomSource
 from site_file import Site
 
 # Troubles that are planned work stand under `plan` in a day file, all others under `faults`.
@@ -24,7 +24,7 @@
 TARGETS = ("", "leader", "reader", "turn", "seed")
 # What happens as a machine returns.
 RETURN_EVENTS = ("", "meet", "race")
-HARDNESS = ("", "hard")
+HARD_KILLS = ("", "hard")
 DRAINS = ("", "drain")
 
 CORE_CUT_SCOPES = ("", "all", "near", "oldest", "one_way", "seeds", "both", "lure")
@@ -47,14 +47,14 @@
 SERVER_CUTS = ("", "fronts", "one_way", "reset")
 GREY_FAILURES = ("errors", "shed", "busy", "hang", "reset", "mute", "slow")
 
-_drawers = {}
+_generators = {}
 
 
-def _draws(kind: str):
+def _generates(kind: str):
     """Registers a function as the one that draws troubles of a kind."""
 
     def register(function):
-        _drawers[kind] = function
+        _generators[kind] = function
         return function
 
     return register
@@ -62,203 +62,203 @@
 
 def applicable_kinds(site: Site) -> list[str]:
     """The kinds that apply to a deployment, in a fixed order."""
-    return sorted(kind for kind in _drawers if site.knows(kind))
+    return sorted(kind for kind in _generators if site.supports(kind))
 
 
-def draw_trouble(kind: str, draw: Draw, site: Site) -> dict:
+def draw_trouble(kind: str, rng: RandomSource, site: Site) -> dict:
     """A trouble of this kind, without its time."""
-    return {"kind": kind} | _drawers[kind](draw, site)
+    return {"kind": kind} | _generators[kind](rng, site)
 
 
-def return_words(draw: Draw) -> str:
+def return_words(rng: RandomSource) -> str:
     """What happens to a machine as it returns; empty in half of the draws."""
-    if draw.chance(0.5):
+    if rng.chance(0.5):
         return ""
-    return draw.words(RETURN_EVENTS, HARDNESS, DRAINS)
+    return rng.words(RETURN_EVENTS, HARD_KILLS, DRAINS)
 
 
 def _join(*words: str) -> str:
     return " ".join(word for word in words if word)
 
 
-def _strike_core(draw: Draw, style: str = "") -> dict:
+def _core_target_fields(rng: RandomSource, style: str = "") -> dict:
     """Fields that strike one counted machine."""
-    how = _join(draw.pick(TARGETS), style, return_words(draw))
+    how = _join(rng.pick(TARGETS), style, return_words(rng))
     return {"on": "core", "count": 1, "how": how}
 
 
-def _strike_any(draw: Draw, style: str = "") -> dict:
+def _any_target_fields(rng: RandomSource, style: str = "") -> dict:
     """Fields that strike either a counted machine or a share of one class."""
-    if draw.chance(0.5):
-        return _strike_core(draw, style)
-    return {"on": draw.pick(("front", "side")), "share": draw.number(0.1, 0.3), "how": style}
+    if rng.chance(0.5):
+        return _core_target_fields(rng, style)
+    return {"on": rng.pick(("front", "side")), "share": rng.number(0.1, 0.3), "how": style}
 
 
-@_draws("burst")
-def _burst(draw, site):
-    return {"class": draw.pick(site.request_classes), "x": draw.number(1.5, 3), "for_s": draw.number(2, 6)}
+@_generates("burst")
+def _burst(rng, site):
+    return {"class": rng.pick(site.request_classes), "x": rng.number(1.5, 3), "for_s": rng.number(2, 6)}
 
 
-@_draws("hot_key")
-def _hot_key(draw, site):
-    return {"class": site.request_classes[0], "share": draw.number(0.3, 0.7), "for_s": draw.number(3, 6)}
+@_generates("hot_key")
+def _hot_key(rng, site):
+    return {"class": site.request_classes[0], "share": rng.number(0.3, 0.7), "for_s": rng.number(3, 6)}
 
 
-@_draws("poison")
-def _poison(draw, site):
-    return {"class": draw.pick(site.request_classes), "share": draw.number(0.02, 0.08), "for_s": draw.number(2, 5)}
+@_generates("poison")
+def _poison(rng, site):
+    return {"class": rng.pick(site.request_classes), "share": rng.number(0.02, 0.08), "for_s": rng.number(2, 5)}
 
 
-@_draws("srv_crash")
-def _srv_crash(draw, site):
-    how = draw.words(("", "dark", "gone", "dark gone"), ("", "", "across"))
-    return {"share": draw.number(0.05, 0.25), "for_s": draw.number(2, 6), "how": how}
+@_generates("srv_crash")
+def _srv_crash(rng, site):
+    how = rng.words(("", "dark", "gone", "dark gone"), ("", "", "across"))
+    return {"share": rng.number(0.05, 0.25), "for_s": rng.number(2, 6), "how": how}
 
 
-@_draws("srv_slow")
-def _srv_slow(draw, site):
-    return {"share": draw.number(0.1, 0.3), "x": draw.number(3, 8), "for_s": draw.number(3, 8)}
+@_generates("srv_slow")
+def _srv_slow(rng, site):
+    return {"share": rng.number(0.1, 0.3), "x": rng.number(3, 8), "for_s": rng.number(3, 8)}
 
 
-@_draws("srv_grey")
-def _srv_grey(draw, site):
-    how = draw.words(GREY_FAILURES, ("", "", "one_zone"))
-    strength = draw.number(4, 8) if "slow" in how else draw.number(0.3, 1)
-    return {"share": draw.number(0.05, 0.2), "x": strength, "for_s": draw.number(3, 8), "how": how}
+@_generates("srv_grey")
+def _srv_grey(rng, site):
+    how = rng.words(GREY_FAILURES, ("", "", "one_zone"))
+    strength = rng.number(4, 8) if "slow" in how else rng.number(0.3, 1)
+    return {"share": rng.number(0.05, 0.2), "x": strength, "for_s": rng.number(3, 8), "how": how}
 
 
-@_draws("srv_lying_health")
-def _srv_lying_health(draw, site):
-    return {"share": draw.number(0.05, 0.15), "for_s": draw.number(3, 7), "how": draw.pick(("errors", "hang", "reset", "bad"))}
+@_generates("srv_lying_health")
+def _srv_lying_health(rng, site):
+    return {"share": rng.number(0.05, 0.15), "for_s": rng.number(3, 7), "how": rng.pick(("errors", "hang", "reset", "bad"))}
 
 
-@_draws("srv_flap")
-def _srv_flap(draw, site):
-    return {"share": draw.number(0.05, 0.15), "gap_s": draw.number(0.7, 2), "for_s": draw.number(4, 8)}
+@_generates("srv_flap")
+def _srv_flap(rng, site):
+    return {"share": rng.number(0.05, 0.15), "gap_s": rng.number(0.7, 2), "for_s": rng.number(4, 8)}
 
 
-@_draws("srv_cut")
-def _srv_cut(draw, site):
-    return {"share": draw.number(0.1, 0.3), "for_s": draw.number(2, 8), "how": draw.pick(SERVER_CUTS)}
+@_generates("srv_cut")
+def _srv_cut(rng, site):
+    return {"share": rng.number(0.1, 0.3), "for_s": rng.number(2, 8), "how": rng.pick(SERVER_CUTS)}
 
 
-@_draws("scale_in")
-def _scale_in(draw, site):
-    return {"share": draw.number(0.05, 0.2), "how": draw.pick(("", "spot"))}
+@_generates("scale_in")
+def _scale_in(rng, site):
+    return {"share": rng.number(0.05, 0.2), "how": rng.pick(("", "spot"))}
 
 
-@_draws("node_kill")
-def _node_kill(draw, site):
-    return _strike_any(draw, draw.pick(("", "power"))) | {"for_s": draw.number(1, 5)}
+@_generates("node_kill")
+def _node_kill(rng, site):
+    return _any_target_fields(rng, rng.pick(("", "power"))) | {"for_s": rng.number(1, 5)}
 
 
-@_draws("node_freeze")
-def _node_freeze(draw, site):
-    return _strike_any(draw) | {"for_s": draw.number(1, 6)}
+@_generates("node_freeze")
+def _node_freeze(rng, site):
+    return _any_target_fields(rng) | {"for_s": rng.number(1, 6)}
 
 
-@_draws("node_slow")
-def _node_slow(draw, site):
-    return _strike_any(draw) | {"x": draw.number(3, 6), "for_s": draw.number(2, 6)}
+@_generates("node_slow")
+def _node_slow(rng, site):
+    return _any_target_fields(rng) | {"x": rng.number(3, 6), "for_s": rng.number(2, 6)}
 
 
-@_draws("node_cut")
-def _node_cut(draw, site):
-    how = _join(draw.pick(NODE_CUT_SCOPES), draw.pick(CUT_STYLES))
-    return {"on": draw.pick(("front", "side")), "share": draw.number(0.1, 0.3), "for_s": draw.number(2, 8), "how": how}
+@_generates("node_cut")
+def _node_cut(rng, site):
+    how = _join(rng.pick(NODE_CUT_SCOPES), rng.pick(CUT_STYLES))
+    return {"on": rng.pick(("front", "side")), "share": rng.number(0.1, 0.3), "for_s": rng.number(2, 8), "how": how}
 
 
-@_draws("core_cut")
-def _core_cut(draw, site):
-    how = _join(draw.pick(TARGETS), draw.pick(CORE_CUT_SCOPES), draw.pick(CUT_STYLES), return_words(draw))
-    return {"count": 1, "for_s": draw.number(2, 8), "how": how}
+@_generates("core_cut")
+def _core_cut(rng, site):
+    how = _join(rng.pick(TARGETS), rng.pick(CORE_CUT_SCOPES), rng.pick(CUT_STYLES), return_words(rng))
+    return {"count": 1, "for_s": rng.number(2, 8), "how": how}
 
 
-@_draws("herd_kill")
-def _herd_kill(draw, site):
-    if draw.chance(0.6):
-        return {"on": "core", "share": 1, "for_s": draw.number(0.5, 2), "how": draw.pick(("", "power", "taken", "taken all"))}
-    return {"on": draw.pick(("front", "side")), "share": draw.number(0.3, 0.6), "for_s": draw.number(1, 3), "how": draw.pick(("", "power"))}
+@_generates("herd_kill")
+def _herd_kill(rng, site):
+    if rng.chance(0.6):
+        return {"on": "core", "share": 1, "for_s": rng.number(0.5, 2), "how": rng.pick(("", "power", "taken", "taken all"))}
+    return {"on": rng.pick(("front", "side")), "share": rng.number(0.3, 0.6), "for_s": rng.number(1, 3), "how": rng.pick(("", "power"))}
 
 
-@_draws("replace_core")
-def _replace_core(draw, site):
-    return {"x": draw.number(0.5, 3), "how": draw.pick(("", "oldest", "planned", "seed", "leader"))}
+@_generates("replace_core")
+def _replace_core(rng, site):
+    return {"x": rng.number(0.5, 3), "how": rng.pick(("", "oldest", "planned", "seed", "leader"))}
 
 
-@_draws("after_ack_wipe")
-def _after_ack_wipe(draw, site):
-    return {"for_s": draw.number(0.5, 3), "how": draw.pick(("", "oldest", "timed", "taken"))}
+@_generates("after_ack_wipe")
+def _after_ack_wipe(rng, site):
+    return {"for_s": rng.number(0.5, 3), "how": rng.pick(("", "oldest", "timed", "taken"))}
 
 
-@_draws("after_ack_kill")
-def _after_ack_kill(draw, site):
-    return {"for_s": draw.number(0.5, 3), "how": draw.pick(("", "kill", "timed", "taken", "taken gone"))}
+@_generates("after_ack_kill")
+def _after_ack_kill(rng, site):
+    return {"for_s": rng.number(0.5, 3), "how": rng.pick(("", "kill", "timed", "taken", "taken gone"))}
 
 
-@_draws("roll_term")
-def _roll_term(draw, site):
-    fields = {"share": draw.number(0.2, 0.6), "x": 1, "gap_s": draw.number(0.6, 1.5), "how": draw.pick(("", "", "busy", "remove"))}
-    if draw.chance(0.4):
+@_generates("roll_term")
+def _roll_term(rng, site):
+    fields = {"share": rng.number(0.2, 0.6), "x": 1, "gap_s": rng.number(0.6, 1.5), "how": rng.pick(("", "", "busy", "remove"))}
+    if rng.chance(0.4):
         fields["on"] = "core"
     return fields
 
 
-@_draws("seed_turnover")
-def _seed_turnover(draw, site):
+@_generates("seed_turnover")
+def _seed_turnover(rng, site):
     return {}
 
 
-@_draws("hup")
-def _hup(draw, site):
-    return {"share": draw.number(0.2, 1), "gap_s": draw.number(0.5, 3)}
+@_generates("hup")
+def _hup(rng, site):
+    return {"share": rng.number(0.2, 1), "gap_s": rng.number(0.5, 3)}
 
 
-@_draws("disk_stall")
-def _disk_stall(draw, site):
-    return {"count": 1, "for_s": draw.number(1, 4), "how": draw.pick(("", "leader"))}
+@_generates("disk_stall")
+def _disk_stall(rng, site):
+    return {"count": 1, "for_s": rng.number(1, 4), "how": rng.pick(("", "leader"))}
 
 
-@_draws("disk_slow")
-def _disk_slow(draw, site):
-    return {"count": 1, "x": draw.number(10, 40), "for_s": draw.number(2, 8), "how": draw.pick(("", "leader"))}
+@_generates("disk_slow")
+def _disk_slow(rng, site):
+    return {"count": 1, "x": rng.number(10, 40), "for_s": rng.number(2, 8), "how": rng.pick(("", "leader"))}
 
 
-@_draws("disk_full")
-def _disk_full(draw, site):
-    return {"count": 1, "for_s": draw.number(2, 6), "how": draw.pick(("", "leader"))}
+@_generates("disk_full")
+def _disk_full(rng, site):
+    return {"count": 1, "for_s": rng.number(2, 6), "how": rng.pick(("", "leader"))}
 
 
-@_draws("clock_step")
-def _clock_step(draw, site):
-    return {"share": draw.number(0.2, 0.5), "x": draw.number(500, 4000), "for_s": draw.number(3, 8), "how": draw.pick(("back", "ahead"))}
+@_generates("clock_step")
+def _clock_step(rng, site):
+    return {"share": rng.number(0.2, 0.5), "x": rng.number(500, 4000), "for_s": rng.number(3, 8), "how": rng.pick(("back", "ahead"))}
 
 
-@_draws("reset_conns")
-def _reset_conns(draw, site):
-    return _strike_any(draw) | {"x": draw.number(0.3, 1)}
+@_generates("reset_conns")
+def _reset_conns(rng, site):
+    return _any_target_fields(rng) | {"x": rng.number(0.3, 1)}
 
 
-@_draws("ack_lost")
-def _ack_lost(draw, site):
-    return {"x": draw.number(0.3, 0.9), "for_s": draw.number(4, 12)}
+@_generates("ack_lost")
+def _ack_lost(rng, site):
+    return {"x": rng.number(0.3, 0.9), "for_s": rng.number(4, 12)}
 
 
-@_draws("config_change")
-def _config_change(draw, site):
-    return {"how": draw.pick(CONFIG_CHANGES)}
+@_generates("config_change")
+def _config_change(rng, site):
+    return {"how": rng.pick(CONFIG_CHANGES)}
 
 
-@_draws("config_race")
-def _config_race(draw, site):
-    return {"count": draw.whole(1, 4), "gap_s": draw.number(0.3, 1.5)}
+@_generates("config_race")
+def _config_race(rng, site):
+    return {"count": rng.integer(1, 4), "gap_s": rng.number(0.3, 1.5)}
 
 
-@_draws("bad_config")
-def _bad_config(draw, site):
-    return {"count": draw.whole(1, 3), "gap_s": draw.number(0.3, 1.2), "how": draw.pick(BAD_CONFIGS)}
+@_generates("bad_config")
+def _bad_config(rng, site):
+    return {"count": rng.integer(1, 3), "gap_s": rng.number(0.3, 1.2), "how": rng.pick(BAD_CONFIGS)}
 
 
-@_draws("applied_late")
-def _applied_late(draw, site):
-    return {"x": draw.number(0.03, 0.3), "for_s": draw.number(3, 8), "how": draw.pick(LATE_ORDERS)}
+@_generates("applied_late")
+def _applied_late(rng, site):
+    return {"x": rng.number(0.03, 0.3), "for_s": rng.number(3, 8), "how": rng.pick(LATE_ORDERS)}
