--- a/tests/called.sh
+++ b/tests/called.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# A fleet whose workers are called by agents, bounded, waiting on conditions: an agent is frozen for longer than a lease
-# while its worker has long work, which must end with the hold; the leader, an agent and a worker are killed, and one
-# worker leaves. history_check must find nothing. No worker is frozen here: it can't write down that its work stands still, so
-# with long work history_check takes that for running on, whether the worker calls or is called.
+# Tests a fleet whose workers are called by their agents: an agent is frozen for longer than a lease while its worker runs
+# long tasks, which must end when the lease expires; the leader, an agent and a worker are killed, and one worker leaves.
+# history_check must find no violation. No worker is frozen here: a frozen worker can't record that its tasks have paused, so
+# history_check would treat long tasks as still running, whether the worker calls its agent or is called.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 folder=$(mktemp -d)
--- a/tests/fuzz.sh
+++ b/tests/fuzz.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Every reader of bytes from outside against made-up bytes, under the address and undefined-behaviour sanitizers:
-# a fixed number of runs from a fixed seed, so the verdict is the same every time. fuzz.sh [RUNS]
+# Fuzzes every parser of untrusted input under the address and undefined-behaviour sanitizers. The number of runs and
+# the seed are fixed, so that the result is the same every time. Usage: fuzz.sh [RUNS]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 runs=${1:-20000}
--- a/tests/layout.sh
+++ b/tests/layout.sh
@@ -1,20 +1,20 @@
 #!/usr/bin/env bash
-# docs/platform.md: nothing outside platform/ knows of it, and the core builds from source/ alone, without that folder, the edges
-# and the programs. What reads platform/ besides is its own program and its tests.
+# Checks the dependencies between folders (docs/platform.md): only the platform's own program and tests use platform/, includes follow
+# the layers of source/, and the core compiles without platform/, the I/O layers and the programs.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 failed=0
 fail() { echo "layout: $1"; failed=1; }
 
-# No include and no name of the platform's outside it; tests speak of it in one file, fuzzers in one.
+# No includes and no names of the platform outside platform/, except in its two test files and one fuzzer.
 outside=(source programs benchmarks library examples)
 if grep -rnE '#\s*include\s*[<"][^>"]*platform/|aniseline::platform' "${outside[@]}"; then fail "platform/ is used outside it"; fi
 if grep -rnE 'ANISELINE_BOOT|Minions\.(Heartbeat|Leave)|Config\.(Replace|Read)|Expect-Minion|/api/(run-start|run-stop|hold)' "${outside[@]}"; then fail "the platform's names stand outside platform/"; fi
 if grep -rlE '#\s*include\s*[<"][^>"]*platform/' tests | grep -vE '^tests/(platform_tests|platform_tenant_tests|fuzz/platform)\.cpp$'; then fail "other tests than platform_tests.cpp, platform_tenant_tests.cpp and fuzz/platform.cpp use platform/"; fi
 
-# Includes point down the layers only: each folder may take what stands beside its name here, and itself.
+# Includes go down the layers only: each folder may include itself and the folders listed here for it.
 # base < raft, state < scheduling < controller; state < agent, gateway; checker beside the core; net above these; daemons and cli
-# above net; programs, platform and library on top. The core's parts that net needs are named one by one.
+# above net; programs, platform and library at the top. The parts of the core that net needs are listed one by one.
 declare -A may_include=(
   [base]=""
   [raft]="base"
@@ -36,25 +36,25 @@
     case " ${may_include[$subject]} $subject " in *" $included "*) ;; *) fail "$file includes $included/, which does not stand below source/$subject" ;; esac
   done < <(grep -rHoE '^#include "[a-z_]+/' "source/$subject" | sed -E 's/#include "([a-z_]+)\//\1/')
 done
-# Nothing under source/ takes what stands on top of it.
+# Nothing in source/ includes the layers above it.
 if grep -rnE '#\s*include\s*[<"]([^>"]*/)?(programs|platform|library|aniseline|tests|benchmarks)/' source; then fail "source/ includes what stands above it"; fi
-# The library and the platform's adapter use the edges, not the core's decisions.
+# The library and the platform adapter use the I/O layers, not the decision logic of the core.
 if grep -rnE '#include "(scheduling|controller|simulator|raft|checker)/' platform library; then fail "platform/ or library/ includes the core's decisions"; fi
 
-# Every log event of the daemons is explained to operators.
+# Every log event of the daemons is documented for operators.
 while IFS= read -r event; do
   grep -qF "\`$event\`" docs/operations.md || fail "docs/operations.md does not name the log event $event"
 done < <(sed -nE 's/^constexpr const char\* [a-zA-Z]+ = "([a-z_]+)";$/\1/p' source/net/log_events.hpp)
 if grep -rnE '\blog\(LogLevel::[a-z]+, "' source platform programs library; then fail "a log event has no name in source/net/log_events.hpp"; fi
 
-# What the compiler itself read for each object of the build.
+# Only the expected objects depend on platform/, by the header dependencies that the compiler recorded.
 if [ -f build/build.ninja ]; then
   while IFS= read -r object; do
     case $object in CMakeFiles/aniseline-platform.dir/* | CMakeFiles/aniseline_tests.dir/*) ;; *) fail "$object is built from platform/" ;; esac
   done < <(ninja -C build -t deps | awk -v ours="$PWD/platform/" '/^[^ ].*: #deps/ { object = $1; sub(/:$/, "", object) } $1 ~ /^\.\.\/platform\// || index($1, ours) == 1 { print object }' | sort -u)
 fi
 
-# The core's sources compile where there is nothing but the core: CMakeLists.txt, CORE.
+# The sources of the core (CORE in CMakeLists.txt) compile in a folder that contains only the headers of the core.
 core=(source/{state,scheduling,raft,controller,agent,checker}/*.cpp source/gateway/{leader_call,peer_directory}.cpp)
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
--- a/tests/library.sh
+++ b/tests/library.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The installed tree is enough for other people's programs: two small ones are built against it and run against a fleet.
+# Tests that external programs can be built from the installed files: builds two examples against them and runs these against a fleet.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 folder=$(mktemp -d)
@@ -15,7 +15,7 @@
   kill -0 "$fleet" 2>/dev/null || { cat "$folder/fleet.txt"; exit 1; }
   sleep 0.1
 done
-# The worker knows a gateway; the caller is given a dead address and a controller's, and finds the gateways itself.
+# The worker gets the address of a gateway. The client gets an address without a server and that of a controller, and must discover the gateways.
 "$folder/built/example_worker" 8 127.2.1.1:24021 > "$folder/worker.txt" &
 worker=$!
 "$folder/built/example_client" 127.0.0.1:1 127.1.2.1:24012
@@ -23,7 +23,7 @@
 wait "$worker"
 cat "$folder/worker.txt"
 grep -qv '^0 tasks' "$folder/worker.txt"
-# The example worker writes no history, so the fleet's own verdict is not asked for: told to stop, it takes all along.
+# The example worker writes no history, so the history check of the fleet can't be used: SIGTERM stops the whole fleet with status 4.
 kill -TERM "$fleet"
 status=0
 wait "$fleet" || status=$?
--- a/tests/lint.sh
+++ b/tests/lint.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Format and lint of the whole tree; DEVELOPERS.md 2. Prints findings, each once, and the counts.
-# Lint reads a build tree without precompiled headers. LINT_JOBS: files at the same time.
-# lint.sh format: no lint. lint.sh FOLDER...: lint of these folders only.
+# Checks the format of the whole tree and runs the linters; DEVELOPERS.md 2. Prints each finding once, and the counts.
+# clang-tidy uses a build tree without precompiled headers. LINT_JOBS sets the number of files linted at the same time.
+# Usage: lint.sh, or lint.sh format to skip clang-tidy, or lint.sh FOLDER... to run clang-tidy on these folders only.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -20,8 +20,8 @@
 results=$(mktemp -d)
 trap 'rm -rf "$results"' EXIT
 
-# What clang-tidy finds in one file. A run that ends badly with no finding is told as one, with the
-# end of what it said: a file that was not read is not clean.
+# Runs clang-tidy on one file. A run that fails without a finding is reported as a finding with the last
+# lines of its stderr, because a file that could not be analysed is not clean.
 lint_one() {
   local name status=0
   name=$results/$(tr / _ <<<"$1")
@@ -43,8 +43,8 @@
 printf '%s\n' "${linted[@]}" |
   xargs -P "${LINT_JOBS:-$(nproc)}" -I{} bash -c 'lint_one "$1"' lint_one {}
 
-# A finding in a header comes up again with every file that includes it. Notes and lines of code
-# that follow a finding are shown with it.
+# A finding in a header occurs again with every file that includes it and is printed once. The notes and
+# lines of code that follow a finding are printed with it.
 cat "$results"/*.found |
   awk '/^[^ ].*: (warning|error): / { shown = !seen[$0]++ } shown' >"$results/all"
 cat "$results/all"
--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -1,4 +1,4 @@
-// Runs every test; its closing line counts those that ran.
+// Runs the unit tests and prints how many passed and failed, counting only tests that ran.
 #include <CppUTest/CommandLineTestRunner.h>
 #include <CppUTest/MemoryLeakWarningPlugin.h>
 #include <CppUTest/TestPlugin.h>
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Filters leave tests out: what did not run has not passed.
+// Counts the tests that ran, because tests excluded by a filter must not count as passed.
 class RunCounter : public TestPlugin {
  public:
   RunCounter() : TestPlugin("RunCounter") {}
@@ -22,8 +22,9 @@
 }  // namespace
 
 int main(int count, char** values) {
-  MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();  // libraries keep tables for good; the
-                                                         // address sanitizer's run finds leaks
+  // Libraries keep some memory until the process exits, which CppUTest would report as leaks. Runs
+  // with the address sanitizer find real leaks.
+  MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
   RunCounter counter;
   TestRegistry::getCurrentRegistry()->installPlugin(&counter);
   const int failed = CommandLineTestRunner::RunAllTests(count, values);
--- a/tests/meeting.sh
+++ b/tests/meeting.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# A seed without a disk: it names who founds the cluster, and after everything was killed at once gateways that know no other
-# address find the controllers by it again. Bounded, waiting on conditions. docs/design.md 3.7, 9.7.
+# Tests a seed controller without a data folder: the cluster is bootstrapped through it, and after all processes were killed
+# at once, a gateway that knows only the address of the seed finds the controllers through it again. docs/design.md 3.7, 9.7.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 folder=$(mktemp -d)
@@ -27,10 +27,10 @@
   exit 1
 }
 all --found
-until_serves "no cluster was founded by way of a seed without a disk"
+until_serves "no cluster was bootstrapped through a seed without a data folder"
 kill -9 "${running[@]}"
 wait "${running[@]}" 2>/dev/null || true
 running=()
 all
-until_serves "after all began anew the controller was not found by way of a seed without a disk"
+until_serves "after the restart of all processes the controller was not found through a seed without a data folder"
 echo "1 passed, 0 failed"
--- a/tests/model_mutations.sh
+++ b/tests/model_mutations.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Takes one guard after the other out of a copy of source/raft, and shows that the model checker
-# finds the fault. Needs a build of model_check; takes some minutes. Usage: model_mutations.sh [NAME]
+# Mutation test of the model checker: removes one safety check at a time from a copy of a file of source/raft
+# and verifies that the model checker finds the fault. Needs a build of model_check; takes some minutes.
+# Usage: model_mutations.sh [NAME]. STATES sets the state limit; with TRACES set it prints the traces.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 states=${STATES:-200000}
@@ -10,7 +11,7 @@
 [ -n "$link" ] || { echo "model_mutations: no link command of model_check"; exit 2; }
 failed=0
 
-# mutate NAME FILE SCENARIO SED-EXPRESSION: the checker must find a fault where there was none.
+# mutate NAME FILE SCENARIO SED-EXPRESSION applies the expression to a copy of the file; the checker must find a fault.
 mutate() {
   local name=$1 file=$2 scenario=$3 expression=$4
   [ -z "$only" ] || [ "$only" = "$name" ] || return 0
--- a/tests/packages.py
+++ b/tests/packages.py
@@ -1,10 +1,10 @@
-"""Checks that a deploy file's `packages` cover all system files that a build opened.
+"""Checks that the `packages` of a deploy file cover all system files that a build used.
 
 Usage: packages.py BUILD_FOLDER TARGET DEPLOY_FILE
 
-Ninja's dependency log gives each header that the compiler read, the link line each library, and the build line the
-tools. dpkg tells which package owns each file. A package counts as listed if it stands in the deploy file, if a listed
-one depends on it (at any depth), or if Debian calls it essential.
+The headers are taken from Ninja's dependency log, the libraries from the link command and ldd, and the tools from the
+list below. dpkg knows which package owns each file. A package counts as listed if the deploy file contains it, if a
+listed package depends on it (at any depth), or if Debian marks it as essential.
 """
 import re
 import subprocess
@@ -21,7 +21,7 @@
 
 
 def opened_headers(build, target):
-    """System headers that the compiler read for the objects of a target and of the libraries it links."""
+    """Returns the system headers that the compiler read for the objects of a target and of the libraries that it links."""
     wanted = set(output_of("ninja", "-C", str(build), "-t", "inputs", target).split())
     headers = set()
     is_wanted = False
@@ -36,7 +36,7 @@
 
 
 def linked_libraries(build, target):
-    """Shared libraries that the finished program loads, and libraries named on the link line."""
+    """Returns the shared libraries that the finished program loads and the libraries on the link command."""
     libraries = set(re.findall(r"(/\S+\.so\S*)", output_of("ldd", str(build / target))))
     link_line = output_of("ninja", "-C", str(build), "-t", "commands", target).splitlines()[-1]
     return libraries | set(re.findall(r"(/usr/lib\S+\.(?:so|a)\S*)", link_line))
@@ -47,7 +47,7 @@
 
 
 def owner_of_each_file():
-    """Of each file that dpkg installed the package that owns it, by its resolved path."""
+    """Maps the path of each file that dpkg installed to the package that owns it."""
     owner = {}
     for listing in DPKG_FILE_LISTS.glob("*.list"):
         package = listing.stem.split(":")[0]
@@ -57,7 +57,7 @@
 
 
 def owners(files):
-    """Packages that own the files; a file that no package owns is an error."""
+    """Returns the packages that own the files. Exits with an error if no package owns a file."""
     owner = owner_of_each_file()
     found = set()
     for file in sorted(files):
@@ -71,7 +71,8 @@
 
 
 def installed_dependencies():
-    """Of each installed package the names in its Depends and Pre-Depends, and the essential packages."""
+    """Returns the dependencies (Depends and Pre-Depends) of each installed package, the providers of each virtual package, and the essential
+    packages."""
     depends, provides, essential = {}, {}, set()
     fields = "${Package}\t${Essential}\t${Depends}, ${Pre-Depends}\t${Provides}\n"
     for line in output_of("dpkg-query", "-W", "-f=" + fields).splitlines():
@@ -85,7 +86,7 @@
 
 
 def closure(packages, depends, provides):
-    """The packages and all that they depend on."""
+    """Returns the packages and their direct and indirect dependencies."""
     seen, waiting = set(), list(packages)
     while waiting:
         package = waiting.pop()
--- a/tests/packages.sh
+++ b/tests/packages.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# A clean build of what deploy/system.toml names opens files of listed packages only (or of packages that these depend on).
-# Reads what the compiler and the linker themselves opened for build/aniseline-platform: ninja's dependency log and ldd's list.
+# Checks that the build of aniseline-platform uses only files of the packages that deploy/system.toml lists, or of their dependencies.
+# The files are taken from ninja's dependency log, the link command and ldd.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 python3 tests/packages.py build aniseline-platform deploy/system.toml
--- a/tests/refusals.sh
+++ b/tests/refusals.sh
@@ -1,12 +1,13 @@
 #!/usr/bin/env bash
-# What an operator gets wrong is named, with status 2 (the words) or 3 (refused), and nothing starts.
+# Tests the error messages for wrong options, commands and configurations: exit status 2 (usage), 3 (refused) or 5 (no usable answer),
+# and no process starts.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
 failed=0
 passed=0
-# refuse STATUS PART COMMAND...
+# refuse STATUS TEXT COMMAND... runs the command, which must exit with this status and print this text.
 refuse() {
   local wanted=$1 part=$2
   shift 2
@@ -17,7 +18,7 @@
     passed=$((passed + 1))
   else
     failed=$((failed + 1))
-    echo "wanted status $wanted and '$part' from: $* (got $status: $said)"
+    echo "expected status $wanted and '$part' from: $* (got $status: $said)"
   fi
 }
 printf '{"peer":"127.0.0.1:70000","zone":"a","colour":1}' > "$folder/options.json"
@@ -59,6 +60,6 @@
 refuse 2 "torn.witness:1: is no witness' line" build/history_check --folder "$folder"
 refuse 2 "--by: must be" build/zone_drill --control 127.0.0.1:1 --zone a --by paint
 refuse 3 "can't be asked" build/zone_drill --control 127.0.0.1:1 --zone a
-[ ! -e "$folder/d" ] || { echo "a refused start left a data folder"; failed=$((failed + 1)); }
+[ ! -e "$folder/d" ] || { echo "a refused start created a data folder"; failed=$((failed + 1)); }
 echo "$passed passed, $failed failed"
 [ "$failed" = 0 ]
--- a/tests/sanitize.sh
+++ b/tests/sanitize.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# The same tests under the address and undefined-behaviour sanitizers, and what threads share under the thread sanitizer.
+# Runs the unit tests and a short simulation under the address and undefined-behaviour sanitizers, and the tests of the data shared
+# between threads under the thread sanitizer.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 cmake -S . -B build-address -G Ninja -DANISELINE_SANITIZE=address,undefined >/dev/null
--- a/tests/soak/series.sh
+++ b/tests/soak/series.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Soak runs with seeds FROM to TO, so many at a time, each in a folder and a network of its own; the long run that is started by hand.
-# series.sh FOLDER FROM TO AT_ONCE [options of soak.py]. Prints one line a seed and keeps the folders of those that fail.
+# Runs soak.py with the seeds FROM to TO, AT_ONCE of them concurrently, each in its own folder and network. For long runs started by hand.
+# Prints one line per seed and keeps the folders of failed runs. Usage: series.sh FOLDER FROM TO AT_ONCE [options of soak.py]
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 folder=$1 from=$2 to=$3 at_once=$4
--- a/tests/unit_tests.sh
+++ b/tests/unit_tests.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Runs a program of unit tests without those that KNOWN-RED.txt lists, and prints the list. DEVELOPERS.md 3.
-# A line of the list: TEST | cause | issue; a unit test is named GROUP.NAME, a script by its path.
+# Runs the unit tests of a program except those that KNOWN-RED.txt lists as known failures, and prints that list. DEVELOPERS.md 3.
+# Format of a line of the list: TEST | cause | issue; TEST is GROUP.NAME for a unit test and the path for a script.
+# Usage: unit_tests.sh PROGRAM
 set -euo pipefail
 cd "$(dirname "$0")/.."
 program=$1
@@ -22,7 +23,8 @@
   exec "$program"
 fi
 
-# CppUTest joins filters by "or", so what runs is named: all other groups, then what is left of each group with a red test.
+# CppUTest combines filters with "or", so the tests to run are listed: first all groups without a known failure, then the remaining tests
+# of each other group.
 mapfile -t tests < <("$program" -ln | tr ' ' '\n' | grep .)
 others=()
 for group in $("$program" -lg); do
--- a/tests/unit_tests_sharded.sh
+++ b/tests/unit_tests_sharded.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Runs the unit tests of a program in several processes side by side, each test at least once; for builds under a sanitizer, where one
-# process takes ten minutes. Prints what each process printed. With a KNOWN-RED.txt: tests/unit_tests.sh, in one process.
+# Runs the unit tests of a program in several concurrent processes, each test at least once. For builds with a sanitizer, where one
+# process takes ten minutes. Prints the output of each process. If KNOWN-RED.txt has entries, it runs tests/unit_tests.sh instead.
+# Usage: unit_tests_sharded.sh PROGRAM PROCESSES
 set -euo pipefail
 cd "$(dirname "$0")/.."
 program=$1
@@ -10,7 +11,7 @@
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
 mapfile -t tests < <("$program" -ln | tr ' ' '\n' | grep .)
-[ "${#tests[@]}" -gt 0 ] || { echo "$program names no tests"; exit 1; }
+[ "${#tests[@]}" -gt 0 ] || { echo "$program lists no tests"; exit 1; }
 declare -A processes=()
 for ((shard = 0; shard < shards; ++shard)); do
   chosen=()
