--- a/tests/soak/connection.py
+++ b/tests/soak/connection.py
@@ -1,6 +1,6 @@
-"""One HTTP/1.1 connection of a stand-in client, on which every complete request is accounted for.
+"""One HTTP/1.1 connection of a simulated client, on which every complete request has exactly one outcome.
 
-A request is complete once its last byte was handed to the kernel. From then on it has exactly one outcome: a complete response, a refusal
+A request is complete once its last byte was handed to the kernel. The outcome is a complete response, a refusal
 (the server had already announced that it closes this connection), a cut (the connection ended without a complete response) or a timeout.
 """
 
