--- a/benchmarks/benchmark_runner.cpp
+++ b/benchmarks/benchmark_runner.cpp
@@ -64,11 +64,11 @@
 }
 
 BenchmarkRunner::Measurement BenchmarkRunner::flow() const {
-  FlowDurations lengths;
-  lengths.tickMs = options.tickMs;
-  lengths.measuredMs = options.measuredMs;
-  return [lengths](const Sizes& sizes, std::uint64_t seed) {
-    return measureFlow(sizes, seed, lengths);
+  FlowDurations durations;
+  durations.tickMs = options.tickMs;
+  durations.measuredMs = options.measuredMs;
+  return [durations](const Sizes& sizes, std::uint64_t seed) {
+    return measureFlow(sizes, seed, durations);
   };
 }
 
--- a/benchmarks/benchmarks.hpp
+++ b/benchmarks/benchmarks.hpp
@@ -16,7 +16,7 @@
 
 // Each function measures once, with random numbers from one seed. The names of the metrics end with
 // their units. `measureFlow` returns no metrics if there was no leader or the leader changed.
-Metrics measureFlow(const Sizes& sizes, std::uint64_t seed, const FlowDurations& lengths);
+Metrics measureFlow(const Sizes& sizes, std::uint64_t seed, const FlowDurations& durations);
 Metrics measurePlan(const Sizes& sizes, std::uint64_t seed);
 Metrics measureGang(const Sizes& sizes, std::uint64_t seed);
 Metrics measureState(const Sizes& sizes, std::uint64_t seed);
--- a/benchmarks/flow_benchmark.cpp
+++ b/benchmarks/flow_benchmark.cpp
@@ -414,8 +414,9 @@
 
 }  // namespace
 
-Metrics measureFlow(const Sizes& sizes, std::uint64_t seed, const FlowDurations& lengths) {
-  return InMemoryCluster(sizes, seed, lengths.tickMs).measure(lengths.warmUpMs, lengths.measuredMs);
+Metrics measureFlow(const Sizes& sizes, std::uint64_t seed, const FlowDurations& durations) {
+  return InMemoryCluster(sizes, seed, durations.tickMs)
+      .measure(durations.warmUpMs, durations.measuredMs);
 }
 
 }  // namespace aniseline::benchmarks
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -15,7 +15,7 @@
 
 CONNECT_TIMEOUT_SECONDS = 1.0
 DEADLINE_SECONDS = 3.0
-ANSWER_SLACK_SECONDS = 2.0
+RESPONSE_SLACK_SECONDS = 2.0
 MAX_TRIES = 5
 HOST = "proofs.example"
 PREFIXES = ("/quick/", "/plates/", "/checks/")
@@ -137,7 +137,7 @@
             await asyncio.sleep(0.05)
             return []
         pause = self.rng.uniform(0.02, 1.2) if self.behaviour == "late" and self.rng.random() < 0.5 else 0.0
-        exchanges = await self.connection.exchange_all(requests, DEADLINE_SECONDS + ANSWER_SLACK_SECONDS, pause)
+        exchanges = await self.connection.exchange_all(requests, DEADLINE_SECONDS + RESPONSE_SLACK_SECONDS, pause)
         for request, exchange in zip(requests, exchanges):
             self.ledger.record_exchange("client", self.address, kind, exchange)
             self.tenants.check_key_use(request.headers["Authorization"].split()[1], exchange)
@@ -279,6 +279,6 @@
                 self.connection = None
                 self.ledger.outcomes[("operator", "not_connected")] += 1
                 return None
-        exchange = await self.connection.exchange(request, DEADLINE_SECONDS + ANSWER_SLACK_SECONDS)
+        exchange = await self.connection.exchange(request, DEADLINE_SECONDS + RESPONSE_SLACK_SECONDS)
         self.ledger.record_exchange("operator", self.address, kind, exchange)
         return exchange
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -53,8 +53,8 @@
         self.failures[kind] += 1
         self.write_log(f"FAILED {kind}: {text}")
 
-    def record_stop(self, role, took):
-        self.stop_times[role].append(took)
+    def record_stop(self, role, stop_seconds):
+        self.stop_times[role].append(stop_seconds)
 
     # --- requests ---
 
