--- a/benchmarks/meter.hpp
+++ b/benchmarks/meter.hpp
@@ -1,37 +1,38 @@
-// Measures processor time and memory for the benchmarks. docs/CAPACITY.md.
+// Measures CPU time and heap memory for the benchmarks. docs/CAPACITY.md.
 #ifndef ANISELINE_BENCHMARKS_METER_HPP
 #define ANISELINE_BENCHMARKS_METER_HPP
 #include "base/types.hpp"
 
 namespace aniseline::benchmarks {
 
-// This thread's processor time, in microseconds.
-double processorMicros();
-// What the process holds on its heap, in bytes.
+// Returns the CPU time that this thread has used, in microseconds.
+double threadCpuMicros();
+// Returns the number of bytes allocated on the heap of this process.
 double heapBytes();
 
-// Measured values by name.
-using Values = std::map<std::string, double>;
+// Maps the names of metrics to their values.
+using Metrics = std::map<std::string, double>;
 
-// Adds the processor time of a scope to one of the values.
-class Meter {
+// Adds the CPU time of a scope, in microseconds, to one metric.
+class CpuMeter {
  public:
-  Meter(Values& values, const char* name) : target(values[name]), begun(processorMicros()) {}
-  ~Meter() { target += processorMicros() - begun; }
-  Meter(const Meter&) = delete;
-  Meter& operator=(const Meter&) = delete;
+  CpuMeter(Metrics& values, const char* name)
+      : total(values[name]), startMicros(threadCpuMicros()) {}
+  ~CpuMeter() { total += threadCpuMicros() - startMicros; }
+  CpuMeter(const CpuMeter&) = delete;
+  CpuMeter& operator=(const CpuMeter&) = delete;
 
  private:
-  double& target;
-  double begun;
+  double& total;
+  double startMicros;
 };
 
-// The processor time of one call, in microseconds.
+// Calls a function and returns the CPU time of the call, in microseconds.
 template <class Work>
-double timed(Work work) {
-  const double begun = processorMicros();
+double measureCpuMicros(Work work) {
+  const double startMicros = threadCpuMicros();
   work();
-  return processorMicros() - begun;
+  return threadCpuMicros() - startMicros;
 }
 
 }  // namespace aniseline::benchmarks
--- a/programs/core_benchmark.cpp
+++ b/programs/core_benchmark.cpp
@@ -11,14 +11,15 @@
 // Options for the sizes of a single workload.
 struct FlowOptions {
   bool single = false;
-  std::int64_t workers = 60, kept = 0, waiting = 0, running = 0, queues = 10, starts = 100;
+  std::int64_t workers = 60, keptJobs = 0, waitingTasks = 0, runningTasks = 0, queues = 10,
+               starts = 100;
 
   void addTo(OptionSet& options) {
     options.addFlag("one", single, "measure only one flow, with the sizes of the options below");
     options.addInteger("workers", workers, "workers of that flow", 1, 100'000);
-    options.addInteger("jobs-kept", kept, "finished jobs that are kept", 0, 1'000'000);
-    options.addInteger("tasks-waiting", waiting, "waiting tasks", 0, 1'000'000);
-    options.addInteger("tasks-running", running,
+    options.addInteger("jobs-kept", keptJobs, "finished jobs that are kept", 0, 1'000'000);
+    options.addInteger("tasks-waiting", waitingTasks, "waiting tasks", 0, 1'000'000);
+    options.addInteger("tasks-running", runningTasks,
                        "running tasks, in addition to those that the flow starts", 0, 1'000'000);
     options.addInteger("queues", queues, "queues of that flow", 1, 2000);
     options.addInteger("starts", starts, "task starts per second", 0, 100'000);
@@ -26,9 +27,9 @@
   benchmarks::Sizes sizes() const {
     benchmarks::Sizes sizes;
     sizes.workers = std::size_t(workers);
-    sizes.kept = std::size_t(kept);
-    sizes.waiting = std::size_t(waiting);
-    sizes.running = std::size_t(running);
+    sizes.keptJobs = std::size_t(keptJobs);
+    sizes.waitingTasks = std::size_t(waitingTasks);
+    sizes.runningTasks = std::size_t(runningTasks);
     sizes.queues = std::size_t(queues);
     sizes.starts = double(starts);
     return sizes;
