--- a/tests/unit_tests.sh
+++ b/tests/unit_tests.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
 # Runs the unit tests of a program except those that KNOWN-RED.txt lists as known failures, and prints that list. DEVELOPERS.md 3.
-# Format of a line of the list: TEST | cause | issue; TEST is GROUP.NAME for a unit test and the path for a script.
+# Format of a line of the list: TEST | what was seen | command and seed | issue; TEST is GROUP.NAME for a unit test and the path for a
+# script.
 # Usage: unit_tests.sh PROGRAM
 set -euo pipefail
 cd "$(dirname "$0")/.."
